--- a/crates/replication/src/calls.rs
+++ b/crates/replication/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls from replica to replica.
+//! Calls between replicas.
 
 use crate::message::{Header, ReplicaReply, ReplicaRequest};
 use crate::message_codec;
@@ -12,62 +12,63 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Which connection to a peer a message takes.
+/// Connection to a peer over which a message is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Channel {
-    /// What the other channels do not take.
+    /// Messages that use no other channel.
     Log,
-    /// Heartbeats, which must not wait behind large messages.
+    /// Heartbeats, which must not queue behind large messages.
     Heartbeats,
-    /// Probes of the path, which must not wait behind anything else, and what follows from them.
+    /// Link probes, which must not queue behind other messages, and leadership transfer messages.
     Probes,
-    /// Questions to machines that may be of any build, and of no group.
-    Questions,
+    /// Requests to machines of any build, in or outside the group; the feature level is negotiated.
+    Negotiated,
 }
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
-    /// Sends a request and waits for its answer; `None` if none comes within `limit`.
+    /// Sends a request and waits for its reply; `None` if it fails or times out.
     pub(crate) async fn send(
         &self,
         address: SocketAddr,
         request: &ReplicaRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<ReplicaReply> {
-        self.try_send(Channel::Log, address, request, limit).await.ok()
+        self.try_send(Channel::Log, address, request, timeout).await.ok()
     }
 
-    /// Like `send`, and tells whether the request may have been sent.
+    /// Like `send`, but the error shows whether the request may have been sent.
     pub(crate) async fn try_send(
         &self,
         channel: Channel,
         address: SocketAddr,
         request: &ReplicaRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<ReplicaReply, CallError> {
-        let speech = if channel == Channel::Questions { Speech::Negotiated } else { self.speech() };
-        self.send_as(speech, channel, address, request, limit).await
+        let speech = if channel == Channel::Negotiated { Speech::Negotiated } else { self.speech() };
+        self.send_as(speech, channel, address, request, timeout).await
     }
 
-    /// Like `try_send`, at a level that the caller knows better.
+    /// Like `try_send`, at a feature level chosen by the caller.
     pub(crate) async fn send_as(
         &self,
         speech: Speech,
         channel: Channel,
         address: SocketAddr,
         request: &ReplicaRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<ReplicaReply, CallError> {
         let client = self.client(channel, address);
         client.speak(speech);
-        let answer = client.call(|level| message_codec::encode_call(request, level), limit).await?;
+        let answer = client.call(|level| message_codec::encode_call(request, level), timeout).await?;
         let reply = message_codec::decode_answer(&answer.body, answer.level);
         reply.ok_or(CallError::Unknown)
     }
 
-    /// Asks the leader, as far as it is known and another replica; `None` if it does not answer in time.
-    pub async fn ask_leader(&self, request: &ControlRequest, limit: Duration) -> Option<ControlReply> {
-        let client = self.client(Channel::Questions, self.leader_address()?);
-        let answer = client.call(|level| messages::encode_request(request, level), limit).await.ok()?;
+    /// Sends a control request to the leader; `None` if the leader is unknown, is this replica, or does not reply in
+    /// time.
+    pub async fn ask_leader(&self, request: &ControlRequest, timeout: Duration) -> Option<ControlReply> {
+        let client = self.client(Channel::Negotiated, self.leader_address()?);
+        let answer = client.call(|level| messages::encode_request(request, level), timeout).await.ok()?;
         messages::decode_reply(&answer.body, answer.level)
     }
 
@@ -77,7 +78,7 @@
         clients.entry((channel, address)).or_insert_with(new).clone()
     }
 
-    /// The header of a message to a replica in `term`.
+    /// Header of a message to a replica in `term`.
     pub(crate) fn header(&self, to: ReplicaId, term: u64) -> Header {
         let identity = self.inner.state.borrow().identity;
         Header { group: identity.group.unwrap_or_default(), from: identity.id, to, term }
--- a/crates/replication/src/config.rs
+++ b/crates/replication/src/config.rs
@@ -1,44 +1,48 @@
-//! Timing and size limits of replication.
+//! Timeouts and size limits of replication.
 
 use saddlerelay_types::feature_level::FeatureLevel;
 use std::time::Duration;
 
-/// Limits; every replica of a group uses the same.
+/// Timeouts and limits; identical on all replicas of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicationConfig {
-    /// Pause between heartbeats to one peer.
+    /// Interval between heartbeats to a peer.
     pub heartbeat_interval: Duration,
-    /// Shortest silence after which a replica seeks votes, and for which it refuses votes to others.
+    /// Minimum time without leader contact before a replica campaigns. Votes are refused for the same time after
+    /// leader contact.
     pub election_timeout: Duration,
-    /// Random part added to the election timeout.
+    /// Upper bound of the random addition to the election timeout.
     pub election_jitter: Duration,
-    /// How much later than the one that led last a replica that starts seeks votes.
+    /// Additional delay of the first campaign after a start, for replicas other than the previous leader.
     pub leader_head_start: Duration,
-    /// How long a quorum's answers let a leader serve reads; below `election_timeout` by the clock error allowed.
+    /// Validity of the leader lease after a quorum's acknowledgement. Shorter than `election_timeout` by the tolerated
+    /// clock drift.
     pub lease: Duration,
-    /// Time limit of one message between replicas.
+    /// Timeout of one message between replicas.
     pub call_limit: Duration,
-    /// Entries applied since the last snapshot that cause the next.
+    /// Number of applied entries after which a snapshot is taken.
     pub snapshot_entries: u64,
-    /// Bytes logged since the last snapshot that cause the next.
+    /// Size in bytes of applied entries after which a snapshot is taken. Each replica uses 50 to 100 % of it, so that
+    /// not all take theirs at once.
     pub snapshot_bytes: u64,
-    /// Entries kept before a snapshot, so that replicas a little behind need none.
+    /// Number of entries before a snapshot that are kept, so that replicas slightly behind need no snapshot.
     pub trailing_entries: u64,
-    /// Bytes of applied entries kept in memory, for replicas a little behind.
+    /// Size in bytes of applied entries kept in memory.
     pub memory_bytes: u64,
-    /// Bytes of applied entries kept in memory for voters that are further behind; beyond, they are sent a snapshot.
+    /// Size in bytes of applied entries kept in memory for peers that are behind. Older entries are read from the log
+    /// file, or a snapshot is sent.
     pub memory_bytes_behind: u64,
-    /// Most entries in one message.
+    /// Maximum number of entries in one message.
     pub entries_per_message: usize,
-    /// Most proposals waiting to be written.
+    /// Maximum number of proposals waiting to be written.
     pub proposal_queue: usize,
-    /// Voters wanted; further joiners stay learners.
+    /// Number of voters; further replicas that join remain learners.
     pub target_voters: usize,
     /// Silence after which a voter is replaced by a learner that has caught up.
     pub replace_after: Duration,
-    /// Learners kept beside the voters, to take the place of one that is lost.
+    /// Number of learners kept in reserve to replace failed voters.
     pub spare_learners: usize,
-    /// The level at which a new group begins, if all its members know it.
+    /// Feature level of a new group, if all its members support it.
     pub first_level: FeatureLevel,
 }
 
@@ -67,7 +71,7 @@
 }
 
 impl ReplicationConfig {
-    /// Why these limits cannot be used together, or `None`.
+    /// Why the configuration is invalid, or `None`.
     pub fn error(&self) -> Option<&'static str> {
         if self.lease >= self.election_timeout {
             return Some("the leader lease must be shorter than the election timeout");
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -1,4 +1,4 @@
-//! Following a leader: appending its entries and installing its snapshots.
+//! Following a leader: appending entries and installing snapshots.
 
 use crate::log::{LogEntry, MemoryLog};
 use crate::membership::Member;
@@ -14,7 +14,7 @@
 use saddlerelay_types::feature_level::FeatureLevel;
 use saddlerelay_types::identity::ReplicaId;
 
-/// Where a snapshot comes from.
+/// Identifies a snapshot that is being received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SnapshotSource {
     leader: ReplicaId,
@@ -23,53 +23,53 @@
     level: FeatureLevel,
 }
 
-/// A snapshot of which some parts have come.
+/// A snapshot that is being received in parts.
 #[derive(Debug, Default)]
 pub(crate) struct IncomingSnapshot {
-    from: Option<SnapshotSource>,
+    source: Option<SnapshotSource>,
     bytes: Vec<u8>,
-    /// The whole snapshot, while segments that it refers to are missing.
-    whole: Option<Snapshot>,
+    /// The complete snapshot, while segments that it refers to are missing.
+    complete: Option<Snapshot>,
 }
 
 impl IncomingSnapshot {
-    /// Takes a part that follows those before it. Parts of another snapshot begin anew.
-    fn take(&mut self, source: SnapshotSource, part: &SnapshotPart) {
-        if self.from != Some(source) {
+    /// Appends a part. A part of another snapshot replaces what was received so far.
+    fn add_part(&mut self, source: SnapshotSource, part: &SnapshotPart) {
+        if self.source != Some(source) {
             let capacity = usize::try_from(part.total).unwrap_or(0).min(MAX_FRAME_BYTES);
-            *self = Self { from: Some(source), bytes: Vec::with_capacity(capacity), whole: None };
+            *self = Self { source: Some(source), bytes: Vec::with_capacity(capacity), complete: None };
         }
-        if self.whole.is_none() && part.offset == self.bytes.len() as u64 {
+        if self.complete.is_none() && part.offset == self.bytes.len() as u64 {
             self.bytes.extend_from_slice(&part.bytes);
         }
     }
 
-    /// Whether the snapshot is whole by the last part; `Err` if it is damaged.
-    fn decode_whole(&mut self, source: SnapshotSource, part: &SnapshotPart) -> Result<bool, DamagedSnapshot> {
-        if self.whole.is_none() && self.bytes.len() as u64 == part.total {
+    /// Whether the snapshot is complete; fails if its checksum is wrong.
+    fn decode_if_complete(&mut self, source: SnapshotSource, part: &SnapshotPart) -> Result<bool, CorruptSnapshot> {
+        if self.complete.is_none() && self.bytes.len() as u64 == part.total {
             let bytes = std::mem::take(&mut self.bytes);
-            self.whole = Some(Snapshot::decode(bytes).ok_or(DamagedSnapshot)?.at_level(source.level));
+            self.complete = Some(Snapshot::decode(bytes).ok_or(CorruptSnapshot)?.at_level(source.level));
         }
-        Ok(self.whole.is_some())
+        Ok(self.complete.is_some())
     }
 
-    /// The segments that the whole snapshot refers to and that are not among `stored`.
+    /// Segments of the complete snapshot that are not in `stored`.
     pub fn missing_segments(&self, stored: &StoredSegments) -> Vec<Segment> {
-        let segments = self.whole.iter().flat_map(|snapshot| &snapshot.header.segments);
-        segments.filter(|segment| !stored.holds(segment)).copied().collect()
+        let segments = self.complete.iter().flat_map(|snapshot| &snapshot.header.segments);
+        segments.filter(|segment| !stored.contains(segment)).copied().collect()
     }
 
-    /// The replicas that hold the whole snapshot's segments, its sender last.
+    /// Voters to fetch the snapshot's segments from, the sender of the snapshot last.
     pub fn segment_sources(&self) -> Vec<Member> {
-        let (Some(whole), Some(from)) = (&self.whole, self.from) else {
+        let (Some(complete), Some(source)) = (&self.complete, self.source) else {
             return Vec::new();
         };
-        leader_last(whole.header.membership.voters(), Some(from.leader))
+        leader_last(complete.header.membership.voters(), Some(source.leader))
     }
 }
 
-/// A snapshot did not pass its checksum.
-struct DamagedSnapshot;
+/// The checksum of a received snapshot is wrong.
+struct CorruptSnapshot;
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
     pub(crate) async fn append_entries(
@@ -87,15 +87,15 @@
             return ReplicaReply::Append { term: own_term, accepted: false, index: 0 };
         }
         if let Err(error) = self.adopt_level(&mut storage, level).await {
-            // The leader asks again.
-            spdlog::warn!("format not written", kv: { dependency = "disk", reason = error.to_string().as_str() });
+            // The leader retries.
+            spdlog::warn!("file format write failed", kv: { dependency = "disk", reason = error.to_string().as_str() });
             return ReplicaReply::Refused;
         }
         let mut records = new_term_record(header.term, own_term);
         let last_sent = previous_index + entries.len() as u64;
         let checked = {
             let mut state = self.inner.state.borrow_mut();
-            self.hear_leader(&mut state, &header);
+            self.record_leader_contact(&mut state, &header);
             missing_entries(&state, previous_index, previous_term, entries)
         };
         if let Ok(missing) = &checked {
@@ -110,15 +110,15 @@
         match checked {
             Err(index) => ReplicaReply::Append { term: header.term, accepted: false, index },
             Ok(missing) => {
-                take_entries(&mut state, missing, last_sent, commit);
+                append_missing(&mut state, missing, last_sent, commit);
                 ReplicaReply::Append { term: header.term, accepted: true, index: last_sent }
             }
         }
     }
 
-    /// Takes a part; the last one makes the snapshot whole and has it installed, once no segment is missing. An empty part
-    /// behind the last one only asks how far that is.
-    pub(crate) async fn take_snapshot_part(
+    /// Receives a part of a snapshot. Once it is complete and no segment is missing, the snapshot is installed. An
+    /// empty part at the end offset polls for that.
+    pub(crate) async fn receive_snapshot_part(
         &self,
         header: Header,
         part: SnapshotPart,
@@ -128,20 +128,20 @@
         if header.term < own_term {
             return ReplicaReply::SnapshotPart { term: own_term, next_offset: 0 };
         }
-        self.hear_leader(&mut self.inner.state.borrow_mut(), &header);
+        self.record_leader_contact(&mut self.inner.state.borrow_mut(), &header);
         let source = SnapshotSource { leader: header.from, term: header.term, index: part.index, level };
         {
             let mut incoming = self.inner.incoming.borrow_mut();
             let received = incoming.get_or_insert_default();
-            received.take(source, &part);
-            match received.decode_whole(source, &part) {
+            received.add_part(source, &part);
+            match received.decode_if_complete(source, &part) {
                 Ok(true) => {}
                 Ok(false) => {
                     let next_offset = received.bytes.len() as u64;
                     return ReplicaReply::SnapshotPart { term: header.term, next_offset };
                 }
-                Err(DamagedSnapshot) => {
-                    spdlog::warn!("snapshot damaged on its way", kv: { from = header.from.0, index = part.index });
+                Err(CorruptSnapshot) => {
+                    spdlog::warn!("received snapshot failed checksum", kv: { from = header.from.0, index = part.index });
                     return ReplicaReply::SnapshotPart { term: header.term, next_offset: 0 };
                 }
             }
@@ -149,17 +149,17 @@
         self.install_or_fetch(header).await
     }
 
-    /// Installs the snapshot that has come, or has the segments fetched that are missing.
+    /// Installs the complete snapshot, or starts fetching missing segments.
     async fn install_or_fetch(&self, header: Header) -> ReplicaReply {
         let snapshot = {
             let mut incoming = self.inner.incoming.borrow_mut();
             let missing = incoming.as_ref().map(|received| received.missing_segments(&self.inner.segments.borrow()));
             if missing.is_some_and(|missing| !missing.is_empty()) {
                 drop(incoming);
-                self.begin_fetch();
+                self.start_fetch();
                 return ReplicaReply::FetchingSegments { term: header.term };
             }
-            incoming.take().and_then(|received| received.whole)
+            incoming.take().and_then(|received| received.complete)
         };
         match snapshot {
             Some(snapshot) => self.install_snapshot(header, snapshot).await,
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Replaces the state.
+    /// Replaces the state with the snapshot, in memory and on disk.
     async fn install_snapshot(&self, header: Header, snapshot: Snapshot) -> ReplicaReply {
         let mut storage = self.inner.storage.lock().await;
         let (own_term, applied) = {
@@ -185,12 +185,12 @@
             return ReplicaReply::Append { term: header.term, accepted: true, index: applied };
         }
         let voted_for = self.inner.state.borrow().voted_for.filter(|_| header.term == own_term);
-        if let Err(error) = self.enter_level_of(&mut storage, &snapshot).await {
-            // The leader sends it again.
-            spdlog::warn!("format not written", kv: { dependency = "disk", reason = error.to_string().as_str() });
+        if let Err(error) = self.prepare_level_of(&mut storage, &snapshot).await {
+            // The leader retries.
+            spdlog::warn!("file format write failed", kv: { dependency = "disk", reason = error.to_string().as_str() });
             return ReplicaReply::Refused;
         }
-        // The state is replaced first, so that not both of them and the snapshot's bytes are held.
+        // The old state is dropped before the file is written, to limit memory use.
         self.replace_state(&snapshot);
         let writing = self.inner.snapshot_file.lock().await;
         let written = write_snapshot(&self.inner.platform.disk(), snapshot, self.inner.format.get()).await;
@@ -211,38 +211,39 @@
             state.applied_bytes_since_snapshot = 0;
         }
         drop(storage);
-        self.remove_outlived_segments(&segments).await;
+        self.remove_obsolete_segments(&segments).await;
         spdlog::info!("snapshot installed", kv: {
             from = header.from.0, term = header.term, index = index, bytes = bytes,
-            segments = segments.len() as u64, held_before = applied,
+            segments = segments.len() as u64, applied_before = applied,
             feature_level = feature_level
         });
         ReplicaReply::Append { term: header.term, accepted: true, index }
     }
 
-    /// What the snapshot holds was committed: the state may go forward to it before it is on this replica's disk.
-    /// The files are made ready for a snapshot of another level than theirs.
-    async fn enter_level_of(&self, storage: &mut Storage<P::Disk>, snapshot: &Snapshot) -> Result<(), StorageError> {
+    /// Prepares the files for a snapshot that may be of another feature level.
+    async fn prepare_level_of(&self, storage: &mut Storage<P::Disk>, snapshot: &Snapshot) -> Result<(), StorageError> {
         self.adopt_level(storage, snapshot.level).await?;
         let is_same = self.inner.state.borrow().level == Some(snapshot.level);
-        if is_same { Ok(()) } else { storage.hold_several_levels().await }
+        if is_same { Ok(()) } else { storage.set_multiple_levels().await }
     }
 
+    /// Restores the state machine and the log from the snapshot. Its entries are committed, so this may precede the
+    /// write to disk.
     fn replace_state(&self, snapshot: &Snapshot) {
         let mut state = self.inner.state.borrow_mut();
-        state.machine.restore(snapshot.state(), snapshot.level);
+        state.state_machine.restore(snapshot.state(), snapshot.level);
         state.level = Some(snapshot.level);
-        state.began_at = None;
+        state.first_entry_level = None;
         let header = snapshot.header.clone();
         state.log = MemoryLog::new(header.index, header.term, header.membership);
         state.commit = header.index;
         state.applied = header.index;
     }
 
-    pub(crate) fn hear_leader(&self, state: &mut State<S>, header: &Header) {
+    pub(crate) fn record_leader_contact(&self, state: &mut State<S>, header: &Header) {
         let now = self.inner.platform.monotonic();
-        state.patience.note_heard(now);
-        state.leader_heard_at = now;
+        state.adaptive_timeout.record_contact(now);
+        state.last_leader_contact = now;
         if header.term >= state.term {
             state.leader = Some(header.from);
         }
@@ -263,7 +264,8 @@
     state.become_follower();
 }
 
-/// The sent entries that are not held yet, or the index from which the leader should try.
+/// Entries of the message that the log lacks, or, if the log does not match, the index after which the leader should
+/// retry.
 fn missing_entries<S: StateMachine>(
     state: &State<S>,
     previous_index: u64,
@@ -277,12 +279,12 @@
     if previous_index >= base && state.log.term_at(previous_index) != Some(previous_term) {
         return Err(previous_index.saturating_sub(1).min(state.commit.max(base)));
     }
-    let held = |entry: &LogEntry| entry.index <= base || state.log.term_at(entry.index) == Some(entry.term);
-    let first_missing = entries.iter().position(|entry| !held(entry));
+    let is_present = |entry: &LogEntry| entry.index <= base || state.log.term_at(entry.index) == Some(entry.term);
+    let first_missing = entries.iter().position(|entry| !is_present(entry));
     Ok(first_missing.map_or_else(Vec::new, |first| entries[first..].to_vec()))
 }
 
-fn take_entries<S: StateMachine>(state: &mut State<S>, missing: Vec<LogEntry>, last_sent: u64, commit: u64) {
+fn append_missing<S: StateMachine>(state: &mut State<S>, missing: Vec<LogEntry>, last_sent: u64, commit: u64) {
     for entry in missing {
         assert!(entry.index > state.commit, "a committed entry is never replaced");
         state.synced = entry.index;
--- a/crates/replication/src/founding.rs
+++ b/crates/replication/src/group_formation.rs
@@ -1,4 +1,4 @@
-//! Forming a group: of one replica when told, or of the founders that the settings of the first start name.
+//! Formation of a group, from a single replica or from the founders in the settings.
 
 use crate::log::{EntryPayload, LogEntry};
 use crate::membership::{Member, Membership};
@@ -12,26 +12,26 @@
 use std::net::SocketAddr;
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
-    /// Forms a new group of this replica alone. Refused once the replica belongs to a group.
+    /// Forms a new group with this replica as its only member. Returns `false` if it already belongs to a group.
     pub async fn initialize(&self) -> Result<bool, StorageError> {
         let id = self.inner.state.borrow().identity.id;
         let own = Member { id, address: self.inner.options.address, voter: true };
         self.form_group(self.inner.platform.random(), vec![own]).await
     }
 
-    /// Forms the group of the founders, if this replica is one of them and belongs to no group yet. All founders write
-    /// the same first entry, so that it does not matter who starts when.
+    /// Forms the group of the configured founders, if this replica is one of them and belongs to no group yet. All
+    /// founders write an identical first entry, so the order of their starts does not matter.
     pub(crate) async fn form_founders_group(&self) -> Result<bool, StorageError> {
         let founders: BTreeSet<SocketAddr> = self.inner.options.founders.iter().copied().collect();
         if !founders.contains(&self.inner.options.address) {
             return Ok(false);
         }
         let member = |address: &SocketAddr| Member { id: founder_id(*address), address: *address, voter: true };
-        self.form_group(group_of(founders.iter()), founders.iter().map(member).collect()).await
+        self.form_group(derive_group_id(founders.iter()), founders.iter().map(member).collect()).await
     }
 
-    /// Takes the group's name where power was lost between the first entry, which this replica has written, and the name.
-    /// Founders that have all lost power there would otherwise refuse each other's votes for ever.
+    /// Completes the formation of a group that was interrupted between writing the first entry and the group's
+    /// identifier. Without the identifier, founders would reject each other's votes.
     pub(crate) async fn finish_forming_group(&self) -> Result<(), StorageError> {
         let (identity, members) = {
             let state = self.inner.state.borrow();
@@ -40,7 +40,7 @@
         if identity.group.is_some() || !members.is_voter(identity.id) {
             return Ok(());
         }
-        let group = group_of(members.voters().map(|voter| &voter.address));
+        let group = derive_group_id(members.voters().map(|voter| &voter.address));
         let identity = Identity { group: Some(group), ..identity };
         self.inner.storage.lock().await.write_identity(identity).await?;
         self.inner.state.borrow_mut().identity = identity;
@@ -67,17 +67,17 @@
     }
 }
 
-/// The identifier of the replica that founds a group at `address`, the same for everyone who works it out.
+/// Identifier of the founder at `address`, derived from the address alone.
 pub(crate) fn founder_id(address: SocketAddr) -> ReplicaId {
     ReplicaId(stable_hash(&(0, address.to_string())).max(1))
 }
 
-/// The name of the group that is founded at these addresses, the same for everyone who works it out.
-fn group_of<'a>(addresses: impl Iterator<Item = &'a SocketAddr>) -> u64 {
+/// Identifier of the group founded at these addresses, derived from the addresses alone.
+fn derive_group_id<'a>(addresses: impl Iterator<Item = &'a SocketAddr>) -> u64 {
     addresses.fold(0, |group, address| stable_hash(&(group, address.to_string())))
 }
 
-/// A number that is the same in every process for the same value.
+/// Hash that is identical in all processes and builds.
 fn stable_hash(value: &(u64, String)) -> u64 {
     let bytes = bitcode::encode(value);
     let low = u64::from(crc32fast::hash(&bytes));
--- a/crates/replication/src/leader.rs
+++ b/crates/replication/src/leader.rs
@@ -3,8 +3,8 @@
 use crate::calls::Channel;
 use crate::log::{EntryPayload, LogEntry};
 use crate::membership::Member;
+use crate::membership_change::{log_proposed_membership, may_append_membership};
 use crate::message::{Header, ReplicaReply, ReplicaRequest, SnapshotPart};
-use crate::reconfigure::{may_take_membership, tell_membership};
 use crate::replica::{Proposal, Replica};
 use crate::snapshot::Snapshot;
 use crate::state::{Leadership, Progress, Role, State, StateMachine};
@@ -18,27 +18,28 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Most proposals in one write.
-const BATCH_PROPOSALS: usize = 512;
+/// Maximum number of proposals in one write.
+const MAX_BATCH_PROPOSALS: usize = 512;
 
-/// Most bytes of proposals in one write, unless a single one is larger: the next write and every message wait for it.
-const BATCH_BYTES: u64 = 512 * 1024;
+/// Size in bytes at which a batch of proposals is closed; the last proposal may exceed it. The next write, and
+/// messages that need the storage lock, wait until the batch is synced.
+const MAX_BATCH_BYTES: u64 = 512 * 1024;
 
-/// Most bytes of entries in one message, unless a single one is larger. The answer to it is the peer's next sign of life: on
-/// a third of a core a peer takes tens of milliseconds for so much, and several times that for a MiB.
-const MESSAGE_BYTES: u64 = 256 * 1024;
+/// Maximum size in bytes of the entries in one message; a single larger entry is still sent. The peer acknowledges a
+/// message as a whole, so large ones delay its acknowledgement.
+const MAX_MESSAGE_BYTES: u64 = 256 * 1024;
 
-/// Bytes of a snapshot in one message: small beside what a link carries between two heartbeats.
+/// Bytes of a snapshot in one message.
 const SNAPSHOT_PART_BYTES: usize = 512 * 1024;
 
-/// Halvings of a message's size at most: 2 KiB of entries, which a link of 3 KB/s carries within a call.
-const MOST_HALVINGS: u32 = 7;
+/// Limit on halving the message size: reduces entries to 2 KiB a message.
+const MAX_HALVINGS: u32 = 7;
 
-/// Share of a call's time limit within which an answer lets the next message be larger again.
-const QUICK_ANSWER_DIVISOR: u32 = 4;
+/// A reply within this fraction of the call timeout doubles the size of the next message.
+const PROMPT_REPLY_DIVISOR: u32 = 4;
 
-/// How much one message to a peer holds: half as much after each that was not answered in time. A message that takes longer
-/// than a call may would be sent in vain again and again; on a link of 250 KB/s 256 KiB take a second.
+/// Size of messages to one peer: halved after each timeout, as a message that takes longer than the call timeout on a
+/// slow link would be resent indefinitely.
 #[derive(Clone, Copy, Debug, Default)]
 struct MessageSize {
     halvings: u32,
@@ -46,25 +47,25 @@
 
 impl MessageSize {
     fn entries_bytes(self) -> u64 {
-        MESSAGE_BYTES >> self.halvings
+        MAX_MESSAGE_BYTES >> self.halvings
     }
 
     fn snapshot_part_bytes(self) -> usize {
         SNAPSHOT_PART_BYTES >> self.halvings
     }
 
-    fn note_unanswered(&mut self) {
-        self.halvings = (self.halvings + 1).min(MOST_HALVINGS);
+    fn record_timeout(&mut self) {
+        self.halvings = (self.halvings + 1).min(MAX_HALVINGS);
     }
 
-    fn note_answered(&mut self, after: Duration, limit: Duration) {
-        if after <= limit / QUICK_ANSWER_DIVISOR {
+    fn record_reply_time(&mut self, after: Duration, call_timeout: Duration) {
+        if after <= call_timeout / PROMPT_REPLY_DIVISOR {
             self.halvings = self.halvings.saturating_sub(1);
         }
     }
 }
 
-/// A snapshot on its way to one peer.
+/// Progress of sending a snapshot to one peer.
 struct SnapshotTransfer {
     snapshot: Rc<Snapshot>,
     offset: usize,
@@ -85,10 +86,10 @@
 }
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
-    /// Begins to lead `term`.
-    pub(crate) async fn lead(&self, term: u64) {
+    /// Becomes leader of `term`.
+    pub(crate) async fn become_leader(&self, term: u64) {
         if let Err(error) = self.choose_first_level().await {
-            spdlog::warn!("format not written", kv: { dependency = "disk", reason = error.to_string().as_str() });
+            spdlog::warn!("file format write failed", kv: { dependency = "disk", reason = error.to_string().as_str() });
             self.fail_storage();
             return;
         }
@@ -102,11 +103,12 @@
             let progress = BTreeMap::new();
             state.leader = Some(state.identity.id);
             let next_level = state.level_at_end();
-            state.role = Role::Leader(Leadership { first_index, since, progress, handing_over: false, next_level });
-            start_progress(&mut state)
+            state.role =
+                Role::Leader(Leadership { first_index, since, progress, transfer_in_progress: false, next_level });
+            track_new_members(&mut state)
         };
         self.start_peers(peers, term);
-        self.write_batch(vec![Proposal { payload: EntryPayload::Empty, sender: None, made_from: None }]).await;
+        self.write_batch(vec![Proposal { payload: EntryPayload::Empty, sender: None, based_on_index: None }]).await;
     }
 
     fn start_peers(&self, peers: Vec<Member>, term: u64) {
@@ -119,7 +121,7 @@
         while let Some(first) = queue.next().await {
             let mut bytes = first.payload.size();
             let mut batch = vec![first];
-            while batch.len() < BATCH_PROPOSALS && bytes < BATCH_BYTES {
+            while batch.len() < MAX_BATCH_PROPOSALS && bytes < MAX_BATCH_BYTES {
                 match queue.next().now_or_never() {
                     Some(Some(proposal)) => {
                         bytes += proposal.payload.size();
@@ -132,10 +134,11 @@
         }
     }
 
-    /// Appends proposals to the log, sends them on and syncs them. Proposals are dropped when this replica does not lead.
+    /// Appends proposals to the log, starts replicating them and syncs them. Drops them if this replica is not the
+    /// leader.
     async fn write_batch(&self, batch: Vec<Proposal<S::Outcome>>) {
         let mut storage = self.inner.storage.lock().await;
-        let records = self.take_batch(batch);
+        let records = self.append_to_log(batch);
         if records.is_empty() {
             return;
         }
@@ -149,7 +152,7 @@
         state.advance_commit();
     }
 
-    fn take_batch(&self, batch: Vec<Proposal<S::Outcome>>) -> Vec<WalRecord> {
+    fn append_to_log(&self, batch: Vec<Proposal<S::Outcome>>) -> Vec<WalRecord> {
         let mut state = self.inner.state.borrow_mut();
         if state.leadership().is_none() || state.storage_failed {
             return Vec::new();
@@ -157,32 +160,32 @@
         let mut records = Vec::with_capacity(batch.len());
         for proposal in batch {
             if let EntryPayload::Membership(membership) = &proposal.payload {
-                if !may_take_membership(&state, proposal.made_from) {
+                if !may_append_membership(&state, proposal.based_on_index) {
                     continue;
                 }
-                tell_membership(&state, membership);
+                log_proposed_membership(&state, membership);
             }
             let (index, term) = (state.log.last_index() + 1, state.term);
             let entry = LogEntry { index, term, payload: proposal.payload };
             records.push(WalRecord::Entry(entry.clone()));
             state.log.push(entry);
             if let Some(sender) = proposal.sender {
-                state.waiting.insert(index, crate::state::Waiting { term, sender });
+                state.pending_proposals.insert(index, crate::state::PendingProposal { term, sender });
             }
         }
-        let (added, term) = (start_progress(&mut state), state.term);
+        let (added, term) = (track_new_members(&mut state), state.term);
         drop(state);
         self.start_peers(added, term);
         records
     }
 
-    /// Keeps one peer up to date while this replica leads `term` and the peer is a member.
+    /// Replicates to one peer while this replica leads `term` and the peer is a member.
     async fn replicate_to(self, peer: Member, term: u64) {
         let config = &self.inner.options.config;
         let mut transfer = None;
         let mut size = MessageSize::default();
         loop {
-            let seen = self.inner.changed.count();
+            let change_count = self.inner.changed.count();
             let Some(request) = self.next_message(&peer, term, size, &mut transfer).await else {
                 return;
             };
@@ -193,21 +196,21 @@
             match &reply {
                 Ok(_) => {
                     let after = self.inner.platform.monotonic().saturating_sub(sent_at);
-                    size.note_answered(after, config.call_limit);
+                    size.record_reply_time(after, config.call_limit);
                 }
-                Err(CallError::Unknown) => size.note_unanswered(),
+                Err(CallError::Unknown) => size.record_timeout(),
                 Err(CallError::NotSent | CallError::Unspeakable) => {}
             }
-            let more = match reply {
+            let has_more = match reply {
                 Ok(ReplicaReply::Append { term: seen_term, accepted, index }) => {
                     self.observe_term(seen_term).await;
                     transfer = None;
-                    self.record_answer(&peer, term, sent_at, accepted, index)
+                    self.record_append_reply(&peer, term, sent_at, accepted, index)
                 }
                 Ok(ReplicaReply::SnapshotPart { term: seen_term, next_offset }) => {
                     self.observe_term(seen_term).await;
                     self.with_progress(&peer, term, |progress| {
-                        progress.answered_sent_at = progress.answered_sent_at.max(Some(sent_at));
+                        progress.acknowledged_append_sent_at = progress.acknowledged_append_sent_at.max(Some(sent_at));
                     });
                     if let Some(transfer) = &mut transfer {
                         transfer.offset = usize::try_from(next_offset).unwrap_or(0);
@@ -217,7 +220,7 @@
                 Ok(ReplicaReply::FetchingSegments { term: seen_term }) => {
                     self.observe_term(seen_term).await;
                     self.with_progress(&peer, term, |progress| {
-                        progress.answered_sent_at = progress.answered_sent_at.max(Some(sent_at));
+                        progress.acknowledged_append_sent_at = progress.acknowledged_append_sent_at.max(Some(sent_at));
                     });
                     false
                 }
@@ -226,14 +229,15 @@
                     false
                 }
             };
-            if !more {
+            if !has_more {
                 let pause = self.inner.platform.sleep(config.heartbeat_interval);
-                future::select(pin!(self.inner.changed.changed(seen)), pin!(pause)).await;
+                future::select(pin!(self.inner.changed.changed(change_count)), pin!(pause)).await;
             }
         }
     }
 
-    /// What a message begins with says at which level it is written: a peer without a log reads from there on.
+    /// Feature level at which a message is encoded. It is that of the first entry or of the snapshot, as a peer with
+    /// an empty log adopts it.
     fn speech_for(&self, request: &ReplicaRequest, transfer: &Option<SnapshotTransfer>) -> Speech {
         match (request, transfer) {
             (ReplicaRequest::Append { previous_index, .. }, _) => {
@@ -244,8 +248,8 @@
         }
     }
 
-    /// What a peer lacks next: entries from memory, else from this replica's own log file, else a snapshot. Segments that the
-    /// snapshot refers to the peer fetches itself; meanwhile an empty part behind the last one asks whether it has them.
+    /// The next message for a peer: entries from memory, else from the log file, else a part of a snapshot. The peer
+    /// itself fetches the segments of the snapshot; meanwhile, empty parts at the end offset poll whether it has them.
     async fn next_message(
         &self,
         peer: &Member,
@@ -259,18 +263,18 @@
             if !state.leads_term(term) || state.membership().member(peer.id).is_none() {
                 return None;
             }
-            let next = state.leadership()?.progress.get(&peer.id)?.next;
+            let next = state.leadership()?.progress.get(&peer.id)?.next_index;
             let limit = self.inner.options.config.entries_per_message;
             let previous_index = next - 1;
             let entries = state.log.entries_within(next, limit, size.entries_bytes());
-            let held = state.log.term_at(previous_index).zip(entries);
-            if let (Some((previous_term, entries)), None) = (held, &transfer) {
+            let in_memory = state.log.term_at(previous_index).zip(entries);
+            if let (Some((previous_term, entries)), None) = (in_memory, &transfer) {
                 let commit = state.commit;
                 return Some(ReplicaRequest::Append { header, previous_index, previous_term, entries, commit });
             }
             next
         };
-        // An empty replica is sent a snapshot: it is smaller than the log that led to it.
+        // An empty replica is sent a snapshot, which is smaller than the log before it.
         if transfer.is_none() && next > 1 {
             let from_file = self.entries_from_file(header, next, size.entries_bytes()).await;
             if from_file.is_some() {
@@ -286,7 +290,7 @@
             spdlog::info!("snapshot sent", kv: {
                 replica = peer.id.0, index = snapshot.header.index, bytes = snapshot.encoded().len() as u64,
                 segments = snapshot.header.segments.len() as u64,
-                next_wanted = next, log_begins = state.log.base_index()
+                next_index = next, log_base_index = state.log.base_index()
             });
             SnapshotTransfer { snapshot, offset: 0 }
         };
@@ -294,12 +298,12 @@
         Some(ReplicaRequest::SnapshotPart { header, part: transfer.next_part(size) })
     }
 
-    /// Entries that memory no longer holds, from the log file.
-    async fn entries_from_file(&self, header: Header, next: u64, most_bytes: u64) -> Option<ReplicaRequest> {
+    /// Entries from the log file that are no longer in memory.
+    async fn entries_from_file(&self, header: Header, next: u64, max_bytes: u64) -> Option<ReplicaRequest> {
         let storage = self.inner.storage.lock().await;
-        let mut entries = storage.entries_from(next - 1, most_bytes).await.ok()?;
+        let mut entries = storage.entries_from(next - 1, max_bytes).await.ok()?;
         let state = self.inner.state.borrow();
-        // While the lock is held nobody writes to the file: if this replica still leads, it is the leader's own log.
+        // The storage lock excludes writers: if this replica still leads, the file contains the leader's own log.
         if entries.len() < 2 || !state.leads_term(header.term) {
             return None;
         }
@@ -313,7 +317,7 @@
         })
     }
 
-    /// A snapshot to send: the one that another peer is being sent, if the log goes on behind it.
+    /// Snapshot to send. Reuses the one that is being sent to another peer if the log still continues from it.
     fn outgoing_snapshot(&self, state: &State<S>) -> Rc<Snapshot> {
         let mut outgoing = self.inner.outgoing.borrow_mut();
         let shared = outgoing.upgrade().filter(|snapshot| snapshot.header.index >= state.log.base_index());
@@ -324,8 +328,8 @@
         })
     }
 
-    /// Records a peer's answer; returns whether there is more to send at once.
-    fn record_answer(&self, peer: &Member, term: u64, sent_at: Duration, accepted: bool, index: u64) -> bool {
+    /// Updates a peer's progress from its reply. Returns whether there are more entries to send.
+    fn record_append_reply(&self, peer: &Member, term: u64, sent_at: Duration, accepted: bool, index: u64) -> bool {
         let mut state = self.inner.state.borrow_mut();
         if !state.leads_term(term) {
             return false;
@@ -334,22 +338,23 @@
         let Some(progress) = state.leadership_mut().and_then(|leading| leading.progress.get_mut(&peer.id)) else {
             return false;
         };
-        progress.answered_sent_at = progress.answered_sent_at.max(Some(sent_at));
+        progress.acknowledged_append_sent_at = progress.acknowledged_append_sent_at.max(Some(sent_at));
         if accepted {
-            progress.matched = progress.matched.max(index);
-            progress.next = progress.matched + 1;
+            progress.match_index = progress.match_index.max(index);
+            progress.next_index = progress.match_index + 1;
         } else {
-            progress.next = (index + 1).min(progress.next.saturating_sub(1)).max(progress.matched + 1);
+            progress.next_index = (index + 1).min(progress.next_index.saturating_sub(1)).max(progress.match_index + 1);
         }
-        let more = progress.next <= last_index;
+        let has_more = progress.next_index <= last_index;
         state.advance_commit();
-        more
+        has_more
     }
 }
 
-/// Gives every member progress, starting at the end of the log; returns the peers that had none.
-fn start_progress<S: StateMachine>(state: &mut State<S>) -> Vec<Member> {
-    let next = state.log.last_index().max(1);
+/// Tracks progress for new members, starting at the end of the log, and drops it for removed ones. Returns the new
+/// peers.
+fn track_new_members<S: StateMachine>(state: &mut State<S>) -> Vec<Member> {
+    let next_index = state.log.last_index().max(1);
     let own = state.identity.id;
     let members = state.membership().members.clone();
     let Some(leadership) = state.leadership_mut() else {
@@ -359,7 +364,7 @@
     let is_new = |member: &Member| member.id != own && !leadership.progress.contains_key(&member.id);
     let added: Vec<Member> = members.into_iter().filter(is_new).collect();
     for peer in &added {
-        leadership.progress.insert(peer.id, Progress { next, ..Progress::default() });
+        leadership.progress.insert(peer.id, Progress { next_index, ..Progress::default() });
     }
     added
 }
--- a/crates/replication/src/levels.rs
+++ b/crates/replication/src/levels.rs
@@ -1,9 +1,9 @@
-//! The group's feature level: which one a replica is at, how it is raised, and how messages are written meanwhile.
+//! Feature level of the group: how it is raised, and at which level messages are encoded.
 //!
-//! A replica's level is that of its state. The leader raises it by one entry of the log once every member knows the newer
-//! one, and each replica goes to the new level when it applies that entry: the entries before it are read at the old
-//! level, those behind it at the new one. Until then members speak the old level with each other, so that older builds among
-//! them notice nothing; a member says in its welcome which level it knows.
+//! A replica's level is that of its state. Once all members support a newer level, the leader raises the group to it
+//! with a log entry, and each replica changes to it when it applies that entry: earlier entries are decoded at the old
+//! level, later ones at the new level. Until then members encode their messages at the old level, which older builds
+//! understand. Members negotiate the supported levels when they connect.
 
 use crate::calls::Channel;
 use crate::log::EntryPayload;
@@ -14,22 +14,23 @@
 use saddlerelay_runtime::Runtime;
 use saddlerelay_types::feature_level::FeatureLevel;
 
-/// How an entry that raises the level begins. No command does: each begins with a few bytes of packed numbers.
-const RAISE_MARK: &[u8] = b"saddlerelay raises its feature level to ";
+/// Prefix of a command that raises the level. Distinct from all other commands, which begin with a few bytes of packed
+/// integers.
+const RAISE_PREFIX: &[u8] = b"saddlerelay raises its feature level to ";
 
-/// The command that raises the level.
+/// Command that raises the group to `level`.
 pub fn raise_command(level: FeatureLevel) -> Vec<u8> {
-    [RAISE_MARK, &level.number().to_le_bytes()].concat()
+    [RAISE_PREFIX, &level.number().to_le_bytes()].concat()
 }
 
-/// The level that a command raises the group to, if it does.
+/// Level that the command raises the group to; `None` for other commands.
 pub fn raised_to(command: &[u8]) -> Option<FeatureLevel> {
-    let number = command.strip_prefix(RAISE_MARK)?.try_into().ok().map(u32::from_le_bytes);
+    let number = command.strip_prefix(RAISE_PREFIX)?.try_into().ok().map(u32::from_le_bytes);
     let level = number.and_then(FeatureLevel::of_number);
-    Some(level.expect("a level is raised only when every member knows it"))
+    Some(level.expect("a level is raised only when every member supports it"))
 }
 
-fn raises(payload: &EntryPayload) -> Option<FeatureLevel> {
+fn raised_level(payload: &EntryPayload) -> Option<FeatureLevel> {
     match payload {
         EntryPayload::Command(command) => raised_to(command),
         EntryPayload::Empty | EntryPayload::Membership(_) => None,
@@ -38,101 +39,104 @@
 
 /// Whether an entry raises the level.
 pub(crate) fn is_raise(payload: &EntryPayload) -> bool {
-    raises(payload).is_some()
+    raised_level(payload).is_some()
 }
 
 impl<S: StateMachine> State<S> {
-    /// Whether nothing has been committed but the founding of the group: the level may still be chosen.
-    fn is_blank(&self) -> bool {
+    /// Whether the log contains at most the entry that formed the group, so that the level may still be chosen.
+    fn has_only_first_entry(&self) -> bool {
         self.log.last_index() <= 1 && self.snapshot_index == 0
     }
 
-    /// The level of the next entry: an entry that raises it may wait at the end of the log.
+    /// Level of the next entry, taking into account unapplied entries that raise the level.
     pub(crate) fn level_at_end(&self) -> FeatureLevel {
-        let waiting = self.log.entries_from(self.applied + 1, usize::MAX).unwrap_or_default();
-        let raised = waiting.iter().filter_map(|entry| raises(&entry.payload)).next_back();
+        let unapplied = self.log.entries_from(self.applied + 1, usize::MAX).unwrap_or_default();
+        let raised = unapplied.iter().filter_map(|entry| raised_level(&entry.payload)).next_back();
         raised.unwrap_or(self.level.unwrap_or(FeatureLevel::NEWEST))
     }
 
-    /// The level at which a message is written that begins with the entry behind `previous_index`. A replica that is
-    /// sent the log from its first entry on begins at the level of that entry.
+    /// Level at which an append after `previous_index` is encoded. A peer that receives the log from its first entry
+    /// starts at the level of that entry.
     pub(crate) fn level_of_append(&self, previous_index: u64) -> FeatureLevel {
         let own = self.level.unwrap_or(FeatureLevel::NEWEST);
-        if previous_index == 0 { self.began_at.unwrap_or(own) } else { own }
+        if previous_index == 0 { self.first_entry_level.unwrap_or(own) } else { own }
     }
 }
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
-    /// The level of this replica's state, once it belongs to a group.
+    /// Level of this replica's state, once it belongs to a group.
     pub fn level(&self) -> Option<FeatureLevel> {
         self.inner.state.borrow().level
     }
 
-    /// Whether every other member is known, by a connection that stands, to understand `level`.
+    /// Whether open connections to all other members have negotiated support for `level`.
     pub fn members_know(&self, level: FeatureLevel) -> bool {
         let own = self.inner.state.borrow().identity.id;
         let members = self.inner.state.borrow().membership().members.clone();
-        let knows = |address| self.client(Channel::Log, address).newest_of_peer() >= Some(level);
-        members.iter().filter(|member| member.id != own).all(|member| knows(member.address))
+        let supports = |address| self.client(Channel::Log, address).newest_of_peer() >= Some(level);
+        members.iter().filter(|member| member.id != own).all(|member| supports(member.address))
     }
 
-    /// Proposes that the group goes to `level`; what is proposed after it is written at that level.
+    /// Proposes to raise the group to `level`. Later proposals are encoded at that level.
     pub fn raise_level(&self, level: FeatureLevel) -> Result<(), ProposeError> {
         let mut state = self.inner.state.borrow_mut();
         let Some(leadership) = state.leadership_mut().filter(|leadership| leadership.next_level < level) else {
             return Ok(());
         };
         let payload = EntryPayload::Command(raise_command(level));
-        let proposal = Proposal { payload, sender: None, made_from: None };
-        // The queue keeps the order: what waits there already is of the old level and stands before it in the log.
+        let proposal = Proposal { payload, sender: None, based_on_index: None };
+        // The queue is ordered: proposals already in it are of the old level and precede the raise in the log.
         self.inner.proposals.borrow_mut().try_send(proposal).map_err(|_| ProposeError::Overloaded)?;
         leadership.next_level = level;
         spdlog::info!("feature level proposed", kv: { feature_level = level.number() });
         Ok(())
     }
 
-    /// How members speak with each other. Nobody else knows the level of a group that has only been founded.
+    /// Level at which messages to members are encoded. It is negotiated until the group has committed more than its
+    /// first entry.
     pub(crate) fn speech(&self) -> Speech {
         let state = self.inner.state.borrow();
-        match state.level.filter(|_| !state.is_blank()) {
+        match state.level.filter(|_| !state.has_only_first_entry()) {
             Some(level) => Speech::Fixed(level),
             None => Speech::Negotiated,
         }
     }
 
-    /// A replica that has nothing yet takes the level at which a leader speaks to it.
+    /// Adopts the level of the leader's messages if the log is still empty or contains only the entry that formed the
+    /// group.
     pub(crate) async fn adopt_level(
         &self,
         storage: &mut Storage<P::Disk>,
         level: FeatureLevel,
     ) -> Result<(), StorageError> {
-        let adopts = {
+        let must_adopt = {
             let state = self.inner.state.borrow();
-            state.is_blank() && state.level != Some(level)
+            state.has_only_first_entry() && state.level != Some(level)
         };
-        if adopts {
-            storage.begin_at(level).await?;
+        if must_adopt {
+            storage.set_single_level(level).await?;
             let mut state = self.inner.state.borrow_mut();
             state.level = Some(level);
-            state.began_at = Some(level);
-            state.machine.enter_level(level);
+            state.first_entry_level = Some(level);
+            state.state_machine.enter_level(level);
             spdlog::info!("feature level taken", kv: { feature_level = level.number() });
         }
         Ok(())
     }
 
-    /// The leader of a group that has only been founded begins at the newest level that the others know.
+    /// Chooses the level of a new group as its leader: the newest that all connected members support, at most
+    /// `first_level`.
     pub(crate) async fn choose_first_level(&self) -> Result<(), StorageError> {
-        let (is_blank, own, members) = {
+        let (has_only_first_entry, own, members) = {
             let state = self.inner.state.borrow();
-            (state.is_blank(), state.identity.id, state.membership().members.clone())
+            (state.has_only_first_entry(), state.identity.id, state.membership().members.clone())
         };
-        if !is_blank {
+        if !has_only_first_entry {
             return Ok(());
         }
         let others = members.iter().filter(|member| member.id != own);
-        let known = others.filter_map(|member| self.client(Channel::Log, member.address).newest_of_peer());
-        let level = known.fold(self.inner.options.config.first_level, FeatureLevel::min);
+        let supported = others.filter_map(|member| self.client(Channel::Log, member.address).newest_of_peer());
+        let level = supported.fold(self.inner.options.config.first_level, FeatureLevel::min);
         let mut storage = self.inner.storage.lock().await;
         self.adopt_level(&mut storage, level).await
     }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,37 +1,37 @@
-//! A replicated log: terms, pre-vote, leader lease, quorum commit after sync, snapshots, learners and membership
-//! changes of one replica at a time.
+//! A replicated log with terms, pre-vote, leader leases, snapshots, learners and single-server membership changes.
+//! Entries are synced to disk by a quorum before they are committed.
 //!
-//! The protocol is Raft's (Ongaro and Ousterhout, 2014) with pre-vote, leader leases and leadership transfer. Node code
-//! is written as tasks: one for elections, one that writes proposals, one for each peer while leading.
+//! The protocol is Raft (Ongaro and Ousterhout, 2014) with pre-vote, leader leases and leadership transfer. A replica
+//! runs separate tasks for elections, for writing proposals, and, while it leads, for replication to each peer.
 
-mod announce;
+pub mod adaptive_timeout;
+mod announcement;
 mod calls;
 pub mod config;
 mod election;
 pub mod file_format;
 mod follower;
-mod founding;
-mod handover;
+mod group_formation;
 mod heartbeat;
-mod judgement;
-mod lead_offer;
 mod leader;
+mod leadership_offer;
+mod leadership_transfer;
 mod levels;
 mod link_probe;
 mod link_quality;
 pub mod log;
 pub mod log_file;
 mod maintenance;
+mod member_health;
 pub mod membership;
+mod membership_change;
 pub mod message;
 pub mod message_codec;
-pub mod patience;
-mod reconfigure;
 mod replica;
+mod role_report;
 mod segment_fetch;
 pub mod segments;
 pub mod snapshot;
-mod standing;
 mod state;
 pub mod storage;
 pub mod wal;
--- a/crates/replication/src/link_probe.rs
+++ b/crates/replication/src/link_probe.rs
@@ -1,7 +1,7 @@
-//! Probes: how well this replica reaches each voter over the next second.
+//! Link probes, which measure for about a second how well this replica reaches each voter.
 //!
-//! A replica that hears another one badly does not know which of the two has the bad links. What it can tell is whether it
-//! reaches the others better over the same time.
+//! A replica with a bad link to a peer cannot tell which end causes it. The probes show whether its links to the other
+//! voters are better.
 
 use crate::calls::Channel;
 use crate::membership::Member;
@@ -14,48 +14,48 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Messages to each voter. Of 12 each way at least one is lost nearly always (99.5 %) where a fifth of all packets are.
-const PROBES: u32 = 12;
+/// Probes to each voter. At 20 % packet loss, nearly every round of this size loses at least one packet.
+const PROBES_PER_VOTER: u32 = 12;
 
-/// Pause between two messages to one voter.
+/// Interval between two probes to one voter.
 const PROBE_INTERVAL: Duration = Duration::from_millis(70);
 
-/// Time limit of one message: a packet that is sent again arrives within it.
-const PROBE_LIMIT: Duration = Duration::from_millis(300);
+/// Timeout of one probe; long enough for one retransmission.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A voter is badly reached if one message in so many, or more, is answered late.
-const BAD_DIVISOR: u32 = 3;
+/// A link is bad if at least one in this many probes is answered late.
+const BAD_LINK_DIVISOR: u32 = 3;
 
-/// The term of a probe. No leader has it: replicas answer from memory, and take no notice of the sender.
+/// Term of a probe. No leader has this term, so replicas answer without recording contact with a leader.
 const PROBE_TERM: u64 = 0;
 
-/// How many messages each voter answered late, or not at all.
+/// Number of late or missing answers of each voter.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LinkProbe {
     voters: Vec<(Member, u32)>,
 }
 
 impl LinkProbe {
-    /// Voters other than `left_out` that answered every message promptly.
-    pub fn sound_without(&self, left_out: Option<ReplicaId>) -> usize {
-        let counted = self.voters.iter().filter(|(voter, _)| Some(voter.id) != left_out);
+    /// Number of voters, without `excluded`, that answered all probes promptly.
+    pub fn prompt_voters_except(&self, excluded: Option<ReplicaId>) -> usize {
+        let counted = self.voters.iter().filter(|(voter, _)| Some(voter.id) != excluded);
         counted.filter(|(_, late)| *late == 0).count()
     }
 
-    /// Whether a voter answered many messages late.
-    pub fn is_bad(&self, voter: ReplicaId) -> bool {
-        self.voters.iter().any(|(probed, late)| probed.id == voter && late * BAD_DIVISOR >= PROBES)
+    /// Whether the link to a voter is bad.
+    pub fn is_link_bad(&self, voter: ReplicaId) -> bool {
+        self.voters.iter().any(|(probed, late)| probed.id == voter && late * BAD_LINK_DIVISOR >= PROBES_PER_VOTER)
     }
 
-    /// For operators: the late messages of each voter.
-    pub fn late(&self) -> String {
+    /// Describes the late answers of each voter for log lines.
+    pub fn describe_late_probes(&self) -> String {
         let late = self.voters.iter().map(|(voter, late)| format!("{}:{late}", voter.address));
         late.collect::<Vec<_>>().join(" ")
     }
 }
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
-    /// Probes every other voter; takes about a second.
+    /// Probes all other voters, which takes about a second.
     pub(crate) async fn probe_voters(&self) -> LinkProbe {
         let voters: Vec<Member> = {
             let state = self.inner.state.borrow();
@@ -66,10 +66,10 @@
         LinkProbe { voters: voters.into_iter().zip(late).collect() }
     }
 
-    /// Returns how many messages a voter answered late.
+    /// Returns how many probes a voter answered late.
     async fn probe(&self, voter: &Member) -> u32 {
-        // The first one opens the connection and is not counted.
-        let probes = (0..=PROBES).map(|number| async move {
+        // The first probe opens the connection and is not counted.
+        let probes = (0..=PROBES_PER_VOTER).map(|number| async move {
             self.inner.platform.sleep(PROBE_INTERVAL * number).await;
             let is_prompt = self.is_answered_promptly(voter).await;
             u32::from(number > 0 && !is_prompt)
@@ -81,7 +81,7 @@
         let header: Header = self.header(voter.id, PROBE_TERM);
         let request = ReplicaRequest::Heartbeat { header };
         let is_late = Cell::new(false);
-        let call = self.try_send(Channel::Probes, voter.address, &request, PROBE_LIMIT);
+        let call = self.try_send(Channel::Probes, voter.address, &request, PROBE_TIMEOUT);
         let reply = self.watch_promptness(call, || is_late.set(true)).await;
         matches!(reply, Ok(ReplicaReply::Heartbeat { .. })) && !is_late.get()
     }
--- a/crates/replication/src/link_quality.rs
+++ b/crates/replication/src/link_quality.rs
@@ -1,4 +1,5 @@
-//! How soon a peer answers messages that it answers from memory: this tells of the path to it, not of its disk.
+//! Detects late answers to messages that peers answer without disk access, which indicate problems of the network
+//! path.
 
 use crate::replica::Replica;
 use crate::state::StateMachine;
@@ -8,26 +9,25 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// An answer that takes longer has met a lost packet or a process that stands still: TCP sends a lost packet again after
-/// 200 ms at the earliest.
-pub(crate) const PROMPT_ANSWER: Duration = Duration::from_millis(150);
+/// Limit for a prompt answer. A slower one indicates a lost packet, which TCP retransmits after 200 ms at the
+/// earliest, or a stalled process.
+pub(crate) const PROMPT_REPLY_LIMIT: Duration = Duration::from_millis(150);
 
-/// A timer that fires later than this behind its time tells that this process itself stood still.
-const OWN_DELAY: Duration = Duration::from_millis(50);
+/// A timer that fires later than this indicates that this process itself was stalled.
+const STALL_THRESHOLD: Duration = Duration::from_millis(50);
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
-    /// Waits for `call`, and has `late` note that it is not answered promptly. The time for which this process itself stood
-    /// still is not held against the peer.
-    pub(crate) async fn watch_promptness<T>(&self, call: impl Future<Output = T>, late: impl FnOnce()) -> T {
-        let began = self.inner.platform.monotonic();
-        let timer = pin!(self.inner.platform.sleep(PROMPT_ANSWER));
+    /// Waits for `call` and invokes `on_late` if it is not answered promptly, unless this process itself was stalled.
+    pub(crate) async fn watch_promptness<T>(&self, call: impl Future<Output = T>, on_late: impl FnOnce()) -> T {
+        let started_at = self.inner.platform.monotonic();
+        let timer = pin!(self.inner.platform.sleep(PROMPT_REPLY_LIMIT));
         match select(pin!(call), timer).await {
-            Either::Left((answer, _)) => answer,
-            Either::Right(((), unanswered)) => {
-                if self.inner.platform.monotonic() <= began + PROMPT_ANSWER + OWN_DELAY {
-                    late();
+            Either::Left((reply, _)) => reply,
+            Either::Right(((), pending_call)) => {
+                if self.inner.platform.monotonic() <= started_at + PROMPT_REPLY_LIMIT + STALL_THRESHOLD {
+                    on_late();
                 }
-                unanswered.await
+                pending_call.await
             }
         }
     }
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -1,28 +1,28 @@
-//! The log in memory.
+//! The in-memory part of the log.
 
 use crate::membership::Membership;
 use bitcode::{Decode, Encode};
 use std::collections::VecDeque;
 
-/// One entry.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct LogEntry {
-    /// Place in the log, from 1 without gaps.
+    /// Position in the log, starting at 1.
     pub index: u64,
-    /// The term that wrote it.
+    /// Term of the leader that created the entry.
     pub term: u64,
-    /// What it carries.
+    /// Content of the entry.
     pub payload: EntryPayload,
 }
 
-/// What an entry carries.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum EntryPayload {
-    /// Nothing: a new leader's first entry.
+    /// No content: the first entry of a new leader.
     Empty,
-    /// A command of the state machine.
+    /// An encoded command of the state machine.
     Command(Vec<u8>),
-    /// A new membership, in force from the moment it is written.
+    /// A new membership, in force as soon as it is appended.
     Membership(Membership),
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Entries after a base index, with the memberships they bring into force.
+/// Entries after a base index, and the memberships in force from it on.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryLog {
     base_index: u64,
@@ -48,17 +48,17 @@
 }
 
 impl MemoryLog {
-    /// A log that starts after a snapshot.
+    /// An empty log that follows a snapshot.
     pub fn new(base_index: u64, base_term: u64, membership: Membership) -> Self {
         Self { base_index, base_term, entries: VecDeque::new(), memberships: vec![(base_index, membership)], bytes: 0 }
     }
 
-    /// The last index before the entries held.
+    /// Index of the entry before the first one in memory.
     pub fn base_index(&self) -> u64 {
         self.base_index
     }
 
-    /// The last index.
+    /// Index of the last entry, or the base index.
     pub fn last_index(&self) -> u64 {
         self.base_index + self.entries.len() as u64
     }
@@ -68,7 +68,7 @@
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    /// The term at `index`, if it is held.
+    /// Term of the entry at `index`, if it is in memory or at the base index.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -76,15 +76,15 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// The entry at `index`, if it is held.
+    /// The entry at `index`, if it is in memory.
     pub fn entry(&self, index: u64) -> Option<&LogEntry> {
         let offset = index.checked_sub(self.base_index + 1)?;
         self.entries.get(offset as usize)
     }
 
-    /// Entries from `first` on, at most `limit` of them and, after the first, no more than `most_bytes`, if `first` is
-    /// held or next.
-    pub fn entries_within(&self, first: u64, limit: usize, most_bytes: u64) -> Option<Vec<LogEntry>> {
+    /// Up to `limit` entries from `first` on, and no more than `max_bytes` unless the first one alone is larger.
+    /// `None` if `first` is not in memory, except empty if it is the next index.
+    pub fn entries_within(&self, first: u64, limit: usize, max_bytes: u64) -> Option<Vec<LogEntry>> {
         let offset = first.checked_sub(self.base_index + 1)? as usize;
         if offset > self.entries.len() {
             return None;
@@ -92,12 +92,13 @@
         let mut bytes = 0;
         let within = |entry: &&LogEntry| {
             bytes += entry.payload.size();
-            entry.index == first || bytes <= most_bytes
+            entry.index == first || bytes <= max_bytes
         };
         Some(self.entries.iter().skip(offset).take(limit).take_while(within).cloned().collect())
     }
 
-    /// Up to `limit` entries from `first` on, if `first` is held or next.
+    /// Up to `limit` entries from `first` on. `None` if `first` is not in memory, except empty if it is the next
+    /// index.
     pub fn entries_from(&self, first: u64, limit: usize) -> Option<Vec<LogEntry>> {
         let offset = first.checked_sub(self.base_index + 1)? as usize;
         if offset > self.entries.len() {
@@ -106,7 +107,7 @@
         Some(self.entries.iter().skip(offset).take(limit).cloned().collect())
     }
 
-    /// Appends `entry`, dropping what it replaces.
+    /// Appends `entry`, replacing entries from its index on.
     pub fn push(&mut self, entry: LogEntry) {
         self.truncate(entry.index - 1);
         assert_eq!(entry.index, self.last_index() + 1, "a log has no gaps");
@@ -117,7 +118,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops every entry after `last`.
+    /// Removes all entries after `last`.
     pub fn truncate(&mut self, last: u64) {
         let keep = last.saturating_sub(self.base_index) as usize;
         while self.entries.len() > keep {
@@ -128,12 +129,12 @@
         self.memberships.retain(|(index, _)| *index <= last.max(self.base_index));
     }
 
-    /// Approximate size of the entries held, in bytes.
+    /// Approximate size of the entries in memory, in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// The index up to which entries may be dropped so that at most `bytes` of them are left.
+    /// Index up to which entries must be removed to leave at most `bytes` in memory.
     pub fn excess(&self, bytes: u64) -> u64 {
         let mut left = self.bytes;
         let mut index = self.base_index;
@@ -147,7 +148,7 @@
         index
     }
 
-    /// Drops every entry up to `index`.
+    /// Removes all entries up to `index`.
     pub fn compact(&mut self, index: u64) {
         let Some(term) = self.term_at(index) else {
             return;
@@ -168,7 +169,7 @@
         &self.memberships.last().expect("a log always has a membership").1
     }
 
-    /// The index that brought the newest membership.
+    /// Index of the entry with the newest membership.
     pub fn membership_index(&self) -> u64 {
         self.memberships.last().expect("a log always has a membership").0
     }
--- a/crates/replication/src/log_file.rs
+++ b/crates/replication/src/log_file.rs
@@ -1,50 +1,50 @@
-//! Where the entries of the log stand in its file, so that those no longer in memory can be read back.
+//! Index of the log file, for reading entries that are no longer in memory.
 
 use crate::wal::WalRecord;
 use std::collections::VecDeque;
 
-/// One entry's place.
+/// Location of an entry in the log file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EntryPlace {
-    /// The entry's index.
+pub struct EntryLocation {
+    /// Index of the entry.
     pub index: u64,
-    /// Offset of its record in the file, in bytes.
+    /// Byte offset of its record.
     pub offset: u64,
     /// Length of its record in bytes.
     pub length: u64,
 }
 
-/// The places of all entries that the file holds and that were not replaced, by rising index without gaps.
+/// Locations of all entries in the log file that were not replaced, in consecutive order of index.
 #[derive(Clone, Debug, Default)]
 pub struct LogFileIndex {
-    places: VecDeque<EntryPlace>,
+    locations: VecDeque<EntryLocation>,
     file_length: u64,
 }
 
 impl LogFileIndex {
-    /// Notes that a record of so many bytes was appended. An entry replaces those from its index on.
+    /// Records that a record of `length` bytes was appended. An entry replaces those from its index on.
     pub fn push(&mut self, record: &WalRecord, length: u64) {
         if let WalRecord::Entry(entry) = record {
-            while self.places.back().is_some_and(|last| last.index >= entry.index) {
-                self.places.pop_back();
+            while self.locations.back().is_some_and(|last| last.index >= entry.index) {
+                self.locations.pop_back();
             }
-            if self.places.back().is_some_and(|last| last.index + 1 != entry.index) {
-                self.places.clear();
+            if self.locations.back().is_some_and(|last| last.index + 1 != entry.index) {
+                self.locations.clear();
             }
-            self.places.push_back(EntryPlace { index: entry.index, offset: self.file_length, length });
+            self.locations.push_back(EntryLocation { index: entry.index, offset: self.file_length, length });
         }
         self.file_length += length;
     }
 
-    /// The places of the entries from `first` on, two if they are there, and further ones within `most_bytes` of the file.
-    pub fn from(&self, first: u64, most_bytes: u64) -> Vec<EntryPlace> {
-        let Some(start) = self.places.front().and_then(|front| first.checked_sub(front.index)) else {
+    /// Locations of the entries from `first` on: at least two if they exist, and further ones within `max_bytes`.
+    pub fn from(&self, first: u64, max_bytes: u64) -> Vec<EntryLocation> {
+        let Some(start) = self.locations.front().and_then(|front| first.checked_sub(front.index)) else {
             return Vec::new();
         };
-        let places = self.places.iter().skip(start as usize);
-        let begins = places.clone().next().map_or(0, |place| place.offset);
+        let locations = self.locations.iter().skip(start as usize);
+        let base = locations.clone().next().map_or(0, |location| location.offset);
         let within =
-            |place: &&EntryPlace| place.index <= first + 1 || place.offset + place.length <= begins + most_bytes;
-        places.take_while(within).copied().collect()
+            |entry: &&EntryLocation| entry.index <= first + 1 || entry.offset + entry.length <= base + max_bytes;
+        locations.take_while(within).copied().collect()
     }
 }
--- a/crates/replication/src/maintenance.rs
+++ b/crates/replication/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! Snapshots, and the repair of a disk that refused a write.
+//! Snapshots, and recovery from failed disk writes.
 
 use crate::replica::Replica;
 use crate::snapshot::SnapshotHeader;
@@ -7,11 +7,11 @@
 use saddlerelay_runtime::Runtime;
 use std::time::Duration;
 
-/// Pause between looks at whether a snapshot or a repair is due.
+/// Interval between checks for a due snapshot or repair.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
-    /// Takes snapshots when they are due, and repairs a disk that refused a write once it can be written again.
+    /// Takes snapshots when they are due, and repairs the log after a failed write.
     pub(crate) async fn maintain_storage(self) {
         loop {
             self.inner.platform.sleep(MAINTENANCE_INTERVAL).await;
@@ -30,15 +30,15 @@
         let state = self.inner.state.borrow();
         let config = &self.inner.options.config;
         let entries = state.applied - state.snapshot_index;
-        // Replicas take theirs at different times, so that most of them are always free to answer.
+        // Spreads the snapshots of different replicas over time.
         let share = 50 + state.identity.id.0 % 51;
-        // One that brings others up to date keeps the log that they need for a while longer.
-        let patience = if state.has_peers_behind() { 2 } else { 1 };
-        let snapshot_bytes = config.snapshot_bytes * share / 100 * patience;
+        // A leader with peers behind delays its snapshot, to keep the log that they need.
+        let delay_factor = if state.has_peers_behind() { 2 } else { 1 };
+        let snapshot_bytes = config.snapshot_bytes * share / 100 * delay_factor;
         entries >= config.snapshot_entries || entries > 0 && state.applied_bytes_since_snapshot >= snapshot_bytes
     }
 
-    /// Writes a snapshot while the log is appended to, and then cuts the log.
+    /// Writes a snapshot without blocking appends, then compacts the log.
     async fn take_snapshot(&self) {
         let writing = self.inner.snapshot_file.lock().await;
         let Ok(header) = self.write_current_snapshot().await else {
@@ -51,7 +51,7 @@
         let (term, voted_for, entries) = {
             let mut state = self.inner.state.borrow_mut();
             if state.snapshot_index >= index {
-                // A leader has sent a newer one meanwhile, which was written after this one.
+                // A newer snapshot from a leader was installed in the meantime.
                 return;
             }
             let keep_from = index.saturating_sub(self.inner.options.config.trailing_entries);
@@ -67,10 +67,11 @@
             return;
         }
         drop(storage);
-        self.remove_outlived_segments(&header.segments).await;
+        self.remove_obsolete_segments(&header.segments).await;
     }
 
-    /// Writes the state as it is now, after the segments that it refers to. The caller holds the snapshot file's lock.
+    /// Writes a snapshot of the current state, after the segments that it refers to. The caller holds the lock on the
+    /// snapshot file.
     async fn write_current_snapshot(&self) -> Result<SnapshotHeader, StorageError> {
         self.store_new_segments().await?;
         let snapshot = self.inner.state.borrow().snapshot();
@@ -83,7 +84,7 @@
         Ok(header)
     }
 
-    /// Drops applied entries from memory; the disk keeps them until the next snapshot.
+    /// Removes applied entries from memory; the log file keeps them until the next snapshot.
     fn trim_memory(&self) {
         let config = &self.inner.options.config;
         let now = self.inner.platform.monotonic();
@@ -91,28 +92,28 @@
         if state.log.bytes() <= config.memory_bytes {
             return;
         }
-        let wanted = state.log.excess(config.memory_bytes);
-        let needed = state.least_matched(now, config.replace_after).unwrap_or(wanted);
+        let excess_end = state.log.excess(config.memory_bytes);
+        let needed_from = state.lowest_match_index(now, config.replace_after).unwrap_or(excess_end);
         let forced = state.log.excess(config.memory_bytes_behind);
-        let upto = wanted.min(needed).max(forced).min(state.applied);
+        let upto = excess_end.min(needed_from).max(forced).min(state.applied);
         if upto > state.log.base_index() {
             state.log.compact(upto);
         }
     }
 
-    /// The disk refused a write: take part in nothing until it is repaired.
+    /// Suspends the replica after a failed disk write, until the disk is repaired.
     pub(crate) fn fail_storage(&self) {
         let mut state = self.inner.state.borrow_mut();
         state.storage_failed = true;
         state.become_follower();
-        spdlog::warn!("disk lost", kv: { dependency = "disk", term = state.term, synced = state.synced });
+        spdlog::warn!("disk write failed, replica suspended", kv: { dependency = "disk", term = state.term, synced = state.synced });
         drop(state);
         self.inner.changed.notify();
     }
 
-    /// Rewrites the log with the entries that are known to be on disk, and those that are committed: others may have
-    /// committed what this disk refused, and an applied entry is never given up. Where memory no longer holds those after
-    /// the last snapshot, a new one goes first.
+    /// Rewrites the log with the entries that are known to be synced or committed: other replicas may have committed
+    /// entries that this disk failed to write, and an applied entry must not be lost. If memory no longer has all
+    /// entries after the last snapshot, a new snapshot is written first.
     async fn repair_storage(&self) {
         let mut storage = self.inner.storage.lock().await;
         let log_has_gap = {
@@ -132,9 +133,9 @@
         let (term, voted_for, entries, synced) = {
             let state = self.inner.state.borrow();
             let synced = state.synced.max(state.commit.min(state.log.last_index()));
-            let held = state.log.entries_from(state.log.base_index() + 1, usize::MAX).unwrap_or_default();
-            let kept = held.into_iter().filter(|entry| entry.index <= synced).collect::<Vec<_>>();
-            (state.term, state.voted_for, kept, synced)
+            let in_memory = state.log.entries_from(state.log.base_index() + 1, usize::MAX).unwrap_or_default();
+            let retained = in_memory.into_iter().filter(|entry| entry.index <= synced).collect::<Vec<_>>();
+            (state.term, state.voted_for, retained, synced)
         };
         if storage.rewrite(term, voted_for, &entries).await.is_err() {
             return;
@@ -143,6 +144,6 @@
         state.log.truncate(synced);
         state.synced = synced;
         state.storage_failed = false;
-        spdlog::info!("disk regained", kv: { dependency = "disk", term = term, synced = synced });
+        spdlog::info!("disk repaired, replica resumed", kv: { dependency = "disk", term = term, synced = synced });
     }
 }
--- a/crates/replication/src/membership.rs
+++ b/crates/replication/src/membership.rs
@@ -1,24 +1,24 @@
-//! The replicas of a group.
+//! Membership of a group.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::identity::ReplicaId;
 use std::net::SocketAddr;
 
-/// One replica.
+/// A replica of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Member {
-    /// Made with its disk; a replica with an empty disk is another member.
+    /// Generated with the replica's files; a replica with an empty disk is a new member.
     pub id: ReplicaId,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// Whether it counts towards quorums.
+    /// Whether the member is a voter; otherwise it is a learner.
     pub voter: bool,
 }
 
-/// The replicas in force from one log entry on.
+/// The members of a group, in force from one log entry on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Membership {
-    /// The members.
+    /// The members, in the order in which they were added.
     pub members: Vec<Member>,
 }
 
@@ -28,7 +28,7 @@
         self.members.iter().filter(|member| member.voter)
     }
 
-    /// How many voters make a quorum.
+    /// Number of voters in a quorum.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
@@ -38,12 +38,12 @@
         self.members.iter().find(|member| member.id == id)
     }
 
-    /// Whether `id` votes.
+    /// Whether `id` is a voter.
     pub fn is_voter(&self, id: ReplicaId) -> bool {
         self.member(id).is_some_and(|member| member.voter)
     }
 
-    /// This membership with `member` as a learner.
+    /// This membership with an additional learner.
     pub fn with_learner(&self, id: ReplicaId, address: SocketAddr) -> Self {
         let mut members = self.members.clone();
         members.push(Member { id, address, voter: false });
@@ -61,14 +61,14 @@
         Self { members: self.members.iter().filter(|member| member.id != id).cloned().collect() }
     }
 
-    /// Addresses of the voters, and of the learners behind a plus sign.
-    pub fn names(&self) -> String {
+    /// Addresses of the members for log lines, with a plus sign before learners.
+    pub fn describe(&self) -> String {
         let name =
             |member: &Member| if member.voter { member.address.to_string() } else { format!("+{}", member.address) };
         self.members.iter().map(name).collect::<Vec<_>>().join(" ")
     }
 
-    /// The largest value that a quorum of voters has reached, where `reached` tells each voter's own value.
+    /// The largest value that a quorum of voters has reached, given each voter's value.
     pub fn quorum_value<T: Ord + Copy>(&self, reached: impl Fn(ReplicaId) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters().map(|member| reached(member.id)).collect();
         values.sort_unstable_by(|left, right| right.cmp(left));
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -5,14 +5,14 @@
 use saddlerelay_types::identity::ReplicaId;
 use std::net::SocketAddr;
 
-/// Who speaks to whom. A message for another identity or group is refused.
+/// Addressing of a message. A message to another replica or group is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Header {
-    /// The group, drawn when it was initialised.
+    /// Identifier of the group.
     pub group: u64,
-    /// The sender.
+    /// Identifier of the sender.
     pub from: ReplicaId,
-    /// The receiver as the sender knows it.
+    /// Identifier of the intended receiver.
     pub to: ReplicaId,
     /// The sender's term.
     pub term: u64,
@@ -21,18 +21,19 @@
 /// A request to a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ReplicaRequest {
-    /// Asks for a vote, or whether one would be given.
+    /// Requests a vote or a pre-vote.
     Vote {
         /// Sender and receiver.
         header: Header,
-        /// Only asks; the term is the one that would be campaigned in.
+        /// Whether this is a pre-vote, which changes no state of the voter. `header.term` is then the term of the
+        /// intended campaign.
         pre_vote: bool,
-        /// The old leader asked for this election, so that its lease does not stand against it. With `pre_vote`, the sender
-        /// offers to lead: it would campaign if the leader asked it to.
+        /// Leadership transfer: the current leader requested the election, so voters ignore its lease. Together with
+        /// `pre_vote`, the sender offers to take over leadership.
         transfer: bool,
-        /// The candidate's last entry.
+        /// Index of the candidate's last entry.
         last_index: u64,
-        /// The term of the candidate's last entry.
+        /// Term of the candidate's last entry.
         last_term: u64,
     },
     /// Appends entries; a heartbeat when there are none.
@@ -48,113 +49,115 @@
         /// The leader's commit index.
         commit: u64,
     },
-    /// A part of an encoded [`Snapshot`](crate::snapshot::Snapshot), which replaces the receiver's state once it is whole.
+    /// Part of an encoded [`Snapshot`](crate::snapshot::Snapshot). The complete snapshot replaces the receiver's
+    /// state.
     SnapshotPart {
         /// Sender and receiver.
         header: Header,
         /// The part.
         part: SnapshotPart,
     },
-    /// Asks any replica for a segment.
+    /// Reads a segment; any replica may answer.
     ReadSegment {
         /// Sender and receiver.
         header: Header,
-        /// The segment.
+        /// Number of the segment.
         number: u64,
     },
-    /// The leader stops: the receiver should campaign now.
+    /// Leadership transfer: the receiver should campaign now.
     TakeOver {
         /// Sender and receiver.
         header: Header,
     },
-    /// A replica with an empty disk asks to be added.
+    /// Requests that the sender be added to the group as a learner.
     Join {
-        /// Its identifier.
+        /// Identifier of the joining replica.
         id: ReplicaId,
-        /// Where it listens.
+        /// Listen address of the joining replica.
         address: SocketAddr,
     },
-    /// The leader is alive, while a larger message is still unanswered; answered from memory.
+    /// Heartbeat while a larger message is in flight; answered without disk access.
     Heartbeat {
         /// Sender and receiver.
         header: Header,
     },
-    /// The leader says where the group is, to a machine that is no member of it: without, one that starts with an empty disk
-    /// and settings that the group has left could not find it, nor send anyone on to it.
+    /// Announces the group to an address outside it, so that a machine with an empty disk or outdated settings can
+    /// join and can redirect callers.
     Announce {
-        /// The group.
+        /// Identifier of the group.
         group: u64,
-        /// Where the leader listens.
+        /// Address of the leader.
         leader: SocketAddr,
-        /// Where the group's replicas listen.
+        /// Addresses of the members.
         members: Vec<SocketAddr>,
     },
 }
 
-/// A replica's answer.
+/// A reply to a `ReplicaRequest`.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ReplicaReply {
-    /// Of a vote request.
+    /// Reply to a vote request.
     Vote {
         /// The voter's term.
         term: u64,
-        /// Whether the vote is given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Of an append or a snapshot.
+    /// Reply to an append or to a complete snapshot.
     Append {
         /// The receiver's term.
         term: u64,
-        /// Whether the receiver now holds the entries, synced.
+        /// Whether the entries are now synced on the receiver.
         accepted: bool,
-        /// When accepted the last index held; otherwise where to try next.
+        /// If accepted, the last synced index; otherwise the index after which the leader should retry.
         index: u64,
     },
-    /// Of a part of a snapshot that is not whole yet.
+    /// Reply to a part of an incomplete snapshot.
     SnapshotPart {
         /// The receiver's term.
         term: u64,
-        /// The byte that the receiver wants next.
+        /// Byte offset of the next part to send.
         next_offset: u64,
     },
-    /// The snapshot is whole, and the receiver fetches segments that it refers to.
+    /// The snapshot is complete, and the receiver is fetching segments that it refers to.
     FetchingSegments {
         /// The receiver's term.
         term: u64,
     },
-    /// A segment's bytes.
+    /// Content of a segment.
     Segment(Vec<u8>),
-    /// The request was taken.
+    /// The request was accepted.
     Taken,
-    /// Of a request to be added, by a replica that does not lead: where the group's replicas listen.
+    /// Reply to a join request by a replica that is not the leader: addresses of the group's replicas.
     Members(Vec<SocketAddr>),
-    /// Of a request to be added, by the leader of a group that needs no more replicas now.
+    /// Reply to a join request by a leader that needs no further replica at present.
     NotWanted {
-        /// When to ask again, in milliseconds.
+        /// Milliseconds until the next join request.
         ask_again_ms: u64,
-        /// Where the group's replicas listen.
+        /// Addresses of the group's replicas.
         members: Vec<SocketAddr>,
     },
-    /// The request is for another replica or group, or the disk has failed.
+    /// The request is for another replica or group, or the receiver cannot handle it, for example because its disk has
+    /// failed.
     Refused,
-    /// Of a heartbeat.
+    /// Reply to a heartbeat.
     Heartbeat {
         /// The receiver's term, or the newer one that it is entering.
         term: u64,
-        /// Whether the receiver is in the leader's term and votes for nobody else within an election timeout.
+        /// Whether the receiver is in the leader's term and will grant no other vote within an election timeout.
         heard: bool,
     },
 }
 
-/// A part of an encoded [`Snapshot`](crate::snapshot::Snapshot).
+/// Part of an encoded [`Snapshot`](crate::snapshot::Snapshot).
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct SnapshotPart {
-    /// Last entry that the snapshot includes.
+    /// Index of the last entry included in the snapshot.
     pub index: u64,
-    /// Bytes of the whole.
+    /// Size of the encoded snapshot in bytes.
     pub total: u64,
-    /// Bytes before this part.
+    /// Byte offset of this part.
     pub offset: u64,
-    /// The bytes.
+    /// Content of this part.
     pub bytes: Vec<u8>,
 }
--- a/crates/replication/src/message_codec.rs
+++ b/crates/replication/src/message_codec.rs
@@ -1,6 +1,6 @@
-//! How messages of the replication protocol are written at each feature level.
+//! Encoding of replication messages at each feature level.
 //!
-//! Level one knows neither heartbeats beside a message, nor announcements, nor an answer that says when to ask again.
+//! Level one has no `Heartbeat`, `Announce` or `NotWanted`.
 
 use crate::log::LogEntry;
 use crate::message::{Header, ReplicaReply, ReplicaRequest, SnapshotPart};
@@ -11,7 +11,7 @@
 use saddlerelay_types::protocol::{ControlReply, ControlRequest};
 use std::net::SocketAddr;
 
-/// A request of level one, as released.
+/// A request as encoded at level one. Frozen.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 enum RequestOne {
     Vote { header: Header, pre_vote: bool, transfer: bool, last_index: u64, last_term: u64 },
@@ -22,7 +22,7 @@
     Join { id: ReplicaId, address: SocketAddr },
 }
 
-/// An answer of level one, as released.
+/// A reply as encoded at level one. Frozen.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 enum ReplyOne {
     Vote { term: u64, granted: bool },
@@ -94,14 +94,14 @@
             ReplicaReply::FetchingSegments { term } => Self::FetchingSegments { term },
             ReplicaReply::Segment(bytes) => Self::Segment(bytes),
             ReplicaReply::Taken => Self::Taken,
-            // It asks those, and then again.
+            // Level one has no `NotWanted`; the joining replica retries at the listed addresses.
             ReplicaReply::Members(members) | ReplicaReply::NotWanted { members, .. } => Self::Members(members),
             ReplicaReply::Refused | ReplicaReply::Heartbeat { .. } => Self::Refused,
         }
     }
 }
 
-/// Writes a request; `None` if the level has no words for it.
+/// Encodes a request; `None` if the level does not have it.
 pub fn encode_request(request: &ReplicaRequest, level: FeatureLevel) -> Option<Vec<u8>> {
     match level {
         FeatureLevel::One => Some(bitcode::encode(&RequestOne::of(request.clone())?)),
@@ -109,7 +109,7 @@
     }
 }
 
-/// Reads a request; `None` if it cannot be read.
+/// Decodes a request; `None` if it is malformed.
 pub fn decode_request(bytes: &[u8], level: FeatureLevel) -> Option<ReplicaRequest> {
     match level {
         FeatureLevel::One => bitcode::decode::<RequestOne>(bytes).ok().map(Into::into),
@@ -117,7 +117,7 @@
     }
 }
 
-/// Writes an answer.
+/// Encodes a reply; replies that the level does not have become the closest one that it has.
 pub fn encode_reply(reply: ReplicaReply, level: FeatureLevel) -> Vec<u8> {
     match level {
         FeatureLevel::One => bitcode::encode(&ReplyOne::from(reply)),
@@ -125,7 +125,7 @@
     }
 }
 
-/// Reads an answer; `None` if it cannot be read.
+/// Decodes a reply; `None` if it is malformed.
 pub fn decode_reply(bytes: &[u8], level: FeatureLevel) -> Option<ReplicaReply> {
     match level {
         FeatureLevel::One => bitcode::decode::<ReplyOne>(bytes).ok().map(Into::into),
@@ -133,12 +133,12 @@
     }
 }
 
-/// Writes the whole request of a connection that carries `request`; `None` if the level has no words for it.
+/// Encodes `request` together with its control envelope; `None` if the level does not have it.
 pub fn encode_call(request: &ReplicaRequest, level: FeatureLevel) -> Option<Vec<u8>> {
     messages::encode_request(&ControlRequest::Replication(encode_request(request, level)?), level)
 }
 
-/// Reads what `encode_call` has written.
+/// Decodes what `encode_call` has encoded; `None` if it is malformed or another kind of request.
 pub fn decode_call(body: &[u8], level: FeatureLevel) -> Option<ReplicaRequest> {
     match messages::decode_request(body, level)? {
         Request::Today(ControlRequest::Replication(bytes)) => decode_request(&bytes, level),
@@ -146,12 +146,12 @@
     }
 }
 
-/// Writes the whole answer that carries `reply`.
+/// Encodes `reply` together with its control envelope.
 pub fn encode_answer(reply: ReplicaReply, level: FeatureLevel) -> Option<Vec<u8>> {
     messages::encode_reply(ControlReply::Replication(encode_reply(reply, level)), level)
 }
 
-/// Reads what `encode_answer` has written.
+/// Decodes what `encode_answer` has encoded; `None` if it is malformed or another kind of reply.
 pub fn decode_answer(body: &[u8], level: FeatureLevel) -> Option<ReplicaReply> {
     match messages::decode_reply(body, level)? {
         ControlReply::Replication(bytes) => decode_reply(&bytes, level),
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,18 +1,18 @@
-//! A replica's public face: opening, proposing, reading and answering messages.
+//! A replica's public interface: opening it, proposing commands, reading state and handling requests.
 
+use crate::adaptive_timeout::AdaptiveTimeout;
 use crate::calls::Channel;
 use crate::config::ReplicationConfig;
 use crate::file_format::FileFormat;
 use crate::follower::IncomingSnapshot;
-use crate::founding::founder_id;
-use crate::lead_offer::LeadOffers;
+use crate::group_formation::founder_id;
+use crate::leadership_offer::LeadershipOffers;
 use crate::log::EntryPayload;
 use crate::membership::Member;
 use crate::message::{Header, ReplicaReply, ReplicaRequest};
-use crate::patience::Patience;
+use crate::role_report::{RoleReports, log_recovered_state};
 use crate::segments::StoredSegments;
 use crate::snapshot::Snapshot;
-use crate::standing::{StandingReports, tell_recovered};
 use crate::state::{Role, State, StateMachine};
 use crate::storage::{Identity, Recovered, Storage, StorageError};
 use futures::channel::{mpsc, oneshot};
@@ -29,40 +29,40 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// How a replica is started.
+/// Start options of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaOptions {
-    /// Where this replica listens.
+    /// Listen address of this replica.
     pub address: SocketAddr,
-    /// Where the group's replicas listen; this one's own address may be among them.
+    /// Addresses of the group's replicas; may include this replica's own address.
     pub peers: Vec<SocketAddr>,
-    /// Where the replicas listen that form the group when it is first started; every one of them is given the same.
-    /// Empty unless this is that first start. A replica that is not among them joins.
+    /// Addresses of the initial voters, identical on all of them. Set only for the first start of a new group. A
+    /// replica that is not in the list joins the group instead.
     pub founders: Vec<SocketAddr>,
-    /// The deployment's shared secret.
+    /// Shared secret of the deployment.
     pub secret: String,
-    /// Limits.
+    /// Timeouts and size limits.
     pub config: ReplicationConfig,
 }
 
-/// Why a proposal brought no outcome.
+/// Reason why a proposal returned no outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeError {
-    /// This replica does not lead; nothing was written.
+    /// This replica is not the leader; nothing was written. Holds the leader's address if known.
     NotLeader(Option<SocketAddr>),
-    /// Too many proposals wait; nothing was written.
+    /// The proposal queue is full; nothing was written.
     Overloaded,
-    /// The proposal may or may not be committed later.
+    /// Leadership was lost before the outcome was known; the proposal may still be committed.
     Undecided,
-    /// The group's feature level has no words for the command; nothing was written.
+    /// The command cannot be encoded at the group's feature level; nothing was written.
     NotAtThisLevel,
 }
 
 pub(crate) struct Proposal<O> {
     pub payload: EntryPayload,
     pub sender: Option<oneshot::Sender<O>>,
-    /// For a membership: the index that brought the one that it was made from.
-    pub made_from: Option<u64>,
+    /// For a membership change: index of the membership entry that the change is based on.
+    pub based_on_index: Option<u64>,
 }
 
 pub(crate) struct Inner<P: Runtime, S: StateMachine> {
@@ -70,45 +70,45 @@
     pub options: ReplicaOptions,
     pub state: RefCell<State<S>>,
     pub storage: Mutex<Storage<P::Disk>>,
-    /// The format of the files.
+    /// Format of the files on disk.
     pub format: Rc<Cell<FileFormat>>,
-    /// Held by whoever writes the snapshot file; taken after `storage` if both are needed.
+    /// Serializes writes of the snapshot file. Lock order: `storage` first.
     pub snapshot_file: Mutex<()>,
-    /// Held by whoever writes a segment's file.
+    /// Serializes writes of segment files.
     pub segment_files: Mutex<()>,
     pub proposals: RefCell<mpsc::Sender<Proposal<S::Outcome>>>,
     proposal_queue: RefCell<Option<mpsc::Receiver<Proposal<S::Outcome>>>>,
-    /// New entries, a new leader or a new membership.
+    /// Notified on new entries, a leadership change or a new membership.
     pub changed: Signal,
-    /// Connections to other replicas.
+    /// Connections to other replicas, by channel and address.
     pub clients: RefCell<BTreeMap<(Channel, SocketAddr), Client<P>>>,
-    /// Replicas that are not to be members.
+    /// Replicas that must be removed from the group or kept out of it.
     pub unwanted: RefCell<BTreeSet<ReplicaId>>,
-    /// The segments on this replica's disk.
+    /// Segments stored on this replica's disk.
     pub segments: RefCell<StoredSegments>,
-    /// Missing segments are being fetched.
+    /// Whether a task is fetching missing segments.
     pub fetching: Cell<bool>,
-    /// A snapshot that is being received.
+    /// Snapshot that is being received.
     pub incoming: RefCell<Option<IncomingSnapshot>>,
-    /// The snapshot that is being sent, for peers that need one at the same time.
+    /// Snapshot that is being sent; shared by peers that need one at the same time.
     pub outgoing: RefCell<Weak<Snapshot>>,
-    /// Where replicas may listen that this one has heard of.
-    pub heard_of: RefCell<BTreeSet<SocketAddr>>,
-    /// The leader that last told this replica of itself although it is no member, and when.
+    /// Addresses of replicas learned from other replicas or from callers.
+    pub discovered_addresses: RefCell<BTreeSet<SocketAddr>>,
+    /// Sender of the last leader announcement, and when it was received.
     pub announced_leader: Cell<Option<(SocketAddr, Duration)>>,
-    /// When a leader last said that this replica is no member.
-    pub left_out_at: Cell<Option<Duration>>,
-    /// Machines that are told where the group is while this replica leads.
-    pub audience: RefCell<BTreeSet<SocketAddr>>,
-    /// Replicas that have asked this leader in vain to be added, and when.
-    pub refused_joiners: RefCell<BTreeMap<SocketAddr, Duration>>,
-    /// Offers to lead, made and received.
-    pub lead_offers: RefCell<LeadOffers>,
-    /// What operators have been told of this replica's place in the group.
-    pub reports: RefCell<StandingReports>,
+    /// When an announcement last listed the members without this replica.
+    pub excluded_at: Cell<Option<Duration>>,
+    /// Addresses that receive announcements while this replica leads.
+    pub announcement_targets: RefCell<BTreeSet<SocketAddr>>,
+    /// Addresses whose join requests this leader has rejected recently, and when.
+    pub rejected_joins: RefCell<BTreeMap<SocketAddr, Duration>>,
+    /// Leadership offers made and received.
+    pub leadership_offers: RefCell<LeadershipOffers>,
+    /// What was last logged about this replica's role in the group.
+    pub reports: RefCell<RoleReports>,
 }
 
-/// One replica of a group. Clones are the same replica.
+/// A replica of a group. Clones share the same state.
 pub struct Replica<P: Runtime, S: StateMachine> {
     pub(crate) inner: Rc<Inner<P, S>>,
 }
@@ -120,32 +120,32 @@
 }
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
-    /// Opens the replica's files and restores its state; `start` makes it take part.
-    pub async fn open(platform: P, options: ReplicaOptions, mut machine: S) -> Result<Self, StorageError> {
-        let founds = options.founders.contains(&options.address);
-        let new_format = if founds { FileFormat::Level(options.config.first_level) } else { FileFormat::Raised };
+    /// Opens the files and restores the state. The replica takes part in the group only after `start`.
+    pub async fn open(platform: P, options: ReplicaOptions, mut state_machine: S) -> Result<Self, StorageError> {
+        let is_founder = options.founders.contains(&options.address);
+        let new_format = if is_founder { FileFormat::Level(options.config.first_level) } else { FileFormat::Raised };
         let random_id = ReplicaId(platform.random().max(1));
-        let new_id = if founds { founder_id(options.address) } else { random_id };
+        let new_id = if is_founder { founder_id(options.address) } else { random_id };
         let (storage, recovered) = Storage::open(platform.disk(), new_id, new_format).await?;
-        tell_recovered(&recovered);
+        log_recovered_state(&recovered);
         let snapshot_index = recovered.log.base_index();
-        let led_last = led_last(&recovered);
+        let was_leader = was_leader(&recovered);
         let mut segments = StoredSegments::default();
-        let began_at = recovered.level.filter(|_| recovered.snapshot.is_none());
-        if let Some(level) = began_at {
-            machine.enter_level(level);
+        let first_entry_level = recovered.level.filter(|_| recovered.snapshot.is_none());
+        if let Some(level) = first_entry_level {
+            state_machine.enter_level(level);
         }
         if let Some(snapshot) = recovered.snapshot {
-            machine.restore(snapshot.state(), snapshot.level);
+            state_machine.restore(snapshot.state(), snapshot.level);
             segments = StoredSegments::new(&snapshot.header.segments);
         }
         let now = platform.monotonic();
-        let preferred = machine.prefers(recovered.identity.id);
-        // Where all processes start at once, the one that led comes first; its work goes on without being taken over.
-        let first = preferred || led_last || recovered.term == 0;
-        let head_start = if first { Duration::ZERO } else { options.config.leader_head_start };
-        // What this replica last answered, a leader may count on for a lease and no longer; those that started a little
-        // earlier are then not refused their first votes.
+        let preferred = state_machine.prefers(recovered.identity.id);
+        // When all processes restart together, the previous leader is given a head start in the election.
+        let campaigns_first = preferred || was_leader || recovered.term == 0;
+        let head_start = if campaigns_first { Duration::ZERO } else { options.config.leader_head_start };
+        // Before the restart this replica may have acknowledged a leader, whose lease relies on it. Votes are
+        // therefore refused for the length of a lease after the start, not for a whole election timeout.
         let vote_slack = options.config.election_timeout.saturating_sub(options.config.lease);
         let state = State {
             identity: recovered.identity,
@@ -154,9 +154,9 @@
             term_being_written: None,
             role: Role::Follower,
             leader: None,
-            leader_heard_at: now.saturating_sub(vote_slack),
-            patience: Patience::new(options.config.election_timeout),
-            election_at: now
+            last_leader_contact: now.saturating_sub(vote_slack),
+            adaptive_timeout: AdaptiveTimeout::new(options.config.election_timeout),
+            election_deadline: now
                 + options.config.election_timeout
                 + election_jitter(&platform, &options.config, preferred)
                 + head_start,
@@ -166,10 +166,10 @@
             applied: snapshot_index,
             applied_bytes_since_snapshot: 0,
             snapshot_index,
-            machine,
+            state_machine,
             level: recovered.level,
-            began_at,
-            waiting: BTreeMap::new(),
+            first_entry_level,
+            pending_proposals: BTreeMap::new(),
             storage_failed: false,
             stopping: false,
         };
@@ -191,12 +191,12 @@
             fetching: Cell::default(),
             incoming: RefCell::default(),
             outgoing: RefCell::default(),
-            heard_of: RefCell::default(),
+            discovered_addresses: RefCell::default(),
             announced_leader: Cell::default(),
-            left_out_at: Cell::default(),
-            audience: RefCell::default(),
-            refused_joiners: RefCell::default(),
-            lead_offers: RefCell::default(),
+            excluded_at: Cell::default(),
+            announcement_targets: RefCell::default(),
+            rejected_joins: RefCell::default(),
+            leadership_offers: RefCell::default(),
             reports: RefCell::default(),
         };
         let replica = Self { inner: Rc::new(inner) };
@@ -205,7 +205,7 @@
         Ok(replica)
     }
 
-    /// Starts the replica's tasks. Called once.
+    /// Spawns the replica's tasks. Panics if called twice.
     pub fn start(&self) {
         let queue = self.inner.proposal_queue.borrow_mut().take().expect("a replica is started once");
         let platform = &self.inner.platform;
@@ -215,16 +215,17 @@
         platform.spawn(self.clone().maintain_storage());
         platform.spawn(self.clone().join_group());
         platform.spawn(self.clone().announce_group());
-        platform.spawn(self.clone().offer_to_lead());
-        platform.spawn(self.clone().consider_offers());
+        platform.spawn(self.clone().run_leadership_offers());
+        platform.spawn(self.clone().evaluate_offers());
     }
 
-    /// Commits `command` and returns its outcome.
+    /// Proposes `command` and waits for its outcome.
     pub async fn propose(&self, command: Vec<u8>) -> Result<S::Outcome, ProposeError> {
         self.propose_as(|_| Some(vec![command])).await
     }
 
-    /// Commits a command, written as one or more entries at the level of the log's end, and returns the last one's outcome.
+    /// Proposes a command that `encode` writes as one or more entries at the feature level of the end of the log, and
+    /// waits for the outcome of the last entry.
     pub async fn propose_as(
         &self,
         encode: impl FnOnce(FeatureLevel) -> Option<Vec<Vec<u8>>>,
@@ -234,7 +235,7 @@
         };
         let entries = encode(level).ok_or(ProposeError::NotAtThisLevel)?;
         let mut last = None;
-        // All are queued at once: an entry that raises the level stands before them or behind.
+        // The entries are queued without yielding, so that no level change can be queued between them.
         for command in entries {
             match self.queue(command) {
                 Ok(outcome) => last = Some(outcome),
@@ -248,112 +249,113 @@
 
     fn queue(&self, command: Vec<u8>) -> Result<oneshot::Receiver<S::Outcome>, ProposeError> {
         let (sender, outcome) = oneshot::channel();
-        let proposal = Proposal { payload: EntryPayload::Command(command), sender: Some(sender), made_from: None };
+        let proposal = Proposal { payload: EntryPayload::Command(command), sender: Some(sender), based_on_index: None };
         let queued = self.inner.proposals.borrow_mut().try_send(proposal);
         queued.map(|()| outcome).map_err(|_| ProposeError::Overloaded)
     }
 
-    /// The level of what is proposed now; `None` if nothing may be.
+    /// Feature level at which proposals are encoded now; `None` if this replica cannot accept proposals.
     pub fn level_of_proposals(&self) -> Option<FeatureLevel> {
         let state = self.inner.state.borrow();
-        let leadership = state.leadership().filter(|leadership| !leadership.handing_over && !state.storage_failed)?;
+        let leadership =
+            state.leadership().filter(|leadership| !leadership.transfer_in_progress && !state.storage_failed)?;
         Some(leadership.next_level)
     }
 
-    /// How far the log is committed, if this replica leads and holds the lease: whoever has applied it that far knows all
-    /// that was acknowledged before.
+    /// Commit index for a linearizable read, if this replica leads and holds the lease. A replica that has applied the
+    /// log up to it has seen every acknowledged write.
     pub fn read_position(&self) -> Option<u64> {
         let now = self.inner.platform.monotonic();
         let state = self.inner.state.borrow();
         state.may_serve(now, &self.inner.options.config).then_some(state.commit)
     }
 
-    /// How far this replica has applied the log.
+    /// Index of the last entry applied by this replica.
     pub fn applied_index(&self) -> u64 {
         self.inner.state.borrow().applied
     }
 
-    /// Reads the committed state, if this replica leads and holds the lease.
+    /// Reads the state machine if this replica leads and holds the lease.
     pub fn read<T>(&self, read: impl FnOnce(&S) -> T) -> Option<T> {
         let now = self.inner.platform.monotonic();
         let state = self.inner.state.borrow();
-        state.may_serve(now, &self.inner.options.config).then(|| read(&state.machine))
+        state.may_serve(now, &self.inner.options.config).then(|| read(&state.state_machine))
     }
 
-    /// The term, if this replica leads and holds the lease.
+    /// Current term, if this replica leads and holds the lease.
     pub fn leading_term(&self) -> Option<u64> {
         let now = self.inner.platform.monotonic();
         let state = self.inner.state.borrow();
         state.may_serve(now, &self.inner.options.config).then_some(state.term)
     }
 
-    /// The term in which this replica leads, whether or not a quorum has answered lately.
+    /// Term in which this replica leads, even if its lease has expired.
     pub fn claimed_term(&self) -> Option<u64> {
         let state = self.inner.state.borrow();
         state.leadership().map(|_| state.term)
     }
 
-    /// The leader's address, if another replica leads and was heard lately: callers that are sent to one that stands still
-    /// lose the time of a whole call.
+    /// Address of the leader, if another replica leads and was in contact within the election timeout. Callers are not
+    /// redirected to a leader that may have failed.
     pub fn leader_address(&self) -> Option<SocketAddr> {
         let now = self.inner.platform.monotonic();
         let state = self.inner.state.borrow();
-        if self.is_left_out(&state) {
+        if self.is_excluded(&state) {
             return self.recently_announced_leader();
         }
-        if now >= state.leader_heard_at + self.inner.options.config.election_timeout {
+        if now >= state.last_leader_contact + self.inner.options.config.election_timeout {
             return None;
         }
         let leader = state.leader.filter(|leader| *leader != state.identity.id)?;
         state.address_of(leader)
     }
 
-    /// Reads the state as this replica has applied it, which may be old.
+    /// Reads the state machine as applied locally, which may be stale.
     pub fn peek<T>(&self, read: impl FnOnce(&S) -> T) -> T {
-        read(&self.inner.state.borrow().machine)
+        read(&self.inner.state.borrow().state_machine)
     }
 
-    /// Changes what the machine keeps beside its replicated state.
+    /// Changes local state of the state machine that is not replicated.
     pub fn adjust(&self, change: impl FnOnce(&mut S)) {
-        change(&mut self.inner.state.borrow_mut().machine);
+        change(&mut self.inner.state.borrow_mut().state_machine);
     }
 
-    /// How many voters the group wants.
+    /// Configured number of voters.
     pub fn target_voters(&self) -> usize {
         self.inner.options.config.target_voters
     }
 
-    /// Where the group's replicas listen, as far as this one knows.
+    /// Addresses of the members in this replica's newest membership.
     pub fn member_addresses(&self) -> Vec<SocketAddr> {
         self.inner.state.borrow().membership().members.iter().map(|member| member.address).collect()
     }
 
-    /// Whether this replica is a member by the newest word that it has of it: its log's, or a leader's.
+    /// Whether this replica is a member, by its own log and by the last leader announcement.
     pub fn is_member(&self) -> bool {
         let state = self.inner.state.borrow();
-        state.membership().member(state.identity.id).is_some() && !self.is_left_out(&state)
+        state.membership().member(state.identity.id).is_some() && !self.is_excluded(&state)
     }
 
-    /// The group that this replica belongs to, if any.
+    /// Identifier of this replica's group, if it belongs to one.
     pub fn group(&self) -> Option<u64> {
         self.inner.state.borrow().identity.group
     }
 
-    /// This replica's identifier.
+    /// Identifier of this replica.
     pub fn id(&self) -> ReplicaId {
         self.inner.state.borrow().identity.id
     }
 
-    /// Whether the replica takes part: it knows a leader that was heard within an election timeout, or leads.
+    /// Whether the replica leads with a valid lease, or has had contact with a leader within the election timeout.
     pub fn is_ready(&self) -> bool {
         let now = self.inner.platform.monotonic();
         let state = self.inner.state.borrow();
         let config = &self.inner.options.config;
-        let follows = state.leader.is_some() && now < state.leader_heard_at + config.election_timeout;
-        !state.storage_failed && (follows || state.may_serve(now, config))
+        let has_leader = state.leader.is_some() && now < state.last_leader_contact + config.election_timeout;
+        !state.storage_failed && (has_leader || state.may_serve(now, config))
     }
 
-    /// The group as this leader sees it.
+    /// State of the group as seen by this leader; `None` if this replica does not lead.
     pub fn view(&self) -> Option<GroupView> {
         let now = self.inner.platform.monotonic();
         let state = self.inner.state.borrow();
@@ -361,13 +363,13 @@
         let own = state.identity.id;
         let replica = |member: &Member| {
             let progress = leadership.progress.get(&member.id).copied().unwrap_or_default();
-            let since = progress.contact().map_or(now, |at| now.saturating_sub(at));
+            let since = progress.last_contact().map_or(now, |at| now.saturating_sub(at));
             let is_own = member.id == own;
             ReplicaView {
                 id: member.id,
                 address: member.address,
                 voter: member.voter,
-                matched: if is_own { state.synced } else { progress.matched },
+                matched: if is_own { state.synced } else { progress.match_index },
                 heard_milliseconds_ago: if is_own { 0 } else { since.as_millis() as u64 },
             }
         };
@@ -375,22 +377,22 @@
         Some(GroupView { term: state.term, leader: own, committed: state.commit, replicas })
     }
 
-    /// Answers another replica.
+    /// Handles a request from another replica.
     pub async fn handle(&self, request: ReplicaRequest, level: FeatureLevel) -> ReplicaReply {
         if self.inner.state.borrow().storage_failed {
             return ReplicaReply::Refused;
         }
         match request {
-            ReplicaRequest::Join { id, address } => self.answer_join(id, address, level),
-            ReplicaRequest::Announce { group, leader, members } => self.hear_announcement(group, leader, members),
+            ReplicaRequest::Join { id, address } => self.handle_join(id, address, level),
+            ReplicaRequest::Announce { group, leader, members } => self.handle_announcement(group, leader, members),
             ReplicaRequest::Vote { header, pre_vote, transfer, last_index, last_term } => {
                 if !self.is_for_this_replica(&header) {
                     return ReplicaReply::Refused;
                 }
                 if pre_vote && transfer {
-                    self.note_offer(&header, (last_term, last_index));
+                    self.record_offer(&header, (last_term, last_index));
                 }
-                self.answer_vote(header, pre_vote, transfer, (last_term, last_index)).await
+                self.handle_vote(header, pre_vote, transfer, (last_term, last_index)).await
             }
             ReplicaRequest::Append { header, previous_index, previous_term, entries, commit } => {
                 if !self.accepts_leader(&header).await {
@@ -402,21 +404,21 @@
                 if !self.accepts_leader(&header).await {
                     return ReplicaReply::Refused;
                 }
-                self.take_snapshot_part(header, part, level).await
+                self.receive_snapshot_part(header, part, level).await
             }
             ReplicaRequest::ReadSegment { header, number } => {
                 if !self.is_for_this_replica(&header) {
                     return ReplicaReply::Refused;
                 }
-                self.answer_segment(number).await
+                self.handle_segment_request(number).await
             }
             ReplicaRequest::Heartbeat { header } => {
                 if !self.is_for_this_replica(&header) {
                     return ReplicaReply::Refused;
                 }
-                self.answer_heartbeat(header)
+                self.handle_heartbeat(header)
             }
-            ReplicaRequest::TakeOver { header } => self.answer_take_over(header),
+            ReplicaRequest::TakeOver { header } => self.handle_take_over(header),
         }
     }
 
@@ -425,7 +427,8 @@
         header.to == identity.id && identity.group == Some(header.group)
     }
 
-    /// Like `is_for_this_replica`, but a replica without a group takes the group of the first leader that adds it.
+    /// Like `is_for_this_replica`, but a replica without a group adopts the group of the first leader that contacts
+    /// it.
     async fn accepts_leader(&self, header: &Header) -> bool {
         let identity = self.inner.state.borrow().identity;
         if header.to != identity.id {
@@ -437,15 +440,15 @@
         let adopted = Identity { group: Some(header.group), ..identity };
         let mut storage = self.inner.storage.lock().await;
         if let Err(error) = storage.write_identity(adopted).await {
-            // The leader asks again.
-            spdlog::warn!("identity not written", kv: { dependency = "disk", reason = error.to_string().as_str() });
+            // The leader retries.
+            spdlog::warn!("identity write failed", kv: { dependency = "disk", reason = error.to_string().as_str() });
             return false;
         }
         self.inner.state.borrow_mut().identity = adopted;
         true
     }
 
-    /// Where this replica listens.
+    /// Listen address of this replica.
     pub fn address(&self) -> SocketAddr {
         self.inner.options.address
     }
@@ -454,19 +457,20 @@
         let config = &self.inner.options.config;
         let platform = &self.inner.platform;
         let wait =
-            config.election_timeout + election_jitter(platform, config, state.machine.prefers(state.identity.id));
-        state.election_at = platform.monotonic() + state.patience.stretch(wait);
+            config.election_timeout + election_jitter(platform, config, state.state_machine.prefers(state.identity.id));
+        state.election_deadline = platform.monotonic() + state.adaptive_timeout.scale(wait);
     }
 }
 
-/// Whether this replica led when its files were last written: it voted for itself in its term, and entries of that term
-/// followed.
-fn led_last(recovered: &Recovered) -> bool {
+/// Whether this replica was the leader when its files were last written: it voted for itself in its term, and its last
+/// entry is of that term.
+fn was_leader(recovered: &Recovered) -> bool {
     let elected_itself = recovered.voted_for == Some(recovered.identity.id);
     elected_itself && recovered.log.last_term() == recovered.term
 }
 
-/// The random part of an election timeout: the first third is the preferred replica's.
+/// Random part of an election timeout. The preferred replica draws from the first third of the range, all others from
+/// the rest.
 fn election_jitter<P: Runtime>(platform: &P, config: &ReplicationConfig, preferred: bool) -> Duration {
     let third = config.election_jitter / 3;
     if preferred { platform.jitter(third) } else { third + platform.jitter(config.election_jitter - third) }
--- a/crates/replication/src/segments.rs
+++ b/crates/replication/src/segments.rs
@@ -1,9 +1,9 @@
-//! Immutable parts of the state that snapshots leave out: each is written to a file of its own once, and fetched once by a
-//! replica that lacks it. What a snapshot costs then does not grow with them.
+//! Segments: immutable parts of the state that are not included in snapshots. Each is written to its own file once,
+//! and fetched once by a replica that lacks it, so that the cost of a snapshot does not grow with them.
 //!
-//! Every replica seals the same segments, because it applies the same commands. A snapshot is written only after the
-//! segments that it refers to, and a segment's file is removed only after a snapshot that no longer refers to it. While a
-//! leader sends a snapshot it keeps the files of that snapshot's segments: the receiver could never install it otherwise.
+//! All replicas seal the same segments, as they apply the same commands. A snapshot is written only after the segments
+//! that it refers to, and a segment's file is removed only after a snapshot that no longer refers to it. While a
+//! leader sends a snapshot, it keeps the files of that snapshot's segments, as the receiver needs them to install it.
 
 use crate::replica::Replica;
 use crate::state::StateMachine;
@@ -15,29 +15,29 @@
 use std::io;
 use std::rc::Rc;
 
-/// What tells whether some bytes are a segment's.
+/// Describes a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Segment {
-    /// Counts segments as they are sealed.
+    /// Sequence number in the order of sealing.
     pub number: u64,
-    /// Its length in bytes.
+    /// Length in bytes.
     pub bytes: u64,
-    /// CRC-32 of its bytes.
+    /// CRC-32 of the content.
     pub checksum: u32,
 }
 
 impl Segment {
-    /// Describes `bytes`.
+    /// Describes a segment with the content `bytes`.
     pub fn of(number: u64, bytes: &[u8]) -> Self {
         Self { number, bytes: bytes.len() as u64, checksum: crc32fast::hash(bytes) }
     }
 
-    /// Whether `bytes` are this segment's.
+    /// Whether `bytes` are the content of this segment.
     pub fn matches(&self, bytes: &[u8]) -> bool {
         Self::of(self.number, bytes) == *self
     }
 
-    /// Whether `disk` has a file of the right length for it. The content is checked when it is read.
+    /// Whether `disk` has a file of the right length. The content is verified when it is read.
     pub(crate) async fn is_stored<D: Disk>(&self, disk: &D) -> io::Result<bool> {
         let end = disk.read_range(&file_name(self.number), self.bytes.saturating_sub(1), 2).await?;
         Ok(end.len() as u64 == self.bytes.min(1))
@@ -51,11 +51,11 @@
 /// Why a segment cannot be read.
 #[derive(Debug)]
 pub enum SegmentError {
-    /// The state does not refer to such a segment.
+    /// The state does not refer to this segment.
     Unknown,
-    /// The file is missing, or its content is not the segment's.
+    /// The file is missing or does not match the checksum.
     Damaged,
-    /// The operating system refused.
+    /// An I/O operation failed.
     Io(io::Error),
 }
 
@@ -71,7 +71,7 @@
 
 impl std::error::Error for SegmentError {}
 
-/// The segments on a replica's disk.
+/// Segments stored on this replica's disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StoredSegments(BTreeMap<u64, Segment>);
 
@@ -80,12 +80,12 @@
         Self(segments.iter().map(|segment| (segment.number, *segment)).collect())
     }
 
-    pub fn holds(&self, segment: &Segment) -> bool {
+    pub fn contains(&self, segment: &Segment) -> bool {
         self.0.get(&segment.number) == Some(segment)
     }
 
-    /// Those that a snapshot which refers to `kept` has outlived and that are not among `being_sent`.
-    fn outlived(&self, kept: &[Segment], being_sent: &[Segment]) -> Vec<u64> {
+    /// Numbers of segments older than the newest in `kept` that are in neither `kept` nor `being_sent`.
+    fn obsolete(&self, kept: &[Segment], being_sent: &[Segment]) -> Vec<u64> {
         let newest = kept.last().map_or(0, |segment| segment.number);
         let is_kept = |number: &u64| kept.iter().chain(being_sent).any(|segment| segment.number == *number);
         self.0.keys().copied().filter(|number| *number < newest && !is_kept(number)).collect()
@@ -93,8 +93,7 @@
 }
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
-    /// Writes a segment and makes it last. One at a time: two writers of one file would share its temporary name, and a
-    /// loss of power could leave a name whose content the other had just emptied.
+    /// Writes and syncs a segment. Serialized, as two writers of one file would share its temporary file.
     pub(crate) async fn store_segment(&self, segment: Segment, bytes: Vec<u8>) -> Result<(), StorageError> {
         let _writing = self.inner.segment_files.lock().await;
         self.inner.platform.disk().replace(&file_name(segment.number), bytes).await?;
@@ -102,31 +101,31 @@
         Ok(())
     }
 
-    /// Writes the segments that only memory holds.
+    /// Writes sealed segments that are only in memory, and releases them.
     pub(crate) async fn store_new_segments(&self) -> Result<(), StorageError> {
         loop {
-            let Some(segment) = self.inner.state.borrow().machine.unreleased_segment() else {
+            let Some(segment) = self.inner.state.borrow().state_machine.unreleased_segment() else {
                 return Ok(());
             };
-            let bytes = self.inner.state.borrow().machine.segment_bytes(segment.number);
-            let is_stored = self.inner.segments.borrow().holds(&segment);
+            let bytes = self.inner.state.borrow().state_machine.segment_bytes(segment.number);
+            let is_stored = self.inner.segments.borrow().contains(&segment);
             if let (Some(bytes), false) = (bytes, is_stored) {
                 self.store_segment(segment, bytes.to_vec()).await?;
             }
-            self.inner.state.borrow_mut().machine.release_segment(segment.number);
+            self.inner.state.borrow_mut().state_machine.release_segment(segment.number);
         }
     }
 
-    /// Removes the files of segments that a snapshot which refers to `kept` has outlived. Those of a snapshot that is being
-    /// sent are removed after a later one.
-    pub(crate) async fn remove_outlived_segments(&self, kept: &[Segment]) {
+    /// Removes files of segments that are no longer needed for a snapshot with the segments `kept`. Segments of a
+    /// snapshot that is being sent are kept until a later call.
+    pub(crate) async fn remove_obsolete_segments(&self, kept: &[Segment]) {
         let sent = self.inner.outgoing.borrow().upgrade();
         let being_sent = sent.as_ref().map_or(&[][..], |snapshot| &snapshot.header.segments);
-        let outlived = self.inner.segments.borrow().outlived(kept, being_sent);
-        for number in outlived {
+        let obsolete = self.inner.segments.borrow().obsolete(kept, being_sent);
+        for number in obsolete {
             if let Err(error) = self.inner.platform.disk().remove(&file_name(number)).await {
-                // It is tried again after the next snapshot.
-                spdlog::warn!("segment not removed", kv: { number = number, reason = error.to_string().as_str() });
+                // Retried after the next snapshot.
+                spdlog::warn!("segment removal failed", kv: { number = number, reason = error.to_string().as_str() });
                 continue;
             }
             self.inner.segments.borrow_mut().0.remove(&number);
@@ -135,29 +134,29 @@
 
     /// The segment with this number, if the state refers to it.
     pub(crate) fn segment(&self, number: u64) -> Option<Segment> {
-        let segments = self.inner.state.borrow().machine.segments();
+        let segments = self.inner.state.borrow().state_machine.segments();
         segments.into_iter().find(|segment| segment.number == number)
     }
 
-    /// A segment's bytes, from memory or from this replica's disk.
+    /// Content of a segment, from memory or from this replica's disk.
     pub(crate) async fn read_own_segment(&self, number: u64) -> Result<Rc<Vec<u8>>, SegmentError> {
-        self.read_described(number, self.segment(number)).await
+        self.read_verified(number, self.segment(number)).await
     }
 
-    /// Like `read_own_segment`, but also of a segment that the state no longer refers to while its file is kept.
+    /// Like `read_own_segment`, but also finds segments that the state no longer refers to while their files exist.
     pub(crate) async fn read_kept_segment(&self, number: u64) -> Result<Rc<Vec<u8>>, SegmentError> {
         let kept = || self.inner.segments.borrow().0.get(&number).copied();
-        self.read_described(number, self.segment(number).or_else(kept)).await
+        self.read_verified(number, self.segment(number).or_else(kept)).await
     }
 
-    async fn read_described(&self, number: u64, segment: Option<Segment>) -> Result<Rc<Vec<u8>>, SegmentError> {
-        if let Some(bytes) = self.inner.state.borrow().machine.segment_bytes(number) {
+    async fn read_verified(&self, number: u64, segment: Option<Segment>) -> Result<Rc<Vec<u8>>, SegmentError> {
+        if let Some(bytes) = self.inner.state.borrow().state_machine.segment_bytes(number) {
             return Ok(bytes);
         }
         let segment = segment.ok_or(SegmentError::Unknown)?;
         let read = read_file(&self.inner.platform.disk(), &segment).await;
         if let Err(error) = &read {
-            spdlog::warn!("segment not read", kv: { number = number, reason = error.to_string().as_str() });
+            spdlog::warn!("segment read failed", kv: { number = number, reason = error.to_string().as_str() });
         }
         read.map(Rc::new)
     }
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -1,10 +1,10 @@
-//! A replica's state in memory.
+//! In-memory state of a replica.
 
+use crate::adaptive_timeout::AdaptiveTimeout;
 use crate::config::ReplicationConfig;
 use crate::levels::raised_to;
 use crate::log::{EntryPayload, MemoryLog};
 use crate::membership::{Member, Membership};
-use crate::patience::Patience;
 use crate::segments::Segment;
 use crate::snapshot::{Snapshot, SnapshotHeader};
 use crate::storage::Identity;
@@ -16,84 +16,87 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What the log's commands act on. Every replica applies the same commands in the same order, so `apply` may use
-/// nothing but the state and the command.
+/// The replicated state machine. All replicas apply the same commands in the same order, so `apply` must be
+/// deterministic.
 pub trait StateMachine: 'static {
-    /// What a command brings.
+    /// Result of applying a command.
     type Outcome: 'static;
-    /// From now on commands are read, and the state is written, at `level`: at first, and when the group's level is raised.
+    /// Sets the feature level at which commands are decoded and the state is encoded from now on. Called once at the
+    /// start and whenever the group's level is raised.
     fn enter_level(&mut self, _level: FeatureLevel) {}
     /// Applies a committed command.
     fn apply(&mut self, command: &[u8]) -> Self::Outcome;
-    /// The state as bytes, without its segments.
+    /// Encodes the state, without its segments.
     fn snapshot(&self) -> Vec<u8>;
-    /// Replaces the state with one that `snapshot` gave at `level`.
+    /// Replaces the state with one that `snapshot` encoded at `level`.
     fn restore(&mut self, bytes: &[u8], level: FeatureLevel);
-    /// The immutable parts that the state refers to and `snapshot` leaves out, by rising number.
+    /// Immutable parts of the state that `snapshot` leaves out, by ascending number.
     fn segments(&self) -> Vec<Segment> {
         Vec::new()
     }
-    /// A segment's bytes, while memory holds them: at least until it is released.
+    /// Content of a segment that is still in memory. Segments stay in memory until they are released.
     fn segment_bytes(&self, _number: u64) -> Option<Rc<Vec<u8>>> {
         None
     }
-    /// A segment that was sealed here and not released yet.
+    /// A sealed segment that has not been released yet.
     fn unreleased_segment(&self) -> Option<Segment> {
         None
     }
-    /// This replica's disk holds the segment: memory need not.
+    /// Called once the segment is on this replica's disk and may be dropped from memory.
     fn release_segment(&mut self, _number: u64) {}
-    /// Whether `replica` should rather lead than others, for example because it holds a right that passes on slowly.
+    /// Whether `replica` should win elections if possible, for example because it holds a resource that is slow to
+    /// move.
     fn prefers(&self, _replica: ReplicaId) -> bool {
         false
     }
 }
 
-/// What a leader knows of one peer.
+/// A leader's replication state for one peer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Progress {
-    /// The next entry to send.
-    pub next: u64,
-    /// The last entry the peer holds, synced.
-    pub matched: u64,
-    /// When the newest message was sent that the peer answered with its disk: one whose disk stands still falls silent here.
-    pub answered_sent_at: Option<Duration>,
-    /// The same of heartbeats, which it answers from memory.
-    pub heard_sent_at: Option<Duration>,
-    /// When a heartbeat was last found unanswered after the time of a prompt answer.
-    pub late_at: Option<Duration>,
+    /// Index of the next entry to send.
+    pub next_index: u64,
+    /// Index of the last entry known to be synced on the peer.
+    pub match_index: u64,
+    /// Send time of the newest append or snapshot message that the peer acknowledged. Appends are acknowledged after
+    /// the peer's disk sync, so this stops advancing while its disk is stuck.
+    pub acknowledged_append_sent_at: Option<Duration>,
+    /// Send time of the newest acknowledged heartbeat. Heartbeats are answered without disk access.
+    pub acknowledged_heartbeat_sent_at: Option<Duration>,
+    /// When a heartbeat last exceeded the time of a prompt answer.
+    pub last_late_heartbeat: Option<Duration>,
 }
 
 impl Progress {
-    /// When the newest message that the peer answered was sent, of whichever kind.
-    pub fn contact(&self) -> Option<Duration> {
-        self.answered_sent_at.max(self.heard_sent_at)
+    /// Send time of the newest acknowledged message of any kind.
+    pub fn last_contact(&self) -> Option<Duration> {
+        self.acknowledged_append_sent_at.max(self.acknowledged_heartbeat_sent_at)
     }
 
-    /// Whether a heartbeat was answered late since `time`: packets are lost on the way.
+    /// Whether a heartbeat has been answered late since `time`, which indicates packet loss on the path.
     pub fn is_late_since(&self, time: Duration) -> bool {
-        self.late_at.is_some_and(|at| at >= time)
+        self.last_late_heartbeat.is_some_and(|at| at >= time)
     }
 }
 
-/// A leader's own state.
+/// State that exists only while this replica leads.
 pub(crate) struct Leadership {
-    /// The empty entry that opened the term.
+    /// Index of the empty entry that opened the term.
     pub first_index: u64,
-    /// When the term began here.
+    /// When this replica became leader.
     pub since: Duration,
-    /// Per peer.
+    /// Replication state by peer.
     pub progress: BTreeMap<ReplicaId, Progress>,
-    /// Leadership is being handed over: no new proposals.
-    pub handing_over: bool,
-    /// The level of the commands that are proposed now.
+    /// A leadership transfer is in progress; proposals are rejected.
+    pub transfer_in_progress: bool,
+    /// Feature level of the commands that are proposed now.
     pub next_level: FeatureLevel,
 }
 
 impl Leadership {
-    /// Peers that have answered at least once in this term.
-    pub fn answered_peers(&self) -> usize {
-        self.progress.values().filter(|progress| progress.contact().is_some()).count()
+    /// Number of peers that have acknowledged a message in this term.
+    pub fn acknowledged_peers(&self) -> usize {
+        self.progress.values().filter(|progress| progress.last_contact().is_some()).count()
     }
 }
 
@@ -103,7 +106,7 @@
     Leader(Leadership),
 }
 
-pub(crate) struct Waiting<O> {
+pub(crate) struct PendingProposal<O> {
     pub term: u64,
     pub sender: oneshot::Sender<O>,
 }
@@ -112,31 +115,31 @@
     pub identity: Identity,
     pub term: u64,
     pub voted_for: Option<ReplicaId>,
-    /// The term of a vote, or of a newer term seen, that is being written to disk.
+    /// Term that is being written to disk, with a vote or after a newer term was observed.
     pub term_being_written: Option<u64>,
     pub role: Role,
-    /// The leader of `term`, once known.
+    /// Leader of `term`, once known.
     pub leader: Option<ReplicaId>,
-    /// When a leader was last heard, or the start: votes are refused for an election timeout after it.
-    pub leader_heard_at: Duration,
-    /// How long this replica waits for others.
-    pub patience: Patience,
-    /// When this replica will seek votes.
-    pub election_at: Duration,
+    /// Last contact with a leader, or the start. Votes are refused for an election timeout after it.
+    pub last_leader_contact: Duration,
+    /// Scales the waits for other replicas.
+    pub adaptive_timeout: AdaptiveTimeout,
+    /// When this replica starts a campaign unless a leader contacts it before.
+    pub election_deadline: Duration,
     pub log: MemoryLog,
-    /// The last entry on this replica's own disk.
+    /// Index of the last entry synced on this replica's own disk.
     pub synced: u64,
     pub commit: u64,
     pub applied: u64,
     pub applied_bytes_since_snapshot: u64,
     pub snapshot_index: u64,
-    pub machine: S,
-    /// The level of the machine's state; `None` until the replica belongs to a group.
+    pub state_machine: S,
+    /// Feature level of the state machine; `None` until the replica belongs to a group.
     pub level: Option<FeatureLevel>,
-    /// The level of the log's first entry, while it is known.
-    pub began_at: Option<FeatureLevel>,
-    pub waiting: BTreeMap<u64, Waiting<S::Outcome>>,
-    /// The disk refused a write; the replica takes part in nothing until it is repaired.
+    /// Feature level of the first log entry, as long as no snapshot has replaced it.
+    pub first_entry_level: Option<FeatureLevel>,
+    pub pending_proposals: BTreeMap<u64, PendingProposal<S::Outcome>>,
+    /// A disk write failed. The replica rejects all requests until the disk has been repaired.
     pub storage_failed: bool,
     pub stopping: bool,
 }
@@ -168,32 +171,33 @@
         self.membership().member(id).map(|member| member.address)
     }
 
-    /// Enters a term, or votes in the present one, as this replica's disk now says.
+    /// Records a term and vote that are already on disk.
     pub fn set_term(&mut self, term: u64, voted_for: Option<ReplicaId>) {
-        self.patience.note_terms(term.saturating_sub(self.term));
+        self.adaptive_timeout.record_ended_terms(term.saturating_sub(self.term));
         self.term = term;
         self.voted_for = voted_for;
     }
 
-    /// Stops leading or campaigning; waiting proposals become undecided.
+    /// Stops leading or campaigning. Pending proposals end as undecided.
     pub fn become_follower(&mut self) {
         self.role = Role::Follower;
-        self.waiting.clear();
+        self.pending_proposals.clear();
     }
 
-    /// The time up to which a quorum has answered this leader.
-    pub fn quorum_answered_at(&self, now: Duration) -> Option<Duration> {
+    /// Newest time such that a quorum has acknowledged messages sent at or after it.
+    pub fn quorum_acknowledged_at(&self, now: Duration) -> Option<Duration> {
         let leadership = self.leadership()?;
         let own = self.identity.id;
-        let answered = |id: ReplicaId| {
+        let acknowledged = |id: ReplicaId| {
             let progress = leadership.progress.get(&id);
-            if id == own { Some(now) } else { progress.and_then(Progress::contact) }
+            if id == own { Some(now) } else { progress.and_then(Progress::last_contact) }
         };
-        self.membership().quorum_value(answered).flatten()
+        self.membership().quorum_value(acknowledged).flatten()
     }
 
-    /// For operators: each peer that votes, how long ago the newest message that it answered was sent, and what it holds.
-    pub fn peers_heard(&self, now: Duration) -> String {
+    /// Describes the other voters for log lines: address, milliseconds since the newest acknowledged message was sent,
+    /// and the last entry known to be synced.
+    pub fn describe_peers(&self, now: Duration) -> String {
         let Some(leadership) = self.leadership() else {
             return String::new();
         };
@@ -201,50 +205,53 @@
         let peers = self.membership().voters().filter(|member| member.id != own);
         let describe = |member: &Member| {
             let progress = leadership.progress.get(&member.id).copied().unwrap_or_default();
-            let heard = progress.contact().map(|at| now.saturating_sub(at).as_millis().to_string());
-            format!("{}:{}ms:{}", member.address, heard.unwrap_or("-".to_string()), progress.matched)
+            let elapsed = progress.last_contact().map(|at| now.saturating_sub(at).as_millis().to_string());
+            format!("{}:{}ms:{}", member.address, elapsed.unwrap_or("-".to_string()), progress.match_index)
         };
         peers.map(describe).collect::<Vec<_>>().join(" ")
     }
 
-    /// The last entry that every voter heard lately holds, if this replica leads.
-    pub fn least_matched(&self, now: Duration, silence: Duration) -> Option<u64> {
+    /// Smallest match index of the peers that have acknowledged an append within `max_silence`, if this replica leads.
+    pub fn lowest_match_index(&self, now: Duration, max_silence: Duration) -> Option<u64> {
         let leadership = self.leadership()?;
-        let heard = leadership
+        let reachable = leadership
             .progress
             .values()
-            .filter(|progress| progress.answered_sent_at.is_some_and(|at| now < at + silence));
-        heard.map(|progress| progress.matched).min()
+            .filter(|progress| progress.acknowledged_append_sent_at.is_some_and(|at| now < at + max_silence));
+        reachable.map(|progress| progress.match_index).min()
     }
 
-    /// Whether this replica leads peers that lack entries which memory no longer holds.
+    /// Whether this replica leads and a peer needs entries that are no longer in memory.
     pub fn has_peers_behind(&self) -> bool {
         let base = self.log.base_index();
-        self.leadership().is_some_and(|leading| leading.progress.values().any(|progress| progress.next <= base))
+        self.leadership().is_some_and(|leading| leading.progress.values().any(|progress| progress.next_index <= base))
     }
 
-    /// Whether this replica leads, has committed in its term and holds the lease. A leader that hands over serves no
-    /// more reads: its successor's election does not wait for the lease.
+    /// Whether this replica leads, has applied an entry of its term and holds the lease. Reads stop during a
+    /// leadership transfer, as the successor's election does not wait for the lease.
     pub fn may_serve(&self, now: Duration, config: &ReplicationConfig) -> bool {
         let Some(leadership) = self.leadership() else {
             return false;
         };
-        let answered = self.quorum_answered_at(now);
-        let leased = answered.is_some_and(|at| now < at + config.lease);
-        leased && self.applied >= leadership.first_index && !leadership.handing_over && !self.storage_failed
+        let acknowledged = self.quorum_acknowledged_at(now);
+        let lease_valid = acknowledged.is_some_and(|at| now < at + config.lease);
+        lease_valid
+            && self.applied >= leadership.first_index
+            && !leadership.transfer_in_progress
+            && !self.storage_failed
     }
 
-    /// Commits what a quorum holds.
+    /// Advances the commit index to the last entry of this term that a quorum has synced.
     pub fn advance_commit(&mut self) {
         let Some(leadership) = self.leadership() else {
             return;
         };
         let own = self.identity.id;
-        let held = |id: ReplicaId| {
+        let synced_index = |id: ReplicaId| {
             let progress = leadership.progress.get(&id);
-            if id == own { self.synced } else { progress.map_or(0, |progress| progress.matched) }
+            if id == own { self.synced } else { progress.map_or(0, |progress| progress.match_index) }
         };
-        let Some(index) = self.membership().quorum_value(held) else {
+        let Some(index) = self.membership().quorum_value(synced_index) else {
             return;
         };
         if index > self.commit && self.log.term_at(index) == Some(self.term) {
@@ -253,7 +260,7 @@
         }
     }
 
-    /// Applies committed entries and answers their proposers.
+    /// Applies committed entries and returns the outcomes to their proposers.
     pub fn apply_committed(&mut self) {
         while self.applied < self.commit {
             let Some(entry) = self.log.entry(self.applied + 1) else {
@@ -267,30 +274,31 @@
                     Some(level) => {
                         spdlog::info!("feature level raised", kv: { feature_level = level.number(), index = index });
                         self.level = Some(level);
-                        self.machine.enter_level(level);
+                        self.state_machine.enter_level(level);
                         None
                     }
-                    None => Some(self.machine.apply(command)),
+                    None => Some(self.state_machine.apply(command)),
                 },
                 EntryPayload::Empty | EntryPayload::Membership(_) => None,
             };
-            let waiting = self.waiting.remove(&index);
-            if let (Some(outcome), Some(waiting)) = (outcome, waiting)
-                && waiting.term == term
+            let pending = self.pending_proposals.remove(&index);
+            if let (Some(outcome), Some(pending)) = (outcome, pending)
+                && pending.term == term
             {
-                // The proposer may have given up.
-                let _ = waiting.sender.send(outcome);
+                // The caller may have stopped waiting.
+                let _ = pending.sender.send(outcome);
             }
         }
     }
 
-    /// The state at the last applied entry.
+    /// Snapshot of the state at the last applied entry.
     pub fn snapshot(&self) -> Snapshot {
         let index = self.applied;
         let term = self.log.term_at(index).unwrap_or_default();
         let membership = self.log.membership_at(index).clone();
-        let segments = self.machine.segments();
-        let snapshot = Snapshot::new(SnapshotHeader { index, term, membership, segments }, self.machine.snapshot());
+        let segments = self.state_machine.segments();
+        let snapshot =
+            Snapshot::new(SnapshotHeader { index, term, membership, segments }, self.state_machine.snapshot());
         snapshot.at_level(self.level.unwrap_or(FeatureLevel::NEWEST))
     }
 }
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -1,9 +1,9 @@
-//! A replica's files: its identity, its snapshot and its write-ahead log.
+//! A replica's files: identity, snapshot and write-ahead log.
 
 use crate::file_format::{FileFormat, readable_formats};
 use crate::levels::is_raise;
 use crate::log::{LogEntry, MemoryLog};
-use crate::log_file::{EntryPlace, LogFileIndex};
+use crate::log_file::{EntryLocation, LogFileIndex};
 use crate::membership::Membership;
 use crate::snapshot::Snapshot;
 use crate::wal::{self, WalContent, WalRecord};
@@ -20,43 +20,40 @@
 const SNAPSHOT_FILE: &str = "snapshot";
 const WAL_FILE: &str = "wal";
 
-/// Why a replica's files cannot be used.
+/// Why a replica's files cannot be used. All variants but `Io` and `OtherFormat` require an empty data folder, with
+/// which the replica joins as a new member.
 #[derive(Debug)]
 pub enum StorageError {
-    /// The operating system refused.
+    /// An I/O operation failed.
     Io(io::Error),
-    /// The files are in a format that this build does not read. Nothing has been changed: a build that reads them finds all
-    /// that was acknowledged.
+    /// The files are in a format that this build does not read. They are not changed, so that a suitable build can
+    /// still use them.
     OtherFormat {
-        /// The format of the files, if they name one.
+        /// Format of the files, if it is recorded.
         found: Option<u32>,
     },
-    /// A segment that the snapshot refers to is missing or cut short. The replica must not start: give it an empty data
-    /// folder, and it joins as a new member.
+    /// A segment that the snapshot refers to is missing or truncated.
     MissingSegment {
-        /// The segment.
+        /// Number of the segment.
         number: u64,
     },
-    /// The log and the snapshot do not meet. The replica must not start: give it an empty data folder, and it joins as a new
-    /// member.
+    /// Entries are missing between the snapshot and the log, or within the log.
     Gap {
-        /// Byte offset of the log's record behind the gap.
+        /// Byte offset of the record after the gap.
         offset: usize,
-        /// The entry that it holds.
+        /// Index of the entry in that record.
         found: u64,
-        /// The entry that was due there.
-        wanted: u64,
+        /// Index of the entry that was expected.
+        expected: u64,
     },
-    /// There is a log or a snapshot, and no identity that they belong to. The replica must not start: as another replica
-    /// it would vote and found a group with a state that is not its own. Give it an empty data folder, and it joins as a
-    /// new member.
+    /// There is a log or a snapshot without an identity. A new identity would let the replica vote, or found a group,
+    /// with another replica's state.
     MissingIdentity,
-    /// A file is damaged in a place that may have been acknowledged. The replica must not start: give it an empty data
-    /// folder, and it joins as a new member.
+    /// A file is corrupt in a part that may have been acknowledged.
     Corrupt {
-        /// The file.
+        /// Name of the file.
         file: &'static str,
-        /// Byte offset of the damage.
+        /// Byte offset of the corruption.
         offset: usize,
     },
 }
@@ -78,9 +75,9 @@
                 formatter,
                 "segment {number} is missing or cut short; start this replica with an empty data folder to rejoin"
             ),
-            Self::Gap { offset, found, wanted } => write!(
+            Self::Gap { offset, found, expected } => write!(
                 formatter,
-                "file `{WAL_FILE}` has entry {found} at byte {offset} where entry {wanted} was due; start this replica with \
+                "file `{WAL_FILE}` has entry {found} at byte {offset} where entry {expected} was expected; start this replica with \
                  an empty data folder to rejoin"
             ),
             Self::MissingIdentity => write!(
@@ -104,61 +101,61 @@
     }
 }
 
-/// Who this replica is, made when its disk is first written.
+/// Identity of a replica, generated when its files are created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Identity {
-    /// The replica.
+    /// Identifier of the replica.
     pub id: ReplicaId,
-    /// The group it belongs to, once it does.
+    /// Identifier of its group, once it belongs to one.
     pub group: Option<u64>,
 }
 
-/// What the files held at start.
+/// State recovered from the files.
 pub struct Recovered {
-    /// Who this replica is.
+    /// Identity of this replica.
     pub identity: Identity,
-    /// Its term.
+    /// Current term.
     pub term: u64,
-    /// Its vote in that term.
+    /// Vote in that term.
     pub voted_for: Option<ReplicaId>,
-    /// The log after the snapshot.
+    /// Log entries after the snapshot.
     pub log: MemoryLog,
     /// The snapshot, if there is one.
     pub snapshot: Option<Snapshot>,
     /// Bytes of a torn write that were cut off.
     pub torn_bytes: usize,
-    /// The level at which the log begins, or the snapshot if there is one; `None` if there is neither.
+    /// Feature level of the snapshot, or of the first log entry; `None` if there is neither.
     pub level: Option<FeatureLevel>,
 }
 
-/// Writes the files. Only its owner's lock holder uses it.
+/// Reads and writes the identity and the log.
 pub struct Storage<D> {
     disk: D,
-    /// A failed append may have left part of a record; the log must be rewritten before the next append.
+    /// An append failed and may have left a partial record; the log must be rewritten before the next append.
     damaged: bool,
-    /// Where the log's entries stand in its file.
+    /// Locations of the entries in the log file.
     log_file: LogFileIndex,
-    /// The term last written.
+    /// Last term written.
     term: u64,
-    /// The vote in it.
+    /// Last vote written.
     voted_for: Option<ReplicaId>,
-    /// Shared with whoever writes snapshots.
+    /// Shared with the writers of snapshots.
     format: Rc<Cell<FileFormat>>,
 }
 
 impl<D: Disk> Storage<D> {
-    /// Opens the files; those on an empty disk get an identity and the format `new`. Files that are refused are told at once: the process ends,
-    /// and its last line may be all that is left of it.
+    /// Opens the files; an empty disk gets the identity `new_id` and the format `new`. Errors are also logged, as the
+    /// process then exits.
     pub async fn open(disk: D, new_id: ReplicaId, new: FileFormat) -> Result<(Self, Recovered), StorageError> {
         let opened = Self::open_files(disk, new_id, new).await;
         if let Err(error) = &opened {
-            spdlog::error!("replica not started", kv: { dependency = "disk", reason = error.to_string().as_str() });
+            spdlog::error!("replica start failed", kv: { dependency = "disk", reason = error.to_string().as_str() });
         }
         opened
     }
 
     async fn open_files(disk: D, new_id: ReplicaId, new: FileFormat) -> Result<(Self, Recovered), StorageError> {
-        sync_what_is_there(&disk).await?;
+        sync_existing_files(&disk).await?;
         let is_empty = disk.read(IDENTITY_FILE).await?.is_none();
         let format = FileFormat::read(&disk, is_empty.then_some(new)).await?;
         let identity = read_framed::<Identity, D>(&disk, IDENTITY_FILE).await?;
@@ -187,34 +184,34 @@
             storage.write_identity(identity).await?;
         }
         if torn_bytes > 0 {
-            let whole = wal_bytes[..wal_bytes.len() - torn_bytes].to_vec();
-            storage.disk.replace(WAL_FILE, whole).await?;
+            let intact = wal_bytes[..wal_bytes.len() - torn_bytes].to_vec();
+            storage.disk.replace(WAL_FILE, intact).await?;
         }
         Ok((storage, recovered))
     }
 
-    /// Writes who this replica is.
+    /// Writes the identity.
     pub async fn write_identity(&mut self, identity: Identity) -> Result<(), StorageError> {
         let bytes = wal::frame(&bitcode::encode(&identity));
         Ok(self.disk.replace(IDENTITY_FILE, bytes).await?)
     }
 
-    /// The format of the files, as it is at any time.
+    /// Shared handle to the current format of the files.
     pub fn format(&self) -> Rc<Cell<FileFormat>> {
         self.format.clone()
     }
 
-    /// The replica has no log but the founding of its group, and begins at `level`.
-    pub async fn begin_at(&mut self, level: FeatureLevel) -> Result<(), StorageError> {
-        self.enter_format(FileFormat::Level(level)).await
+    /// Sets the format to a single level. Called while the log contains at most the entry that formed the group.
+    pub async fn set_single_level(&mut self, level: FeatureLevel) -> Result<(), StorageError> {
+        self.set_format(FileFormat::Level(level)).await
     }
 
-    /// What is written from now on may be of another level than what is there: an older build must not read it.
-    pub async fn hold_several_levels(&mut self) -> Result<(), StorageError> {
-        self.enter_format(FileFormat::Raised).await
+    /// Sets the format for files with several levels, which older builds reject.
+    pub async fn set_multiple_levels(&mut self) -> Result<(), StorageError> {
+        self.set_format(FileFormat::Raised).await
     }
 
-    async fn enter_format(&mut self, format: FileFormat) -> Result<(), StorageError> {
+    async fn set_format(&mut self, format: FileFormat) -> Result<(), StorageError> {
         if self.format.get() != format {
             format.write(&self.disk).await?;
             self.format.set(format);
@@ -227,14 +224,14 @@
         self.damaged
     }
 
-    /// Appends records and makes them last.
+    /// Appends and syncs records.
     pub async fn append(&mut self, records: &[WalRecord]) -> Result<(), StorageError> {
         if self.damaged {
             return Err(io::Error::other("an earlier write failed").into());
         }
         let raises = |record: &WalRecord| matches!(record, WalRecord::Entry(entry) if is_raise(&entry.payload));
         if records.iter().any(raises) {
-            self.hold_several_levels().await?;
+            self.set_multiple_levels().await?;
         }
         let hard_state = self.hard_state_before(records);
         let records: Vec<&WalRecord> = hard_state.iter().chain(records).collect();
@@ -242,35 +239,35 @@
         let written = self.append_bytes(encoded.concat()).await;
         self.damaged = written.is_err();
         if written.is_ok() {
-            records.iter().zip(&encoded).for_each(|(record, bytes)| self.take_written(record, bytes.len()));
+            records.iter().zip(&encoded).for_each(|(record, bytes)| self.record_written(record, bytes.len()));
         }
         written
     }
 
-    /// Each write begins with the hard state, so that damage of the last one can be told from damage of what was synced
-    /// before: about 30 bytes a write.
+    /// The hard state to write before `records`, unless they start with one. It lets recovery distinguish damage to
+    /// the last write from damage to earlier, synced writes.
     fn hard_state_before(&self, records: &[WalRecord]) -> Option<WalRecord> {
-        let begins_with_it = matches!(records.first(), Some(WalRecord::HardState { .. }));
-        (!begins_with_it).then_some(WalRecord::HardState { term: self.term, voted_for: self.voted_for })
+        let starts_with_hard_state = matches!(records.first(), Some(WalRecord::HardState { .. }));
+        (!starts_with_hard_state).then_some(WalRecord::HardState { term: self.term, voted_for: self.voted_for })
     }
 
-    fn take_written(&mut self, record: &WalRecord, length: usize) {
+    fn record_written(&mut self, record: &WalRecord, length: usize) {
         self.log_file.push(record, length as u64);
         if let WalRecord::HardState { term, voted_for } = record {
             (self.term, self.voted_for) = (*term, *voted_for);
         }
     }
 
-    /// Entries from `first` on, two if the file holds them, and further ones within `most_bytes`; none if `first` is not
-    /// in the file.
-    pub async fn entries_from(&self, first: u64, most_bytes: u64) -> Result<Vec<LogEntry>, StorageError> {
-        let places = self.log_file.from(first, most_bytes);
-        let (Some(front), Some(back), false) = (places.first(), places.last(), self.damaged) else {
+    /// Entries from `first` on: at least two if the file has them, and further ones within `max_bytes`. Empty if
+    /// `first` is not in the file.
+    pub async fn entries_from(&self, first: u64, max_bytes: u64) -> Result<Vec<LogEntry>, StorageError> {
+        let locations = self.log_file.from(first, max_bytes);
+        let (Some(front), Some(back), false) = (locations.first(), locations.last(), self.damaged) else {
             return Ok(Vec::new());
         };
         let length = back.offset + back.length - front.offset;
         let bytes = self.disk.read_range(WAL_FILE, front.offset, length as usize).await?;
-        places.iter().map(|place| entry_at(&bytes, place, front.offset)).collect()
+        locations.iter().map(|location| entry_at(&bytes, location, front.offset)).collect()
     }
 
     async fn append_bytes(&self, bytes: Vec<u8>) -> Result<(), StorageError> {
@@ -278,7 +275,7 @@
         Ok(self.disk.sync(WAL_FILE).await?)
     }
 
-    /// Replaces the log with `entries`, for example after a snapshot.
+    /// Replaces the log with `entries`.
     pub async fn rewrite(
         &mut self,
         term: u64,
@@ -302,27 +299,26 @@
     }
 }
 
-/// The entry at `place`, where `bytes` were read from `start` on.
-fn entry_at(bytes: &[u8], place: &EntryPlace, start: u64) -> Result<LogEntry, StorageError> {
-    let corrupt = || StorageError::Corrupt { file: WAL_FILE, offset: place.offset as usize };
-    let begins = (place.offset - start) as usize;
-    let framed = bytes.get(begins..begins + place.length as usize).ok_or_else(corrupt)?;
+/// Decodes the entry at `location` from `bytes`, which were read from offset `start` on.
+fn entry_at(bytes: &[u8], location: &EntryLocation, start: u64) -> Result<LogEntry, StorageError> {
+    let corrupt = || StorageError::Corrupt { file: WAL_FILE, offset: location.offset as usize };
+    let relative_offset = (location.offset - start) as usize;
+    let framed = bytes.get(relative_offset..relative_offset + location.length as usize).ok_or_else(corrupt)?;
     let body = wal::unframe(framed).ok().flatten().ok_or_else(corrupt)?;
     match bitcode::decode(body) {
-        Ok(WalRecord::Entry(entry)) if entry.index == place.index => Ok(entry),
+        Ok(WalRecord::Entry(entry)) if entry.index == location.index => Ok(entry),
         _ => Err(corrupt()),
     }
 }
 
-/// Syncs what a process that was killed may have written and not synced. This replica acknowledges entries that it finds
-/// without writing them again, and appends behind them: a later loss of power would take what was acknowledged, or leave a
-/// hole in the log. Costs two syncs for each start.
-async fn sync_what_is_there<D: Disk>(disk: &D) -> Result<(), StorageError> {
+/// Syncs the log file that a previous process may have written without syncing. Recovered entries are acknowledged
+/// without being written again, so they must survive a power loss.
+async fn sync_existing_files<D: Disk>(disk: &D) -> Result<(), StorageError> {
     disk.sync_folder().await?;
     Ok(disk.sync(WAL_FILE).await?)
 }
 
-/// Replaces the snapshot. The log is appended to meanwhile.
+/// Replaces the snapshot file. Does not block appends to the log.
 pub async fn write_snapshot<D: Disk>(disk: &D, snapshot: Snapshot, format: FileFormat) -> Result<(), StorageError> {
     Ok(disk.replace(SNAPSHOT_FILE, format.encode_snapshot(snapshot)).await?)
 }
@@ -368,11 +364,11 @@
     for (record, length) in content.records.into_iter().zip(content.lengths) {
         match record {
             WalRecord::HardState { term: new_term, voted_for: vote } => (term, voted_for) = (new_term, vote),
-            WalRecord::Entry(entry) => take_entry(&mut log, entry, offset)?,
+            WalRecord::Entry(entry) => add_entry(&mut log, entry, offset)?,
         }
         offset += length as usize;
     }
-    // A snapshot may be of a later term than this replica had noted when the power was lost.
+    // The snapshot may be of a later term than the last hard state on disk.
     if term < log.last_term() {
         (term, voted_for) = (log.last_term(), None);
     }
@@ -383,15 +379,15 @@
     Ok(Recovered { identity, term, voted_for, log, snapshot, torn_bytes: content.torn_bytes, level })
 }
 
-/// Takes an entry that stands at `offset` of the log's file; it replaces those from its index on.
-fn take_entry(log: &mut MemoryLog, entry: LogEntry, offset: usize) -> Result<(), StorageError> {
+/// Adds an entry at `offset` of the log file; it replaces those from its index on.
+fn add_entry(log: &mut MemoryLog, entry: LogEntry, offset: usize) -> Result<(), StorageError> {
     if entry.index <= log.base_index() {
         log.truncate(log.base_index());
         return Ok(());
     }
-    let wanted = log.last_index() + 1;
-    if entry.index > wanted {
-        return Err(StorageError::Gap { offset, found: entry.index, wanted });
+    let expected = log.last_index() + 1;
+    if entry.index > expected {
+        return Err(StorageError::Gap { offset, found: entry.index, expected });
     }
     log.push(entry);
     Ok(())
--- a/crates/replication/src/wal.rs
+++ b/crates/replication/src/wal.rs
@@ -1,13 +1,13 @@
-//! The write-ahead log's file format: records of length, checksum of the length, checksum of the body, and body.
+//! Format of the write-ahead log: records of length, checksum of the length, checksum of the body, and body.
 //!
-//! An incomplete last record is a torn write, which was never acknowledged, and is cut off; so are zeros up to the end
-//! of the file, which a file system may leave after a crash. A whole header or body whose checksum is wrong is
-//! corruption: it may have been acknowledged, so the file is refused. The length has a checksum of its own, or a
-//! damaged one that points beyond the end of the file would pass for a torn write.
+//! An incomplete record at the end is a torn write, which was never acknowledged, and is cut off; so are zeros up to
+//! the end of the file, which a file system may leave after a crash. A complete header or body with a wrong checksum
+//! is corruption: it may have been acknowledged, so the file is rejected. The length has its own checksum, as a
+//! corrupt length that points beyond the end of the file would otherwise look like a torn write.
 //!
-//! A loss of power may also leave only some sectors of the last write, with zeros where the others belong. Each write is
-//! synced before the next and begins with the hard state, so damage is the last write's if no hard state follows it. It is
-//! then cut off like a torn write if a sector behind the damage was never written; all else that is damaged is refused.
+//! Power loss may also leave only some sectors of the last write, with zeros in place of the others. Each write is
+//! synced before the next and starts with the hard state, so damage belongs to the last write if no hard state follows
+//! it. It is cut off as a torn write if a sector from the damage on is all zeros; any other damage is rejected.
 
 use crate::log::LogEntry;
 use bitcode::{Decode, Encode};
@@ -17,44 +17,44 @@
 const CHECKSUM_BYTES: usize = 4;
 const HEADER_BYTES: usize = LENGTH_BYTES + 2 * CHECKSUM_BYTES;
 
-/// Bytes that a disk writes wholly or not at all: the smallest sector of common disks.
+/// Smallest unit that a disk writes atomically.
 const SECTOR_BYTES: usize = 512;
 
-/// Bytes that the body of a hard state stays below: a term and a replica are 8 each, and some tags.
+/// Upper bound of an encoded hard state.
 const HARD_STATE_BYTES: usize = 64;
 
-/// One record.
+/// A record of the log file.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum WalRecord {
-    /// The term and the vote given in it. Begins each write.
+    /// Term and vote. First record of each write.
     HardState {
-        /// The term.
+        /// Current term.
         term: u64,
-        /// Who got this replica's vote.
+        /// Candidate that received this replica's vote in the term.
         voted_for: Option<ReplicaId>,
     },
-    /// An entry; replaces any earlier entry at or after its index.
+    /// A log entry; replaces earlier entries from its index on.
     Entry(LogEntry),
 }
 
 /// Why a file cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WalError {
-    /// The record at this byte offset fails its checksum or cannot be decoded.
+    /// The record at this offset fails its checksum or cannot be decoded.
     Corrupt {
         /// Byte offset of the record.
         offset: usize,
     },
 }
 
-/// What a file holds.
+/// Content of a log file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WalContent {
-    /// The records, in order.
+    /// Records in file order.
     pub records: Vec<WalRecord>,
-    /// The length of each in the file, in bytes.
+    /// Length of each record in bytes.
     pub lengths: Vec<u64>,
-    /// Bytes of a torn last record that follow them.
+    /// Length in bytes of a torn write at the end.
     pub torn_bytes: usize,
 }
 
@@ -69,21 +69,21 @@
     bytes
 }
 
-/// Encodes `record` as it stands in the file.
+/// Encodes `record` with its frame.
 pub fn encode(record: &WalRecord) -> Vec<u8> {
     frame(&bitcode::encode(record))
 }
 
-/// Inverted, so that a header of zeros is not a valid one.
+/// Checksum of the length, inverted so that a header of zeros is invalid.
 fn length_checksum(length: [u8; LENGTH_BYTES]) -> u32 {
     !crc32fast::hash(&length)
 }
 
-fn number(bytes: &[u8]) -> u32 {
+fn decode_u32(bytes: &[u8]) -> u32 {
     u32::from_le_bytes(bytes.try_into().expect("four bytes"))
 }
 
-/// One framed body at the start of `bytes`: `Ok(None)` when it is torn.
+/// The framed body at the start of `bytes`; `Ok(None)` if it is incomplete.
 pub fn unframe(bytes: &[u8]) -> Result<Option<&[u8]>, WalError> {
     let corrupt = Err(WalError::Corrupt { offset: 0 });
     if bytes.iter().all(|byte| *byte == 0) {
@@ -93,14 +93,14 @@
         return Ok(None);
     };
     let (length, checksums) = header.split_at(LENGTH_BYTES);
-    let (of_length, of_body) = checksums.split_at(CHECKSUM_BYTES);
-    if length_checksum(length.try_into().expect("four bytes")) != number(of_length) {
+    let (length_crc, body_crc) = checksums.split_at(CHECKSUM_BYTES);
+    if length_checksum(length.try_into().expect("four bytes")) != decode_u32(length_crc) {
         return corrupt;
     }
-    let Some(body) = bytes.get(HEADER_BYTES..HEADER_BYTES + number(length) as usize) else {
+    let Some(body) = bytes.get(HEADER_BYTES..HEADER_BYTES + decode_u32(length) as usize) else {
         return Ok(None);
     };
-    if crc32fast::hash(body) != number(of_body) {
+    if crc32fast::hash(body) != decode_u32(body_crc) {
         return corrupt;
     }
     Ok(Some(body))
@@ -127,13 +127,13 @@
     Ok(WalContent { records, lengths, torn_bytes: bytes.len() - offset })
 }
 
-/// Whether the damage at `offset` is that of the file's last write, of which not all sectors were written.
+/// Whether the damage at `offset` is a torn write: it is in the last write of the file, and a sector was not written.
 fn is_torn_write(bytes: &[u8], offset: usize) -> bool {
-    lacks_a_sector(bytes, offset) && !a_write_begins_behind(bytes, offset)
+    has_unwritten_sector(bytes, offset) && !is_followed_by_write(bytes, offset)
 }
 
-/// Whether a sector from `offset` on, or what the file has of it, is all zeros.
-fn lacks_a_sector(bytes: &[u8], offset: usize) -> bool {
+/// Whether any sector from `offset` on is all zeros.
+fn has_unwritten_sector(bytes: &[u8], offset: usize) -> bool {
     let mut start = offset;
     while start < bytes.len() {
         let end = bytes.len().min((start / SECTOR_BYTES + 1) * SECTOR_BYTES);
@@ -145,16 +145,17 @@
     false
 }
 
-/// Whether a whole hard state stands anywhere behind `offset`. Records cannot be followed there: any place may be damaged.
-fn a_write_begins_behind(bytes: &[u8], offset: usize) -> bool {
-    (offset + 1..bytes.len()).any(|place| is_hard_state(&bytes[place..]))
+/// Whether a valid hard state starts anywhere after `offset`. All offsets are tried, as record lengths are not
+/// reliable after the damage.
+fn is_followed_by_write(bytes: &[u8], offset: usize) -> bool {
+    (offset + 1..bytes.len()).any(|start| is_hard_state(&bytes[start..]))
 }
 
 fn is_hard_state(bytes: &[u8]) -> bool {
     let Some(length) = bytes.get(..LENGTH_BYTES) else {
         return false;
     };
-    if number(length) as usize > HARD_STATE_BYTES {
+    if decode_u32(length) as usize > HARD_STATE_BYTES {
         return false;
     }
     let body = unframe(bytes).ok().flatten();
--- a/crates/replication/tests/files_at_start.rs
+++ b/crates/replication/tests/files_at_start.rs
@@ -1,5 +1,5 @@
-//! What a replica does with the files that it finds when it starts: what a loss of power can leave is used, anything else is
-//! refused with the file and the place. `docs/design/replica-files.md` has a row for each.
+//! Opening files after a power loss: states that a power loss can cause are recovered, anything else is rejected with
+//! the file and the position.
 
 mod memory_disk;
 
@@ -17,7 +17,7 @@
 const OWN: ReplicaId = ReplicaId(7);
 const SECTOR_BYTES: usize = 512;
 
-/// An entry of so many bytes, none of them zero: a whole sector of zeros was never written.
+/// An entry of `size` nonzero bytes, as a sector of zeros counts as unwritten.
 fn entry(index: u64, term: u64, size: usize) -> LogEntry {
     let mut random = fastrand::Rng::with_seed(index * 1_000 + term);
     LogEntry { index, term, payload: EntryPayload::Command((0..size).map(|_| random.u8(1..)).collect()) }
@@ -31,11 +31,11 @@
     block_on(Storage::open(disk.clone(), OWN, FileFormat::Raised)).map(|(_, recovered)| recovered)
 }
 
-fn opened(disk: &MemoryDisk) -> Recovered {
-    open(disk).unwrap_or_else(|error| panic!("refused: {error}"))
+fn open_valid(disk: &MemoryDisk) -> Recovered {
+    open(disk).unwrap_or_else(|error| panic!("rejected: {error}"))
 }
 
-fn refusal(disk: &MemoryDisk) -> String {
+fn open_error(disk: &MemoryDisk) -> String {
     match open(disk) {
         Ok(recovered) => panic!("opened with a log up to {}", recovered.log.last_index()),
         Err(error) => error.to_string(),
@@ -46,23 +46,24 @@
     disk.0.borrow().get(file).map_or(0, Vec::len)
 }
 
-fn put(disk: &MemoryDisk, file: &str, bytes: Vec<u8>) {
+fn write_file(disk: &MemoryDisk, file: &str, bytes: Vec<u8>) {
     disk.0.borrow_mut().insert(file.to_string(), bytes);
 }
 
-fn remove(disk: &MemoryDisk, file: &str) {
+fn remove_file(disk: &MemoryDisk, file: &str) {
     disk.0.borrow_mut().remove(file).expect("the file is there");
 }
 
-/// Files of a replica that voted in term 1 and appended `batches`, one write and sync each. Returns where each ends.
-fn written(disk: &MemoryDisk, batches: &[Vec<LogEntry>]) -> Vec<usize> {
+/// Creates the files of a replica that voted in term 1 and appended `batches`, one write and sync each. Returns the
+/// end offset of each batch.
+fn write_batches(disk: &MemoryDisk, batches: &[Vec<LogEntry>]) -> Vec<usize> {
     block_on(async {
         let (mut storage, _) = Storage::open(disk.clone(), OWN, FileFormat::Raised).await.expect("an empty folder");
-        storage.append(&[WalRecord::HardState { term: 1, voted_for: Some(OWN) }]).await.expect("there is room");
+        storage.append(&[WalRecord::HardState { term: 1, voted_for: Some(OWN) }]).await.expect("the write succeeds");
         let mut ends = Vec::new();
         for batch in batches {
             let records: Vec<WalRecord> = batch.iter().cloned().map(WalRecord::Entry).collect();
-            storage.append(&records).await.expect("there is room");
+            storage.append(&records).await.expect("the write succeeds");
             ends.push(length_of(disk, "wal"));
         }
         ends
@@ -74,80 +75,80 @@
     Snapshot::new(SnapshotHeader { index, term, membership, segments }, b"state".to_vec())
 }
 
-fn with_snapshot(disk: &MemoryDisk, snapshot: Snapshot) {
-    block_on(write_snapshot(disk, snapshot, FileFormat::Raised)).expect("there is room");
+fn store_snapshot(disk: &MemoryDisk, snapshot: Snapshot) {
+    block_on(write_snapshot(disk, snapshot, FileFormat::Raised)).expect("the write succeeds");
 }
 
 #[test]
-fn an_empty_folder_is_a_new_replica() {
+fn an_empty_folder_opens_as_a_new_replica() {
     let disk = MemoryDisk::default();
-    let recovered = opened(&disk);
+    let recovered = open_valid(&disk);
     assert_eq!(recovered.identity, Identity { id: OWN, group: None });
     assert_eq!((recovered.term, recovered.log.last_index()), (0, 0));
-    // It keeps the identity that it has written.
+    // The identity on disk takes precedence over a new one.
     let again = block_on(Storage::open(disk, ReplicaId(8), FileFormat::Raised)).expect("its own files").1;
     assert_eq!(again.identity.id, OWN);
 }
 
-/// These are synced before they get their names: a loss of power does not leave them empty.
+/// Files that are replaced atomically cannot be left empty by a power loss.
 #[test]
-fn empty_files_that_are_never_empty_are_refused_by_name() {
+fn empty_format_identity_or_snapshot_is_rejected() {
     for file in ["format", "identity", "snapshot"] {
         let disk = MemoryDisk::default();
-        written(&disk, &[entries(1..=3, 10)]);
-        put(&disk, file, Vec::new());
-        assert!(refusal(&disk).contains(&format!("file `{file}` is corrupt at byte 0")), "{file}");
+        write_batches(&disk, &[entries(1..=3, 10)]);
+        write_file(&disk, file, Vec::new());
+        assert!(open_error(&disk).contains(&format!("file `{file}` is corrupt at byte 0")), "{file}");
     }
 }
 
-/// The name was made and nothing was written yet.
+/// The log file was created, and the power failed before the first write.
 #[test]
-fn an_empty_log_is_a_log_without_entries() {
+fn an_empty_log_file_opens_without_entries() {
     let disk = MemoryDisk::default();
-    opened(&disk);
-    put(&disk, "wal", Vec::new());
-    let recovered = opened(&disk);
+    open_valid(&disk);
+    write_file(&disk, "wal", Vec::new());
+    let recovered = open_valid(&disk);
     assert_eq!((recovered.log.last_index(), recovered.torn_bytes), (0, 0));
 }
 
 #[test]
-fn the_last_write_torn_at_any_byte_is_cut_off_once() {
+fn a_last_write_truncated_at_any_byte_is_cut_off() {
     let disk = MemoryDisk::default();
-    let ends = written(&disk, &[entries(1..=3, 40), entries(4..=6, 300)]);
+    let ends = write_batches(&disk, &[entries(1..=3, 40), entries(4..=6, 300)]);
     let whole = disk.0.borrow()["wal"].clone();
     for cut in ends[0]..ends[1] {
-        put(&disk, "wal", whole[..cut].to_vec());
-        let recovered = opened(&disk);
+        write_file(&disk, "wal", whole[..cut].to_vec());
+        let recovered = open_valid(&disk);
         assert!((3..6).contains(&recovered.log.last_index()), "cut at {cut}");
         assert_eq!(length_of(&disk, "wal") + recovered.torn_bytes, cut);
-        assert_eq!(opened(&disk).torn_bytes, 0, "cut at {cut}");
+        assert_eq!(open_valid(&disk).torn_bytes, 0, "cut at {cut}");
     }
 }
 
 #[test]
-fn zeros_behind_the_last_write_torn_at_any_sector_are_cut_off() {
+fn trailing_zeros_are_cut_off() {
     let disk = MemoryDisk::default();
-    let ends = written(&disk, &[entries(1..=3, 40), entries(4..=4, 1_700), entries(5..=5, 1_700)]);
+    let ends = write_batches(&disk, &[entries(1..=3, 40), entries(4..=4, 1_700), entries(5..=5, 1_700)]);
     let whole = disk.0.borrow()["wal"].clone();
     for zeros in [1, 11, SECTOR_BYTES, 5_000] {
         let mut bytes = whole.clone();
         bytes.resize(whole.len() + zeros, 0);
-        put(&disk, "wal", bytes);
-        assert_eq!(opened(&disk).log.last_index(), 5, "{zeros} zeros");
+        write_file(&disk, "wal", bytes);
+        assert_eq!(open_valid(&disk).log.last_index(), 5, "{zeros} zeros");
     }
     for sector in ends[1] / SECTOR_BYTES + 1..=(ends[2] - 1) / SECTOR_BYTES {
         let mut bytes = whole.clone();
         bytes[sector * SECTOR_BYTES..].fill(0);
-        put(&disk, "wal", bytes);
-        assert_eq!(opened(&disk).log.last_index(), 4, "zeros from sector {sector} on");
+        write_file(&disk, "wal", bytes);
+        assert_eq!(open_valid(&disk).log.last_index(), 4, "zeros from sector {sector} on");
     }
 }
 
-/// Any of the sectors of the last write may not have been written.
+/// Power loss may leave any sectors of the last write unwritten.
 #[test]
-fn sectors_missing_in_the_last_write_cut_it_off_and_nothing_before_it() {
+fn missing_sectors_in_the_last_write_cut_off_that_write_only() {
     let disk = MemoryDisk::default();
-    let ends = written(&disk, &[entries(1..=3, 700), entries(4..=6, 700)]);
+    let ends = write_batches(&disk, &[entries(1..=3, 700), entries(4..=6, 700)]);
     let whole = disk.0.borrow()["wal"].clone();
     let first = ends[0] / SECTOR_BYTES;
     let sectors = (ends[1] - 1) / SECTOR_BYTES + 1 - first;
@@ -158,144 +159,144 @@
             let end = ((first + sector + 1) * SECTOR_BYTES).min(ends[1]);
             bytes[start..end].fill(0);
         }
-        put(&disk, "wal", bytes);
-        let last = opened(&disk).log.last_index();
+        write_file(&disk, "wal", bytes);
+        let last = open_valid(&disk).log.last_index();
         assert!((3..6).contains(&last), "sectors {missing:b}: up to {last}");
     }
 }
 
-/// What a later write stands behind was synced before it, and may have been acknowledged.
+/// Entries before a later write were synced and may have been acknowledged.
 #[test]
-fn a_sector_missing_before_a_later_write_is_refused() {
+fn a_missing_sector_before_a_later_write_is_rejected() {
     let disk = MemoryDisk::default();
-    let ends = written(&disk, &[entries(1..=3, 700), entries(4..=6, 700), entries(7..=7, 1)]);
+    let ends = write_batches(&disk, &[entries(1..=3, 700), entries(4..=6, 700), entries(7..=7, 1)]);
     let whole = disk.0.borrow()["wal"].clone();
     for sector in 1..ends[1] / SECTOR_BYTES {
         let mut bytes = whole.clone();
         bytes[sector * SECTOR_BYTES..(sector + 1) * SECTOR_BYTES].fill(0);
-        put(&disk, "wal", bytes);
-        assert!(refusal(&disk).contains("file `wal` is corrupt at byte"), "sector {sector}");
+        write_file(&disk, "wal", bytes);
+        assert!(open_error(&disk).contains("file `wal` is corrupt at byte"), "sector {sector}");
     }
 }
 
 #[test]
-fn a_wrong_checksum_is_refused_with_its_place() {
+fn a_wrong_checksum_is_rejected_with_its_offset() {
     let disk = MemoryDisk::default();
-    let ends = written(&disk, &[entries(1..=1, 40), entries(2..=2, 40)]);
+    let ends = write_batches(&disk, &[entries(1..=1, 40), entries(2..=2, 40)]);
     disk.0.borrow_mut().get_mut("wal").expect("the log's file")[ends[1] - 1] ^= 1;
-    let told = refusal(&disk);
-    let place = told.split("corrupt at byte ").nth(1).and_then(|rest| rest.split(';').next()).expect("a place");
-    let place: usize = place.parse().expect("a number");
-    assert!((ends[0]..ends[1]).contains(&place), "{told}");
+    let message = open_error(&disk);
+    let offset = message.split("corrupt at byte ").nth(1).and_then(|rest| rest.split(';').next()).expect("an offset");
+    let offset: usize = offset.parse().expect("a number");
+    assert!((ends[0]..ends[1]).contains(&offset), "{message}");
 }
 
 #[test]
-fn files_that_were_not_renamed_yet_are_left_alone() {
+fn temporary_files_of_interrupted_replacements_are_ignored() {
     let disk = MemoryDisk::default();
-    written(&disk, &[entries(1..=3, 40)]);
+    write_batches(&disk, &[entries(1..=3, 40)]);
     for file in ["format", "identity", "snapshot", "wal", "segment-0"] {
-        put(&disk, &format!("{file}.new"), vec![1, 2, 3]);
+        write_file(&disk, &format!("{file}.new"), vec![1, 2, 3]);
     }
-    assert_eq!(opened(&disk).log.last_index(), 3);
+    assert_eq!(open_valid(&disk).log.last_index(), 3);
 }
 
-/// A replica that joins has written the snapshot and not its log yet.
+/// A joining replica lost power between writing the snapshot and the log.
 #[test]
-fn a_snapshot_without_its_log_is_a_log_that_begins_behind_it() {
+fn without_a_log_file_the_log_starts_after_the_snapshot() {
     let disk = MemoryDisk::default();
-    opened(&disk);
-    with_snapshot(&disk, snapshot(9, 4, Vec::new()));
-    let recovered = opened(&disk);
+    open_valid(&disk);
+    store_snapshot(&disk, snapshot(9, 4, Vec::new()));
+    let recovered = open_valid(&disk);
     assert_eq!((recovered.log.base_index(), recovered.log.last_index()), (9, 9));
     assert!(recovered.term >= 4, "a term below that of the last entry: {}", recovered.term);
 }
 
 #[test]
-fn a_log_that_begins_behind_a_gap_is_refused() {
-    for held in [None, Some(2)] {
+fn a_log_with_a_gap_after_the_snapshot_is_rejected() {
+    for snapshot_index in [None, Some(2)] {
         let disk = MemoryDisk::default();
-        opened(&disk);
+        open_valid(&disk);
         let bytes: Vec<u8> =
             entries(5..=6, 10).into_iter().map(WalRecord::Entry).flat_map(|record| wal::encode(&record)).collect();
-        put(&disk, "wal", bytes);
-        if let Some(index) = held {
-            with_snapshot(&disk, snapshot(index, 1, Vec::new()));
+        write_file(&disk, "wal", bytes);
+        if let Some(index) = snapshot_index {
+            store_snapshot(&disk, snapshot(index, 1, Vec::new()));
         }
-        let told = refusal(&disk);
-        assert!(told.contains("file `wal`") && told.contains("entry 5"), "{told}");
+        let message = open_error(&disk);
+        assert!(message.contains("file `wal`") && message.contains("entry 5"), "{message}");
     }
 }
 
-/// A replica that was far behind has written the snapshot and not its log yet.
+/// A replica far behind lost power between writing the snapshot and the log.
 #[test]
-fn a_log_that_ends_before_the_snapshot_is_a_log_that_begins_behind_it() {
+fn a_log_that_ends_before_the_snapshot_restarts_after_it() {
     let disk = MemoryDisk::default();
-    written(&disk, &[entries(1..=3, 40)]);
-    with_snapshot(&disk, snapshot(9, 4, Vec::new()));
-    let recovered = opened(&disk);
+    write_batches(&disk, &[entries(1..=3, 40)]);
+    store_snapshot(&disk, snapshot(9, 4, Vec::new()));
+    let recovered = open_valid(&disk);
     assert_eq!((recovered.log.base_index(), recovered.log.last_index(), recovered.log.last_term()), (9, 9, 4));
     assert!(recovered.term >= 4, "a term below that of the last entry: {}", recovered.term);
 }
 
-/// Entry 4 of term 2 replaced 4 to 6 of term 1, and the snapshot holds it.
+/// Entry 4 of term 2 replaced entries 4 to 6 of term 1 and is included in the snapshot.
 #[test]
-fn entries_that_were_replaced_do_not_come_back_behind_a_snapshot() {
+fn replaced_entries_are_not_recovered_after_a_snapshot() {
     let disk = MemoryDisk::default();
-    written(&disk, &[entries(1..=6, 40), vec![entry(4, 2, 40)]]);
-    with_snapshot(&disk, snapshot(4, 2, Vec::new()));
-    assert_eq!(opened(&disk).log.last_index(), 4);
+    write_batches(&disk, &[entries(1..=6, 40), vec![entry(4, 2, 40)]]);
+    store_snapshot(&disk, snapshot(4, 2, Vec::new()));
+    assert_eq!(open_valid(&disk).log.last_index(), 4);
 }
 
 #[test]
-fn a_segment_that_is_missing_or_of_another_length_is_refused_and_named() {
+fn a_missing_or_truncated_segment_is_rejected_with_its_number() {
     let bytes = vec![3; 100];
     let disk = MemoryDisk::default();
-    written(&disk, &[entries(1..=3, 40)]);
-    with_snapshot(&disk, snapshot(3, 1, vec![Segment::of(4, &bytes)]));
+    write_batches(&disk, &[entries(1..=3, 40)]);
+    store_snapshot(&disk, snapshot(3, 1, vec![Segment::of(4, &bytes)]));
     for length in [None, Some(99), Some(101)] {
         if let Some(length) = length {
-            put(&disk, "segment-4", vec![3; length]);
+            write_file(&disk, "segment-4", vec![3; length]);
         }
-        assert!(refusal(&disk).contains("segment 4 is missing or cut short"), "{length:?}");
+        assert!(open_error(&disk).contains("segment 4 is missing or cut short"), "{length:?}");
     }
-    // What it holds is checked when it is read, and another replica's taken if it is wrong.
-    put(&disk, "segment-4", vec![9; 100]);
-    opened(&disk);
+    // The content is verified when it is read, and fetched from another replica if it is corrupt.
+    write_file(&disk, "segment-4", vec![9; 100]);
+    open_valid(&disk);
 }
 
 #[test]
-fn a_format_without_an_identity_is_a_new_replica_unless_there_is_a_log_or_a_snapshot() {
+fn a_missing_identity_is_rejected_if_there_is_a_log_or_a_snapshot() {
     let disk = MemoryDisk::default();
-    opened(&disk);
-    remove(&disk, "identity");
-    assert_eq!(opened(&disk).identity.id, OWN);
-    written(&disk, &[entries(1..=3, 40)]);
-    remove(&disk, "identity");
-    assert!(refusal(&disk).contains("file `identity` is missing"));
-    remove(&disk, "wal");
-    with_snapshot(&disk, snapshot(9, 4, Vec::new()));
-    assert!(refusal(&disk).contains("file `identity` is missing"));
+    open_valid(&disk);
+    remove_file(&disk, "identity");
+    assert_eq!(open_valid(&disk).identity.id, OWN);
+    write_batches(&disk, &[entries(1..=3, 40)]);
+    remove_file(&disk, "identity");
+    assert!(open_error(&disk).contains("file `identity` is missing"));
+    remove_file(&disk, "wal");
+    store_snapshot(&disk, snapshot(9, 4, Vec::new()));
+    assert!(open_error(&disk).contains("file `identity` is missing"));
 }
 
 #[test]
-fn an_identity_without_a_format_is_refused() {
+fn an_identity_without_a_format_is_rejected() {
     let disk = MemoryDisk::default();
-    written(&disk, &[entries(1..=3, 40)]);
-    remove(&disk, "format");
-    assert!(refusal(&disk).contains("the files are in format none"));
+    write_batches(&disk, &[entries(1..=3, 40)]);
+    remove_file(&disk, "format");
+    assert!(open_error(&disk).contains("the files are in format none"));
 }
 
-/// The vote binds the replica also when the power is lost before anything is appended to the new log.
+/// The vote must survive a power loss after the log was rewritten.
 #[test]
-fn a_log_that_was_cut_keeps_the_term_and_the_vote() {
+fn rewriting_the_log_keeps_the_term_and_the_vote() {
     let disk = MemoryDisk::default();
-    written(&disk, &[entries(1..=3, 40)]);
-    with_snapshot(&disk, snapshot(1, 1, Vec::new()));
+    write_batches(&disk, &[entries(1..=3, 40)]);
+    store_snapshot(&disk, snapshot(1, 1, Vec::new()));
     let vote = Some(ReplicaId(9));
     block_on(async {
         let (mut storage, _) = Storage::open(disk.clone(), OWN, FileFormat::Raised).await.expect("sound files");
-        storage.rewrite(5, vote, &entries(2..=3, 40)).await.expect("there is room");
+        storage.rewrite(5, vote, &entries(2..=3, 40)).await.expect("the write succeeds");
     });
-    let recovered = opened(&disk);
+    let recovered = open_valid(&disk);
     assert_eq!((recovered.term, recovered.voted_for, recovered.log.last_index()), (5, vote, 3));
 }
