--- a/crates/replication/tests/log.rs
+++ b/crates/replication/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory against a plain model, and the quorum's arithmetic.
+//! Property tests of the in-memory log against a reference model, and of quorum values.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use saddlerelay_replication::log::{EntryPayload, LogEntry, MemoryLog};
@@ -27,7 +27,7 @@
     }
 }
 
-/// The same log as a list that never forgets.
+/// Reference model that keeps all entries.
 #[derive(Default)]
 struct Model {
     entries: Vec<LogEntry>,
@@ -69,23 +69,32 @@
 }
 
 #[test]
-fn the_log_agrees_with_a_list_that_never_forgets() {
-    fn holds(steps: Vec<Step>) -> bool {
+fn the_log_matches_a_model_without_compaction() {
+    fn matches_model(steps: Vec<Step>) -> bool {
         let mut log = MemoryLog::new(0, 0, membership(3, 0));
         let mut model = Model::default();
         steps.into_iter().for_each(|next| step(&mut log, &mut model, next));
         let last = model.entries.len() as u64;
-        let held = (model.base + 1..=last).all(|index| log.entry(index) == model.entries.get(index as usize - 1));
-        let forgotten = (1..=model.base).all(|index| log.entry(index).is_none());
-        let memberships = (model.base..=last).all(|index| *log.membership_at(index) == model.membership_at(index));
-        held && forgotten && memberships && log.last_index() == last && *log.membership() == model.membership_at(last)
+        let entries_match =
+            (model.base + 1..=last).all(|index| log.entry(index) == model.entries.get(index as usize - 1));
+        let compacted_entries_are_gone = (1..=model.base).all(|index| log.entry(index).is_none());
+        let memberships_match =
+            (model.base..=last).all(|index| *log.membership_at(index) == model.membership_at(index));
+        entries_match
+            && compacted_entries_are_gone
+            && memberships_match
+            && log.last_index() == last
+            && *log.membership() == model.membership_at(last)
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(40, 3)).tests(2_000).quickcheck(holds as fn(Vec<Step>) -> bool);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(40, 3))
+        .tests(2_000)
+        .quickcheck(matches_model as fn(Vec<Step>) -> bool);
 }
 
 #[test]
 fn a_quorum_value_is_reached_by_a_majority_of_voters_and_ignores_learners() {
-    fn holds(values: Vec<u8>, learners: u8) -> bool {
+    fn is_quorum_value(values: Vec<u8>, learners: u8) -> bool {
         let voters = values.len() as u64;
         if voters == 0 {
             return true;
@@ -97,5 +106,8 @@
         let above = values.iter().filter(|value| **value > agreed).count();
         reached >= members.quorum() && above < members.quorum()
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(9, 5)).tests(2_000).quickcheck(holds as fn(Vec<u8>, u8) -> bool);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(9, 5))
+        .tests(2_000)
+        .quickcheck(is_quorum_value as fn(Vec<u8>, u8) -> bool);
 }
--- a/crates/replication/tests/log_file.rs
+++ b/crates/replication/tests/log_file.rs
@@ -1,4 +1,4 @@
-//! Entries that memory no longer holds are read back from the log's file as they were last written.
+//! Reading entries that are no longer in memory from the log file.
 
 mod memory_disk;
 
@@ -11,7 +11,7 @@
 use saddlerelay_replication::wal::WalRecord;
 use saddlerelay_types::identity::ReplicaId;
 
-const EVERYTHING: u64 = u64::MAX / 2;
+const NO_LIMIT: u64 = u64::MAX / 2;
 
 fn entry(index: u64, term: u64, size: usize) -> LogEntry {
     let mut random = fastrand::Rng::with_seed(index * 1_000 + term);
@@ -23,22 +23,22 @@
 }
 
 async fn open(disk: &MemoryDisk) -> Storage<MemoryDisk> {
-    Storage::open(disk.clone(), ReplicaId(1), FileFormat::Raised).await.expect("the files are sound").0
+    Storage::open(disk.clone(), ReplicaId(1), FileFormat::Raised).await.expect("the files are valid").0
 }
 
 async fn append(storage: &mut Storage<MemoryDisk>, entries: &[LogEntry]) {
     let records: Vec<WalRecord> = entries.iter().cloned().map(WalRecord::Entry).collect();
-    storage.append(&records).await.expect("the disk takes it");
+    storage.append(&records).await.expect("the write succeeds");
 }
 
 #[test]
-fn two_entries_at_least_come_however_large_they_are() {
+fn at_least_two_entries_are_read_regardless_of_size() {
     block_on(async {
         let disk = MemoryDisk::default();
         let mut storage = open(&disk).await;
         let entries: Vec<LogEntry> = (1..=5).map(|index| entry(index, 1, 1_000)).collect();
         append(&mut storage, &entries).await;
-        let read = async |first, bytes| storage.entries_from(first, bytes).await.expect("the file is sound");
+        let read = async |first, bytes| storage.entries_from(first, bytes).await.expect("the file is valid");
         assert_eq!(indexes(&read(2, 10).await), [2, 3]);
         assert_eq!(indexes(&read(2, 3_500).await), [2, 3, 4]);
         assert_eq!(indexes(&read(5, 10).await), [5]);
@@ -47,27 +47,27 @@
 }
 
 #[test]
-fn damage_is_told_and_never_read_as_an_entry() {
+fn a_corrupt_entry_is_an_error() {
     block_on(async {
         let disk = MemoryDisk::default();
         let mut storage = open(&disk).await;
         append(&mut storage, &[entry(1, 1, 100), entry(2, 1, 100)]).await;
         disk.0.borrow_mut().get_mut("wal").expect("the log's file")[60] ^= 1;
-        assert!(storage.entries_from(1, EVERYTHING).await.is_err());
-        assert_eq!(storage.entries_from(2, EVERYTHING).await.expect("this one is sound"), [entry(2, 1, 100)]);
+        assert!(storage.entries_from(1, NO_LIMIT).await.is_err());
+        assert_eq!(storage.entries_from(2, NO_LIMIT).await.expect("this entry is valid"), [entry(2, 1, 100)]);
     });
 }
 
-/// What happens to a log.
+/// An operation on the log.
 #[derive(Clone, Debug)]
 enum Change {
-    /// So many entries, after going back by so many.
+    /// Replaces the last `back` entries and appends `count + 1` entries of `size` bytes.
     Append { back: u8, count: u8, size: u8 },
-    /// A vote is written.
+    /// Writes a hard state.
     Vote,
-    /// Entries up to a part of the log are cut off, as after a snapshot.
+    /// Removes the first `n / 256` of the entries, as after a snapshot.
     Cut(u8),
-    /// The process starts again.
+    /// Opens the files again.
     Reopen,
 }
 
@@ -104,14 +104,14 @@
             }
             Change::Vote => {
                 let record = WalRecord::HardState { term, voted_for: None };
-                storage.append(&[record]).await.expect("the disk takes it");
+                storage.append(&[record]).await.expect("the write succeeds");
             }
             Change::Cut(part) => {
                 let cut = expected.len() * usize::from(part) / 256;
                 expected.drain(..cut);
-                storage.rewrite(term, None, &expected).await.expect("the disk takes it");
+                storage.rewrite(term, None, &expected).await.expect("the write succeeds");
             }
-            // A log that was cut goes on behind a snapshot, which these tests have not.
+            // A compacted log can be opened only together with its snapshot, which this test does not write.
             Change::Reopen
                 if expected.first().is_none_or(|first| first.index == 1) && next == expected.len() as u64 + 1 =>
             {
@@ -120,7 +120,7 @@
             Change::Reopen => {}
         }
         for (position, first) in expected.iter().enumerate() {
-            let read = storage.entries_from(first.index, EVERYTHING).await.expect("the file is sound");
+            let read = storage.entries_from(first.index, NO_LIMIT).await.expect("the file is valid");
             if read != expected[position..] {
                 return false;
             }
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn the_entries_in_the_file_are_those_last_written() {
+fn the_file_returns_the_entries_last_written() {
     fn property(changes: Vec<Change>) -> bool {
         block_on(holds(changes))
     }
--- a/crates/replication/tests/memory_disk/mod.rs
+++ b/crates/replication/tests/memory_disk/mod.rs
@@ -1,4 +1,4 @@
-//! A disk in memory.
+//! An in-memory `Disk`.
 
 use saddlerelay_runtime::Disk;
 use std::cell::RefCell;
@@ -6,7 +6,7 @@
 use std::io;
 use std::rc::Rc;
 
-/// Files in memory.
+/// File contents by name.
 #[derive(Clone, Default)]
 pub struct MemoryDisk(pub Rc<RefCell<BTreeMap<String, Vec<u8>>>>);
 
--- a/crates/replication/tests/snapshot.rs
+++ b/crates/replication/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots as bytes.
+//! Encoding of snapshots.
 
 use quickcheck::QuickCheck;
 use saddlerelay_replication::membership::{Member, Membership};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_snapshot_is_read_back_whatever_the_state() {
+fn a_snapshot_round_trips() {
     fn check(state: Vec<u8>) -> bool {
         let snapshot = Snapshot::new(header(), state.clone());
         let read = Snapshot::decode(snapshot.encoded().to_vec());
@@ -27,13 +27,13 @@
 }
 
 #[test]
-fn a_damaged_or_cut_snapshot_is_refused() {
-    fn check(state: Vec<u8>, place: usize, bit: u8) -> bool {
+fn a_corrupt_or_truncated_snapshot_is_rejected() {
+    fn check(state: Vec<u8>, position: usize, bit: u8) -> bool {
         let encoded = Snapshot::new(header(), state).encoded().to_vec();
         let mut damaged = encoded.clone();
-        let place = place % encoded.len();
-        damaged[place] ^= 1 << (bit % 8);
-        Snapshot::decode(damaged).is_none() && Snapshot::decode(encoded[..place].to_vec()).is_none()
+        let position = position % encoded.len();
+        damaged[position] ^= 1 << (bit % 8);
+        Snapshot::decode(damaged).is_none() && Snapshot::decode(encoded[..position].to_vec()).is_none()
     }
     QuickCheck::new().quickcheck(check as fn(Vec<u8>, usize, u8) -> bool);
 }
--- a/crates/replication/tests/wal.rs
+++ b/crates/replication/tests/wal.rs
@@ -1,4 +1,4 @@
-//! The log file: what was synced is read back; torn writes are cut off; damage is refused, never dropped in silence.
+//! Format of the write-ahead log: complete records are read back, torn writes are cut off, and corruption is rejected.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 use saddlerelay_replication::log::{EntryPayload, LogEntry};
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_was_written_is_read_back() {
+fn records_round_trip() {
     fn holds(written: Vec<Record>) -> bool {
         let content = wal::read(&file(&written)).expect("an undamaged file");
         content.records == records(&written) && content.torn_bytes == 0
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_file_cut_short_keeps_every_whole_record_and_tells_what_is_torn() {
+fn a_truncated_file_keeps_complete_records_and_reports_the_torn_length() {
     fn holds(written: Vec<Record>, cut: usize) -> bool {
         let bytes = file(&written);
         let cut = cut % (bytes.len() + 1);
@@ -56,7 +56,7 @@
     check(holds as fn(Vec<Record>, usize) -> bool);
 }
 
-/// A file system may have made the file longer without having written its end.
+/// A file system may extend a file before its data is written.
 #[test]
 fn zeros_at_the_end_are_a_torn_write() {
     fn holds(written: Vec<Record>, zeros: u8) -> bool {
@@ -68,27 +68,27 @@
     check(holds as fn(Vec<Record>, u8) -> bool);
 }
 
-/// Any changed byte of a synced record is noticed, also one in a length: a length that points beyond the end of the file
-/// must not pass for a torn write, or acknowledged records would be dropped.
+/// Corruption of any byte must be detected. In particular, a corrupt length that points beyond the end of the file
+/// must not look like a torn write, as acknowledged records would be dropped.
 #[test]
-fn a_changed_byte_is_refused() {
-    fn holds(written: Vec<Record>, place: usize, change: u8) -> TestResult {
+fn a_changed_byte_is_rejected() {
+    fn holds(written: Vec<Record>, position: usize, change: u8) -> TestResult {
         let mut bytes = file(&written);
         if bytes.is_empty() || change == 0 {
             return TestResult::discard();
         }
-        let place = place % bytes.len();
-        bytes[place] ^= change;
-        let refused = matches!(wal::read(&bytes), Err(WalError::Corrupt { offset }) if offset <= place);
-        TestResult::from_bool(refused)
+        let position = position % bytes.len();
+        bytes[position] ^= change;
+        let rejected = matches!(wal::read(&bytes), Err(WalError::Corrupt { offset }) if offset <= position);
+        TestResult::from_bool(rejected)
     }
     check(holds as fn(Vec<Record>, usize, u8) -> TestResult);
 }
 
 #[test]
-fn foreign_bytes_never_panic() {
+fn arbitrary_bytes_do_not_panic() {
     fn holds(bytes: Vec<u8>) -> bool {
-        // Any answer will do, as long as there is one.
+        // The result is irrelevant; the call must not panic.
         let _ = wal::read(&bytes);
         true
     }
