--- a/crates/control/src/commands/claims.rs
+++ b/crates/control/src/commands/claims.rs
@@ -1,4 +1,4 @@
-//! Granting, sealing and finishing claims.
+//! Claim commands: acquire, seal, abandon and finish.
 
 use crate::state::ControlState;
 use crate::state::claims::{Claim, ClaimPhase, MAX_KEY_LIFETIME_MILLISECONDS};
@@ -20,30 +20,30 @@
     if !state.members.is_live(request.holder) {
         return ClaimOutcome::HolderFenced;
     }
-    match standing(state, &request) {
-        Standing::Free { earlier_grant } => {
+    match key_status(state, &request) {
+        KeyStatus::Free { earlier_grant } => {
             put(state, request, earlier_grant, ClaimPhase::Running);
             ClaimOutcome::Granted
         }
-        Standing::HeldByThisArrival { .. } => ClaimOutcome::Granted,
-        Standing::Settled(outcome) => outcome,
+        KeyStatus::HeldByRequester { .. } => ClaimOutcome::Granted,
+        KeyStatus::Decided(outcome) => outcome,
     }
 }
 
-/// Makes sure that the key never runs. The arrival that holds the claim may seal it only if it sent nothing. Where an
-/// earlier arrival may have run, there is nothing to prove: the claim ends as lost.
+/// Seals a key so that its request never runs. The arrival that holds the claim may seal it only if it has sent nothing
+/// to an engine. If an earlier arrival may have run, the outcome is lost instead.
 fn seal(state: &mut ControlState, request: ClaimRequest) -> ClaimOutcome {
-    match standing(state, &request) {
-        Standing::Free { earlier_grant: false } | Standing::HeldByThisArrival { earlier_grant: false } => {
+    match key_status(state, &request) {
+        KeyStatus::Free { earlier_grant: false } | KeyStatus::HeldByRequester { earlier_grant: false } => {
             put(state, request, false, ClaimPhase::Sealed);
             ClaimOutcome::Sealed
         }
-        Standing::Free { .. } => ClaimOutcome::Lost,
-        Standing::HeldByThisArrival { .. } => {
+        KeyStatus::Free { .. } => ClaimOutcome::Lost,
+        KeyStatus::HeldByRequester { .. } => {
             put(state, request, true, ClaimPhase::Lost);
             ClaimOutcome::Lost
         }
-        Standing::Settled(outcome) => outcome,
+        KeyStatus::Decided(outcome) => outcome,
     }
 }
 
@@ -71,43 +71,44 @@
     ClaimOutcome::Lost
 }
 
-enum Standing {
-    /// The key may be granted.
+enum KeyStatus {
+    /// The key can be granted.
     Free {
-        /// Whether an arrival before this one was granted it and may have run.
+        /// Whether an earlier arrival had the grant and may have run.
         earlier_grant: bool,
     },
-    /// The asking arrival already holds the claim.
-    HeldByThisArrival {
-        /// Whether an arrival before this one was granted it and may have run.
+    /// The requesting arrival already holds the claim.
+    HeldByRequester {
+        /// Whether an earlier arrival had the grant and may have run.
         earlier_grant: bool,
     },
-    /// The key is decided, or held by another arrival.
-    Settled(ClaimOutcome),
+    /// The outcome is final, or another arrival holds the claim.
+    Decided(ClaimOutcome),
 }
 
-fn standing(state: &ControlState, request: &ClaimRequest) -> Standing {
+fn key_status(state: &ControlState, request: &ClaimRequest) -> KeyStatus {
     let latest_expiry = state.time + MAX_KEY_LIFETIME_MILLISECONDS;
     if request.expires_at <= state.time || request.expires_at > latest_expiry {
-        return Standing::Settled(ClaimOutcome::KeyExpired);
+        return KeyStatus::Decided(ClaimOutcome::KeyExpired);
     }
     let Some(claim) = state.claims.get(&request.key) else {
-        return Standing::Free { earlier_grant: false };
+        return KeyStatus::Free { earlier_grant: false };
     };
     if claim.digest != request.digest || claim.expires_at != request.expires_at {
-        return Standing::Settled(ClaimOutcome::DigestMismatch);
+        return KeyStatus::Decided(ClaimOutcome::DigestMismatch);
     }
     match &claim.phase {
         ClaimPhase::Running if claim.arrival == request.arrival => {
-            Standing::HeldByThisArrival { earlier_grant: claim.earlier_grant }
+            KeyStatus::HeldByRequester { earlier_grant: claim.earlier_grant }
         }
-        ClaimPhase::Running => Standing::Settled(ClaimOutcome::Running),
-        ClaimPhase::Finished(result) => Standing::Settled(ClaimOutcome::Finished(result.clone())),
-        // A late copy of the command that was granted before must not hold the claim again: nobody would run it.
-        ClaimPhase::Lost if claim.arrival == request.arrival => Standing::Settled(ClaimOutcome::Lost),
-        ClaimPhase::Lost if claim.repeatability == Repeatability::Repeatable => Standing::Free { earlier_grant: true },
-        ClaimPhase::Lost => Standing::Settled(ClaimOutcome::Lost),
-        ClaimPhase::Sealed => Standing::Settled(ClaimOutcome::Sealed),
+        ClaimPhase::Running => KeyStatus::Decided(ClaimOutcome::Running),
+        ClaimPhase::Finished(result) => KeyStatus::Decided(ClaimOutcome::Finished(result.clone())),
+        // A delayed duplicate of the granted command must not acquire the claim again, as its sender no longer waits
+        // for it.
+        ClaimPhase::Lost if claim.arrival == request.arrival => KeyStatus::Decided(ClaimOutcome::Lost),
+        ClaimPhase::Lost if claim.repeatability == Repeatability::Repeatable => KeyStatus::Free { earlier_grant: true },
+        ClaimPhase::Lost => KeyStatus::Decided(ClaimOutcome::Lost),
+        ClaimPhase::Sealed => KeyStatus::Decided(ClaimOutcome::Sealed),
     }
 }
 
--- a/crates/control/src/commands/gateway.rs
+++ b/crates/control/src/commands/gateway.rs
@@ -1,4 +1,4 @@
-//! Routing documents, engine instances, named versions, batch jobs, store machines and suspected work.
+//! Commands for routing, engine instances, weight versions, batch jobs, storage machines, orders, usage and suspicions.
 
 use crate::state::ControlState;
 use saddlerelay_types::gateway::{GatewayCommand, GatewayOutcome};
@@ -23,40 +23,40 @@
             GatewayOutcome::Done
         }
         GatewayCommand::NameVersion(named) => {
-            state.weights.name(named);
+            state.weights.record(named);
             GatewayOutcome::Done
         }
         GatewayCommand::SubmitJob { job, keep_ms } => {
             state.jobs.submit(job, state.time, keep_ms);
             GatewayOutcome::Done
         }
-        GatewayCommand::KeepTexts { job, parts } => found(state.jobs.keep_texts(&job, &parts)),
+        GatewayCommand::KeepTexts { job, parts } => done_or_not_found(state.jobs.append_partial_texts(&job, &parts)),
         GatewayCommand::ListResults { job, outcomes } => match state.jobs.list(&job, outcomes) {
             None => GatewayOutcome::NotFound,
             Some(missing) if missing.is_empty() => GatewayOutcome::Done,
             Some(missing) => GatewayOutcome::TextMissing(missing),
         },
-        GatewayCommand::EndJob(job) => found(state.jobs.end(&job)),
+        GatewayCommand::EndJob(job) => done_or_not_found(state.jobs.end(&job)),
         GatewayCommand::RegisterStore(record) => {
             state.stores.register(record);
             GatewayOutcome::Done
         }
-        GatewayCommand::RetireStore(name) => found(state.stores.retire(&name)),
-        GatewayCommand::StoreRetired(name) => found(state.stores.complete(&name)),
+        GatewayCommand::RetireStore(name) => done_or_not_found(state.stores.retire(&name)),
+        GatewayCommand::StoreRetired(name) => done_or_not_found(state.stores.complete(&name)),
         GatewayCommand::NoteOrders { holder, subjects } => {
             let taken_over = state.orders.note(holder, subjects);
-            GatewayOutcome::Orders { fence: state.members.draw_fence(), taken_over }
+            GatewayOutcome::Orders { fence: state.members.issue_fence(), taken_over }
         }
         GatewayCommand::AddUsage(usage) => {
             usage.into_iter().for_each(|usage| state.usage.add(usage, state.time));
             GatewayOutcome::Done
         }
         GatewayCommand::FixUsage(last) => {
-            state.usage.fix(last);
+            state.usage.close_windows(last);
             GatewayOutcome::Done
         }
         GatewayCommand::UsageReported(window) => {
-            state.usage.reported(window);
+            state.usage.mark_reported(window);
             GatewayOutcome::Done
         }
         GatewayCommand::TakeEvidence(evidence) => {
@@ -66,7 +66,7 @@
         GatewayCommand::BeginTrial(trial) => {
             GatewayOutcome::Trial(state.suspicions.begin_trial(trial.work, trial.id, state.time, trial.limit_ms))
         }
-        GatewayCommand::RenewTrials(held) => GatewayOutcome::TrialsLost(state.suspicions.renew_trials(held)),
+        GatewayCommand::RenewTrials(leases) => GatewayOutcome::TrialsLost(state.suspicions.renew_trials(leases)),
         GatewayCommand::ExpireTrials(standings) => {
             state.suspicions.expire_trials(&standings);
             GatewayOutcome::Done
@@ -79,14 +79,14 @@
             state.suspicions.expire(state.time);
             GatewayOutcome::Done
         }
-        GatewayCommand::ReleaseWork(work) => found(state.suspicions.release(&work)),
+        GatewayCommand::ReleaseWork(work) => done_or_not_found(state.suspicions.release(&work)),
         GatewayCommand::WantEngines(wanted) => {
-            state.engine_counts.want(wanted);
+            state.engine_counts.set_wanted(wanted);
             GatewayOutcome::Done
         }
     }
 }
 
-fn found(found: bool) -> GatewayOutcome {
+fn done_or_not_found(found: bool) -> GatewayOutcome {
     if found { GatewayOutcome::Done } else { GatewayOutcome::NotFound }
 }
--- a/crates/control/src/commands/level_one.rs
+++ b/crates/control/src/commands/level_one.rs
@@ -1,4 +1,4 @@
-//! What committed commands of level one do: the same as in the builds that know no other level, entry by entry.
+//! Applies committed commands of feature level one exactly as builds that support only that level do.
 
 use super::{claims, configuration, gateway, membership, rollouts};
 use crate::state::ControlState;
@@ -9,7 +9,7 @@
 
 /// Applies one committed command.
 pub fn apply(state: &mut ControlState, entry: LogCommand) -> CommandOutcome {
-    super::pass_time(state, entry.time);
+    super::advance_time(state, entry.time);
     match entry.command {
         Command::Configuration(change) => CommandOutcome::Configuration(configuration::apply(state, change)),
         Command::Claim(command) => CommandOutcome::Claim(claims::apply(state, command)),
@@ -33,12 +33,12 @@
         One::RemoveInstance(id) => {
             let id = id.into();
             state.instances.remove(&id);
-            state.orders.forget_engine(&id);
+            state.orders.remove_engine(&id);
             GatewayOutcome::Done
         }
         One::TakeOrders(holder) => {
-            let taken_over = state.orders.take_level_one(holder);
-            GatewayOutcome::Orders { fence: state.members.draw_fence(), taken_over }
+            let taken_over = state.orders.set_holder_level_one(holder);
+            GatewayOutcome::Orders { fence: state.members.issue_fence(), taken_over }
         }
         One::NoteOrders { holder, instances } => {
             state.orders.note_level_one(holder, instances);
--- a/crates/control/src/commands/membership.rs
+++ b/crates/control/src/commands/membership.rs
@@ -1,4 +1,4 @@
-//! Relays and engines coming, changing and going.
+//! Membership commands: relays that join or are lost, engine registration and observations.
 
 use crate::commands::rollouts;
 use crate::state::ControlState;
@@ -17,11 +17,11 @@
             let changed = observations.into_iter().filter(|observation| observe(state, observation)).count();
             CommandOutcome::Applied(changed > 0)
         }
-        MembershipCommand::DrawFence => CommandOutcome::Fence(state.members.draw_fence()),
+        MembershipCommand::DrawFence => CommandOutcome::Fence(state.members.issue_fence()),
     }
 }
 
-/// A relay that starts anew replaces its earlier incarnation at once.
+/// Adds a relay. Earlier incarnations with the same name are declared lost immediately.
 fn relay_joined(state: &mut ControlState, description: RelayDescription) -> bool {
     let same_name =
         |other: &&RelayDescription| other.name == description.name && other.incarnation != description.incarnation;
@@ -35,17 +35,18 @@
     joined
 }
 
-/// Takes back everything a relay was running.
+/// Declares a relay lost: its running claims are marked lost and its samples are requeued.
 fn relay_lost(state: &mut ControlState, relay: Incarnation) -> bool {
-    state.claims.holder_lost(relay);
+    state.claims.mark_holder_lost(relay);
     rollouts::relay_lost(state, relay);
     state.members.lose_relay(relay)
 }
 
-/// An engine gets work only after it has been observed.
+/// Registers an engine as unreachable; it receives work only after it has been observed. Returns whether anything
+/// changed.
 fn register_engine(state: &mut ControlState, description: EngineDescription) -> bool {
-    let known = state.members.engine(&description.id).is_some_and(|record| record.description == description);
-    if known {
+    let registered = state.members.engine(&description.id).is_some_and(|record| record.description == description);
+    if registered {
         return false;
     }
     state.members.put_engine(EngineRecord {
@@ -58,13 +59,14 @@
     true
 }
 
-/// An incarnation that is leaving stays so: only a new start of the engine makes it available again.
+/// Applies an observation; returns whether the record changed. A leaving engine becomes available again only with a new
+/// incarnation.
 fn observe(state: &mut ControlState, observation: &EngineObservation) -> bool {
     let Some(record) = state.members.engine(&observation.id) else {
         return false;
     };
-    let same_start = record.incarnation == observation.incarnation;
-    let stays_leaving = same_start && record.availability == EngineAvailability::Leaving;
+    let same_incarnation = record.incarnation == observation.incarnation;
+    let stays_leaving = same_incarnation && record.availability == EngineAvailability::Leaving;
     let availability = if stays_leaving { EngineAvailability::Leaving } else { observation.availability };
     let updated = EngineRecord {
         incarnation: observation.incarnation,
--- a/crates/control/src/commands/mod.rs
+++ b/crates/control/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Changes of the replicated state, one module for each kind. Nothing here reads a clock or draws a random number.
+//! Command handlers of the replicated state. They are deterministic: no clock reads, no random numbers.
 
 pub mod claims;
 pub mod configuration;
@@ -12,7 +12,7 @@
 
 /// Applies one committed command.
 pub fn apply(state: &mut ControlState, entry: LogCommand) -> CommandOutcome {
-    pass_time(state, entry.time);
+    advance_time(state, entry.time);
     match entry.command {
         Command::Configuration(change) => CommandOutcome::Configuration(configuration::apply(state, change)),
         Command::Claim(command) => CommandOutcome::Claim(claims::apply(state, command)),
@@ -22,8 +22,9 @@
     }
 }
 
-/// A command was made at `time`, in Unix milliseconds at the leader.
-fn pass_time(state: &mut ControlState, time: u64) {
+/// Advances the state's time to the command's `time`, in Unix milliseconds by the leader's clock, and drops expired
+/// claims.
+fn advance_time(state: &mut ControlState, time: u64) {
     state.time = state.time.max(time);
     state.claims.drop_expired(state.time);
 }
--- a/crates/control/src/commands/rollouts.rs
+++ b/crates/control/src/commands/rollouts.rs
@@ -1,8 +1,8 @@
-//! Trainers' steps, their samples, and delivery.
+//! Rollout commands: steps of trainers, assignment of samples to relays, and delivery.
 
 use crate::state::ControlState;
 use crate::state::rollouts::{
-    RelayAssignments, RolloutLedger, SamplePhase, SamplePlace, SampleRecord, Step, TrainerRecord,
+    RelayAssignments, RolloutLedger, SampleKey, SamplePhase, SampleRecord, Step, TrainerRecord,
 };
 use saddlerelay_types::identity::{Attempt, Incarnation, Position, TenantId, WeightVersion};
 use saddlerelay_types::protocol::{CommandOutcome, RolloutCommand, TrainerRefusal};
@@ -10,21 +10,21 @@
     DeliveredSample, DeliveryBatch, SampleAssignment, SampleId, SamplePayload, StepRequest, TrainerState,
 };
 
-/// Most samples in one delivery.
+/// Maximum number of samples in one delivery.
 pub const MAX_BATCH_SAMPLES: u32 = 256;
 
-/// Tokens after which a delivery gets no further samples.
+/// Number of tokens at which no further samples are added to a delivery.
 pub const MAX_BATCH_TOKENS: usize = 1_000_000;
 
 /// Applies a rollout command.
 pub fn apply(state: &mut ControlState, command: RolloutCommand) -> CommandOutcome {
     match command {
-        RolloutCommand::OpenTrainer { tenant, incarnation } => answer(open_trainer(state, tenant, incarnation)),
+        RolloutCommand::OpenTrainer { tenant, incarnation } => to_outcome(open_trainer(state, tenant, incarnation)),
         RolloutCommand::OpenStep { tenant, incarnation, request } => {
-            answer(trainer(state, &tenant, incarnation).and_then(|trainer| open_step(trainer, request)))
+            to_outcome(trainer(state, &tenant, incarnation).and_then(|trainer| open_step(trainer, request)))
         }
         RolloutCommand::Publish { tenant, incarnation, version, cursor } => {
-            answer(trainer(state, &tenant, incarnation).and_then(|trainer| publish(trainer, version, cursor)))
+            to_outcome(trainer(state, &tenant, incarnation).and_then(|trainer| publish(trainer, version, cursor)))
         }
         RolloutCommand::Fetch { tenant, incarnation, cursor, limit } => {
             let fetched = trainer(state, &tenant, incarnation);
@@ -43,11 +43,11 @@
     }
 }
 
-fn answer(outcome: Result<TrainerState, TrainerRefusal>) -> CommandOutcome {
+fn to_outcome(outcome: Result<TrainerState, TrainerRefusal>) -> CommandOutcome {
     outcome.map_or_else(CommandOutcome::Refused, CommandOutcome::Trainer)
 }
 
-/// The trainer, if `incarnation` is the one that may act.
+/// The tenant's trainer, if `incarnation` is its current one.
 fn trainer<'a>(
     state: &'a mut ControlState,
     tenant: &TenantId,
@@ -100,7 +100,8 @@
     Ok(trainer.state.clone())
 }
 
-/// Staleness is decided here: what the trainer has not received is taken back and decided again.
+/// Publishes a weight version. All unacknowledged positions are withdrawn and checked against the staleness bound of
+/// the new version.
 fn publish(
     trainer: &mut TrainerRecord,
     version: WeightVersion,
@@ -121,8 +122,8 @@
 }
 
 fn check_cursor(trainer: &TrainerRecord, cursor: Position) -> Result<(), TrainerRefusal> {
-    let known = cursor >= trainer.state.cursor && cursor <= trainer.last_placed();
-    if known { Ok(()) } else { Err(TrainerRefusal::BadCursor) }
+    let in_range = cursor >= trainer.state.cursor && cursor <= trainer.last_placed();
+    if in_range { Ok(()) } else { Err(TrainerRefusal::BadCursor) }
 }
 
 fn fetch(
@@ -139,19 +140,19 @@
     if trainer.placed.is_empty() {
         place_ready(trainer, limit.min(MAX_BATCH_SAMPLES));
     }
-    let placed: Vec<SamplePlace> = trainer.placed.values().copied().collect();
-    let samples = placed.into_iter().filter_map(|place| delivered(trainer, tenant, place)).collect();
+    let placed: Vec<SampleKey> = trainer.placed.values().copied().collect();
+    let samples = placed.into_iter().filter_map(|key| delivered_sample(trainer, tenant, key)).collect();
     Ok(DeliveryBatch { epoch: trainer.state.epoch, published: trainer.state.published, samples })
 }
 
-/// Gives places to finished samples, oldest step first.
+/// Assigns delivery positions to finished samples, oldest step first.
 fn place_ready(trainer: &mut TrainerRecord, limit: u32) {
-    trainer.drop_stale();
+    trainer.requeue_stale();
     let mut position = trainer.state.cursor;
     let mut tokens = 0;
-    let chosen: Vec<SamplePlace> = trainer.ready.iter().copied().take(limit as usize).collect();
-    for place in chosen {
-        let Some(sample) = trainer.sample_mut(place) else {
+    let chosen: Vec<SampleKey> = trainer.ready.iter().copied().take(limit as usize).collect();
+    for key in chosen {
+        let Some(sample) = trainer.sample_mut(key) else {
             continue;
         };
         let SamplePhase::Ready(payload) = &sample.phase else {
@@ -160,46 +161,46 @@
         position = position.next();
         tokens += payload.generation.tokens.len();
         sample.phase = SamplePhase::Placed(position, payload.clone());
-        trainer.ready.remove(&place);
-        trainer.placed.insert(position, place);
+        trainer.ready.remove(&key);
+        trainer.placed.insert(position, key);
         if tokens >= MAX_BATCH_TOKENS {
             return;
         }
     }
 }
 
-fn delivered(trainer: &TrainerRecord, tenant: &TenantId, place: SamplePlace) -> Option<DeliveredSample> {
-    let step = trainer.steps.get(&place.0)?;
-    match &step.samples.get(place.1 as usize)?.phase {
+fn delivered_sample(trainer: &TrainerRecord, tenant: &TenantId, key: SampleKey) -> Option<DeliveredSample> {
+    let step = trainer.steps.get(&key.0)?;
+    match &step.samples.get(key.1 as usize)?.phase {
         SamplePhase::Placed(position, payload) => Some(DeliveredSample {
             position: *position,
-            sample: sample_id(tenant, place, step.request.group_size),
+            sample: sample_id(tenant, key, step.request.group_size),
             payload: payload.clone(),
         }),
         _ => None,
     }
 }
 
-fn sample_id(tenant: &TenantId, place: SamplePlace, group_size: u32) -> SampleId {
-    SampleId { tenant: tenant.clone(), step: place.0, prompt: place.1 / group_size, member: place.1 % group_size }
+fn sample_id(tenant: &TenantId, key: SampleKey, group_size: u32) -> SampleId {
+    SampleId { tenant: tenant.clone(), step: key.0, prompt: key.1 / group_size, member: key.1 % group_size }
 }
 
-fn sample_place(trainer: &TrainerRecord, sample: &SampleId) -> Option<SamplePlace> {
+fn sample_key(trainer: &TrainerRecord, sample: &SampleId) -> Option<SampleKey> {
     let step: &Step = trainer.steps.get(&sample.step)?;
     Some((sample.step, sample.prompt * step.request.group_size + sample.member))
 }
 
-/// Hands pending samples to a relay, one tenant after another.
+/// Assigns pending samples to a relay, starting with the next tenant in round-robin order.
 fn assign(state: &mut ControlState, relay: Incarnation, sequence: u64, limit: u32) -> Vec<SampleAssignment> {
     if !state.members.is_live(relay) {
         return Vec::new();
     }
     let ledger = &mut state.rollouts;
     if let Some(last) = ledger.assignments.get(&relay).filter(|last| last.sequence >= sequence) {
-        return if last.sequence == sequence { last.answer.clone() } else { Vec::new() };
+        return if last.sequence == sequence { last.response.clone() } else { Vec::new() };
     }
     let mut assigned = Vec::new();
-    for tenant in tenants_in_turn(ledger) {
+    for tenant in tenants_round_robin(ledger) {
         let remaining = limit - assigned.len() as u32;
         if let Some(trainer) = ledger.trainers.get_mut(&tenant) {
             assign_from(trainer, &tenant, relay, remaining, &mut assigned);
@@ -210,12 +211,12 @@
     }
     let record: &mut RelayAssignments = ledger.assignments.entry(relay).or_default();
     record.sequence = sequence;
-    record.answer.clone_from(&assigned);
+    record.response.clone_from(&assigned);
     record.running.extend(assigned.iter().map(|assignment| assignment.sample.clone()));
     assigned
 }
 
-fn tenants_in_turn(ledger: &mut RolloutLedger) -> Vec<TenantId> {
+fn tenants_round_robin(ledger: &mut RolloutLedger) -> Vec<TenantId> {
     let tenants: Vec<TenantId> = ledger.trainers.keys().cloned().collect();
     let first = tenants.iter().position(|tenant| Some(tenant) >= ledger.next_tenant.as_ref()).unwrap_or(0);
     ledger.next_tenant = tenants.get(first + 1).cloned();
@@ -230,14 +231,14 @@
     assigned: &mut Vec<SampleAssignment>,
 ) {
     let oldest_useful_version = trainer.oldest_useful_version();
-    let chosen: Vec<SamplePlace> = trainer.pending.iter().copied().take(limit as usize).collect();
-    for place in chosen {
-        trainer.pending.remove(&place);
-        let Some(step) = trainer.steps.get_mut(&place.0) else {
+    let chosen: Vec<SampleKey> = trainer.pending.iter().copied().take(limit as usize).collect();
+    for key in chosen {
+        trainer.pending.remove(&key);
+        let Some(step) = trainer.steps.get_mut(&key.0) else {
             continue;
         };
-        let sample = sample_id(tenant, place, step.request.group_size);
-        let record = &mut step.samples[place.1 as usize];
+        let sample = sample_id(tenant, key, step.request.group_size);
+        let record = &mut step.samples[key.1 as usize];
         record.phase = SamplePhase::Assigned(relay);
         assigned.push(SampleAssignment {
             attempt: record.attempt,
@@ -249,39 +250,39 @@
     }
 }
 
-/// Takes a finished sample, if its attempt is the one that runs.
+/// Records a finished sample, if `attempt` is the current one; a stale result is requeued.
 fn complete(ledger: &mut RolloutLedger, sample: SampleId, attempt: Attempt, payload: SamplePayload) -> bool {
-    let Some((trainer, place)) = running_attempt(ledger, &sample, attempt) else {
+    let Some((trainer, key)) = running_attempt(ledger, &sample, attempt) else {
         return false;
     };
     let fresh = trainer.is_fresh(&payload);
-    if let Some(record) = trainer.sample_mut(place) {
+    if let Some(record) = trainer.sample_mut(key) {
         record.phase = SamplePhase::Ready(payload);
     }
-    trainer.ready.insert(place);
+    trainer.ready.insert(key);
     if !fresh {
-        trainer.ask_again(place);
+        trainer.requeue(key);
     }
     true
 }
 
 fn abandon(ledger: &mut RolloutLedger, sample: SampleId, attempt: Attempt) -> bool {
-    let Some((trainer, place)) = running_attempt(ledger, &sample, attempt) else {
+    let Some((trainer, key)) = running_attempt(ledger, &sample, attempt) else {
         return false;
     };
-    trainer.ask_again(place);
+    trainer.requeue(key);
     true
 }
 
-/// Ends the attempt's assignment, if it is the one that runs.
+/// Removes the sample from its relay's assignments, if `attempt` is the current one.
 fn running_attempt<'a>(
     ledger: &'a mut RolloutLedger,
     sample: &SampleId,
     attempt: Attempt,
-) -> Option<(&'a mut TrainerRecord, SamplePlace)> {
+) -> Option<(&'a mut TrainerRecord, SampleKey)> {
     let trainer = ledger.trainers.get_mut(&sample.tenant)?;
-    let place = sample_place(trainer, sample)?;
-    let record = trainer.sample_mut(place)?;
+    let key = sample_key(trainer, sample)?;
+    let record = trainer.sample_mut(key)?;
     let SamplePhase::Assigned(relay) = record.phase else {
         return None;
     };
@@ -291,10 +292,10 @@
     if let Some(assignments) = ledger.assignments.get_mut(&relay) {
         assignments.running.remove(sample);
     }
-    Some((trainer, place))
+    Some((trainer, key))
 }
 
-/// Asks again for everything a lost relay was running.
+/// Requeues all samples assigned to a lost relay.
 pub fn relay_lost(state: &mut ControlState, relay: Incarnation) {
     let ledger = &mut state.rollouts;
     let Some(assignments) = ledger.assignments.remove(&relay) else {
@@ -304,42 +305,42 @@
         let Some(trainer) = ledger.trainers.get_mut(&sample.tenant) else {
             continue;
         };
-        let Some(place) = sample_place(trainer, &sample) else {
+        let Some(key) = sample_key(trainer, &sample) else {
             continue;
         };
-        let held = trainer.sample_mut(place).is_some_and(|record| record.phase == SamplePhase::Assigned(relay));
-        if held {
-            trainer.ask_again(place);
+        let is_assigned = trainer.sample_mut(key).is_some_and(|record| record.phase == SamplePhase::Assigned(relay));
+        if is_assigned {
+            trainer.requeue(key);
         }
     }
 }
 
-/// Whether any sample waits for a relay.
+/// Whether any sample is waiting for a relay.
 pub fn samples_are_pending(state: &ControlState) -> bool {
     state.rollouts.trainers.values().any(|trainer| !trainer.pending.is_empty())
 }
 
-/// Whether any sample waits for its trainer to fetch it.
+/// Whether any finished sample has no delivery position yet.
 pub fn samples_are_ready(state: &ControlState) -> bool {
     state.rollouts.trainers.values().any(|trainer| !trainer.ready.is_empty())
 }
 
-/// Whether a fetch would change nothing and bring nothing.
+/// Whether a fetch would change nothing and return no samples.
 pub fn fetch_is_idle(state: &ControlState, tenant: &TenantId, incarnation: Incarnation, cursor: Position) -> bool {
     let Some(trainer) = state.rollouts.trainers.get(tenant) else {
         return false;
     };
-    let same = trainer.state.incarnation == incarnation && trainer.state.cursor == cursor;
-    same && trainer.placed.is_empty() && trainer.ready.is_empty()
+    let is_unchanged = trainer.state.incarnation == incarnation && trainer.state.cursor == cursor;
+    is_unchanged && trainer.placed.is_empty() && trainer.ready.is_empty()
 }
 
-/// Whether an assignment would hand out nothing.
+/// Whether an assignment request would return no samples.
 pub fn assign_is_idle(state: &ControlState, relay: Incarnation, sequence: u64) -> bool {
-    let resent = state.rollouts.assignments.get(&relay).is_some_and(|last| last.sequence >= sequence);
-    !resent && !samples_are_pending(state)
+    let is_retry = state.rollouts.assignments.get(&relay).is_some_and(|last| last.sequence >= sequence);
+    !is_retry && !samples_are_pending(state)
 }
 
-/// A delivery of nothing.
+/// A delivery without samples; `None` if the tenant has no trainer.
 pub fn empty_delivery(state: &ControlState, tenant: &TenantId) -> Option<CommandOutcome> {
     let trainer = &state.rollouts.trainers.get(tenant)?.state;
     let batch = DeliveryBatch { epoch: trainer.epoch, published: trainer.published, samples: Vec::new() };
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -1,47 +1,47 @@
-//! Timing of the control group's own work.
+//! Timeouts, intervals and limits of the control group.
 
 use std::time::Duration;
 
-/// Relays that the leader answers itself. A relay asks 2.5 times a second at least, and at each piece of news: 250 relays
-/// have been answered by a leader of 0.3 of a core beside its other work. Below, news reach relays some 100 ms sooner than
-/// by way of another replica.
-const LEADER_RELAYS: usize = 300;
+/// Default of [`ControlConfig::leader_relays`]. Updates reach a relay faster from the leader than through another
+/// replica, but each relay adds load to the leader.
+const DEFAULT_LEADER_RELAYS: usize = 300;
 
-/// Limits of leases, polling and weight rollouts.
+/// Timeouts, intervals and limits of the control group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlConfig {
-    /// How long a relay may act on its configuration after it sent a renewal.
+    /// Configuration lease of a relay, counted from when it sent a renewal.
     pub relay_lease: Duration,
-    /// Silence after which a relay is declared lost; longer than the lease.
+    /// Time without a renewal after which a relay is declared lost; must exceed `relay_lease`.
     pub relay_loss: Duration,
-    /// Pause between looks at the relays.
+    /// Interval between checks for lost relays.
     pub relay_check_interval: Duration,
-    /// Pause between polls of one engine.
+    /// Interval between polls of one engine.
     pub engine_poll_interval: Duration,
-    /// Time limit of one poll.
+    /// Timeout of one poll.
     pub engine_poll_limit: Duration,
-    /// Failed polls in a row after which an engine is unreachable.
+    /// Consecutive failed polls after which an engine is marked unreachable.
     pub engine_poll_failures: u32,
-    /// Pause between reads of the platform's machine list.
+    /// Interval between reads of the platform's machine list.
     pub platform_interval: Duration,
-    /// How long the leader keeps a relay's renewal open while it would bring nothing new: the pace of renewals.
+    /// Maximum time that a replica holds a relay's renewal or follow request open while there are no changes (long
+    /// polling).
     pub renewal_wait: Duration,
-    /// Relays that the leader answers itself; beyond, it sends them on to the group's other replicas.
+    /// Maximum number of relays served by the leader; further relays are redirected to other replicas.
     pub leader_relays: usize,
-    /// How long changes are gathered before they are told to the relays.
+    /// Time for which changes are batched before they are sent to relays.
     pub news_interval: Duration,
-    /// How long the leader keeps a relay's question for samples, or a trainer's, open while there is nothing to answer.
-    /// Shorter than the time after which a client of the group tries another replica.
+    /// Maximum time that the leader holds a relay's or trainer's sample request open while there are no samples (long
+    /// polling). Must be shorter than the timeout after which clients try another replica.
     pub idle_wait: Duration,
-    /// How long a relay may act on what it was told of routes and instances, from when it asked.
+    /// Lease of a relay on routes and instances, counted from when it sent its request.
     pub follow_lease: Duration,
-    /// Silence after which an instance that reports itself is called silent.
+    /// Time without reports after which an instance is marked silent.
     pub instance_silence: Duration,
-    /// How long a batch job stays readable after it was handed in; an open one stays longer.
+    /// Minimum time that a batch job is kept after its submission; a job that has not ended is always kept.
     pub job_keep: Duration,
-    /// How far apart orders of two holders about one subject must be.
+    /// Minimum time between orders of two holders about the same subject.
     pub order_distance: Duration,
-    /// How long after its note an order may be given.
+    /// Maximum time between recording a note and sending its order.
     pub order_validity: Duration,
 }
 
@@ -56,7 +56,7 @@
             engine_poll_failures: 3,
             platform_interval: Duration::from_millis(500),
             renewal_wait: Duration::from_millis(400),
-            leader_relays: LEADER_RELAYS,
+            leader_relays: DEFAULT_LEADER_RELAYS,
             news_interval: Duration::from_millis(40),
             idle_wait: Duration::from_millis(800),
             follow_lease: Duration::from_millis(1700),
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,9 @@
 //! The control group: configuration, claims, rollouts and membership on a replicated log.
 //!
-//! `state` holds the data, `commands` changes it from committed log entries, `queries` reads it, and `tasks` are what
-//! the leader does on its own: polling engines, rolling out weights, watching relays and committing what they count.
-//! `follow` tells relays what they lack, at the leader or at another replica. `orders` is the right to give orders to what lies outside the group.
+//! `state` is the replicated state, `commands` applies committed log entries to it, and `queries` reads it. `tasks` are
+//! the leader's periodic tasks: polling engines, rolling out weights, detecting lost relays and committing usage
+//! counts. `follow` sends state changes to relays, from the leader or another replica. `orders` ensures that only one
+//! replica at a time sends orders to engines and to the platform.
 
 mod answering;
 pub mod commands;
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state as replication's state machine.
+//! The state machine of the replicated log.
 
 use crate::commands;
 use crate::state::ControlState;
@@ -24,15 +24,16 @@
 }
 
 impl ControlMachine {
-    /// The state.
+    /// The replicated state, for reads.
     pub fn state(&self) -> &ControlState {
         &self.state
     }
 
-    /// At a level that keeps no silence of engines on the log, its leader marks it in its own state.
-    pub fn mark_silence(&mut self, silent: &[InstanceId], heard: &[InstanceId]) {
+    /// Marks silent and recovered instances in the local state of the leader at feature level one. Later levels
+    /// replicate silence and ignore this call.
+    pub fn mark_silence(&mut self, silent: &[InstanceId], recovered: &[InstanceId]) {
         if self.level == FeatureLevel::One {
-            self.state.instances.mark_silence(silent, heard);
+            self.state.instances.mark_silence(silent, recovered);
         }
     }
 }
@@ -48,7 +49,7 @@
     }
 
     fn apply(&mut self, command: &[u8]) -> CommandOutcome {
-        match decode(command, self.level).expect("the log holds only what a leader encoded") {
+        match decode(command, self.level).expect("a committed command decodes at the current feature level") {
             Committed::One(command) => commands::level_one::apply(&mut self.state, command),
             Committed::Today(command) => commands::apply(&mut self.state, command),
         }
@@ -77,19 +78,19 @@
         self.state.jobs.texts_mut().release_segment(number);
     }
 
-    /// The holder of orders: another one would have to wait before it may give any.
+    /// Prefers the holder of orders as leader; a new holder has to wait before it may send orders.
     fn prefers(&self, replica: ReplicaId) -> bool {
         self.state.orders.holder() == Some(replica)
     }
 
     fn restore(&mut self, bytes: &[u8], level: FeatureLevel) {
-        // The old state goes first, so that it does not stand beside the new one and its bytes.
+        // Drops the old state first, to limit peak memory.
         self.state = ControlState::default();
         self.level = level;
         let restored = match level {
             FeatureLevel::One => ControlState::decode_level_one(bytes),
             FeatureLevel::Two => bitcode::decode(bytes),
         };
-        self.state = restored.expect("a snapshot passed its checksum");
+        self.state = restored.expect("a snapshot with a valid checksum decodes at its feature level");
     }
 }
--- a/crates/control/src/queries/mod.rs
+++ b/crates/control/src/queries/mod.rs
@@ -1,4 +1,4 @@
-//! Reads of the replicated state. Nothing here changes it.
+//! Read-only queries of the replicated state.
 
 pub mod configuration;
 pub mod weights;
@@ -6,7 +6,7 @@
 use crate::state::ControlState;
 use saddlerelay_types::protocol::{Query, QueryAnswer};
 
-/// Answers a query that the state alone can answer; `None` for those about the group or relays.
+/// Answers a query from the replicated state; `None` for queries about the group's members or the relays.
 pub fn answer(state: &ControlState, query: &Query) -> Option<QueryAnswer> {
     match query {
         Query::Object(name) => Some(QueryAnswer::Object(state.configuration.object(name).cloned())),
--- a/crates/control/src/queries/weights.rs
+++ b/crates/control/src/queries/weights.rs
@@ -1,14 +1,15 @@
-//! Which weight version each model's engines should run.
+//! Target weight version of each model.
 
 use crate::state::ControlState;
 use saddlerelay_types::identity::{ModelName, WeightVersion};
 use saddlerelay_types::protocol::ModelTarget;
 use std::collections::BTreeMap;
 
-/// Share of staleness when no tenant weighs either measure.
-const EVEN_SHARE_PERCENT: u32 = 50;
+/// Staleness share if the weights of all tenants are zero.
+const DEFAULT_SHARE_PERCENT: u32 = 50;
 
-/// The newest published version of each model that has a trainer, or the version a tenant pins.
+/// The target version of each model that has a trainer: the highest of its tenants' pinned or, if not pinned, published
+/// versions.
 pub fn targets(state: &ControlState) -> Vec<ModelTarget> {
     let mut targets: BTreeMap<ModelName, WeightVersion> = BTreeMap::new();
     for (tenant, trainer) in &state.rollouts.trainers {
@@ -22,7 +23,7 @@
     targets.into_iter().map(|(model, version)| ModelTarget { model, version }).collect()
 }
 
-/// How much staleness counts against trainer idle time among the tenants of `model`, 0 to 100.
+/// Weight of staleness relative to trainer idle time over all tenants of `model`, in percent.
 pub fn staleness_share_percent(state: &ControlState, model: &ModelName) -> u32 {
     let tenants = state.configuration.tenants();
     let parameters = tenants.filter_map(|(tenant, _)| state.configuration.parameters(tenant));
@@ -31,5 +32,5 @@
         staleness += parameters.staleness_weight;
         total += parameters.staleness_weight + parameters.idle_weight;
     }
-    (staleness * 100).checked_div(total).unwrap_or(EVEN_SHARE_PERCENT)
+    (staleness * 100).checked_div(total).unwrap_or(DEFAULT_SHARE_PERCENT)
 }
--- a/crates/control/src/state/claims.rs
+++ b/crates/control/src/state/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of keyed requests.
+//! Claims of requests with an idempotency key.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::claim::{ClaimKey, ClaimResult};
@@ -6,45 +6,45 @@
 use saddlerelay_types::request::Repeatability;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far ahead a key's expiry may lie, in milliseconds.
+/// Maximum time until a key expires, in milliseconds.
 pub const MAX_KEY_LIFETIME_MILLISECONDS: u64 = 3_600_000;
 
-/// Expired claims dropped with each command, so that no command does unbounded work.
-const EXPIRED_PER_COMMAND: usize = 32;
+/// Maximum number of expired claims dropped per command, to bound the work of each.
+const MAX_EXPIRED_PER_COMMAND: usize = 32;
 
-/// Where a claim stands.
+/// State of a claim.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ClaimPhase {
-    /// Its holder may be running it.
+    /// Granted; the holder may be running the request.
     Running,
-    /// It ended.
+    /// The request has finished with this result.
     Finished(ClaimResult),
-    /// Its holder was lost while it may have run.
+    /// The holder was lost or abandoned the request, which may have run.
     Lost,
-    /// It has not run and never will.
+    /// The request has not run and will never be granted.
     Sealed,
 }
 
-/// One claim.
+/// A claim of a request key.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Claim {
     /// Digest of the request.
     pub digest: BodyDigest,
-    /// Unix milliseconds from which the key is refused.
+    /// Unix milliseconds from which the key is rejected as expired.
     pub expires_at: u64,
-    /// The relay that was granted it.
+    /// The relay to which the claim was granted.
     pub holder: Incarnation,
-    /// The arrival that was granted it.
+    /// The request arrival to which the claim was granted.
     pub arrival: u64,
-    /// Whether it may be granted again after its holder is lost.
+    /// Whether the claim may be granted again after its holder is lost.
     pub repeatability: Repeatability,
-    /// Whether an earlier arrival was granted it too and may have run: it can no longer be proved not to have.
+    /// Whether an earlier arrival also had the grant and may have run, so that the key can no longer be sealed.
     pub earlier_grant: bool,
-    /// Where it stands.
+    /// Current state.
     pub phase: ClaimPhase,
 }
 
-/// Every claim whose key has not expired.
+/// Claims by key, indexed by expiry and by the holder of running claims.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ClaimTable {
     claims: BTreeMap<ClaimKey, Claim>,
@@ -53,22 +53,22 @@
 }
 
 impl ClaimTable {
-    /// How many claims are held.
+    /// Number of claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether no claim is held.
+    /// Whether there are no claims.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// A claim.
+    /// Looks up a claim.
     pub fn get(&self, key: &ClaimKey) -> Option<&Claim> {
         self.claims.get(key)
     }
 
-    /// Writes a claim.
+    /// Inserts or replaces a claim.
     pub fn put(&mut self, key: ClaimKey, claim: Claim) {
         self.remove(&key);
         if claim.phase == ClaimPhase::Running {
@@ -91,9 +91,10 @@
         }
     }
 
-    /// Drops claims whose keys have expired: from then on the expiry itself refuses the key.
+    /// Drops up to `MAX_EXPIRED_PER_COMMAND` claims whose keys have expired at `time`, in Unix milliseconds. Requests
+    /// with expired keys are rejected without a claim.
     pub fn drop_expired(&mut self, time: u64) {
-        for _ in 0..EXPIRED_PER_COMMAND {
+        for _ in 0..MAX_EXPIRED_PER_COMMAND {
             match self.by_expiry.first() {
                 Some((expires_at, key)) if *expires_at <= time => {
                     let key = key.clone();
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Marks every claim that `holder` was running as lost.
-    pub fn holder_lost(&mut self, holder: Incarnation) {
+    /// Marks all running claims of `holder` as lost.
+    pub fn mark_holder_lost(&mut self, holder: Incarnation) {
         for key in self.running_by_holder.remove(&holder).unwrap_or_default() {
             if let Some(claim) = self.claims.get_mut(&key) {
                 claim.phase = ClaimPhase::Lost;
--- a/crates/control/src/state/configuration.rs
+++ b/crates/control/src/state/configuration.rs
@@ -7,32 +7,32 @@
 use saddlerelay_types::identity::{BodyDigest, IdempotencyKey, Revision, TemplateId, TenantId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Deleted objects remembered, so that relays can be told by delta.
-const TOMBSTONES_KEPT: usize = 1024;
+/// Maximum number of tombstones, which let deltas carry deletions.
+const MAX_TOMBSTONES: usize = 1024;
 
-/// Answers remembered for resends: more than a day's changes at the size planned for.
-const ANSWERS_KEPT: usize = 8192;
+/// Maximum number of idempotency keys whose outcomes are stored; the oldest is evicted.
+const MAX_STORED_OUTCOMES: usize = 8192;
 
-/// The first answer to a keyed change.
+/// The outcome of a change with an idempotency key, returned again for retries.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub struct StoredAnswer {
+pub struct StoredOutcome {
     /// Digest of the change.
     pub digest: BodyDigest,
-    /// Its outcome.
+    /// Outcome of the first attempt.
     pub outcome: ConfigurationOutcome,
 }
 
-/// The configuration.
+/// The versioned configuration.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ConfigurationStore {
     revision: Revision,
     objects: BTreeMap<ObjectName, ObjectState>,
     by_revision: BTreeMap<Revision, ObjectName>,
     tombstones: VecDeque<ObjectName>,
-    /// Deltas from before this revision would miss a forgotten deletion.
-    deltas_from: Revision,
-    answers: BTreeMap<IdempotencyKey, StoredAnswer>,
-    answer_order: VecDeque<IdempotencyKey>,
+    /// Highest revision of a dropped tombstone. Deltas from an earlier revision would miss its deletion.
+    compacted_revision: Revision,
+    outcomes: BTreeMap<IdempotencyKey, StoredOutcome>,
+    outcome_order: VecDeque<IdempotencyKey>,
 }
 
 impl ConfigurationStore {
@@ -41,26 +41,27 @@
         self.revision
     }
 
-    /// The object, also when deleted.
+    /// Looks up an object, including a deleted one.
     pub fn object(&self, name: &ObjectName) -> Option<&ObjectState> {
         self.objects.get(name)
     }
 
-    /// Every object that is not deleted.
+    /// All objects that are not deleted.
     pub fn live_objects(&self) -> impl Iterator<Item = &ObjectState> {
         self.objects.values().filter(|object| object.value.is_some())
     }
 
-    /// The objects changed after `known`, or `None` when only the whole configuration will do.
-    pub fn changed_after(&self, known: Revision) -> Option<Vec<ObjectState>> {
-        if known < self.deltas_from || known > self.revision {
+    /// The objects changed after revision `since`, or `None` if a delta is not possible and the whole configuration
+    /// must be sent.
+    pub fn changed_after(&self, since: Revision) -> Option<Vec<ObjectState>> {
+        if since < self.compacted_revision || since > self.revision {
             return None;
         }
-        let changed = self.by_revision.range(known.next()..);
+        let changed = self.by_revision.range(since.next()..);
         Some(changed.filter_map(|(_, name)| self.objects.get(name)).cloned().collect())
     }
 
-    /// A template.
+    /// Looks up a template.
     pub fn template(&self, id: &TemplateId) -> Option<&Template> {
         match self.objects.get(&ObjectName::Template(id.clone()))?.value.as_ref()? {
             ObjectValue::Template(template) => Some(template),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Every tenant.
+    /// All tenants.
     pub fn tenants(&self) -> impl Iterator<Item = (&TenantId, &Tenant)> {
         self.objects.iter().filter_map(|(name, state)| match (name, state.value.as_ref()?) {
             (ObjectName::Tenant(id), ObjectValue::Tenant(tenant)) => Some((id, tenant)),
@@ -76,7 +77,7 @@
         })
     }
 
-    /// A tenant's parameters.
+    /// A tenant's parameters, resolved with its template.
     pub fn parameters(&self, id: &TenantId) -> Option<TenantParameters> {
         match self.objects.get(&ObjectName::Tenant(id.clone()))?.value.as_ref()? {
             ObjectValue::Tenant(tenant) => {
@@ -99,12 +100,12 @@
         self.by_revision.insert(self.revision, name.clone());
         let state = ObjectState { name: name.clone(), revision: self.revision, value };
         self.objects.insert(name, state);
-        self.forget_tombstones();
+        self.compact_tombstones();
         self.revision
     }
 
-    fn forget_tombstones(&mut self) {
-        while self.tombstones.len() > TOMBSTONES_KEPT {
+    fn compact_tombstones(&mut self) {
+        while self.tombstones.len() > MAX_TOMBSTONES {
             let Some(name) = self.tombstones.pop_front() else {
                 return;
             };
@@ -112,23 +113,23 @@
             if let Some(revision) = deleted {
                 self.objects.remove(&name);
                 self.by_revision.remove(&revision);
-                self.deltas_from = self.deltas_from.max(revision);
+                self.compacted_revision = self.compacted_revision.max(revision);
             }
         }
     }
 
-    /// The first answer given under `key`.
-    pub fn answer(&self, key: &IdempotencyKey) -> Option<&StoredAnswer> {
-        self.answers.get(key)
+    /// The stored outcome of the change with this idempotency key.
+    pub fn stored_outcome(&self, key: &IdempotencyKey) -> Option<&StoredOutcome> {
+        self.outcomes.get(key)
     }
 
-    /// Remembers the first answer given under `key`.
-    pub fn remember_answer(&mut self, key: IdempotencyKey, answer: StoredAnswer) {
-        self.answers.insert(key.clone(), answer);
-        self.answer_order.push_back(key);
-        while self.answer_order.len() > ANSWERS_KEPT {
-            if let Some(oldest) = self.answer_order.pop_front() {
-                self.answers.remove(&oldest);
+    /// Stores the outcome of the change with this idempotency key.
+    pub fn store_outcome(&mut self, key: IdempotencyKey, outcome: StoredOutcome) {
+        self.outcomes.insert(key.clone(), outcome);
+        self.outcome_order.push_back(key);
+        while self.outcome_order.len() > MAX_STORED_OUTCOMES {
+            if let Some(oldest) = self.outcome_order.pop_front() {
+                self.outcomes.remove(&oldest);
             }
         }
     }
--- a/crates/control/src/state/engine_subset.rs
+++ b/crates/control/src/state/engine_subset.rs
@@ -1,89 +1,87 @@
-//! Which engines each relay is told of.
+//! Deterministic subsetting: which engines each relay receives.
 //!
-//! A relay needs a few dozen engines of a service, not all: each of 836 relays that knew each of 10,000 engines would be
-//! told a megabyte at its start, 13 s of the leader's link for all of them. Engines and relays stand at positions that
-//! follow from their names; a relay is told of the engines whose positions begin with the same bits as its own. How many
-//! bits follows from how many engines a place has: more of the relay's own zone, some of each other zone in case that the
-//! own one is lost. Where there are few engines, every relay is told of all.
+//! Engines and relays are hashed by name to 64-bit positions. A relay receives the engines whose positions share a
+//! prefix with its own. The prefix grows with the number of engines in the place, and is shorter for the relay's own
+//! zone than for other zones, whose engines serve as failover. In a small place every relay receives all engines. This
+//! bounds the size of full updates when many relays connect to the leader at once.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::gateway::EnginePlace;
 use saddlerelay_types::instance::InstanceId;
 
-/// Most engines of a place in the relay's own zone that it is told of, before a quarter of them has to do. 128 engines of 6
-/// slots serve some thousand requests a second of 25 ms at half load; the largest deployment whose relays knew all of a
-/// place's engines had 26 of them.
-const MOST_NEAR: usize = 128;
+/// Average subset size in the relay's own zone above which the prefix grows.
+const MAX_LOCAL_ENGINES: usize = 128;
 
-/// Fewest of them, before four times as many are told: half of what is left right after a division, so that a place whose
-/// size goes up and down does not change its share each time.
-const LEAST_NEAR: usize = 16;
+/// Average subset size in the relay's own zone below which the prefix shrinks. Half of the size right after the prefix
+/// has grown, as hysteresis against small changes of a place's size.
+const MIN_LOCAL_ENGINES: usize = 16;
 
-/// Likewise for a place in another zone.
-const MOST_FAR: usize = 32;
+/// As [`MAX_LOCAL_ENGINES`], for each other zone.
+const MAX_REMOTE_ENGINES: usize = 32;
 
-/// Likewise for a place in another zone.
-const LEAST_FAR: usize = 4;
+/// As [`MIN_LOCAL_ENGINES`], for each other zone.
+const MIN_REMOTE_ENGINES: usize = 4;
 
-/// Bits by which a share changes at once: a quarter, or four times as many.
+/// Bits by which a prefix grows or shrinks at once; 2 bits change the subset by a factor of four.
 const STEP_BITS: u8 = 2;
 
-/// Where a name stands among all: the same for everyone who works it out.
+/// Hash position of an engine's or relay's name; the same on every node.
 pub fn position(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
 
-/// Where an engine stands.
+/// Hash position of an engine; all starts of an engine have the same one.
 pub(super) fn engine_position(id: &InstanceId) -> u64 {
     position(&id.name)
 }
 
-/// Where a relay stands.
+/// The zone and hash position of a relay, which determine its subset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelayPlace<'a> {
-    /// Its zone.
+    /// The relay's zone.
     pub zone: &'a str,
-    /// Its position.
+    /// Hash position of the relay's name.
     pub position: u64,
 }
 
 impl<'a> RelayPlace<'a> {
-    /// The place of a relay of this name.
+    /// Computes the position from the relay's name.
     pub fn new(name: &str, zone: &'a str) -> Self {
         Self { zone, position: position(name) }
     }
 }
 
-/// The part of a place's engines that a relay is told of: one in two to the power of so many.
+/// Lengths in bits of the position prefix that an engine of a place must share with a relay. With n bits a relay
+/// receives about one engine in 2^n.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub(super) struct Shares {
-    near_bits: u8,
-    far_bits: u8,
+pub(super) struct SubsetPrefixes {
+    local_bits: u8,
+    remote_bits: u8,
 }
 
-impl Shares {
-    /// Follows a place that has `engines` now; returns whether a share has changed.
-    pub fn follow(&mut self, engines: usize) -> bool {
+impl SubsetPrefixes {
+    /// Adjusts the prefixes to the current number of engines; returns whether one changed.
+    pub fn update(&mut self, engines: usize) -> bool {
         let before = *self;
-        self.near_bits = bits_for(self.near_bits, engines, LEAST_NEAR, MOST_NEAR);
-        self.far_bits = bits_for(self.far_bits, engines, LEAST_FAR, MOST_FAR);
+        self.local_bits = bits_for(self.local_bits, engines, MIN_LOCAL_ENGINES, MAX_LOCAL_ENGINES);
+        self.remote_bits = bits_for(self.remote_bits, engines, MIN_REMOTE_ENGINES, MAX_REMOTE_ENGINES);
         *self != before
     }
 
-    /// The positions of the engines at `place` that `relay` is told of, first and last.
+    /// First and last position, inclusive, of the engines at `place` in the subset of `relay`.
     pub fn range(self, place: &EnginePlace, relay: RelayPlace<'_>) -> (u64, u64) {
-        let bits = if place.zone == relay.zone { self.near_bits } else { self.far_bits };
-        let rest = u64::MAX.checked_shr(u32::from(bits)).unwrap_or(0);
-        (relay.position & !rest, relay.position | rest)
+        let bits = if place.zone == relay.zone { self.local_bits } else { self.remote_bits };
+        let suffix_mask = u64::MAX.checked_shr(u32::from(bits)).unwrap_or(0);
+        (relay.position & !suffix_mask, relay.position | suffix_mask)
     }
 }
 
-fn bits_for(mut bits: u8, engines: usize, least: usize, most: usize) -> u8 {
-    let told = |bits: u8| engines >> bits;
-    while told(bits) > most {
+fn bits_for(mut bits: u8, engines: usize, min: usize, max: usize) -> u8 {
+    let subset_size = |bits: u8| engines >> bits;
+    while subset_size(bits) > max {
         bits += STEP_BITS;
     }
-    while bits > 0 && told(bits) < least {
+    while bits > 0 && subset_size(bits) < min {
         bits -= STEP_BITS;
     }
     bits
--- a/crates/control/src/state/jobs.rs
+++ b/crates/control/src/state/jobs.rs
@@ -7,95 +7,95 @@
 };
 use std::collections::BTreeMap;
 
-/// Most bytes of text in one page of results, unless a single result is larger.
-const PAGE_BYTES: usize = 900_000;
+/// Maximum bytes of text in one page of results, unless a single result is larger.
+const MAX_PAGE_BYTES: usize = 900_000;
 
-/// Ended jobs in which a later one looks for texts of its items.
-const PREDECESSORS_USED: usize = 3;
+/// Maximum number of ended jobs whose texts a later job may reuse.
+const MAX_PREDECESSORS: usize = 3;
 
-/// Jobs after which the partial texts of an ended one are forgotten.
-const PARTIALS_KEPT: u64 = 16;
+/// Number of later submissions after which the partial texts of an ended job are dropped.
+const PARTIAL_TEXT_RETENTION_JOBS: u64 = 16;
 
-/// Tells whether an item of another job is the same request.
+/// Digest of an item's path and body, to find the same request in other jobs.
 pub fn request_digest(item: &JobItem) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(&item.body, xxhash_rust::xxh3::xxh3_64(item.path.as_bytes()))
 }
 
-/// An item's result, with the place of its text.
+/// A published result of an item. Its text is stored in the text archive.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ListedItem {
     /// The item's index in the job.
     pub item: u32,
     /// How it ended.
     pub end: ItemEnd,
-    /// Where its text stands.
+    /// Location of its text in the archive.
     pub text: TextPlace,
-    /// Events of its text.
+    /// Number of events in its text.
     pub events: u32,
-    /// The weight versions that made an event of the text, ascending.
+    /// The weight versions that generated the text's events, ascending.
     pub versions: Vec<u64>,
-    /// The stamp of its scorer's answer, where the item names a scorer.
+    /// The stamp of the scorer's response, if the item names a scorer.
     pub score: Option<String>,
 }
 
-/// The events of a text: line feeds part them.
-fn events_of(text: &[u8]) -> u32 {
+/// Counts the events of a text, which are separated by line feeds.
+fn count_events(text: &[u8]) -> u32 {
     if text.is_empty() { 0 } else { text.iter().filter(|byte| **byte == b'\n').count() as u32 + 1 }
 }
 
-/// One job.
+/// A batch job.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Job {
-    /// What was handed in. Items that are listed have lost headers, bodies and scorers: nothing needs them any more.
+    /// The submission. Headers, body and scorer of an item are cleared when its result is listed.
     pub submission: JobSubmission,
-    /// For each item, what tells whether another job's is the same request.
+    /// The request digest of each item, by index.
     pub(super) digests: Vec<u64>,
-    /// The results at their positions.
+    /// Listed results, in the order of their positions.
     pub(super) results: Vec<ListedItem>,
-    /// For each item, whether it stands among the results.
+    /// Whether each item, by index, has a listed result.
     pub(super) listed: Vec<bool>,
-    /// Texts of items without a result.
+    /// Partial texts of items without a result, by item index.
     pub(super) partial: BTreeMap<u32, PartialText>,
-    /// Nothing of it runs any more.
+    /// Set by [`JobTable::end`]; no further results or texts are accepted.
     pub(super) ended: bool,
-    /// Readable until then, in the state's time.
+    /// Unix milliseconds after which the job is dropped once it has ended, by the state's time.
     pub(super) keep_until: u64,
-    /// Counts jobs as they were taken.
+    /// Submission number, ascending.
     pub(super) order: u64,
 }
 
 impl Job {
-    /// The results at their positions.
+    /// Listed results, in the order of their positions.
     pub fn results(&self) -> &[ListedItem] {
         &self.results
     }
 
-    /// What tells whether another job's item is the same request as the one at `index`.
+    /// The request digest of the item at `index`.
     pub fn digest(&self, index: u32) -> Option<u64> {
         self.digests.get(index as usize).copied()
     }
 
-    /// Its place among all jobs, as they were taken.
+    /// Submission number; a later job has a higher one.
     pub fn order(&self) -> u64 {
         self.order
     }
 
-    /// Whether nothing of it runs any more.
+    /// Whether the job has ended.
     pub fn is_ended(&self) -> bool {
         self.ended
     }
 
-    /// Whether the item at `index` has a result.
+    /// Whether the item at `index` has a listed result; `true` if there is no such item.
     pub fn is_listed(&self, index: u32) -> bool {
         self.listed.get(index as usize).copied().unwrap_or(true)
     }
 
-    /// What is held of the text of an item without a result.
+    /// The partial text of an item without a result.
     pub fn partial_text(&self, index: u32) -> Option<&PartialText> {
         self.partial.get(&index)
     }
 
-    /// The result of a completed item.
+    /// The listed result of an item that completed successfully.
     pub fn completed(&self, index: u32) -> Option<&ListedItem> {
         self.results.iter().find(|result| result.item == index && result.end == ItemEnd::Completed)
     }
@@ -106,30 +106,30 @@
         items.filter(|(index, _)| !self.is_listed(*index))
     }
 
-    /// The results of a page that begins at position `after`.
+    /// The results of the page that starts at position `after`.
     fn page(&self, after: u64) -> &[ListedItem] {
         let start = usize::try_from(after).unwrap_or(usize::MAX).min(self.results.len());
         let mut bytes = 0;
         let fits = |result: &&ListedItem| {
             let is_first = bytes == 0;
             bytes += result.text.length().max(1);
-            is_first || bytes <= PAGE_BYTES
+            is_first || bytes <= MAX_PAGE_BYTES
         };
         let count = self.results[start..].iter().take_while(fits).count();
         &self.results[start..start + count]
     }
 }
 
-/// Every job.
+/// All batch jobs.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct JobTable {
     pub(super) jobs: BTreeMap<JobId, Job>,
-    pub(super) taken: u64,
+    pub(super) submission_count: u64,
     pub(super) texts: TextArchive,
 }
 
 impl JobTable {
-    /// A job.
+    /// Looks up a job.
     pub fn get(&self, id: &JobId) -> Option<&Job> {
         self.jobs.get(id)
     }
@@ -139,13 +139,13 @@
         &self.texts
     }
 
-    /// The texts of all results, to release what is on disk.
+    /// The texts of all results, to release segments that are on disk.
     pub fn texts_mut(&mut self) -> &mut TextArchive {
         &mut self.texts
     }
 
-    /// Results of a job from position `after` on, or the texts that have to be loaded for them first. `None` if there is no
-    /// such job.
+    /// The page of results that starts at position `after`, or the locations of texts that must first be read from
+    /// disk. `None` if there is no such job.
     pub fn page(&self, id: &JobId, after: u64, loaded: &LoadedTexts) -> Option<Result<ResultPage, Vec<TextPlace>>> {
         let job = self.jobs.get(id)?;
         let mut results = Vec::new();
@@ -173,16 +173,16 @@
         Some(Ok(ResultPage { total: job.submission.items.len() as u64, next, results }))
     }
 
-    /// The jobs that still run.
+    /// Jobs that have not ended.
     pub fn open(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.jobs.iter().filter(|(_, job)| !job.ended)
     }
 
-    /// Keeps a job; one that is known already stays as it is.
+    /// Adds a job; a job with the same id is left unchanged. `now` is in Unix milliseconds.
     pub fn submit(&mut self, submission: JobSubmission, now: u64, keep_ms: u64) {
         self.drop_expired(now);
-        self.taken += 1;
-        let order = self.taken;
+        self.submission_count += 1;
+        let order = self.submission_count;
         let new = || Job {
             listed: vec![false; submission.items.len()],
             digests: submission.items.iter().map(request_digest).collect(),
@@ -199,17 +199,18 @@
     fn drop_expired(&mut self, now: u64) {
         let expired = |job: &Job| job.ended && job.keep_until <= now;
         for listed in self.jobs.values().filter(|job| expired(job)).flat_map(|job| &job.results) {
-            self.texts.forget(&listed.text);
+            self.texts.remove_reference(&listed.text);
         }
         self.jobs.retain(|_, job| !expired(job));
-        let oldest_used = self.taken.saturating_sub(PARTIALS_KEPT);
-        for job in self.jobs.values_mut().filter(|job| job.ended && job.order < oldest_used) {
+        let oldest_retained = self.submission_count.saturating_sub(PARTIAL_TEXT_RETENTION_JOBS);
+        for job in self.jobs.values_mut().filter(|job| job.ended && job.order < oldest_retained) {
             job.partial.clear();
         }
     }
 
-    /// Keeps parts of texts; those of listed items, and those that do not follow what is held, change nothing.
-    pub fn keep_texts(&mut self, id: &JobId, parts: &[TextPart]) -> bool {
+    /// Appends parts to partial texts. Parts of listed items, and parts that do not continue the recorded text, are
+    /// ignored. `false` if there is no such open job.
+    pub fn append_partial_texts(&mut self, id: &JobId, parts: &[TextPart]) -> bool {
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.ended) else {
             return false;
         };
@@ -221,8 +222,8 @@
         true
     }
 
-    /// Lists results at the next positions. An item is listed once, and nothing is listed after the end. Returns the
-    /// items whose texts cannot be made whole, or `None` if there is no such open job.
+    /// Lists results at the next positions; outcomes of items that are already listed are ignored. Returns the items
+    /// whose text is missing an earlier part, or `None` if there is no such open job.
     pub fn list(&mut self, id: &JobId, outcomes: Vec<ItemOutcome>) -> Option<Vec<u32>> {
         let job = self.jobs.get_mut(id).filter(|job| !job.ended)?;
         let mut missing = Vec::new();
@@ -237,15 +238,15 @@
                 continue;
             }
             job.listed[item as usize] = true;
-            let kept = &mut job.submission.items[item as usize];
-            kept.headers = Vec::new();
-            kept.body = Vec::new();
-            kept.scorer = None;
+            let listed_item = &mut job.submission.items[item as usize];
+            listed_item.headers = Vec::new();
+            listed_item.body = Vec::new();
+            listed_item.scorer = None;
             job.results.push(ListedItem {
                 item,
                 end: outcome.end,
                 text: self.texts.append(&text.data),
-                events: events_of(&text.data),
+                events: count_events(&text.data),
                 versions: text.versions,
                 score: outcome.score,
             });
@@ -253,10 +254,10 @@
         Some(missing)
     }
 
-    /// The latest jobs before `id` that the same tenant has sent to the same place and that have ended, newest first.
+    /// The newest ended jobs submitted before `id` with the same owner, host and parent path, newest first.
     pub fn predecessors<'a>(&'a self, id: &JobId) -> impl Iterator<Item = &'a Job> + use<'a> {
         let job = self.jobs.get(id);
-        let same_place = move |other: &&Job| {
+        let same_target = move |other: &&Job| {
             job.is_some_and(|job| {
                 other.ended
                     && other.order < job.order
@@ -266,18 +267,18 @@
                         == job.submission.path.rsplit_once('/').map(|parts| parts.0)
             })
         };
-        let mut found: Vec<&Job> = self.jobs.values().filter(same_place).collect();
+        let mut found: Vec<&Job> = self.jobs.values().filter(same_target).collect();
         found.sort_by_key(|job| std::cmp::Reverse(job.order));
-        found.into_iter().take(PREDECESSORS_USED)
+        found.into_iter().take(MAX_PREDECESSORS)
     }
 
-    /// Ends a job; `false` if there is none.
+    /// Ends a job; `false` if there is no such job.
     pub fn end(&mut self, id: &JobId) -> bool {
         let job = self.jobs.get_mut(id);
         job.map(|job| job.ended = true).is_some()
     }
 
-    /// The body of an item that is not listed, while its job is open.
+    /// The request body of an item without a listed result, if its job has not ended.
     pub fn body(&self, id: &JobId, item: &ItemId) -> Option<&[u8]> {
         let job = self.jobs.get(id).filter(|job| !job.ended)?;
         let mut open = job.open_items();
--- a/crates/control/src/state/level_one.rs
+++ b/crates/control/src/state/level_one.rs
@@ -1,7 +1,7 @@
-//! The state at level one: how it is written, and what only that level's commands do to it.
+//! Feature level one: the snapshot layout, and the state changes that only commands of that level make.
 //!
-//! At level one the state holds nothing that this level cannot write: no reports that wait, no usage, no wanted numbers of
-//! engines, no suspected work, no starts of engines. What is found faster today by indexes is made from the rest.
+//! At level one the state contains no pending reports, usage, wanted engine counts, suspicions or engine start times,
+//! which that level's layout cannot represent. Indexes that the layout lacks are rebuilt after decoding.
 
 use super::ControlState;
 use super::claims::ClaimTable;
@@ -24,7 +24,7 @@
 use saddlerelay_types::job::{JobId, PartialText};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The whole state, as released.
+/// The whole state in the layout of level one.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 struct StateOne {
     time: u64,
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 struct JobsOne {
     jobs: BTreeMap<JobId, JobOne>,
-    taken: u64,
+    submission_count: u64,
     texts: TextArchive,
 }
 
@@ -80,11 +80,11 @@
     order: u64,
 }
 
-/// A value that level one cannot write does not come into a state of that level.
-const UNSPEAKABLE: &str = "a state of level one holds what level one can write";
+/// Panic message for a state that was changed by commands of a later level.
+const NOT_REPRESENTABLE: &str = "a state at feature level one contains only values of that level's layout";
 
 impl ControlState {
-    /// The state as level one writes it.
+    /// Encodes the state in the layout of level one.
     pub fn encode_level_one(&self) -> Vec<u8> {
         bitcode::encode(&StateOne {
             time: self.time,
@@ -100,10 +100,10 @@
         })
     }
 
-    /// The state that level one has written.
+    /// Decodes a state from the layout of level one.
     pub fn decode_level_one(bytes: &[u8]) -> Result<Self, bitcode::Error> {
         let one: StateOne = bitcode::decode(bytes)?;
-        let (weights, orders) = one.weights.into_today();
+        let (weights, orders) = one.weights.into_current();
         Ok(Self {
             time: one.time,
             configuration: one.configuration,
@@ -111,30 +111,30 @@
             rollouts: one.rollouts,
             members: one.members,
             routing: RoutingState { current: one.routing.current.map(Into::into) },
-            instances: one.instances.into_today(),
+            instances: one.instances.into_current(),
             weights,
             orders,
-            jobs: one.jobs.into_today(),
+            jobs: one.jobs.into_current(),
             stores: one.stores,
             ..Self::default()
         })
     }
 
-    /// Leaves level one. What replicas may have come to in different ways, for example by a snapshot, is made anew from
-    /// what they hold in common, and relays are told all of it.
+    /// Leaves level one. State that may differ among replicas, such as silence marks, is rebuilt from the replicated
+    /// records, and relays get a full update.
     pub fn leave_level_one(&mut self) {
-        self.instances = InstancesOne::of(&self.instances).into_today();
+        self.instances = InstancesOne::of(&self.instances).into_current();
         self.instances.revision += 1;
-        self.instances.shares_revision = self.instances.revision;
+        self.instances.subset_revision = self.instances.revision;
     }
 }
 
 impl RoutingOne {
     fn of(routing: &RoutingState) -> Self {
-        let written = |document: &saddlerelay_types::routing::RoutingDocument| {
-            RoutingDocument::of(document.clone()).expect(UNSPEAKABLE)
+        let encode = |document: &saddlerelay_types::routing::RoutingDocument| {
+            RoutingDocument::of(document.clone()).expect(NOT_REPRESENTABLE)
         };
-        Self { current: routing.current.as_ref().map(written) }
+        Self { current: routing.current.as_ref().map(encode) }
     }
 }
 
@@ -142,7 +142,7 @@
     fn of(table: &InstanceTable) -> Self {
         let record = |record: &InstanceRecord| one::InstanceRecord::from(record.clone());
         Self {
-            records: table.records.iter().map(|(id, held)| (id.into(), record(held))).collect(),
+            records: table.records.iter().map(|(id, current)| (id.into(), record(current))).collect(),
             by_revision: table.by_revision.iter().map(|(revision, id)| (*revision, id.into())).collect(),
             gone: table.gone.iter().map(Into::into).collect(),
             gone_order: table.gone_order.iter().map(Into::into).collect(),
@@ -150,7 +150,7 @@
         }
     }
 
-    fn into_today(self) -> InstanceTable {
+    fn into_current(self) -> InstanceTable {
         let mut table = InstanceTable::default();
         table.by_revision = self.by_revision.into_iter().map(|(revision, id)| (revision, id.into())).collect();
         table.gone = self.gone.into_iter().map(Into::into).collect();
@@ -158,8 +158,8 @@
         table.revision = self.revision;
         for record in self.records.into_values() {
             let record = record.with_silence(false);
-            table.enter_place(&record);
-            table.follow_shares(&place_of(&record.report));
+            table.add_to_indexes(&record);
+            table.update_subset_prefixes(&place_of(&record.report));
             table.records.insert(record.report.id.clone(), record);
         }
         table
@@ -170,7 +170,7 @@
     fn of(weights: &WeightState, orders: &OrderState) -> Self {
         let note = |(subject, note): (&OrderSubject, &OrderNote)| match subject {
             OrderSubject::Engine(name) => (one::InstanceId(name.clone()), *note),
-            OrderSubject::UsageReports | OrderSubject::EngineCount(_) => panic!("{UNSPEAKABLE}"),
+            OrderSubject::UsageReports | OrderSubject::EngineCount(_) => panic!("{NOT_REPRESENTABLE}"),
         };
         Self {
             named: weights.named().clone(),
@@ -180,7 +180,7 @@
         }
     }
 
-    fn into_today(self) -> (WeightState, OrderState) {
+    fn into_current(self) -> (WeightState, OrderState) {
         let notes = self.order_notes.into_iter().map(|(id, note)| (OrderSubject::Engine(id.0), note)).collect();
         let orders = OrderState { holder: self.holder, notes, notes_taken: self.notes_taken };
         (WeightState { named: self.named }, orders)
@@ -191,21 +191,21 @@
     fn of(table: &JobTable) -> Self {
         Self {
             jobs: table.jobs.iter().map(|(id, job)| (id.clone(), JobOne::of(job))).collect(),
-            taken: table.taken,
+            submission_count: table.submission_count,
             texts: table.texts.clone(),
         }
     }
 
-    fn into_today(self) -> JobTable {
-        let jobs = self.jobs.into_iter().map(|(id, job)| (id, job.into_today())).collect();
-        JobTable { jobs, taken: self.taken, texts: self.texts }
+    fn into_current(self) -> JobTable {
+        let jobs = self.jobs.into_iter().map(|(id, job)| (id, job.into_current())).collect();
+        JobTable { jobs, submission_count: self.submission_count, texts: self.texts }
     }
 }
 
 impl JobOne {
     fn of(job: &Job) -> Self {
         Self {
-            submission: one::JobSubmission::of(job.submission.clone()).expect(UNSPEAKABLE),
+            submission: one::JobSubmission::of(job.submission.clone()).expect(NOT_REPRESENTABLE),
             digests: job.digests.clone(),
             results: job.results.clone(),
             listed: job.listed.clone(),
@@ -216,7 +216,7 @@
         }
     }
 
-    fn into_today(self) -> Job {
+    fn into_current(self) -> Job {
         Job {
             submission: self.submission.into(),
             digests: self.digests,
@@ -231,7 +231,8 @@
 }
 
 impl InstanceTable {
-    /// Takes a report as level one does: whatever names its service, and from anyone who names the instance.
+    /// Applies a report by the rules of level one, which check neither the routing document nor the service and address
+    /// of the recorded instance.
     pub fn take_report_level_one(&mut self, report: InstanceReport) {
         let is_news = match self.records.get(&report.id) {
             None => !self.gone.contains(&report.id),
@@ -251,17 +252,17 @@
         self.write(InstanceRecord { report, state, silent: false, revision: 0 });
     }
 
-    /// Level one keeps no silence on the log: the leader's own view of it stands in the records of its state alone.
-    pub fn mark_silence(&mut self, silent: &[InstanceId], heard: &[InstanceId]) {
-        let marks = silent.iter().map(|id| (id, true)).chain(heard.iter().map(|id| (id, false)));
+    /// Marks silent instances in the leader's own state. Level one does not replicate silence.
+    pub fn mark_silence(&mut self, silent: &[InstanceId], recovered: &[InstanceId]) {
+        let marks = silent.iter().map(|id| (id, true)).chain(recovered.iter().map(|id| (id, false)));
         for (id, is_silent) in marks {
             let Some(record) = self.records.get(id).filter(|record| record.state == InstanceState::Ready).cloned()
             else {
                 continue;
             };
-            self.leave_place(&record);
+            self.remove_from_indexes(&record);
             let marked = InstanceRecord { silent: is_silent, ..record };
-            self.enter_place(&marked);
+            self.add_to_indexes(&marked);
             self.records.insert(id.clone(), marked);
             if is_silent {
                 self.silent.insert(id.clone())
@@ -273,7 +274,7 @@
 }
 
 impl OrderState {
-    /// A holder notes orders that it is about to give.
+    /// Records orders that `holder` is about to send.
     pub fn note_level_one(&mut self, holder: ReplicaId, instances: Vec<one::InstanceId>) {
         for instance in instances {
             self.notes_taken += 1;
@@ -281,8 +282,8 @@
         }
     }
 
-    /// A replica becomes the holder; returns whether another one was it.
-    pub fn take_level_one(&mut self, holder: ReplicaId) -> bool {
+    /// Makes a replica the holder of orders; returns whether another replica was the holder.
+    pub fn set_holder_level_one(&mut self, holder: ReplicaId) -> bool {
         let before = self.holder.replace(holder);
         before.is_some_and(|before| before != holder)
     }
--- a/crates/control/src/state/members.rs
+++ b/crates/control/src/state/members.rs
@@ -1,14 +1,14 @@
-//! Relays and engines.
+//! Membership of relays and engines.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::identity::{EngineId, Fence, Incarnation};
 use saddlerelay_types::membership::{EngineRecord, RelayDescription};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Lost relay incarnations remembered: many times what a day brings at the size planned for.
-const LOST_KEPT: usize = 8192;
+/// Maximum number of lost relay incarnations that are recorded; the oldest is evicted.
+const MAX_LOST_RELAYS: usize = 8192;
 
-/// The tables.
+/// Relays and engines, and the counter of fencing tokens.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct MemberTable {
     relays: BTreeMap<Incarnation, RelayDescription>,
@@ -26,7 +26,7 @@
         &self.relays
     }
 
-    /// Whether this incarnation may act.
+    /// Whether this incarnation has joined and was not declared lost.
     pub fn is_live(&self, relay: Incarnation) -> bool {
         self.relays.contains_key(&relay)
     }
@@ -45,27 +45,27 @@
         true
     }
 
-    /// Declares a relay lost; `false` if it was not there.
+    /// Declares a relay lost; `false` if it is not a live member.
     pub fn lose_relay(&mut self, relay: Incarnation) -> bool {
-        let was_there = self.relays.remove(&relay).is_some();
-        if was_there {
+        let was_live = self.relays.remove(&relay).is_some();
+        if was_live {
             self.lost.insert(relay);
             self.lost_order.push_back(relay);
         }
-        while self.lost_order.len() > LOST_KEPT {
+        while self.lost_order.len() > MAX_LOST_RELAYS {
             if let Some(oldest) = self.lost_order.pop_front() {
                 self.lost.remove(&oldest);
             }
         }
-        was_there
+        was_live
     }
 
-    /// Every engine.
+    /// All engines.
     pub fn engines(&self) -> impl Iterator<Item = &EngineRecord> {
         self.engines.values()
     }
 
-    /// An engine.
+    /// Looks up an engine.
     pub fn engine(&self, id: &EngineId) -> Option<&EngineRecord> {
         self.engines.get(id)
     }
@@ -75,9 +75,9 @@
         self.engine_revision
     }
 
-    /// The engines changed after revision `known`.
-    pub fn engines_changed_after(&self, known: u64) -> Vec<EngineRecord> {
-        let changed = self.engines_by_revision.range(known + 1..);
+    /// The engines changed after revision `since`.
+    pub fn engines_changed_after(&self, since: u64) -> Vec<EngineRecord> {
+        let changed = self.engines_by_revision.range(since + 1..);
         changed.filter_map(|(_, id)| self.engines.get(id)).cloned().collect()
     }
 
@@ -92,8 +92,8 @@
         self.engines_by_revision.insert(self.engine_revision, id);
     }
 
-    /// Draws the next fence.
-    pub fn draw_fence(&mut self) -> Fence {
+    /// Issues the next fencing token.
+    pub fn issue_fence(&mut self) -> Fence {
         self.fence = self.fence.next();
         self.fence
     }
--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! The replicated state. Only `commands` change it.
+//! The replicated state. Only `commands` change it, except for local silence marks at feature level one and the cache
+//! of text segments.
 
 pub mod claims;
 pub mod configuration;
@@ -35,37 +36,37 @@
 use usage::UsageState;
 use weights::WeightState;
 
-/// Everything the control group keeps.
+/// The replicated state of the control group.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ControlState {
-    /// Unix milliseconds of the newest command; never goes back.
+    /// Highest leader time of any applied command, in Unix milliseconds.
     pub time: u64,
     /// Templates and tenants.
     pub configuration: ConfigurationStore,
-    /// Claims of keyed requests.
+    /// Claims of requests with an idempotency key.
     pub claims: ClaimTable,
     /// Trainers, steps and samples.
     pub rollouts: RolloutLedger,
     /// Relays and engines.
     pub members: MemberTable,
-    /// The routing document.
+    /// The current routing document.
     pub routing: RoutingState,
-    /// Engine instances that report themselves.
+    /// Registered engine instances.
     pub instances: InstanceTable,
-    /// Reports of engines whose service is not named yet.
+    /// Reports of engines whose service is not in the routing document.
     pub pending_instances: PendingInstances,
-    /// Weight versions that trainers have named.
+    /// Weight versions announced by trainers.
     pub weights: WeightState,
-    /// Who gives orders to engines and to the platform.
+    /// The holder of orders to engines and to the platform, and its order notes.
     pub orders: OrderState,
-    /// How many engines are wanted where.
+    /// Desired number of engines by service and zone.
     pub engine_counts: EngineCountState,
-    /// Requests that engines have begun, by tenant.
+    /// Number of requests that engines have started, by tenant.
     pub usage: UsageState,
     /// Batch jobs.
     pub jobs: JobTable,
-    /// Machines that keep the group's data.
+    /// Machines that store the group's data.
     pub stores: StoreTable,
-    /// Work under which engines have ended.
+    /// Work that was running on engines when they failed, and trial leases.
     pub suspicions: SuspicionTable,
 }
--- a/crates/control/src/state/orders.rs
+++ b/crates/control/src/state/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to engines and to the platform: which replica was about to give the newest one about each subject.
+//! Orders to engines and to the platform. Before a replica sends an order it records a note, so that the next holder
+//! can wait until an earlier order can no longer arrive.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::gateway::OrderSubject;
@@ -6,16 +7,16 @@
 use saddlerelay_types::instance::InstanceId;
 use std::collections::BTreeMap;
 
-/// That an order was about to be given.
+/// Record that a replica was about to send an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct OrderNote {
-    /// Who was to give it.
+    /// The replica that was about to send the order.
     pub holder: ReplicaId,
-    /// Counts notes; tells them apart.
+    /// Unique, ascending number of the note.
     pub number: u64,
 }
 
-/// The newest note of each subject.
+/// The holder of orders and the newest note of each subject.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct OrderState {
     pub(super) holder: Option<ReplicaId>,
@@ -24,7 +25,7 @@
 }
 
 impl OrderState {
-    /// Who noted an order last.
+    /// The replica that recorded the newest note.
     pub fn holder(&self) -> Option<ReplicaId> {
         self.holder
     }
@@ -34,12 +35,13 @@
         &self.notes
     }
 
-    /// How many notes there have been.
+    /// Number of notes recorded so far.
     pub fn notes_taken(&self) -> u64 {
         self.notes_taken
     }
 
-    /// Notes that `holder` is about to give orders about these subjects; returns whether another gave the orders before.
+    /// Records that `holder` is about to send orders about these subjects; returns whether another replica was the
+    /// holder.
     pub fn note(&mut self, holder: ReplicaId, subjects: Vec<OrderSubject>) -> bool {
         for subject in subjects {
             self.notes_taken += 1;
@@ -49,8 +51,8 @@
         before.is_some_and(|before| before != holder)
     }
 
-    /// Forgets an engine whose name never comes back.
-    pub fn forget_engine(&mut self, instance: &InstanceId) {
+    /// Removes the note of an engine whose name is not used again.
+    pub fn remove_engine(&mut self, instance: &InstanceId) {
         self.notes.remove(&OrderSubject::engine(instance));
     }
 }
--- a/crates/control/src/state/pending_instances.rs
+++ b/crates/control/src/state/pending_instances.rs
@@ -1,82 +1,81 @@
-//! Reports of engines whose service no routing document in force names: they wait here until one does.
+//! Reports of engines whose service is not in the current routing document.
 //!
-//! An engine may report before the first document, or before the one that names its service, and is to be found as soon as
-//! that is in force. A report with a service that is never named comes from another writer. Until its service is named a
-//! report therefore takes no address, no name and no place from any engine, and relays are not told of it.
+//! An engine may report before the document that names its service is applied; its report is kept here until then. A
+//! pending report does not replace any registered instance and is not sent to relays.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::instance::{InstanceId, InstanceReport};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Reports that are kept, the oldest give way: about 1 MB in each snapshot at most times. An engine whose report has given
-/// way is found with its first report after its service is named.
-const PENDING_KEPT: usize = 4_096;
+/// Maximum number of pending reports; the oldest is evicted. An engine whose report was evicted is registered by its
+/// next report after its service is named.
+const MAX_PENDING_REPORTS: usize = 4_096;
 
-/// An instance, and the service that it says it belongs to: what one writer says is not replaced by another's service.
+/// Instance and reported service. Reports of the same instance with different services are kept separately.
 type PendingKey = (InstanceId, String);
 
 fn key_of(report: &InstanceReport) -> PendingKey {
     (report.id.clone(), report.service.clone())
 }
 
-/// The reports that wait.
+/// The pending reports.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct PendingInstances {
     reports: BTreeMap<PendingKey, InstanceReport>,
-    /// The oldest first.
+    /// Insertion order, oldest first.
     order: VecDeque<PendingKey>,
 }
 
 impl PendingInstances {
-    /// Whether a report of this instance waits.
+    /// Whether a report of this instance is pending.
     pub fn holds(&self, id: &InstanceId) -> bool {
         let first = self.reports.range((id.clone(), String::new())..).next();
-        first.is_some_and(|((held, _), _)| held == id)
+        first.is_some_and(|((pending, _), _)| pending == id)
     }
 
-    /// How many reports wait.
+    /// Number of pending reports.
     pub fn len(&self) -> usize {
         self.reports.len()
     }
 
-    /// Whether none waits.
+    /// Whether no report is pending.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
 
-    /// Whether `report` would change anything.
+    /// Whether `report` would change the pending reports.
     pub fn is_news(&self, report: &InstanceReport) -> bool {
-        let held = self.reports.get(&key_of(report));
-        held.is_none_or(|held| report.leaving && !held.leaving && held.address == report.address)
+        let pending = self.reports.get(&key_of(report));
+        pending.is_none_or(|pending| report.leaving && !pending.leaving && pending.address == report.address)
     }
 
-    /// Keeps a report.
-    pub fn take(&mut self, report: InstanceReport) {
+    /// Adds or replaces a pending report.
+    pub fn insert(&mut self, report: InstanceReport) {
         let key = key_of(&report);
         if self.reports.insert(key.clone(), report).is_some() {
             return;
         }
         self.order.push_back(key);
-        while self.order.len() > PENDING_KEPT {
+        while self.order.len() > MAX_PENDING_REPORTS {
             if let Some(oldest) = self.order.pop_front() {
                 self.reports.remove(&oldest);
             }
         }
     }
 
-    /// Takes out the reports of services that are named now.
-    pub fn take_named(&mut self, is_named: impl Fn(&str) -> bool) -> Vec<InstanceReport> {
-        let (named, left) =
-            std::mem::take(&mut self.reports).into_iter().partition(|((_, service), _)| is_named(service));
-        self.reports = left;
+    /// Removes and returns the reports whose service matches.
+    pub fn take_matching(&mut self, matches: impl Fn(&str) -> bool) -> Vec<InstanceReport> {
+        let (matching, remaining) =
+            std::mem::take(&mut self.reports).into_iter().partition(|((_, service), _)| matches(service));
+        self.reports = remaining;
         self.order.retain(|key| self.reports.contains_key(key));
-        BTreeMap::into_values(named).collect()
+        BTreeMap::into_values(matching).collect()
     }
 
-    /// Forgets the starts of an engine up to this one.
+    /// Removes all starts of an engine up to and including this one.
     pub fn remove(&mut self, ended: &InstanceId) {
-        let of_name = self.of_name(&ended.name).into_iter();
-        let keys: Vec<PendingKey> = of_name.filter(|(id, _)| id <= ended).cloned().collect();
+        let starts = self.starts(&ended.name).into_iter();
+        let keys: Vec<PendingKey> = starts.filter(|(id, _)| id <= ended).cloned().collect();
         if keys.is_empty() {
             return;
         }
@@ -84,14 +83,14 @@
         self.order.retain(|key| self.reports.contains_key(key));
     }
 
-    /// The starts of an engine that wait, the newest last.
-    fn of_name(&self, name: &str) -> Vec<&PendingKey> {
+    /// Pending starts of an engine, oldest first.
+    fn starts(&self, name: &str) -> Vec<&PendingKey> {
         let from = (InstanceId::named(name), String::new());
         self.reports.range(from..).map(|(key, _)| key).take_while(|(id, _)| id.name == name).collect()
     }
 
-    /// The newest start under this name that waits.
+    /// The newest pending start under this name.
     pub fn newest_start(&self, name: &str) -> Option<&InstanceId> {
-        self.of_name(name).last().map(|(id, _)| id)
+        self.starts(name).last().map(|(id, _)| id)
     }
 }
--- a/crates/control/src/state/registration.rs
+++ b/crates/control/src/state/registration.rs
@@ -1,4 +1,5 @@
-//! Takes what engines report: into the table if a routing document in force names their service, to wait otherwise.
+//! Registration of reported engine instances. A report goes into the instance table if the current routing document
+//! names its service, and into the pending instances otherwise.
 
 use super::ControlState;
 use saddlerelay_types::instance::{InstanceId, InstanceReport};
@@ -6,16 +7,16 @@
 use std::cmp::Reverse;
 
 impl ControlState {
-    fn is_named(&self, service: &str) -> bool {
+    fn is_known_service(&self, service: &str) -> bool {
         self.routing.current().is_some_and(|document| document.service(service).is_some())
     }
 
-    /// Whether the table decides about `report`: it holds this start, or may take it in.
+    /// Whether `report` belongs to the instance table, not to the pending instances.
     fn belongs_in_table(&self, report: &InstanceReport) -> bool {
-        self.instances.get(&report.id).is_some() || self.is_named(&report.service)
+        self.instances.get(&report.id).is_some() || self.is_known_service(&report.service)
     }
 
-    /// Whether `report` would change what is held.
+    /// Whether `report` would change the state.
     pub fn is_news(&self, report: &InstanceReport) -> bool {
         if self.belongs_in_table(report) {
             self.instances.is_news(report)
@@ -24,18 +25,19 @@
         }
     }
 
-    /// Whether `report` is one of an instance that may be given work once it is committed: its silence is watched.
+    /// Whether `report` counts as a sign of life of a registered instance, or of one that is registered once the report
+    /// is committed.
     pub fn is_heard(&self, report: &InstanceReport) -> bool {
         let is_new = self.belongs_in_table(report) && self.instances.is_news(report);
-        is_new || self.instances.is_said_by_holder(report)
+        is_new || self.instances.is_from_recorded_instance(report)
     }
 
-    /// Whether anything is known of this start of an engine, also that it has ended.
+    /// Whether this start of an engine is registered, pending or ended.
     pub fn knows(&self, id: &InstanceId) -> bool {
         self.instances.get(id).is_some() || self.instances.has_ended(id) || self.pending_instances.holds(id)
     }
 
-    /// Takes a report.
+    /// Applies a report.
     pub fn take_report(&mut self, report: InstanceReport) {
         if !self.is_news(&report) {
             return;
@@ -43,11 +45,11 @@
         if self.belongs_in_table(&report) {
             self.instances.take_report(report);
         } else {
-            self.pending_instances.take(report);
+            self.pending_instances.insert(report);
         }
     }
 
-    /// Takes a routing document, and with it the engines whose service it is the first to name.
+    /// Applies a routing document, and registers the pending instances of services that it names.
     pub fn put_routing(&mut self, document: RoutingDocument) {
         if !self.routing.put(document) {
             return;
@@ -55,32 +57,35 @@
         let Some(document) = self.routing.current() else {
             return;
         };
-        let mut named = self.pending_instances.take_named(|service| document.service(service).is_some());
-        // The newest starts first: they have the name and the address.
-        named.sort_by_key(|report| Reverse(report.id.started_at_ms));
-        for report in named {
-            // It may have waited for long: whoever serves at its address since then keeps it. If it is there after all, its
-            // next report is taken.
-            if self.instances.holder(report.address).is_none() {
+        let mut reports = self.pending_instances.take_matching(|service| document.service(service).is_some());
+        // Newest start first, because the first one registered keeps the name and the address.
+        reports.sort_by_key(|report| Reverse(report.id.started_at_ms));
+        for report in reports {
+            // The pending report may be old, so it does not displace an instance that serves at its address now. If the
+            // engine still runs, its next report registers it.
+            if self.instances.instance_at(report.address).is_none() {
                 self.instances.take_report(report);
             }
         }
     }
 
-    /// An engine has said goodbye. One that does not tell which of its starts says it is the newest that is known; if none
-    /// is, every start until now.
-    pub fn remove_instance(&mut self, said: &InstanceId) {
+    /// Removes an instance that has deregistered. Without a start time in `deregistered`, this is the newest recorded
+    /// or pending start; if there is none, every start up to the state's current time.
+    pub fn remove_instance(&mut self, deregistered: &InstanceId) {
         let newest = || {
-            let known = self.instances.newest_start(&said.name).max(self.pending_instances.newest_start(&said.name));
-            known.cloned().unwrap_or_else(|| InstanceId::started(&*said.name, self.time))
+            let recorded = self
+                .instances
+                .newest_start(&deregistered.name)
+                .max(self.pending_instances.newest_start(&deregistered.name));
+            recorded.cloned().unwrap_or_else(|| InstanceId::started(&*deregistered.name, self.time))
         };
-        let ended = if said.started_at_ms.is_some() { said.clone() } else { newest() };
+        let ended = if deregistered.started_at_ms.is_some() { deregistered.clone() } else { newest() };
         self.pending_instances.remove(&ended);
         self.instances.remove(&ended);
-        // Where engines tell their starts, the next one has the name too, and an order given before may still reach it: its
-        // note stays, one for each name. Otherwise the name never comes back.
+        // With start times, the engine's next start has the same name and an earlier order may still reach it, so the
+        // order note is kept. Without them, the name is not used again.
         if ended.started_at_ms.is_none() {
-            self.orders.forget_engine(&ended);
+            self.orders.remove_engine(&ended);
         }
     }
 }
--- a/crates/control/src/state/rollouts.rs
+++ b/crates/control/src/state/rollouts.rs
@@ -1,93 +1,93 @@
-//! Trainers, steps and samples.
+//! Trainers, their steps and samples.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::identity::{Attempt, Incarnation, Position, StepNumber, TenantId, WeightVersion};
 use saddlerelay_types::rollout::{SampleAssignment, SampleId, SamplePayload, StepRequest, TrainerState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a sample stands.
+/// State of a sample.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum SamplePhase {
-    /// Waits for a relay.
+    /// Waiting to be assigned to a relay.
     Pending,
-    /// A relay runs it.
+    /// Assigned to a relay.
     Assigned(Incarnation),
-    /// Finished, without a place in the delivery order.
+    /// Finished, without a delivery position.
     Ready(SamplePayload),
-    /// Given a place, not yet acknowledged.
+    /// At a delivery position, not yet acknowledged by the trainer.
     Placed(Position, SamplePayload),
-    /// The trainer has it.
+    /// Acknowledged by the trainer.
     Received,
 }
 
-/// One sample.
+/// A sample of a step.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct SampleRecord {
-    /// The newest attempt.
+    /// Current attempt number.
     pub attempt: Attempt,
-    /// Where it stands.
+    /// Current state.
     pub phase: SamplePhase,
 }
 
-/// One step.
+/// A step of a trainer.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Step {
-    /// What was asked for.
+    /// The trainer's request.
     pub request: StepRequest,
-    /// The samples, by prompt and then by group member.
+    /// The samples, ordered by prompt and then by group member.
     pub samples: Vec<SampleRecord>,
-    /// Samples the trainer does not have yet.
+    /// Number of samples that the trainer has not acknowledged.
     pub outstanding: u32,
 }
 
-/// The place of a sample among a trainer's steps.
-pub type SamplePlace = (StepNumber, u32);
+/// Step and index within the step of a trainer's sample.
+pub type SampleKey = (StepNumber, u32);
 
-/// One trainer. A step is dropped once all of its samples are received.
+/// A trainer with its open steps. A step is dropped once all of its samples are acknowledged.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct TrainerRecord {
-    /// Where the trainer stands.
+    /// Incarnation, epoch, cursor, and newest version and step.
     pub state: TrainerState,
-    /// The staleness bound that placed samples were decided under.
+    /// The tenant's staleness bound, in weight versions.
     pub staleness_bound: u64,
-    /// Steps that are not wholly received.
+    /// Steps with unacknowledged samples.
     pub steps: BTreeMap<StepNumber, Step>,
-    /// Samples that wait for a relay, oldest step first.
-    pub pending: BTreeSet<SamplePlace>,
-    /// Finished samples without a place in the delivery order.
-    pub ready: BTreeSet<SamplePlace>,
-    /// Samples with a place, not yet acknowledged.
-    pub placed: BTreeMap<Position, SamplePlace>,
-    /// Places are to be taken back at the trainer's next fetch, whose cursor says what it has received.
+    /// Samples waiting for a relay, oldest step first.
+    pub pending: BTreeSet<SampleKey>,
+    /// Finished samples without a delivery position, oldest step first.
+    pub ready: BTreeSet<SampleKey>,
+    /// Unacknowledged samples by delivery position.
+    pub placed: BTreeMap<Position, SampleKey>,
+    /// Whether unacknowledged positions are withdrawn at the trainer's next fetch, after its cursor is applied.
     pub withdrawal_due: bool,
-    /// The answer to the newest publication, for a resend.
+    /// Response to the newest publication, for retries.
     pub last_publication: Option<TrainerState>,
 }
 
-/// What a relay was handed last, for a resend.
+/// A relay's samples, and its last assignment response for retries.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct RelayAssignments {
-    /// The newest request's number.
+    /// Sequence number of the newest request.
     pub sequence: u64,
-    /// Its answer.
-    pub answer: Vec<SampleAssignment>,
-    /// Everything the relay runs.
+    /// Response to the newest request.
+    pub response: Vec<SampleAssignment>,
+    /// All samples assigned to the relay.
     pub running: BTreeSet<SampleId>,
 }
 
-/// Every trainer.
+/// All trainers and the assignments of all relays.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct RolloutLedger {
-    /// By tenant.
+    /// Trainers by tenant.
     pub trainers: BTreeMap<TenantId, TrainerRecord>,
-    /// By relay.
+    /// Assignments by relay.
     pub assignments: BTreeMap<Incarnation, RelayAssignments>,
-    /// The tenant served first by the next assignment, so that none starves.
+    /// The tenant served first by the next assignment (round robin).
     pub next_tenant: Option<TenantId>,
 }
 
 impl TrainerRecord {
-    /// A trainer that has just opened for the first time.
+    /// A trainer without any steps.
     pub fn new(incarnation: Incarnation, staleness_bound: u64) -> Self {
         let state = TrainerState {
             incarnation,
@@ -108,85 +108,85 @@
         }
     }
 
-    /// The oldest version that may still be delivered.
+    /// The oldest weight version within the staleness bound.
     pub fn oldest_useful_version(&self) -> WeightVersion {
         WeightVersion(self.state.published.0.saturating_sub(self.staleness_bound))
     }
 
-    /// Whether `payload` may be delivered now.
+    /// Whether `payload` is within the staleness bound.
     pub fn is_fresh(&self, payload: &SamplePayload) -> bool {
         payload.oldest_version() >= self.oldest_useful_version()
     }
 
-    /// The sample at `place`.
-    pub fn sample_mut(&mut self, place: SamplePlace) -> Option<&mut SampleRecord> {
-        self.steps.get_mut(&place.0)?.samples.get_mut(place.1 as usize)
+    /// Looks up a sample.
+    pub fn sample_mut(&mut self, key: SampleKey) -> Option<&mut SampleRecord> {
+        self.steps.get_mut(&key.0)?.samples.get_mut(key.1 as usize)
     }
 
-    /// Drops a sample's result, if any, and asks for it again under the next attempt.
-    pub fn ask_again(&mut self, place: SamplePlace) {
-        if let Some(sample) = self.sample_mut(place) {
+    /// Drops a sample's result, if any, and requeues the sample with the next attempt number.
+    pub fn requeue(&mut self, key: SampleKey) {
+        if let Some(sample) = self.sample_mut(key) {
             sample.attempt = sample.attempt.next();
             sample.phase = SamplePhase::Pending;
-            self.ready.remove(&place);
-            self.pending.insert(place);
+            self.ready.remove(&key);
+            self.pending.insert(key);
         }
     }
 
-    /// Takes back every place the trainer has not acknowledged; answers that carry them are void.
+    /// Withdraws all unacknowledged positions, and increments the epoch, which invalidates deliveries that carry them.
     pub fn withdraw_placed(&mut self) {
-        for (_, place) in std::mem::take(&mut self.placed) {
-            if let Some(sample) = self.sample_mut(place)
+        for (_, key) in std::mem::take(&mut self.placed) {
+            if let Some(sample) = self.sample_mut(key)
                 && let SamplePhase::Placed(_, payload) = &sample.phase
             {
                 sample.phase = SamplePhase::Ready(payload.clone());
-                self.ready.insert(place);
+                self.ready.insert(key);
             }
         }
         self.state.epoch = self.state.epoch.next();
         self.withdrawal_due = false;
-        self.drop_stale();
+        self.requeue_stale();
     }
 
-    /// Asks again for every finished sample that is too old by now.
-    pub fn drop_stale(&mut self) {
-        let stale: Vec<SamplePlace> = self.ready.iter().copied().filter(|place| !self.ready_is_fresh(*place)).collect();
-        for place in stale {
-            self.ask_again(place);
+    /// Requeues finished samples that exceed the staleness bound.
+    pub fn requeue_stale(&mut self) {
+        let stale: Vec<SampleKey> = self.ready.iter().copied().filter(|key| !self.ready_is_fresh(*key)).collect();
+        for key in stale {
+            self.requeue(key);
         }
     }
 
-    fn ready_is_fresh(&self, place: SamplePlace) -> bool {
-        let sample = self.steps.get(&place.0).and_then(|step| step.samples.get(place.1 as usize));
+    fn ready_is_fresh(&self, key: SampleKey) -> bool {
+        let sample = self.steps.get(&key.0).and_then(|step| step.samples.get(key.1 as usize));
         match sample.map(|sample| &sample.phase) {
             Some(SamplePhase::Ready(payload)) => self.is_fresh(payload),
             _ => false,
         }
     }
 
-    /// Records that the trainer has everything up to `cursor`.
+    /// Marks all samples up to position `cursor` as received.
     pub fn acknowledge(&mut self, cursor: Position) {
         let later = self.placed.split_off(&cursor.next());
-        for (_, place) in std::mem::replace(&mut self.placed, later) {
-            self.receive(place);
+        for (_, key) in std::mem::replace(&mut self.placed, later) {
+            self.mark_received(key);
         }
         self.state.cursor = self.state.cursor.max(cursor);
     }
 
-    fn receive(&mut self, place: SamplePlace) {
-        if let Some(sample) = self.sample_mut(place) {
+    fn mark_received(&mut self, key: SampleKey) {
+        if let Some(sample) = self.sample_mut(key) {
             sample.phase = SamplePhase::Received;
         }
-        let Some(step) = self.steps.get_mut(&place.0) else {
+        let Some(step) = self.steps.get_mut(&key.0) else {
             return;
         };
         step.outstanding -= 1;
         if step.outstanding == 0 {
-            self.steps.remove(&place.0);
+            self.steps.remove(&key.0);
         }
     }
 
-    /// The highest position handed out.
+    /// The highest delivery position assigned so far.
     pub fn last_placed(&self) -> Position {
         self.placed.last_key_value().map_or(self.state.cursor, |(position, _)| *position)
     }
--- a/crates/control/src/state/routing.rs
+++ b/crates/control/src/state/routing.rs
@@ -1,28 +1,28 @@
-//! The routing document in force.
+//! The current routing document.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::routing::RoutingDocument;
 
-/// Holds the document with the highest version.
+/// The routing document with the highest version.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct RoutingState {
     pub(super) current: Option<RoutingDocument>,
 }
 
 impl RoutingState {
-    /// The document in force.
+    /// The current document.
     pub fn current(&self) -> Option<&RoutingDocument> {
         self.current.as_ref()
     }
 
-    /// The version in force.
+    /// The version of the current document.
     pub fn version(&self) -> Option<u64> {
         self.current.as_ref().map(|document| document.version)
     }
 
-    /// Takes `document` if its version is higher than the one held; returns whether it was.
+    /// Replaces the current document if `document` has a higher version; returns whether it was replaced.
     pub fn put(&mut self, document: RoutingDocument) -> bool {
-        let newer = self.version().is_none_or(|held| document.version > held);
+        let newer = self.version().is_none_or(|current| document.version > current);
         if newer {
             self.current = Some(document);
         }
--- a/crates/control/src/state/stores.rs
+++ b/crates/control/src/state/stores.rs
@@ -1,4 +1,4 @@
-//! The machines that keep the group's data, by name, and those that are being emptied.
+//! The machines that store the group's data, and their retirement.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::gateway::StoreRecord;
@@ -6,63 +6,63 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How far a machine's retirement is.
+/// Retirement state of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Retirement {
-    /// Not asked for.
+    /// Not requested.
     None,
-    /// Its replica is to be replaced.
+    /// Requested; the machine's replica is being replaced.
     Running,
-    /// It holds nothing that anyone needs.
+    /// The machine's replica was removed; the machine holds no data that is still needed.
     Completed,
 }
 
-/// One machine.
+/// A registered machine.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Store {
-    /// What it told of itself.
+    /// The record that the machine registered.
     pub record: StoreRecord,
-    /// How far its retirement is.
+    /// Current state of its retirement.
     pub retirement: Retirement,
 }
 
-/// Every machine that ever introduced itself.
+/// All machines that were ever registered, by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct StoreTable {
     stores: BTreeMap<String, Store>,
 }
 
 impl StoreTable {
-    /// A machine.
+    /// Looks up a machine.
     pub fn get(&self, name: &str) -> Option<&Store> {
         self.stores.get(name)
     }
 
-    /// Whether this is what the table holds.
+    /// Whether this record is already registered without changes.
     pub fn holds(&self, record: &StoreRecord) -> bool {
         self.stores.get(&record.name).is_some_and(|store| store.record == *record)
     }
 
-    /// Takes what a machine tells of itself; its retirement stands.
+    /// Registers a machine or updates its record; its retirement state is kept.
     pub fn register(&mut self, record: StoreRecord) {
         let retirement = self.stores.get(&record.name).map_or(Retirement::None, |store| store.retirement);
         self.stores.insert(record.name.clone(), Store { record, retirement });
     }
 
-    /// Where the replicas of machines in `zone`, or in any, listen that are not being emptied.
+    /// Replica addresses of machines without a retirement, in `zone` or, with `None`, in all zones.
     pub fn addresses<'a>(&'a self, zone: Option<&'a str>) -> impl Iterator<Item = SocketAddr> + 'a {
-        let staying = self.stores.values().filter(|store| store.retirement == Retirement::None);
-        let there = staying.filter(move |store| zone.is_none_or(|zone| store.record.zone == zone));
-        there.map(|store| store.record.address)
+        let active = self.stores.values().filter(|store| store.retirement == Retirement::None);
+        let in_zone = active.filter(move |store| zone.is_none_or(|zone| store.record.zone == zone));
+        in_zone.map(|store| store.record.address)
     }
 
-    /// Where the replicas of machines listen that have not been taken away, also of those that are being emptied.
+    /// Replica addresses of machines whose retirement is not completed.
     pub fn present(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         let present = self.stores.values().filter(|store| store.retirement != Retirement::Completed);
         present.map(|store| store.record.address)
     }
 
-    /// Begins a retirement; `false` for an unknown machine.
+    /// Starts a retirement; `false` for an unknown machine.
     pub fn retire(&mut self, name: &str) -> bool {
         let Some(store) = self.stores.get_mut(name) else {
             return false;
@@ -73,20 +73,20 @@
         true
     }
 
-    /// Ends a retirement.
+    /// Completes a retirement; `false` unless one is running.
     pub fn complete(&mut self, name: &str) -> bool {
         let store = self.stores.get_mut(name).filter(|store| store.retirement == Retirement::Running);
         store.map(|store| store.retirement = Retirement::Completed).is_some()
     }
 
-    /// Machines in this stage of retirement.
+    /// Machines in this retirement state.
     pub fn in_stage(&self, stage: Retirement) -> impl Iterator<Item = &StoreRecord> {
         self.stores.values().filter(move |store| store.retirement == stage).map(|store| &store.record)
     }
 
-    /// Replicas that are not to be members.
+    /// Replicas of machines whose retirement was requested or completed; they must not be members.
     pub fn unwanted_replicas(&self) -> impl Iterator<Item = ReplicaId> {
-        let unwanted = self.stores.values().filter(|store| store.retirement != Retirement::None);
-        unwanted.map(|store| store.record.replica)
+        let retiring = self.stores.values().filter(|store| store.retirement != Retirement::None);
+        retiring.map(|store| store.record.replica)
     }
 }
--- a/crates/control/src/state/text_archive.rs
+++ b/crates/control/src/state/text_archive.rs
@@ -1,26 +1,25 @@
-//! The texts of listed results: bytes that never change again, kept outside snapshots.
+//! Append-only archive of the texts of listed results.
 //!
-//! Texts are appended in the order of the log. Whenever enough have come they are sealed as a segment, which replication
-//! writes to a file of its own. Memory keeps the newest segments only.
+//! Texts are appended in log order to an open segment, which is part of the snapshot. A full segment is sealed, and
+//! replication writes it to a separate file. Only the newest sealed segments stay in memory.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_replication::segments::Segment;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Bytes that are sealed together: large beside what a file costs, small beside what a replica reads between heartbeats.
+/// Size in bytes at which the open segment is sealed.
 const SEGMENT_BYTES: usize = 1024 * 1024;
 
-/// Bytes of segments that stay in memory although they are on disk: the last seconds of a busy group, which trainers still
-/// read and later jobs take texts from.
-const MEMORY_BYTES: u64 = 4 * 1024 * 1024;
+/// Maximum bytes of segments that stay in memory after they are written to disk, for reads of recent results.
+const CACHE_BYTES: u64 = 4 * 1024 * 1024;
 
-/// Texts that were read back from disk.
+/// Texts read from segments on disk.
 #[derive(Clone, Debug, Default)]
 pub struct LoadedTexts(BTreeMap<TextPlace, Vec<u8>>);
 
 impl LoadedTexts {
-    /// Takes the texts at `places` that stand in segment `number`.
+    /// Copies the texts at those of `places` that are in segment `number`, whose bytes are `segment`.
     pub fn take_from(&mut self, number: u64, segment: &[u8], places: &[TextPlace]) {
         for place in places.iter().filter(|place| place.segment == number) {
             if let Some(text) = place.of(segment) {
@@ -30,7 +29,7 @@
     }
 }
 
-/// Where a text stands.
+/// Location of a text in the archive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct TextPlace {
     segment: u64,
@@ -39,7 +38,7 @@
 }
 
 impl TextPlace {
-    /// The segment that it stands in.
+    /// Number of the segment that contains the text.
     pub fn segment(&self) -> u64 {
         self.segment
     }
@@ -56,46 +55,46 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-struct Sealed {
+struct SealedSegment {
     segment: Segment,
-    /// Texts in it that are still referred to.
+    /// Number of its texts that are still referenced.
     texts: u32,
 }
 
 #[derive(Clone, Debug)]
-struct InMemory {
+struct CachedSegment {
     bytes: Rc<Vec<u8>>,
-    /// Only memory is known to hold it.
+    /// Not yet confirmed to be on disk.
     unreleased: bool,
 }
 
-/// The texts.
+/// The open segment, the sealed segments and the in-memory cache.
 #[derive(Clone, Debug, Default, Encode, Decode)]
 pub struct TextArchive {
-    sealed: BTreeMap<u64, Sealed>,
-    /// The number of the segment that is being filled.
-    filling: u64,
-    /// Its bytes so far.
+    sealed: BTreeMap<u64, SealedSegment>,
+    /// Number of the open segment.
+    open_segment: u64,
+    /// Bytes of the open segment.
     tail: Vec<u8>,
-    /// Texts in it that are still referred to.
+    /// Number of texts in the open segment that are still referenced.
     tail_texts: u32,
-    /// What memory holds of the sealed segments. Differs among replicas.
+    /// Sealed segments in memory, by number. Not replicated; differs among replicas.
     #[bitcode(skip)]
-    memory: BTreeMap<u64, InMemory>,
+    cache: BTreeMap<u64, CachedSegment>,
 }
 
 impl PartialEq for TextArchive {
-    /// Compares what is replicated.
+    /// Compares the replicated fields only.
     fn eq(&self, other: &Self) -> bool {
-        let replicated = |archive: &Self| (archive.filling, archive.tail_texts);
-        replicated(self) == replicated(other) && self.sealed == other.sealed && self.tail == other.tail
+        let counters = |archive: &Self| (archive.open_segment, archive.tail_texts);
+        counters(self) == counters(other) && self.sealed == other.sealed && self.tail == other.tail
     }
 }
 
 impl TextArchive {
     /// Appends a text.
     pub fn append(&mut self, text: &[u8]) -> TextPlace {
-        let place = TextPlace { segment: self.filling, offset: self.tail.len() as u32, length: text.len() as u32 };
+        let place = TextPlace { segment: self.open_segment, offset: self.tail.len() as u32, length: text.len() as u32 };
         self.tail.extend_from_slice(text);
         self.tail_texts += 1;
         if self.tail.len() >= SEGMENT_BYTES {
@@ -105,19 +104,19 @@
     }
 
     fn seal(&mut self) {
-        let number = self.filling;
+        let number = self.open_segment;
         let bytes = std::mem::take(&mut self.tail);
         let texts = std::mem::take(&mut self.tail_texts);
-        self.filling += 1;
+        self.open_segment += 1;
         if texts > 0 {
-            self.sealed.insert(number, Sealed { segment: Segment::of(number, &bytes), texts });
-            self.memory.insert(number, InMemory { bytes: Rc::new(bytes), unreleased: true });
+            self.sealed.insert(number, SealedSegment { segment: Segment::of(number, &bytes), texts });
+            self.cache.insert(number, CachedSegment { bytes: Rc::new(bytes), unreleased: true });
         }
     }
 
-    /// A text is no longer referred to.
-    pub fn forget(&mut self, place: &TextPlace) {
-        if place.segment == self.filling {
+    /// Drops the reference to a text. A sealed segment is dropped with its last reference.
+    pub fn remove_reference(&mut self, place: &TextPlace) {
+        if place.segment == self.open_segment {
             self.tail_texts = self.tail_texts.saturating_sub(1);
             return;
         }
@@ -127,47 +126,47 @@
         sealed.texts = sealed.texts.saturating_sub(1);
         if sealed.texts == 0 {
             self.sealed.remove(&place.segment);
-            self.memory.remove(&place.segment);
+            self.cache.remove(&place.segment);
         }
     }
 
-    /// A text, if memory holds its segment or `loaded` holds it.
+    /// Returns a text from memory or from `loaded`; `None` if its segment must first be read from disk.
     pub fn text<'a>(&'a self, place: &TextPlace, loaded: &'a LoadedTexts) -> Option<&'a [u8]> {
-        if place.segment == self.filling {
+        if place.segment == self.open_segment {
             return place.of(&self.tail);
         }
-        let in_memory = self.memory.get(&place.segment).and_then(|held| place.of(&held.bytes));
-        in_memory.or_else(|| loaded.0.get(place).map(Vec::as_slice))
+        let cached = self.cache.get(&place.segment).and_then(|segment| place.of(&segment.bytes));
+        cached.or_else(|| loaded.0.get(place).map(Vec::as_slice))
     }
 
-    /// The sealed segments, by rising number.
+    /// The sealed segments, in ascending order of number.
     pub fn segments(&self) -> Vec<Segment> {
         self.sealed.values().map(|sealed| sealed.segment).collect()
     }
 
-    /// A sealed segment's bytes, if memory holds them.
+    /// A sealed segment's bytes, if they are in memory.
     pub fn segment_bytes(&self, number: u64) -> Option<Rc<Vec<u8>>> {
-        self.memory.get(&number).map(|held| held.bytes.clone())
+        self.cache.get(&number).map(|segment| segment.bytes.clone())
     }
 
-    /// The oldest segment that only memory is known to hold.
+    /// The oldest sealed segment that is not yet confirmed to be on disk.
     pub fn unreleased_segment(&self) -> Option<Segment> {
-        let (number, _) = self.memory.iter().find(|(_, held)| held.unreleased)?;
+        let (number, _) = self.cache.iter().find(|(_, segment)| segment.unreleased)?;
         self.sealed.get(number).map(|sealed| sealed.segment)
     }
 
-    /// The segment is on disk. It leaves memory once enough newer ones have come.
+    /// Marks a segment as written to disk. It is evicted from memory once newer segments exceed `CACHE_BYTES`.
     pub fn release_segment(&mut self, number: u64) {
-        if let Some(held) = self.memory.get_mut(&number) {
-            held.unreleased = false;
+        if let Some(segment) = self.cache.get_mut(&number) {
+            segment.unreleased = false;
         }
         let mut newer_bytes = 0;
-        self.memory = std::mem::take(&mut self.memory)
+        self.cache = std::mem::take(&mut self.cache)
             .into_iter()
             .rev()
-            .filter(|(_, held)| {
-                newer_bytes += held.bytes.len() as u64;
-                held.unreleased || newer_bytes <= MEMORY_BYTES
+            .filter(|(_, segment)| {
+                newer_bytes += segment.bytes.len() as u64;
+                segment.unreleased || newer_bytes <= CACHE_BYTES
             })
             .collect();
     }
--- a/crates/control/src/state/usage.rs
+++ b/crates/control/src/state/usage.rs
@@ -1,117 +1,118 @@
-//! Requests that engines have begun, by tenant and window, until the platform has taken the report of the window.
+//! Number of requests that engines have started, by tenant and time window. A window's counts are kept until the
+//! platform has accepted its report.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::identity::Incarnation;
 use saddlerelay_types::usage::{RelayUsage, TenantCounts, UsageReport, UsageWindow};
 use std::collections::BTreeMap;
 
-/// Windows that are kept for a platform that takes no reports; the oldest give way. A day of windows of five seconds.
-const WINDOWS_KEPT: usize = 17_280;
+/// Maximum number of closed, unreported windows; the oldest is dropped. One day of five-second windows.
+const MAX_UNREPORTED_WINDOWS: usize = 17_280;
 
-/// Starts of relays that are remembered, so that no difference counts twice; the ones heard of longest ago give way.
-const RELAYS_KEPT: usize = 4_096;
+/// Maximum number of relay incarnations that are tracked to deduplicate deltas; the least recently updated is evicted.
+const MAX_TRACKED_RELAYS: usize = 4_096;
 
-/// A start of a relay: the newest difference taken from it, and when it was taken.
+/// The newest delta applied from a relay incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-struct TakenFrom {
+struct LastDelta {
     sequence: u64,
-    /// The state's time, in Unix milliseconds.
+    /// The state's time when it was applied, in Unix milliseconds.
     at: u64,
 }
 
-/// The counts.
+/// Usage counts of open and closed windows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct UsageState {
-    relays: BTreeMap<Incarnation, TakenFrom>,
-    /// Counts that may still grow.
+    relays: BTreeMap<Incarnation, LastDelta>,
+    /// Counts of windows that still accept deltas.
     open: BTreeMap<UsageWindow, TenantCounts>,
-    /// Counts that are fixed and not yet reported.
-    fixed: BTreeMap<UsageWindow, TenantCounts>,
-    /// The first window whose counts are not fixed.
+    /// Final counts that are not yet reported.
+    closed: BTreeMap<UsageWindow, TenantCounts>,
+    /// The first window that is not closed; `None` before any was closed.
     first_open: Option<UsageWindow>,
-    /// Requests that came after the counts of their window were fixed.
+    /// Number of requests that were counted after their window was closed, and are in no report.
     uncounted: u64,
-    /// The newest window whose report the platform has taken.
+    /// The newest window whose report the platform has accepted.
     newest_reported: Option<UsageWindow>,
 }
 
 impl UsageState {
-    /// The newest difference taken from a start of a relay; 0 for none.
+    /// Sequence number of the newest delta applied from a relay incarnation; 0 for none.
     pub fn taken_from(&self, relay: Incarnation) -> u64 {
-        self.relays.get(&relay).map_or(0, |taken| taken.sequence)
+        self.relays.get(&relay).map_or(0, |last| last.sequence)
     }
 
-    /// Adds a relay's counts, unless they have been added before.
+    /// Adds a relay's delta, unless it was already applied. `now` is in Unix milliseconds.
     pub fn add(&mut self, usage: RelayUsage, now: u64) {
         if usage.difference.sequence <= self.taken_from(usage.relay) {
             return;
         }
-        self.relays.insert(usage.relay, TakenFrom { sequence: usage.difference.sequence, at: now });
-        self.forget_oldest_relay();
+        self.relays.insert(usage.relay, LastDelta { sequence: usage.difference.sequence, at: now });
+        self.evict_oldest_relay();
         for (window, counts) in usage.difference.counts {
             if self.first_open.is_some_and(|first| window < first) {
                 self.uncounted += counts.values().sum::<u64>();
                 continue;
             }
-            let held = self.open.entry(window).or_default();
+            let totals = self.open.entry(window).or_default();
             for (tenant, count) in counts {
-                *held.entry(tenant).or_default() += count;
+                *totals.entry(tenant).or_default() += count;
             }
         }
     }
 
-    fn forget_oldest_relay(&mut self) {
-        if self.relays.len() <= RELAYS_KEPT {
+    fn evict_oldest_relay(&mut self) {
+        if self.relays.len() <= MAX_TRACKED_RELAYS {
             return;
         }
-        let oldest = self.relays.iter().min_by_key(|(_, taken)| taken.at).map(|(relay, _)| *relay);
+        let oldest = self.relays.iter().min_by_key(|(_, last)| last.at).map(|(relay, _)| *relay);
         oldest.map(|oldest| self.relays.remove(&oldest));
     }
 
-    /// Fixes the counts of all windows up to `last`; the first time, only of those in which something was counted, and of
-    /// `last`.
-    pub fn fix(&mut self, last: UsageWindow) {
+    /// Closes all windows up to and including `last`. The first call starts at the earliest window with counts, or at
+    /// `last` if there is none before it.
+    pub fn close_windows(&mut self, last: UsageWindow) {
         let first_counted = self.open.first_key_value().map_or(last, |(window, _)| *window);
         let mut window = self.first_open.unwrap_or(first_counted.min(last));
         while window <= last {
             let counts = self.open.remove(&window).unwrap_or_default();
-            self.fixed.insert(window, counts);
+            self.closed.insert(window, counts);
             window = window.next();
-            if self.fixed.len() > WINDOWS_KEPT {
-                self.fixed.pop_first();
+            if self.closed.len() > MAX_UNREPORTED_WINDOWS {
+                self.closed.pop_first();
             }
         }
         self.first_open = Some(window);
     }
 
-    /// Counts that may still grow, by window.
+    /// Counts of open windows.
     pub fn open_counts(&self) -> impl Iterator<Item = (&UsageWindow, &TenantCounts)> {
         self.open.iter()
     }
 
-    /// The first window whose counts are not fixed; `None` before any were.
+    /// The first window that is not closed; `None` before any was closed.
     pub fn first_open(&self) -> Option<UsageWindow> {
         self.first_open
     }
 
-    /// Reports that the platform has not taken yet, oldest window first.
+    /// Reports that the platform has not accepted yet, oldest window first.
     pub fn unreported(&self) -> impl Iterator<Item = UsageReport> {
-        self.fixed.iter().map(|(window, counts)| UsageReport { window: *window, counts: counts.clone() })
+        self.closed.iter().map(|(window, counts)| UsageReport { window: *window, counts: counts.clone() })
     }
 
-    /// The platform has taken a report.
-    pub fn reported(&mut self, window: UsageWindow) {
-        if self.fixed.remove(&window).is_some() {
+    /// Drops a window's counts after the platform has accepted its report.
+    pub fn mark_reported(&mut self, window: UsageWindow) {
+        if self.closed.remove(&window).is_some() {
             self.newest_reported = self.newest_reported.max(Some(window));
         }
     }
 
-    /// The newest window whose report the platform has taken.
+    /// The newest window whose report the platform has accepted.
     pub fn newest_reported(&self) -> Option<UsageWindow> {
         self.newest_reported
     }
 
-    /// Requests that came after the counts of their window were fixed.
+    /// Number of requests that were counted after their window was closed, and are in no report.
     pub fn uncounted(&self) -> u64 {
         self.uncounted
     }
--- a/crates/control/src/state/weights.rs
+++ b/crates/control/src/state/weights.rs
@@ -1,24 +1,24 @@
-//! Weight versions that trainers have named.
+//! Weight versions announced by trainers.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::instance::LoadedModel;
 use std::collections::BTreeMap;
 
-/// The newest version of each model.
+/// The newest announced weight version of each model.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct WeightState {
     pub(super) named: BTreeMap<String, u64>,
 }
 
 impl WeightState {
-    /// The newest version named of each model.
+    /// The newest announced version, by model.
     pub fn named(&self) -> &BTreeMap<String, u64> {
         &self.named
     }
 
-    /// Notes a version; an older one changes nothing.
-    pub fn name(&mut self, named: LoadedModel) {
-        let newest = self.named.entry(named.model).or_default();
-        *newest = (*newest).max(named.version);
+    /// Records an announced version; a version older than the recorded one is ignored.
+    pub fn record(&mut self, announced: LoadedModel) {
+        let newest = self.named.entry(announced.model).or_default();
+        *newest = (*newest).max(announced.version);
     }
 }
--- a/crates/control/tests/claims.rs
+++ b/crates/control/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: at most one run under a key, and "not executed" only as a proof.
+//! Claims: a key is granted at most once unless repeatable, and sealed only if the request has not run.
 
 mod common;
 
@@ -17,7 +17,7 @@
 fn claim(state: &mut ControlState, time: u64, command: ClaimCommand) -> ClaimOutcome {
     match commands::apply(state, LogCommand { time, command: Command::Claim(command) }) {
         CommandOutcome::Claim(outcome) => outcome,
-        other => panic!("a claim command brought {other:?}"),
+        other => panic!("unexpected outcome of a claim command: {other:?}"),
     }
 }
 
@@ -43,88 +43,87 @@
     }
 }
 
-fn once(holder: u64, arrival: u64) -> ClaimRequest {
+fn non_repeatable(holder: u64, arrival: u64) -> ClaimRequest {
     request(holder, arrival, Repeatability::NotRepeatable)
 }
 
 #[test]
-fn a_resent_claim_command_is_granted_again_and_another_arrival_is_not() {
+fn duplicate_acquire_is_granted_and_another_arrival_is_rejected() {
     let mut state = state_with_relays();
-    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(once(1, 10))), ClaimOutcome::Granted);
-    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(once(1, 10))), ClaimOutcome::Granted);
-    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(once(2, 11))), ClaimOutcome::Running);
+    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(1, 10))), ClaimOutcome::Granted);
+    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(1, 10))), ClaimOutcome::Granted);
+    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(2, 11))), ClaimOutcome::Running);
 }
 
 #[test]
-fn a_relay_that_was_declared_lost_is_granted_nothing() {
+fn lost_relay_cannot_acquire_a_claim() {
     let mut state = state_with_relays();
     lose(&mut state, 1);
-    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(once(1, 10))), ClaimOutcome::HolderFenced);
+    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(1, 10))), ClaimOutcome::HolderFenced);
 }
 
 #[test]
-fn a_request_whose_holder_was_lost_never_runs_again_unless_it_is_repeatable() {
+fn non_repeatable_request_is_not_granted_again_after_its_holder_is_lost() {
     let mut state = state_with_relays();
-    claim(&mut state, NOW, ClaimCommand::Acquire(once(1, 10)));
+    claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(1, 10)));
     lose(&mut state, 1);
-    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(once(2, 11))), ClaimOutcome::Lost);
+    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(2, 11))), ClaimOutcome::Lost);
 }
 
 #[test]
-fn a_sealed_key_never_runs() {
+fn sealed_key_is_not_granted() {
     let mut state = state_with_relays();
-    assert_eq!(claim(&mut state, NOW, ClaimCommand::Seal(once(1, 10))), ClaimOutcome::Sealed);
-    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(once(2, 11))), ClaimOutcome::Sealed);
+    assert_eq!(claim(&mut state, NOW, ClaimCommand::Seal(non_repeatable(1, 10))), ClaimOutcome::Sealed);
+    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(2, 11))), ClaimOutcome::Sealed);
 }
 
 #[test]
-fn a_claim_that_another_arrival_holds_cannot_be_sealed() {
+fn claim_held_by_another_arrival_cannot_be_sealed() {
     let mut state = state_with_relays();
-    claim(&mut state, NOW, ClaimCommand::Acquire(once(1, 10)));
-    assert_eq!(claim(&mut state, NOW, ClaimCommand::Seal(once(2, 11))), ClaimOutcome::Running);
+    claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(1, 10)));
+    assert_eq!(claim(&mut state, NOW, ClaimCommand::Seal(non_repeatable(2, 11))), ClaimOutcome::Running);
 }
 
-/// A repeatable request ran on a relay that was lost; its resend is granted, sends nothing, and asks for a seal. That
-/// seal would say "not executed" of a request that did run.
+/// A repeatable request may have run on a lost relay. The retry that was granted the claim must not seal the key.
 #[test]
-fn a_key_that_may_have_run_before_is_not_sealed_as_not_executed() {
+fn key_with_an_earlier_grant_is_not_sealed() {
     let mut state = state_with_relays();
     claim(&mut state, NOW, ClaimCommand::Acquire(request(1, 10, Repeatability::Repeatable)));
     lose(&mut state, 1);
-    let resend = request(2, 11, Repeatability::Repeatable);
-    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(resend.clone())), ClaimOutcome::Granted);
-    assert_eq!(claim(&mut state, NOW, ClaimCommand::Seal(resend)), ClaimOutcome::Lost);
+    let retry = request(2, 11, Repeatability::Repeatable);
+    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(retry.clone())), ClaimOutcome::Granted);
+    assert_eq!(claim(&mut state, NOW, ClaimCommand::Seal(retry)), ClaimOutcome::Lost);
 }
 
 #[test]
-fn a_resend_gets_the_stored_answer() {
+fn retry_returns_the_stored_result() {
     let mut state = state_with_relays();
-    claim(&mut state, NOW, ClaimCommand::Acquire(once(1, 10)));
+    claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(1, 10)));
     let result = ClaimResult::Answered(Generation::empty());
-    let finish = ClaimCommand::Finish { key: once(1, 10).key, arrival: 10, result: result.clone() };
+    let finish = ClaimCommand::Finish { key: non_repeatable(1, 10).key, arrival: 10, result: result.clone() };
     claim(&mut state, NOW, finish);
-    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(once(2, 11))), ClaimOutcome::Finished(result));
+    assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(2, 11))), ClaimOutcome::Finished(result));
 }
 
 #[test]
-fn another_body_under_the_same_key_is_refused() {
+fn different_digest_under_the_same_key_is_rejected() {
     let mut state = state_with_relays();
-    claim(&mut state, NOW, ClaimCommand::Acquire(once(1, 10)));
-    let other = ClaimRequest { digest: BodyDigest::of(b"price of fund 8"), ..once(1, 12) };
+    claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(1, 10)));
+    let other = ClaimRequest { digest: BodyDigest::of(b"price of fund 8"), ..non_repeatable(1, 12) };
     assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(other)), ClaimOutcome::DigestMismatch);
 }
 
 #[test]
-fn a_key_is_refused_by_its_own_expiry_once_its_claim_is_forgotten() {
+fn expired_key_is_rejected_after_its_claim_is_dropped() {
     let mut state = state_with_relays();
-    claim(&mut state, NOW, ClaimCommand::Acquire(once(1, 10)));
-    assert_eq!(claim(&mut state, EXPIRY, ClaimCommand::Acquire(once(2, 11))), ClaimOutcome::KeyExpired);
+    claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(1, 10)));
+    assert_eq!(claim(&mut state, EXPIRY, ClaimCommand::Acquire(non_repeatable(2, 11))), ClaimOutcome::KeyExpired);
     assert!(state.claims.is_empty());
-    let far = ClaimRequest { expires_at: EXPIRY + MAX_KEY_LIFETIME_MILLISECONDS + 1, ..once(2, 12) };
-    assert_eq!(claim(&mut state, EXPIRY, ClaimCommand::Acquire(far)), ClaimOutcome::KeyExpired);
+    let beyond_limit = ClaimRequest { expires_at: EXPIRY + MAX_KEY_LIFETIME_MILLISECONDS + 1, ..non_repeatable(2, 12) };
+    assert_eq!(claim(&mut state, EXPIRY, ClaimCommand::Acquire(beyond_limit)), ClaimOutcome::KeyExpired);
 }
 
-/// One step of a history: relays come and go, arrivals claim, seal, finish and abandon in any order, also late.
+/// A step of a random history: arrivals acquire, seal, finish and abandon a claim in any order, and relays are lost.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Acquire { relay: u8, arrival: u8 },
@@ -147,8 +146,8 @@
     }
 }
 
-/// Plays a history and returns which arrivals were granted, and whether any was told that the key is sealed.
-fn play(steps: &[Step], repeatability: Repeatability) -> Result<(), String> {
+/// Applies a history; fails if a sealed or non-repeatable key is granted again, or a key that may have run is sealed.
+fn run_history(steps: &[Step], repeatability: Repeatability) -> Result<(), String> {
     let mut state = ControlState::default();
     (0..4).for_each(|relay| join(&mut state, relay));
     let mut granted: Vec<u8> = Vec::new();
@@ -156,46 +155,46 @@
     for step in steps {
         match *step {
             Step::Acquire { relay, arrival } => {
-                let asked = request(relay.into(), arrival.into(), repeatability);
-                if claim(&mut state, NOW, ClaimCommand::Acquire(asked)) == ClaimOutcome::Granted {
+                let claim_request = request(relay.into(), arrival.into(), repeatability);
+                if claim(&mut state, NOW, ClaimCommand::Acquire(claim_request)) == ClaimOutcome::Granted {
                     if sealed {
                         return Err(format!("{step:?}: granted after the key was sealed"));
                     }
                     granted.push(arrival);
                 }
             }
-            // Only an arrival that sent nothing asks for a seal: one that was not granted, or the newest to be granted.
+            // A real client seals only if it has sent nothing, so the sealing arrival itself does not count as run.
             Step::Seal { relay, arrival } => {
-                let asked = request(relay.into(), arrival.into(), repeatability);
-                let proves = claim(&mut state, NOW, ClaimCommand::Seal(asked)) == ClaimOutcome::Sealed;
+                let claim_request = request(relay.into(), arrival.into(), repeatability);
+                let is_sealed = claim(&mut state, NOW, ClaimCommand::Seal(claim_request)) == ClaimOutcome::Sealed;
                 let others_ran = granted.iter().any(|other| *other != arrival);
-                if proves && !sealed && others_ran {
+                if is_sealed && !sealed && others_ran {
                     return Err(format!("{step:?}: sealed though {granted:?} may have run"));
                 }
-                sealed |= proves;
+                sealed |= is_sealed;
             }
             Step::Finish { arrival } => {
                 let result = ClaimResult::Answered(Generation::empty());
-                let key = once(0, 0).key;
+                let key = non_repeatable(0, 0).key;
                 claim(&mut state, NOW, ClaimCommand::Finish { key, arrival: arrival.into(), result });
             }
             Step::Abandon { arrival } => {
-                let key = once(0, 0).key;
+                let key = non_repeatable(0, 0).key;
                 claim(&mut state, NOW, ClaimCommand::Abandon { key, arrival: arrival.into() });
             }
             Step::Lose { relay } => lose(&mut state, relay.into()),
         }
     }
     granted.dedup();
-    let twice = repeatability == Repeatability::NotRepeatable && granted.len() > 1;
-    if twice { Err(format!("{granted:?} were all granted")) } else { Ok(()) }
+    let granted_twice = repeatability == Repeatability::NotRepeatable && granted.len() > 1;
+    if granted_twice { Err(format!("arrivals {granted:?} were all granted")) } else { Ok(()) }
 }
 
 #[test]
-fn no_history_grants_twice_or_seals_what_may_have_run() {
+fn no_history_grants_a_key_twice_or_seals_a_key_that_may_have_run() {
     fn holds(steps: Vec<Step>) -> Result<(), String> {
-        play(&steps, Repeatability::NotRepeatable)?;
-        play(&steps, Repeatability::Repeatable)
+        run_history(&steps, Repeatability::NotRepeatable)?;
+        run_history(&steps, Repeatability::Repeatable)
     }
     QuickCheck::new().rng(Gen::from_size_and_seed(60, 1)).tests(4_000).quickcheck(holds as fn(Vec<Step>) -> _);
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Relays that come and go in the replicated state.
+//! Helpers that apply commands to a replicated state.
 
-// Each test binary uses a part of it.
+// Each test binary uses only some of these helpers.
 #![allow(dead_code)]
 
 use saddlerelay_control::commands;
@@ -17,7 +17,7 @@
     commands::apply(state, LogCommand { time: NOW, command })
 }
 
-/// A relay starts.
+/// Adds a relay.
 pub fn join(state: &mut ControlState, incarnation: u64) {
     let description = RelayDescription {
         name: format!("relay-{incarnation}"),
@@ -28,7 +28,7 @@
     apply(state, Command::Membership(MembershipCommand::RelayJoined(description)));
 }
 
-/// A relay is declared lost.
+/// Declares a relay lost.
 pub fn lose(state: &mut ControlState, incarnation: u64) {
     apply(state, Command::Membership(MembershipCommand::RelayLost(Incarnation(incarnation))));
 }
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration: one winner for each revision, the first answer for each key, and templates that hold.
+//! Configuration: optimistic concurrency by revision, idempotency keys, and validation against templates.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use saddlerelay_control::commands;
@@ -15,7 +15,7 @@
 fn change(state: &mut ControlState, change: ConfigurationChange) -> ConfigurationOutcome {
     match commands::apply(state, LogCommand { time: 1, command: Command::Configuration(change) }) {
         CommandOutcome::Configuration(outcome) => outcome,
-        other => panic!("a change brought {other:?}"),
+        other => panic!("unexpected outcome of a configuration change: {other:?}"),
     }
 }
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn of_two_changes_that_name_the_same_revision_the_first_wins_and_the_other_is_shown_it() {
+fn of_two_changes_with_the_same_expected_revision_the_second_is_rejected_with_the_current_object() {
     let mut state = state_with_template();
     let create = |bound| ConfigurationChange { expected: Some(Revision(0)), ..put(tenant_name(1), tenant(bound)) };
     assert_eq!(change(&mut state, create(3)), ConfigurationOutcome::Accepted(Revision(2)));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_resend_gets_its_first_answer_also_after_later_changes() {
+fn retry_returns_the_stored_outcome_after_later_changes() {
     let mut state = state_with_template();
     let keyed = ConfigurationChange {
         expected: Some(Revision(0)),
@@ -73,19 +73,20 @@
 }
 
 #[test]
-fn values_outside_the_template_are_refused_and_a_template_that_breaks_a_tenant_names_it() {
+fn values_outside_the_template_and_templates_that_invalidate_a_tenant_are_rejected() {
     let mut state = state_with_template();
     assert!(matches!(change(&mut state, put(tenant_name(1), tenant(9))), ConfigurationOutcome::Invalid(_)));
     change(&mut state, put(tenant_name(1), tenant(6)));
     let ConfigurationOutcome::Invalid(errors) = change(&mut state, put(template_name(), template(5))) else {
-        panic!("a template that breaks a tenant was accepted");
+        panic!("a template that invalidates a tenant was accepted");
     };
     assert_eq!(errors[0].tenant, Some(TenantId::new("tenant-1")));
     let delete = ConfigurationChange { value: None, ..put(template_name(), template(5)) };
     assert_eq!(change(&mut state, delete), ConfigurationOutcome::InUse(vec![TenantId::new("tenant-1")]));
 }
 
-/// A history of changes by operators who name the revision they saw, another one, or none.
+/// A random change of a tenant, with the current, another or no expected revision, and with or without an idempotency
+/// key.
 #[derive(Clone, Copy, Debug)]
 struct Edit {
     tenant: u8,
@@ -114,42 +115,42 @@
     }
 }
 
-/// Accepted changes have rising revisions, each names the revision that stood, and no key has two answers.
+/// Accepted changes have ascending revisions and match the current revision, and a key never has two outcomes.
 #[test]
-fn histories_of_changes_are_linear() {
+fn accepted_changes_are_linear() {
     fn holds(edits: Vec<Edit>) -> Result<(), String> {
         let mut state = state_with_template();
-        let mut answers: BTreeMap<u8, ConfigurationOutcome> = BTreeMap::new();
+        let mut outcomes: BTreeMap<u8, ConfigurationOutcome> = BTreeMap::new();
         for edit in edits {
             let before = state.configuration.clone();
             let outcome = change(&mut state, change_of(edit));
-            if let Some(first) = edit.key.and_then(|key| answers.get(&key)) {
-                let resent = outcome == *first || outcome == ConfigurationOutcome::KeyReused;
-                if !resent || before != state.configuration {
-                    return Err(format!("{edit:?}: answered {first:?}, then {outcome:?}"));
+            if let Some(first) = edit.key.and_then(|key| outcomes.get(&key)) {
+                let is_consistent = outcome == *first || outcome == ConfigurationOutcome::KeyReused;
+                if !is_consistent || before != state.configuration {
+                    return Err(format!("{edit:?}: first outcome {first:?}, then {outcome:?}"));
                 }
                 continue;
             }
             if let ConfigurationOutcome::Accepted(revision) = outcome {
-                let stood = before.object(&tenant_name(edit.tenant)).filter(|object| object.value.is_some());
-                let stood = stood.map_or(0, |object| object.revision.0);
-                let named = edit.expected.is_none_or(|expected| u64::from(expected) == stood);
-                if revision != before.revision().next() || !named {
-                    return Err(format!("{edit:?}: accepted at {revision} over {stood}"));
+                let current = before.object(&tenant_name(edit.tenant)).filter(|object| object.value.is_some());
+                let current = current.map_or(0, |object| object.revision.0);
+                let matches = edit.expected.is_none_or(|expected| u64::from(expected) == current);
+                if revision != before.revision().next() || !matches {
+                    return Err(format!("{edit:?}: accepted at {revision} over revision {current}"));
                 }
             } else if before.revision() != state.configuration.revision() {
-                return Err(format!("{edit:?}: refused, yet it changed something"));
+                return Err(format!("{edit:?}: rejected, but the revision changed"));
             }
-            answers.extend(edit.key.map(|key| (key, outcome)));
+            outcomes.extend(edit.key.map(|key| (key, outcome)));
         }
         Ok(())
     }
     QuickCheck::new().rng(Gen::from_size_and_seed(60, 11)).tests(2_000).quickcheck(holds as fn(Vec<Edit>) -> _);
 }
 
-/// A relay that follows by deltas, from any revision on, holds what a relay holds that was sent everything.
+/// Applying the update after any known revision leads to the current configuration.
 #[test]
-fn a_delta_from_any_revision_brings_the_whole_configuration() {
+fn update_after_any_revision_leads_to_the_current_configuration() {
     fn holds(edits: Vec<Edit>, known: u8) -> bool {
         let mut state = state_with_template();
         let mut known_objects = BTreeMap::new();
--- a/crates/control/tests/fleet_steps.rs
+++ b/crates/control/tests/fleet_steps.rs
@@ -1,5 +1,5 @@
-//! What an event costs does not grow with the fleet: looks at members and bytes, counted in the product's own tables at
-//! 1,000, 10,000 and 20,000 engines. A cost that is a product of members and events turns a test red.
+//! The cost of an event, in table lookups and response bytes, does not grow with the number of engines. Checked with
+//! 1,000, 10,000 and 20,000 engines.
 
 use saddlerelay_control::instance_watch::InstanceWatch;
 use saddlerelay_control::state::engine_subset::RelayPlace;
@@ -13,18 +13,18 @@
 const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
 const SILENCE: Duration = Duration::from_millis(15_400);
 
-/// Looks that any of these events may take, whatever the size.
-const MOST_LOOKS: u64 = 8;
+/// Maximum number of lookups per event.
+const MAX_LOOKUPS: u64 = 8;
 
-/// Engines that a relay is told of at most, whatever the size: shares go in steps of four, so this is what they allow of
-/// one zone of its own and four others, twice.
-const MOST_TOLD: usize = 2 * (128 + 4 * 32);
+/// Maximum number of engines in a relay's subset: for two services, 128 in its own zone and 32 in each of four other
+/// zones.
+const MAX_SUBSET_ENGINES: usize = 2 * (128 + 4 * 32);
 
-/// Bytes of the first answer to a relay at most.
-const MOST_BYTES: usize = 64 * 1024;
+/// Maximum size in bytes of the first response to a relay.
+const MAX_FIRST_RESPONSE_BYTES: usize = 64 * 1024;
 
 fn report(number: usize, sequence: u64) -> InstanceReport {
-    // One in 25 belongs to the service that callers' pages come from.
+    // One in 25 engines belongs to the smaller service.
     let service = if number.is_multiple_of(25) { "pages" } else { "models" };
     InstanceReport {
         id: InstanceId::named(format!("engine-{number}")),
@@ -53,49 +53,49 @@
 }
 
 #[test]
-fn a_report_costs_the_same_among_any_number_of_engines() {
+fn cost_of_a_report_does_not_depend_on_the_number_of_engines() {
     for engines in SIZES {
         let mut table = table(engines);
         let mut watch = InstanceWatch::default();
         watch.follow_term(1);
         let heartbeat = report(7, 2);
-        let (looks, is_news) = looks_of(|| {
+        let (lookups, is_news) = looks_of(|| {
             watch.hear(&heartbeat, Duration::from_secs(1));
             table.is_news(&heartbeat)
         });
-        assert!(!is_news && looks <= MOST_LOOKS, "{looks} looks for a report among {engines}");
+        assert!(!is_news && lookups <= MAX_LOOKUPS, "{lookups} lookups for a report among {engines}");
         let again = InstanceHeartbeat { id: heartbeat.id.clone(), sequence: 3 };
-        let (looks, ()) = looks_of(|| watch.hear_again(&again, Duration::from_secs(2)));
-        assert!(looks <= MOST_LOOKS, "{looks} looks for a heartbeat among {engines}");
-        let (looks, ()) = looks_of(|| table.take_report(report(engines + 1, 1)));
-        assert!(looks <= MOST_LOOKS, "{looks} looks for a registration among {engines}");
-        let (looks, ()) = looks_of(|| table.take_report(InstanceReport { leaving: true, ..report(7, 3) }));
-        assert!(looks <= MOST_LOOKS, "{looks} looks for a leaving among {engines}");
+        let (lookups, ()) = looks_of(|| watch.hear_again(&again, Duration::from_secs(2)));
+        assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups for a heartbeat among {engines}");
+        let (lookups, ()) = looks_of(|| table.take_report(report(engines + 1, 1)));
+        assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups for a registration among {engines}");
+        let (lookups, ()) = looks_of(|| table.take_report(InstanceReport { leaving: true, ..report(7, 3) }));
+        assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups for a report of leaving among {engines}");
         let replaced = InstanceReport { id: InstanceId::named("new"), ..report(8, 1) };
-        let (looks, ()) = looks_of(|| table.take_report(replaced));
-        assert!(looks <= MOST_LOOKS, "{looks} looks for one at an old address among {engines}");
-        assert_eq!(table.get(&InstanceId::named("engine-8")).map(|held| held.state), Some(InstanceState::Gone));
+        let (lookups, ()) = looks_of(|| table.take_report(replaced));
+        assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups for a new instance at a used address among {engines}");
+        assert_eq!(table.get(&InstanceId::named("engine-8")).map(|record| record.state), Some(InstanceState::Gone));
     }
 }
 
 #[test]
-fn a_look_for_silent_engines_looks_at_those_that_are_due() {
+fn silence_check_examines_only_due_engines() {
     for engines in SIZES {
         let mut table = table(engines);
         let mut watch = InstanceWatch::default();
         watch.follow_term(1);
         let at = Duration::from_secs;
         let first = watch.silence_changes(&table, at(0), SILENCE);
-        assert!(first.is_empty(), "nobody falls silent at once");
+        assert!(first.is_empty(), "no engine is silent at first");
         (0..engines).filter(|number| number % 100 != 3).for_each(|number| watch.hear(&report(number, 2), at(10)));
-        let (looks, changes) = looks_of(|| watch.silence_changes(&table, at(14), SILENCE));
-        assert!(changes.is_empty() && looks <= MOST_LOOKS, "{looks} looks for nothing among {engines}");
-        let (looks, changes) = looks_of(|| watch.silence_changes(&table, at(16), SILENCE));
+        let (lookups, changes) = looks_of(|| watch.silence_changes(&table, at(14), SILENCE));
+        assert!(changes.is_empty() && lookups <= MAX_LOOKUPS, "{lookups} lookups without changes among {engines}");
+        let (lookups, changes) = looks_of(|| watch.silence_changes(&table, at(16), SILENCE));
         assert_eq!(changes.silent.len(), engines / 100);
-        assert!(looks <= MOST_LOOKS, "{looks} looks among {engines}");
+        assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups among {engines}");
         table.note_silence(&changes.silent, &changes.heard);
         let after = watch.silence_changes(&table, at(17), SILENCE);
-        assert!(after.is_empty(), "what is noted is not noted again");
+        assert!(after.is_empty(), "recorded silence is not reported again");
         watch.hear(&report(3, 9), at(18));
         let again = watch.silence_changes(&table, at(18), SILENCE);
         assert_eq!((again.silent.len(), again.heard), (0, vec![InstanceId::named("engine-3")]));
@@ -103,74 +103,88 @@
 }
 
 #[test]
-fn a_relays_question_costs_what_has_changed_for_it() {
+fn cost_of_a_relay_update_depends_only_on_changes_in_its_subset() {
     for engines in SIZES {
         let mut table = table(engines);
-        let held = table.revision();
+        let known = table.revision();
         for name in relays(RELAYS[2]) {
-            let (looks, news) = looks_of(|| table.news_for(place(&name), held));
-            assert!(news.records.is_empty() && !news.whole);
-            assert_eq!(looks, 0, "a question without news looks at {looks} of {engines} engines");
+            let (lookups, update) = looks_of(|| table.news_for(place(&name), known));
+            assert!(update.records.is_empty() && !update.whole);
+            assert_eq!(lookups, 0, "an empty update takes {lookups} lookups among {engines} engines");
         }
         table.take_report(InstanceReport { leaving: true, ..report(7, 3) });
         for count in RELAYS {
-            let (looks, told) = looks_of(|| {
-                let told =
-                    relays(count).into_iter().filter(|name| !table.news_for(place(name), held).records.is_empty());
-                told.count()
+            let (lookups, receivers) = looks_of(|| {
+                let receivers =
+                    relays(count).into_iter().filter(|name| !table.news_for(place(name), known).records.is_empty());
+                receivers.count()
             });
-            assert_eq!(looks, count as u64, "{count} relays looked at {looks} for one change");
-            assert!(told < count, "a change of one engine is told to those that know it: {told} of {count}");
+            assert_eq!(lookups, count as u64, "{lookups} lookups of {count} relays for one change");
+            assert!(
+                receivers < count,
+                "a change of one engine is sent only to relays with it in their subset: {receivers} of {count}"
+            );
         }
     }
 }
 
 #[test]
-fn a_relay_is_told_of_some_engines_of_each_place_and_of_no_more_in_a_larger_fleet() {
+fn relay_subset_is_bounded_and_covers_each_place() {
     for engines in SIZES {
         let table = table(engines);
-        let mut told_of = std::collections::BTreeMap::<InstanceId, u32>::new();
+        let mut received_by = std::collections::BTreeMap::<InstanceId, u32>::new();
         for name in relays(RELAYS[1]) {
             let relay = place(&name);
-            let (looks, news) = looks_of(|| table.news_for(relay, 0));
-            assert!(news.whole && looks == news.records.len() as u64);
-            assert!(news.records.len() <= MOST_TOLD, "{} of {engines} are told", news.records.len());
-            let bytes = bitcode::encode(&news).len();
-            assert!(bytes <= MOST_BYTES, "{bytes} bytes of {engines} engines");
+            let (lookups, update) = looks_of(|| table.news_for(relay, 0));
+            assert!(update.whole && lookups == update.records.len() as u64);
+            assert!(update.records.len() <= MAX_SUBSET_ENGINES, "a subset of {} among {engines}", update.records.len());
+            let bytes = bitcode::encode(&update).len();
+            assert!(bytes <= MAX_FIRST_RESPONSE_BYTES, "{bytes} bytes among {engines} engines");
             for service in ["pages", "models"] {
-                let near = |zone: &str| {
+                let engines_in_zone = |zone: &str| {
                     let of = |report: &InstanceReport| report.service == service && report.zone == zone;
-                    news.records.iter().filter(|record| of(&record.report)).count()
+                    update.records.iter().filter(|record| of(&record.report)).count()
                 };
-                assert!(near(relay.zone) >= 8, "{} of its own zone for {service}", near(relay.zone));
-                assert!(ZONES.iter().all(|zone| near(zone) >= 2), "some of each zone for {service}");
+                assert!(
+                    engines_in_zone(relay.zone) >= 8,
+                    "{} engines of {service} in the relay's zone",
+                    engines_in_zone(relay.zone)
+                );
+                assert!(ZONES.iter().all(|zone| engines_in_zone(zone) >= 2), "too few engines of {service} in a zone");
             }
-            news.records.into_iter().for_each(|record| *told_of.entry(record.report.id).or_default() += 1);
+            update.records.into_iter().for_each(|record| *received_by.entry(record.report.id).or_default() += 1);
         }
-        assert!(told_of.len() * 100 >= engines * 99, "{} of {engines} engines are known to somebody", told_of.len());
+        assert!(
+            received_by.len() * 100 >= engines * 99,
+            "{} of {engines} engines are in some relay's subset",
+            received_by.len()
+        );
     }
 }
 
-/// The share changes with the size of a place, in steps, and is told whole then.
+/// A change of the subset size causes a full update.
 #[test]
-fn a_relay_is_told_anew_when_a_place_has_grown_or_shrunk_much() {
+fn relay_gets_a_full_update_when_the_size_of_a_place_changes_much() {
     let mut table = table(150);
     let relay = place("relay-1");
-    let held = table.revision();
-    assert_eq!(table.news_for(relay, 0).records.len(), 150, "all of a few");
+    let known = table.revision();
+    assert_eq!(table.news_for(relay, 0).records.len(), 150, "all engines of a small place");
     (150..3_000).for_each(|number| table.take_report(report(number, 1)));
-    let grown = table.news_for(relay, held);
+    let grown = table.news_for(relay, known);
     assert!(grown.whole && grown.records.len() < 500, "{}", grown.records.len());
-    let held = grown.revision;
+    let known = grown.revision;
     (50..3_000).for_each(|number| table.remove(&InstanceId::named(format!("engine-{number}"))));
-    let shrunk = table.news_for(relay, held);
+    let shrunk = table.news_for(relay, known);
     assert!(shrunk.whole && shrunk.records.len() == 50, "{}", shrunk.records.len());
-    assert!(table.news_for(relay, shrunk.revision + 5).whole, "one that knows of the future is told anew");
+    assert!(
+        table.news_for(relay, shrunk.revision + 5).whole,
+        "a relay with a revision from the future gets a full update"
+    );
 }
 
-/// What is kept beside the records agrees with them, whatever comes.
+/// The indexes agree with the records after random changes.
 #[test]
-fn what_is_found_without_a_look_at_all_agrees_with_a_look_at_all() {
+fn indexes_agree_with_a_full_scan() {
     for seed in 0..20 {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut table = InstanceTable::default();
@@ -193,15 +207,16 @@
         assert_eq!(table.silent().iter().collect::<Vec<_>>(), silent);
         let mut addresses = std::collections::BTreeSet::new();
         for record in table.iter().filter(|record| record.state != InstanceState::Gone) {
-            assert!(addresses.insert(record.report.address), "two at {}", record.report.address);
+            assert!(addresses.insert(record.report.address), "two instances at {}", record.report.address);
         }
         for place in table.places() {
-            let here = |record: &&saddlerelay_types::instance::InstanceRecord| {
+            let is_in_place = |record: &&saddlerelay_types::instance::InstanceRecord| {
                 record.report.service == place.service && record.report.zone == place.zone
             };
-            let there = table.iter().filter(here).filter(|record| record.state != InstanceState::Gone).count();
-            assert_eq!(table.engines_in(place).count(), there);
-            let present = table.iter().filter(here);
+            let expected =
+                table.iter().filter(is_in_place).filter(|record| record.state != InstanceState::Gone).count();
+            assert_eq!(table.engines_in(place).count(), expected);
+            let present = table.iter().filter(is_in_place);
             let present = present.filter(|record| record.state == InstanceState::Ready && !record.silent).count();
             assert_eq!(table.present(place) as usize, present);
         }
--- a/crates/control/tests/format.rs
+++ b/crates/control/tests/format.rs
@@ -1,4 +1,4 @@
-//! What the log and snapshots hold is read as it was written, or refused: a layout that changes takes a new format.
+//! Layouts of log entries and snapshots do not change without a new file format number.
 
 use saddlerelay_control::machine::ControlMachine;
 use saddlerelay_control::state::ControlState;
@@ -12,14 +12,15 @@
 use saddlerelay_types::work::WorkDigest;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A format and the digest of what it writes below. Where the second changes, raise the first.
+/// File format number, and digest of the data written in that format. If the digest changes, increase the number.
 const LAYOUT: (u32, u64) = (9, 10_373_770_147_888_263_458);
 
 fn work() -> WorkDigest {
     WorkDigest::of_posted(None, "host", "/rollouts", b"an item")
 }
 
-/// Commands about suspected work, the last of the gateway's: one that is added before them moves them all.
+/// Commands about suspected work. They are the last variants, so that a variant added before them changes their
+/// encoding.
 fn commands() -> Vec<GatewayCommand> {
     let id = TrialId { holder: Incarnation(1), number: 2 };
     let held = HeldTrial { work: work(), id };
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn a_layout_that_changes_takes_a_new_format() {
+fn changed_layout_requires_a_new_file_format() {
     let mut machine = ControlMachine::default();
     let mut written = bitcode::encode(&ControlState::default());
     for command in commands() {
--- a/crates/control/tests/gateway.rs
+++ b/crates/control/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! Routing documents, instances, named versions, batch jobs and store machines in the replicated state.
+//! Gateway commands: routing documents, instances, weight versions, orders, batch jobs and storage machines.
 
 mod common;
 
@@ -19,7 +19,7 @@
 fn commit(state: &mut ControlState, command: GatewayCommand) -> GatewayOutcome {
     match apply(state, Command::Gateway(command)) {
         CommandOutcome::Gateway(outcome) => outcome,
-        other => panic!("a gateway command brought {other:?}"),
+        other => panic!("unexpected outcome of a gateway command: {other:?}"),
     }
 }
 
@@ -65,35 +65,35 @@
 }
 
 #[test]
-fn the_highest_routing_version_wins_and_equal_ones_change_nothing() {
+fn only_a_higher_version_replaces_the_routing_document() {
     let mut state = ControlState::default();
     commit(&mut state, GatewayCommand::PutRouting(document(5, vec![route("a", "/x/", "web")])));
     commit(&mut state, GatewayCommand::PutRouting(document(3, vec![])));
     commit(&mut state, GatewayCommand::PutRouting(document(5, vec![])));
-    let held = state.routing.current().expect("a document is held");
-    assert_eq!((held.version, held.routes.len()), (5, 1));
+    let current = state.routing.current().expect("a document was applied");
+    assert_eq!((current.version, current.routes.len()), (5, 1));
     commit(&mut state, GatewayCommand::PutRouting(document(9, vec![])));
     assert_eq!(state.routing.version(), Some(9));
 }
 
 #[test]
-fn what_cannot_be_in_force_is_named() {
+fn invalid_routing_documents_are_rejected_with_a_reason() {
     let error = |routes| document(1, routes).error();
     assert_eq!(error(vec![route("a", "/x/", "web")]), None);
     assert_eq!(error(vec![route("a", "/x/", "none")]), Some(RoutingError::UnknownService("none".to_string())));
     let twice = vec![route("a", "/x/", "web"), route("a", "/x/", "web")];
     assert_eq!(error(twice), Some(RoutingError::SamePlace("a/x/".to_string())));
-    let mut weightless = route("a", "/x/", "web");
-    weightless.targets[0].weight = 0;
-    assert_eq!(error(vec![weightless]), Some(RoutingError::NoWeight("a/x/".to_string())));
-    let mut timeless = route("a", "/x/", "web");
-    timeless.timeout_ms = 0;
-    assert_eq!(error(vec![timeless]), Some(RoutingError::NoTimeout("a/x/".to_string())));
+    let mut zero_weight = route("a", "/x/", "web");
+    zero_weight.targets[0].weight = 0;
+    assert_eq!(error(vec![zero_weight]), Some(RoutingError::NoWeight("a/x/".to_string())));
+    let mut zero_timeout = route("a", "/x/", "web");
+    zero_timeout.timeout_ms = 0;
+    assert_eq!(error(vec![zero_timeout]), Some(RoutingError::NoTimeout("a/x/".to_string())));
     assert_eq!(error(vec![route("a", "/x", "web")]), Some(RoutingError::BadPrefix("a/x".to_string())));
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_serves() {
+fn longest_matching_prefix_of_the_host_is_selected() {
     let routes = vec![route("a", "/x/", "web"), route("a", "/x/y/", "web"), route("b", "/x/y/z/", "web")];
     let document = document(1, routes);
     let name = |host, path| document.find(host, path).map(|route| route.name.as_str());
@@ -121,12 +121,12 @@
 }
 
 #[test]
-fn instances_only_go_forward() {
+fn instance_state_never_goes_back() {
     let mut state = ControlState::default();
     commit(&mut state, GatewayCommand::PutRouting(document(1, vec![])));
     commit(&mut state, GatewayCommand::ReportInstances(vec![report("a", 1, 1)]));
     commit(&mut state, GatewayCommand::ReportInstances(vec![InstanceReport { leaving: true, ..report("a", 1, 2) }]));
-    // A late report from before it left.
+    // A delayed report from before the instance was leaving.
     commit(&mut state, GatewayCommand::ReportInstances(vec![report("a", 1, 1)]));
     assert_eq!(instance_state(&state, "a"), Some(InstanceState::Leaving));
     commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::named("a")));
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_goodbye_holds_for_an_instance_that_was_never_known() {
+fn deregistered_instance_that_never_reported_is_not_registered() {
     let mut state = ControlState::default();
     commit(&mut state, GatewayCommand::PutRouting(document(1, vec![])));
     commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::named("a")));
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_new_instance_takes_the_address_of_an_old_one() {
+fn new_instance_replaces_the_instance_at_its_address() {
     let mut state = ControlState::default();
     commit(&mut state, GatewayCommand::PutRouting(document(1, vec![])));
     commit(&mut state, GatewayCommand::ReportInstances(vec![report("old", 1, 1)]));
@@ -153,36 +153,32 @@
     assert_eq!(instance_state(&state, "new"), Some(InstanceState::Ready));
     let changed: Vec<_> = state.instances.changed_after(1).map(|record| record.report.id.name.clone()).collect();
     assert_eq!(changed, ["old", "new"]);
-    assert_eq!(
-        state.instances.changed_after(0).count(),
-        1,
-        "one that knows nothing is not told of those that are gone"
-    );
+    assert_eq!(state.instances.changed_after(0).count(), 1, "instances that are gone are left out of a full update");
     assert!(state.instances.changed_after(state.instances.revision()).next().is_none());
 }
 
 #[test]
-fn versions_only_rise() {
+fn announced_weight_version_never_decreases() {
     let mut state = ControlState::default();
-    let named = |version| LoadedModel { model: "m".to_string(), version };
-    commit(&mut state, GatewayCommand::NameVersion(named(3)));
-    commit(&mut state, GatewayCommand::NameVersion(named(2)));
+    let model = |version| LoadedModel { model: "m".to_string(), version };
+    commit(&mut state, GatewayCommand::NameVersion(model(3)));
+    commit(&mut state, GatewayCommand::NameVersion(model(2)));
     assert_eq!(state.weights.named().get("m"), Some(&3));
 }
 
 #[test]
-fn each_order_has_a_higher_fence_than_any_before_it_of_the_same_holder_too() {
+fn fencing_token_increases_with_each_order_note() {
     let mut state = ControlState::default();
     let subjects = || vec![OrderSubject::UsageReports];
     let note = |id| GatewayCommand::NoteOrders { holder: ReplicaId(id), subjects: subjects() };
-    let mut take = |id| match commit(&mut state, note(id)) {
+    let mut record_note = |id| match commit(&mut state, note(id)) {
         GatewayOutcome::Orders { fence, taken_over } => (fence.0, taken_over),
         other => panic!("{other:?}"),
     };
-    assert_eq!(take(1), (1, false));
-    assert_eq!(take(1), (2, false));
-    assert_eq!(take(2), (3, true));
-    assert_eq!(take(1), (4, true));
+    assert_eq!(record_note(1), (1, false));
+    assert_eq!(record_note(1), (2, false));
+    assert_eq!(record_note(2), (3, true));
+    assert_eq!(record_note(1), (4, true));
 }
 
 fn job(id: &str, items: u32) -> JobSubmission {
@@ -231,13 +227,13 @@
 }
 
 fn results(state: &ControlState, id: &str) -> Vec<(u32, String)> {
-    let page = state.jobs.page(&JobId(id.to_string()), 0, &LoadedTexts::default()).expect("the job is there");
-    let text = |result: &ItemResult| String::from_utf8(result.text.clone()).expect("text");
-    page.expect("in memory").results.iter().map(|(_, result)| (result.item, text(result))).collect()
+    let page = state.jobs.page(&JobId(id.to_string()), 0, &LoadedTexts::default()).expect("the job exists");
+    let text = |result: &ItemResult| String::from_utf8(result.text.clone()).expect("valid UTF-8");
+    page.expect("the texts are in memory").results.iter().map(|(_, result)| (result.item, text(result))).collect()
 }
 
 #[test]
-fn an_item_is_listed_once_and_nothing_after_the_end() {
+fn item_is_listed_once_and_not_after_the_job_has_ended() {
     let mut state = ControlState::default();
     submit(&mut state, "j", 3);
     list(&mut state, "j", part(1, 0, "one"));
@@ -249,19 +245,19 @@
 }
 
 #[test]
-fn a_job_handed_in_again_stays_as_it_is() {
+fn repeated_submission_does_not_change_the_job() {
     let mut state = ControlState::default();
     submit(&mut state, "j", 2);
     list(&mut state, "j", part(0, 0, "zero"));
     commit(&mut state, GatewayCommand::EndJob(JobId("j".to_string())));
     submit(&mut state, "j", 2);
-    let held = state.jobs.get(&JobId("j".to_string())).expect("the job is there");
-    assert!(held.is_ended());
+    let job = state.jobs.get(&JobId("j".to_string())).expect("the job exists");
+    assert!(job.is_ended());
     assert_eq!(results(&state, "j").len(), 1);
 }
 
 #[test]
-fn bodies_are_given_until_their_items_are_listed_or_their_job_has_ended() {
+fn item_body_is_readable_until_the_item_is_listed_or_the_job_has_ended() {
     let mut state = ControlState::default();
     submit(&mut state, "j", 2);
     let body = |state: &ControlState, item: &str| {
@@ -276,28 +272,28 @@
 }
 
 #[test]
-fn texts_go_on_where_they_are_held_and_begin_anew_at_zero() {
+fn text_parts_append_to_partial_texts_and_offset_zero_replaces_them() {
     let mut state = ControlState::default();
     submit(&mut state, "j", 3);
-    let keep = |state: &mut ControlState, part: TextPart| {
+    let append = |state: &mut ControlState, part: TextPart| {
         commit(state, GatewayCommand::KeepTexts { job: JobId("j".to_string()), parts: vec![part] })
     };
-    keep(&mut state, part(0, 0, "ab"));
-    keep(&mut state, part(0, 2, "cd"));
-    // The same part once more, as after an answer that was lost.
-    keep(&mut state, part(0, 2, "cd"));
+    append(&mut state, part(0, 0, "ab"));
+    append(&mut state, part(0, 2, "cd"));
+    // A duplicate part, as after a lost response.
+    append(&mut state, part(0, 2, "cd"));
     assert_eq!(list(&mut state, "j", part(0, 4, "e")), GatewayOutcome::Done);
-    // A text that begins anew replaces what was held.
-    keep(&mut state, part(1, 0, "xyz"));
-    keep(&mut state, part(1, 0, "q"));
+    // A part at offset 0 replaces the partial text.
+    append(&mut state, part(1, 0, "xyz"));
+    append(&mut state, part(1, 0, "q"));
     assert_eq!(list(&mut state, "j", part(1, 1, "r")), GatewayOutcome::Done);
-    // One whose beginning is not held is not listed.
+    // An item with a missing earlier part is not listed.
     assert_eq!(list(&mut state, "j", part(2, 5, "end")), GatewayOutcome::TextMissing(vec![2]));
     assert_eq!(results(&state, "j"), [(0, "abcde".to_string()), (1, "qr".to_string())]);
 }
 
 #[test]
-fn ended_jobs_are_forgotten_after_their_time_and_open_ones_never() {
+fn ended_jobs_are_dropped_after_their_retention_and_open_jobs_are_kept() {
     let mut state = ControlState::default();
     submit(&mut state, "ended", 1);
     submit(&mut state, "open", 1);
@@ -309,7 +305,7 @@
 }
 
 #[test]
-fn predecessors_are_ended_jobs_sent_to_the_same_place() {
+fn predecessors_are_ended_jobs_with_the_same_target() {
     let mut state = ControlState::default();
     for id in ["first", "open", "second", "elsewhere"] {
         submit(&mut state, id, 1);
@@ -346,9 +342,9 @@
     }
 }
 
-/// Whatever happens to a job, its results only grow, each item stands in them once, and a snapshot brings it all back.
+/// After any history the results are append-only, each item is listed at most once, and a snapshot restores the state.
 #[test]
-fn results_keep_their_positions() {
+fn listed_results_keep_their_positions() {
     fn check(steps: Vec<Step>) -> bool {
         let mut state = ControlState::default();
         submit(&mut state, "j", 5);
@@ -377,21 +373,21 @@
             }
             before = now;
         }
-        let copy: ControlState = bitcode::decode(&bitcode::encode(&state)).expect("a snapshot can be read");
+        let copy: ControlState = bitcode::decode(&bitcode::encode(&state)).expect("a snapshot decodes");
         copy == state
     }
     QuickCheck::new().tests(400).quickcheck(check as fn(Vec<Step>) -> bool);
 }
 
 #[test]
-fn a_page_begins_where_it_is_asked_to() {
+fn page_starts_at_the_requested_position() {
     let mut state = ControlState::default();
     submit(&mut state, "j", 3);
     for item in [2, 0] {
         list(&mut state, "j", part(item, 0, "text"));
     }
     let page = |after| state.jobs.page(&JobId("j".to_string()), after, &LoadedTexts::default());
-    let page_at = |after| page(after).expect("the job is there").expect("its texts are in memory");
+    let page_at = |after| page(after).expect("the job exists").expect("the texts are in memory");
     let page = page_at(1);
     assert_eq!((page.total, page.next, page.results.len()), (3, 2, 1));
     assert_eq!(page.results[0].0, ItemId("item-0".to_string()));
@@ -400,7 +396,7 @@
 }
 
 #[test]
-fn a_retirement_stands_whatever_the_machine_says_afterwards() {
+fn registration_does_not_reset_a_retirement() {
     let mut state = ControlState::default();
     let record = |replica| StoreRecord {
         name: "s".to_string(),
--- a/crates/control/tests/level_one.rs
+++ b/crates/control/tests/level_one.rs
@@ -1,11 +1,5 @@
-//! Builds of level one and this one do the same: pictures that a released build of that level has written are read, the state
-//! that its log leads to is the same to the byte, and what is written here at that level it would read.
-//!
-//! Seen: while a newer build replaced an older one, machine by machine, two of three control processes ended at each start,
-//! relays of the newer build never became ready, and nothing that had been acknowledged could be read. How it came about:
-//! a build read its own format of files only, spoke its own protocol only, and wrote the log from its own types. Cause: what
-//! one build writes another must read, and the two had no language in common. Proved by `.ci/upgrade`, which runs both builds
-//! side by side: the same case broke hundreds of promises before and none since levels are spoken.
+//! Compatibility with builds of feature level one, for rolling upgrades: golden files written by a released build of
+//! that level are read and written again byte for byte, and its log leads to an identical snapshot.
 
 use saddlerelay_control::instance_watch::InstanceWatch;
 use saddlerelay_control::machine::ControlMachine;
@@ -29,10 +23,10 @@
 const MESSAGES: &[u8] = include_bytes!("pictures/level_one.messages");
 const PEERS: &[u8] = include_bytes!("pictures/level_one.peers");
 
-/// Requests among the messages; answers follow.
+/// Number of requests in [`MESSAGES`]; replies follow.
 const REQUESTS: usize = 19;
 
-/// Requests of replicas among the pictures of peers; their answers follow, then records of the log.
+/// Number of requests in [`PEERS`]; [`PEER_REPLIES`] replies follow, then log file records.
 const PEER_REQUESTS: usize = 6;
 const PEER_REPLIES: usize = 8;
 
@@ -46,14 +40,14 @@
     frames
 }
 
-fn at_level_one() -> ControlMachine {
+fn new_machine() -> ControlMachine {
     let mut machine = ControlMachine::default();
     machine.enter_level(FeatureLevel::One);
     machine
 }
 
-fn applied() -> ControlMachine {
-    let mut machine = at_level_one();
+fn machine_with_log_applied() -> ControlMachine {
+    let mut machine = new_machine();
     for entry in frames(LOG) {
         machine.apply(entry);
     }
@@ -61,15 +55,15 @@
 }
 
 #[test]
-fn the_log_of_a_released_build_leads_to_the_state_that_it_led_to_there() {
-    assert_eq!(applied().snapshot(), STATE);
+fn log_of_a_released_build_leads_to_an_identical_snapshot() {
+    assert_eq!(machine_with_log_applied().snapshot(), STATE);
 }
 
 #[test]
-fn every_prefix_of_the_log_may_be_left_to_the_other_build() {
+fn snapshot_after_any_prefix_of_the_log_can_be_restored() {
     let entries = frames(LOG);
     for cut in (0..entries.len()).step_by(50) {
-        let mut machine = at_level_one();
+        let mut machine = new_machine();
         entries[..cut].iter().for_each(|entry| drop(machine.apply(entry)));
         let mut restored = ControlMachine::default();
         restored.restore(&machine.snapshot(), FeatureLevel::One);
@@ -78,26 +72,27 @@
     }
 }
 
-/// A replica that has applied every entry and one that was sent a snapshot hold the same once the level is raised.
+/// A replica that applied every entry and one that was restored from a snapshot have the same state after the level is
+/// raised, even if only one has silence marks.
 #[test]
-fn replicas_agree_on_the_state_at_which_the_level_is_raised() {
-    let mut lived = applied();
+fn replicas_have_the_same_state_after_the_level_is_raised() {
+    let mut replayed = machine_with_log_applied();
     let mut restored = ControlMachine::default();
     restored.restore(STATE, FeatureLevel::One);
-    let marked: Vec<_> = lived.state().instances.iter().map(|record| record.report.id.clone()).collect();
-    lived.mark_silence(&marked, &[]);
-    lived.enter_level(FeatureLevel::Two);
+    let marked: Vec<_> = replayed.state().instances.iter().map(|record| record.report.id.clone()).collect();
+    replayed.mark_silence(&marked, &[]);
+    replayed.enter_level(FeatureLevel::Two);
     restored.enter_level(FeatureLevel::Two);
-    assert_eq!(lived.snapshot(), restored.snapshot());
-    assert!(lived.state() == restored.state());
-    assert!(lived.state().instances.silent().is_empty());
-    assert_eq!(lived.state().routing.version(), restored.state().routing.version());
+    assert_eq!(replayed.snapshot(), restored.snapshot());
+    assert!(replayed.state() == restored.state());
+    assert!(replayed.state().instances.silent().is_empty());
+    assert_eq!(replayed.state().routing.version(), restored.state().routing.version());
 }
 
-/// Nothing that was acknowledged at level one is lost by the raise.
+/// Raising the level loses no state of level one.
 #[test]
-fn what_was_acknowledged_stands_behind_the_raise() {
-    let mut machine = applied();
+fn raising_the_level_keeps_the_state() {
+    let mut machine = machine_with_log_applied();
     let before = machine.state().clone();
     machine.enter_level(FeatureLevel::Two);
     let after = machine.state();
@@ -111,64 +106,66 @@
 }
 
 #[test]
-fn entries_are_written_as_a_released_build_writes_them() {
+fn log_entries_are_encoded_as_by_a_released_build() {
     for entry in frames(LOG) {
         let Some(Committed::One(command)) = decode(entry, FeatureLevel::One) else {
-            panic!("an entry of a released build is read");
+            panic!("an entry of a released build does not decode");
         };
         assert_eq!(bitcode::encode(&command), entry);
     }
 }
 
 #[test]
-fn messages_are_written_as_a_released_build_writes_them() {
+fn messages_are_encoded_as_by_a_released_build() {
     let messages = frames(MESSAGES);
     let (requests, replies) = messages.split_at(REQUESTS);
     for request in requests {
-        let read: ControlRequest = bitcode::decode(request).expect("a request of a released build is read");
-        assert_eq!(bitcode::encode(&read), *request);
-        match messages::decode_request(request, FeatureLevel::One).expect("it can be asked here") {
-            Request::Today(today) => {
-                let written = messages::encode_request(&today, FeatureLevel::One).expect("it can be asked there");
-                assert_eq!(written, *request, "{today:?}");
+        let decoded: ControlRequest = bitcode::decode(request).expect("a request of a released build decodes");
+        assert_eq!(bitcode::encode(&decoded), *request);
+        match messages::decode_request(request, FeatureLevel::One).expect("the request has a current equivalent") {
+            Request::Today(current) => {
+                let encoded = messages::encode_request(&current, FeatureLevel::One)
+                    .expect("the request is representable at level one");
+                assert_eq!(encoded, *request, "{current:?}");
             }
             Request::FollowOne(follow) => assert_eq!(messages::encode_follow_one(follow), *request),
         }
     }
     for reply in replies {
-        let read: ControlReply = bitcode::decode(reply).expect("an answer of a released build is read");
-        assert_eq!(bitcode::encode(&read), *reply);
-        if let Some(today) = messages::decode_reply(reply, FeatureLevel::One) {
-            let written = messages::encode_reply(today.clone(), FeatureLevel::One).expect("it can be answered there");
-            assert_eq!(written, *reply, "{today:?}");
+        let decoded: ControlReply = bitcode::decode(reply).expect("a reply of a released build decodes");
+        assert_eq!(bitcode::encode(&decoded), *reply);
+        if let Some(current) = messages::decode_reply(reply, FeatureLevel::One) {
+            let encoded = messages::encode_reply(current.clone(), FeatureLevel::One)
+                .expect("the reply is representable at level one");
+            assert_eq!(encoded, *reply, "{current:?}");
         }
     }
 }
 
 #[test]
-fn replicas_write_each_other_as_a_released_build_does() {
-    let pictures = frames(PEERS);
-    let (requests, rest) = pictures.split_at(PEER_REQUESTS);
+fn replication_messages_are_encoded_as_by_a_released_build() {
+    let golden_messages = frames(PEERS);
+    let (requests, rest) = golden_messages.split_at(PEER_REQUESTS);
     let (replies, records) = rest.split_at(PEER_REPLIES);
-    for picture in requests {
-        let request = message_codec::decode_request(picture, FeatureLevel::One).expect("it is read");
-        assert_eq!(message_codec::encode_request(&request, FeatureLevel::One).as_deref(), Some(*picture));
+    for golden in requests {
+        let request = message_codec::decode_request(golden, FeatureLevel::One).expect("the golden data decodes");
+        assert_eq!(message_codec::encode_request(&request, FeatureLevel::One).as_deref(), Some(*golden));
     }
-    for picture in replies {
-        let reply = message_codec::decode_reply(picture, FeatureLevel::One).expect("it is read");
-        assert_eq!(message_codec::encode_reply(reply, FeatureLevel::One), *picture);
+    for golden in replies {
+        let reply = message_codec::decode_reply(golden, FeatureLevel::One).expect("the golden data decodes");
+        assert_eq!(message_codec::encode_reply(reply, FeatureLevel::One), *golden);
     }
-    for picture in records {
-        let content = wal::read(picture).expect("it is read");
-        assert_eq!(wal::encode(&content.records[0]), *picture);
+    for golden in records {
+        let content = wal::read(golden).expect("the golden data decodes");
+        assert_eq!(wal::encode(&content.records[0]), *golden);
     }
 }
 
-/// The answer to a relay's question names silent instances apart.
+/// A follow reply of level one lists silent instances separately from their records.
 #[test]
-fn a_relay_reads_what_a_released_build_answers_it() {
+fn follow_reply_of_a_released_build_is_decoded() {
     let messages = frames(MESSAGES);
-    let question = one::FollowRequest {
+    let request = one::FollowRequest {
         relay: "relay".to_string(),
         zone: "north".to_string(),
         routing_version: None,
@@ -176,52 +173,58 @@
         silent: Vec::new(),
     };
     let mut memory = FollowMemory::default();
-    let reply = messages::decode_follow_one(messages[REQUESTS], &question, &mut memory);
+    let reply = messages::decode_follow_one(messages[REQUESTS], &request, &mut memory);
     let Some(saddlerelay_types::protocol::ControlReply::Gateway(saddlerelay_types::gateway::GatewayReply::Followed(
         reply,
     ))) = reply
     else {
-        panic!("the answer is read");
+        panic!("the reply does not decode");
     };
-    let document = reply.routing.expect("a document").decode().expect("it is read").apply(None).expect("it is whole");
+    let document = reply
+        .routing
+        .expect("a document")
+        .decode()
+        .expect("the golden data decodes")
+        .apply(None)
+        .expect("the update contains the whole document");
     assert!(!document.routes.is_empty() && document.tenants.is_none());
     assert!(reply.instances.whole && reply.instances.records.len() == 1);
 }
 
 #[test]
-fn an_order_is_noted_and_draws_a_fence_in_two_entries() {
+fn order_note_and_fencing_token_take_two_entries_at_level_one() {
     let holder = ReplicaId(5);
     let subjects = vec![OrderSubject::Engine("engine-1".to_string())];
     let note = Command::Gateway(GatewayCommand::NoteOrders { holder, subjects });
-    let mut machine = at_level_one();
-    let entries = encode(1, note.clone(), FeatureLevel::One).expect("level one has words for it");
+    let mut machine = new_machine();
+    let entries = encode(1, note.clone(), FeatureLevel::One).expect("the command is representable at level one");
     let outcomes: Vec<CommandOutcome> = entries.iter().map(|entry| machine.apply(entry)).collect();
     let Some(CommandOutcome::Gateway(GatewayOutcome::Orders { taken_over: false, .. })) = outcomes.last() else {
         panic!("{outcomes:?}");
     };
     assert_eq!(machine.state().orders.holder(), Some(holder));
     assert_eq!(machine.state().orders.notes().len(), 1);
-    let mut today = ControlMachine::default();
-    let entry = &encode(1, note, FeatureLevel::Two).expect("today has words for it")[0];
-    assert_eq!(Some(today.apply(entry)), outcomes.last().cloned());
+    let mut level_two = ControlMachine::default();
+    let entry = &encode(1, note, FeatureLevel::Two).expect("the command is representable at level two")[0];
+    assert_eq!(Some(level_two.apply(entry)), outcomes.last().cloned());
 }
 
 #[test]
-fn what_level_one_has_no_words_for_is_not_written() {
-    let unspeakable = [
+fn commands_not_representable_at_level_one_are_not_encoded() {
+    let not_representable = [
         GatewayCommand::FixUsage(saddlerelay_types::usage::UsageWindow(3)),
         GatewayCommand::NoteOrders { holder: ReplicaId(1), subjects: vec![OrderSubject::UsageReports] },
         GatewayCommand::ExpireSuspicions,
     ];
-    for command in unspeakable {
+    for command in not_representable {
         assert!(encode(1, Command::Gateway(command.clone()), FeatureLevel::One).is_none(), "{command:?}");
     }
 }
 
-/// An engine that starts again under its name counts its reports anew; where the log has its name alone, the leader must hear it all the
-/// same, and its earlier start no more.
+/// At level one the log has only the engine's name. The leader must accept reports of a new start, whose sequence
+/// numbers begin again, and ignore delayed reports of the earlier start.
 #[test]
-fn an_engine_that_starts_again_is_heard_where_the_log_has_its_name_alone() {
+fn reports_of_a_restarted_engine_are_accepted_at_level_one() {
     let report = |sequence| InstanceReport {
         id: InstanceId::named("engine"),
         service: "web".to_string(),
@@ -238,8 +241,8 @@
     watch.hear(&report(50), seconds(1));
     assert!(watch.note_start(&InstanceId::started("engine", 200)));
     watch.hear(&report(1), seconds(2));
-    let (heard_at, models) = watch.models(&InstanceId::named("engine")).expect("it was heard");
+    let (heard_at, models) = watch.models(&InstanceId::named("engine")).expect("a report was received");
     assert_eq!((heard_at, models[0].version), (seconds(2), 1));
-    assert!(!watch.note_start(&InstanceId::started("engine", 100)), "a late report of the earlier start");
-    assert!(watch.note_start(&InstanceId::named("other")), "one that tells no start");
+    assert!(!watch.note_start(&InstanceId::started("engine", 100)), "a delayed report of the earlier start");
+    assert!(watch.note_start(&InstanceId::named("other")), "an engine without a start time");
 }
