--- a/crates/control/tests/level_two.rs
+++ b/crates/control/tests/level_two.rs
@@ -1,8 +1,8 @@
-//! The layouts of level two are as they were released: log entries of every kind of command, the state that they lead to, messages
-//! between processes and records of the log's file. Whoever changes one of them makes a new level; pictures never change.
+//! The layouts of feature level two match golden files of its first released build: log entries of every command, the
+//! resulting snapshot, messages between processes, and log file records. A changed layout needs a new feature level.
 //!
-//! `pictures/level_two.*` were written by this file in a checkout of d450a68, the first released build of the level, by
-//! `PICTURES=FOLDER cargo test --release -p saddlerelay-control --test level_two`.
+//! The golden files `pictures/level_two.*` were written by this test at commit d450a68 with
+//! `PICTURES=FOLDER cargo test --release -p saddlerelay-control --test level_two`. They must not be changed.
 
 use saddlerelay_control::machine::ControlMachine;
 use saddlerelay_replication::StateMachine;
@@ -99,12 +99,12 @@
 
 fn report(random: &mut fastrand::Rng) -> InstanceReport {
     let number = random.u64(..ENGINES);
-    // Some hosts get another engine, and some reports come from another writer.
-    let place = if random.u8(..8) == 0 { random.u64(..ENGINES) } else { number };
+    // Some reports have the address of another engine.
+    let host = if random.u8(..8) == 0 { random.u64(..ENGINES) } else { number };
     InstanceReport {
         id: instance(random, number),
         service: ["web", "llm", "unnamed"][random.usize(..3)].to_string(),
-        address: address(place),
+        address: address(host),
         zone: ["north", "south"][random.usize(..2)].to_string(),
         slots: random.u32(1..9),
         leaving: random.u8(..4) == 0,
@@ -136,7 +136,7 @@
         step: number,
         minimum_version: number / 2,
         wanted_groups: 2,
-        items: (0..random.u64(1..5)).map(|place| item(number + place)).collect(),
+        items: (0..random.u64(1..5)).map(|offset| item(number + offset)).collect(),
         owner: number.is_multiple_of(2).then(|| TenantId::new("clinic")),
     }
 }
@@ -146,7 +146,7 @@
     TextPart {
         item: random.u32(..4),
         offset: 0,
-        data: (0..length).map(|place| b'a' + (place % 26) as u8).collect(),
+        data: (0..length).map(|offset| b'a' + (offset % 26) as u8).collect(),
         events: 3,
         last_event: Some(2),
         versions: vec![1, 2],
@@ -254,7 +254,7 @@
 }
 
 fn messages(random: &mut fastrand::Rng, state: &ControlMachine) -> Vec<Vec<u8>> {
-    let held_document = state.state().routing.current().expect("a document").clone();
+    let held_document = state.state().routing.current().expect("a document was applied").clone();
     let update = EncodedRoutingUpdate::encode(&RoutingUpdate::between(None, &held_document));
     let record = InstanceRecord { report: report(random), state: InstanceState::Ready, silent: true, revision: 9 };
     let news = InstanceNews { revision: 5, whole: true, records: vec![record] };
@@ -367,11 +367,11 @@
     let member = |number| Member { id: ReplicaId(number), address: address(number), voter: number > 1 };
     let members = Membership { members: vec![member(1), member(2)] };
     let payloads = [EntryPayload::Empty, EntryPayload::Command(vec![1, 2, 3]), EntryPayload::Membership(members)];
-    let entry = |(place, payload)| LogEntry { index: 7 + place as u64, term: 3, payload };
+    let entry = |(offset, payload)| LogEntry { index: 7 + offset as u64, term: 3, payload };
     payloads.into_iter().enumerate().map(entry).collect()
 }
 
-/// Requests of the replication protocol, its answers, and records of the log's file.
+/// Requests and replies of the replication protocol, and log file records.
 fn peers() -> Vec<Vec<u8>> {
     let part = SnapshotPart { index: 5, total: 9, offset: 0, bytes: vec![1, 2] };
     let requests = [
@@ -410,8 +410,8 @@
     written
 }
 
-/// What this build writes, by the ends of the pictures' names.
-fn pictures() -> BTreeMap<&'static str, Vec<u8>> {
+/// The data written by this build, by file name extension of the golden files.
+fn written_by_this_build() -> BTreeMap<&'static str, Vec<u8>> {
     let mut random = fastrand::Rng::with_seed(23);
     let mut machine = ControlMachine::default();
     let mut entries = Vec::new();
@@ -431,16 +431,21 @@
 }
 
 #[test]
-fn what_is_written_is_what_the_first_build_of_the_level_wrote() {
+fn encodings_match_the_first_released_build() {
     if let Ok(folder) = std::env::var("PICTURES") {
-        for (end, bytes) in pictures() {
-            std::fs::write(Path::new(&folder).join(format!("level_two.{end}")), bytes).expect("there is room");
+        for (extension, bytes) in written_by_this_build() {
+            std::fs::write(Path::new(&folder).join(format!("level_two.{extension}")), bytes)
+                .expect("the golden file can be written");
         }
         return;
     }
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/pictures");
-    for (end, bytes) in pictures() {
-        let released = std::fs::read(folder.join(format!("level_two.{end}"))).expect("a picture");
-        assert!(bytes == released, "level_two.{end}: a layout or what a command does has changed without a new level");
+    for (extension, bytes) in written_by_this_build() {
+        let released =
+            std::fs::read(folder.join(format!("level_two.{extension}"))).expect("the golden file can be read");
+        assert!(
+            bytes == released,
+            "level_two.{extension}: a layout or the effect of a command has changed without a new feature level"
+        );
     }
 }
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Engines and relays: who may get work, and what becomes of a lost relay.
+//! Membership of engines and relays: availability, incarnations and fencing tokens.
 
 use saddlerelay_control::commands;
 use saddlerelay_control::state::ControlState;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_engine_gets_no_work_before_it_was_observed() {
+fn registered_engine_is_unreachable_until_observed() {
     let mut state = ControlState::default();
     register(&mut state, 1);
     let record = state.members.engine(&engine()).expect("the engine is registered");
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_leaving_engine_stays_so_until_it_starts_anew() {
+fn leaving_engine_is_available_again_only_with_a_new_incarnation() {
     let mut state = ControlState::default();
     register(&mut state, 1);
     observe(&mut state, 9, EngineAvailability::Leaving);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_engine_that_moved_must_be_observed_again() {
+fn engine_with_a_new_address_is_unreachable_until_observed() {
     let mut state = ControlState::default();
     register(&mut state, 1);
     observe(&mut state, 9, EngineAvailability::Available);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_relay_that_starts_anew_replaces_its_earlier_incarnation_and_a_lost_one_never_comes_back() {
+fn new_relay_incarnation_replaces_the_earlier_one_and_a_lost_one_cannot_rejoin() {
     let mut state = ControlState::default();
     let relay = |incarnation| RelayDescription {
         name: "relay-1".to_string(),
@@ -79,12 +79,12 @@
 }
 
 #[test]
-fn fences_rise() {
+fn fencing_tokens_increase() {
     let mut state = ControlState::default();
     let first = apply(&mut state, MembershipCommand::DrawFence);
     let second = apply(&mut state, MembershipCommand::DrawFence);
     let (CommandOutcome::Fence(first), CommandOutcome::Fence(second)) = (first, second) else {
-        panic!("drawing a fence brought no fence");
+        panic!("expected two fencing tokens");
     };
     assert!(second > first);
 }
--- a/crates/control/tests/order_watch.rs
+++ b/crates/control/tests/order_watch.rs
@@ -1,4 +1,4 @@
-//! How long a new holder of orders waits, subject by subject.
+//! Waiting time of a new holder of orders, by subject.
 
 use saddlerelay_control::order_watch::OrderWatch;
 use saddlerelay_control::state::orders::OrderState;
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn only_engines_that_another_holder_may_have_ordered_lately_are_waited_for() {
+fn new_holder_waits_only_for_subjects_with_recent_notes_of_another_holder() {
     let mut state = OrderState::default();
     let mut watch = OrderWatch::default();
     state.note(OLD, vec![engine("a")]);
     watch.see(&state, seconds(10));
     state.note(OLD, vec![engine("b")]);
     watch.see(&state, seconds(12));
-    // Seen again, a note is no younger.
+    // Observing a note again does not extend the wait.
     watch.see(&state, seconds(13));
     assert_eq!(watch.free_at(&engine("a"), NEW, DISTANCE), seconds(13));
     assert_eq!(watch.free_at(&engine("b"), NEW, DISTANCE), seconds(15));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_second_note_for_the_same_engine_counts_from_its_own_sight() {
+fn newer_note_of_the_same_engine_restarts_the_wait() {
     let mut state = OrderState::default();
     let mut watch = OrderWatch::default();
     state.note(OLD, vec![engine("a")]);
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn a_process_that_starts_anew_takes_every_note_for_a_new_one() {
+fn restarted_process_treats_every_note_as_new() {
     let mut state = OrderState::default();
     state.note(OLD, vec![engine("a"), engine("b")]);
     let mut watch = OrderWatch::default();
     watch.see(&state, seconds(100));
     assert_eq!(watch.free_at(&engine("a"), NEW, DISTANCE), seconds(103));
-    state.forget_engine(&InstanceId::named("a"));
+    state.remove_engine(&InstanceId::named("a"));
     watch.see(&state, seconds(101));
-    assert_eq!(watch.free_at(&engine("a"), NEW, DISTANCE), Duration::ZERO, "it is gone and never comes back");
+    assert_eq!(watch.free_at(&engine("a"), NEW, DISTANCE), Duration::ZERO, "the note was removed");
 }
--- a/crates/control/tests/rollouts.rs
+++ b/crates/control/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! The ledger of samples: each reaches its trainer once, none is too old, whatever is late, lost or sent again.
+//! Rollouts: each sample is delivered once and within the staleness bound, despite delays, losses and retries.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use saddlerelay_types::rollout::{DeliveryBatch, SampleAssignment, SampleId, SamplePayload, StepRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
-const BOUND: u64 = 1;
+const STALENESS_BOUND: u64 = 1;
 
 fn rollout(state: &mut ControlState, command: RolloutCommand) -> CommandOutcome {
     apply(state, Command::Rollout(command))
@@ -29,9 +29,9 @@
 fn configure(state: &mut ControlState, bound: u64) {
     let template = ObjectValue::Template(Template { parameters: BTreeMap::new() });
     let values = BTreeMap::from([(ParameterName::StalenessBound, ParameterValue::Integer(bound as i64))]);
-    let filled = ObjectValue::Tenant(Tenant { template: TemplateId::new("team"), values });
+    let tenant_object = ObjectValue::Tenant(Tenant { template: TemplateId::new("team"), values });
     let names = [ObjectName::Template(TemplateId::new("team")), ObjectName::Tenant(tenant())];
-    for (name, value) in names.into_iter().zip([template, filled]) {
+    for (name, value) in names.into_iter().zip([template, tenant_object]) {
         let change = ConfigurationChange { name, value: Some(value), expected: None, idempotency_key: None };
         apply(state, Command::Configuration(change));
     }
@@ -39,7 +39,7 @@
 
 fn new_state() -> ControlState {
     let mut state = ControlState::default();
-    configure(&mut state, BOUND);
+    configure(&mut state, STALENESS_BOUND);
     (1..=3).for_each(|relay| join(&mut state, relay));
     state
 }
@@ -58,8 +58,8 @@
     let incarnation = Incarnation(incarnation);
     match rollout(state, RolloutCommand::Fetch { tenant: tenant(), incarnation, cursor, limit: 3 }) {
         CommandOutcome::Delivery(batch) => Ok(batch),
-        CommandOutcome::Refused(refusal) => Err(refusal),
-        other => panic!("a fetch brought {other:?}"),
+        CommandOutcome::Refused(rejection) => Err(rejection),
+        other => panic!("unexpected outcome of a fetch: {other:?}"),
     }
 }
 
@@ -72,7 +72,7 @@
 fn assign(state: &mut ControlState, relay: u64, sequence: u64, limit: u32) -> Vec<SampleAssignment> {
     match rollout(state, RolloutCommand::Assign { relay: Incarnation(relay), sequence, limit }) {
         CommandOutcome::Assigned(assigned) => assigned,
-        other => panic!("an assignment brought {other:?}"),
+        other => panic!("unexpected outcome of an assignment: {other:?}"),
     }
 }
 
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_fetch_at_the_same_cursor_brings_the_same_samples() {
+fn repeated_fetch_at_a_cursor_returns_the_same_samples() {
     let mut state = new_state();
     open(&mut state, 1);
     open_step(&mut state, 1, 1);
@@ -102,21 +102,21 @@
 }
 
 #[test]
-fn a_completion_of_an_earlier_attempt_is_dropped() {
+fn completion_of_an_earlier_attempt_is_ignored() {
     let mut state = new_state();
     open(&mut state, 1);
     open_step(&mut state, 1, 1);
-    let late = assign(&mut state, 1, 1, 1).remove(0);
+    let delayed = assign(&mut state, 1, 1, 1).remove(0);
     lose(&mut state, 1);
     let again = assign(&mut state, 2, 1, 1).remove(0);
-    assert_eq!(again.sample, late.sample);
-    assert!(!complete(&mut state, &late, 0));
+    assert_eq!(again.sample, delayed.sample);
+    assert!(!complete(&mut state, &delayed, 0));
     assert!(complete(&mut state, &again, 0));
     assert!(!complete(&mut state, &again, 0));
 }
 
 #[test]
-fn a_resent_assignment_brings_the_same_samples() {
+fn retried_assignment_returns_the_same_samples() {
     let mut state = new_state();
     open(&mut state, 1);
     open_step(&mut state, 1, 1);
@@ -125,26 +125,26 @@
     assert_eq!(assign(&mut state, 1, 2, 4).len(), 2);
 }
 
-/// The trap of the brief: a batch on its way while the trainer publishes. What it had not received is decided again.
+/// A batch is in flight while the trainer publishes: unacknowledged samples are checked again for staleness.
 #[test]
-fn a_publication_takes_back_what_was_not_received_and_is_too_old() {
+fn publication_withdraws_and_requeues_stale_samples_that_were_not_received() {
     let mut state = new_state();
     open(&mut state, 1);
     open_step(&mut state, 1, 1);
     for assignment in assign(&mut state, 1, 1, 4) {
         complete(&mut state, &assignment, 0);
     }
-    let on_its_way = fetch(&mut state, 1, Position(0)).expect("the trainer may fetch");
+    let in_flight = fetch(&mut state, 1, Position(0)).expect("the trainer may fetch");
     publish(&mut state, 1, 1, Position(0));
     publish(&mut state, 1, 2, Position(0));
     let after = fetch(&mut state, 1, Position(0)).expect("the trainer may fetch");
-    assert!(after.epoch > on_its_way.epoch);
-    assert!(after.samples.is_empty(), "version 0 is two behind, one is allowed");
-    assert_eq!(assign(&mut state, 1, 2, 8).len(), 4, "all of it is asked for again");
+    assert!(after.epoch > in_flight.epoch);
+    assert!(after.samples.is_empty(), "version 0 is two behind, the bound is one");
+    assert_eq!(assign(&mut state, 1, 2, 8).len(), 4, "all samples are requeued");
 }
 
 #[test]
-fn an_older_incarnation_of_the_trainer_is_refused() {
+fn older_trainer_incarnation_is_rejected() {
     let mut state = new_state();
     open(&mut state, 2);
     assert_eq!(open(&mut state, 1), CommandOutcome::Refused(TrainerRefusal::Fenced));
@@ -153,21 +153,21 @@
 }
 
 #[test]
-fn a_cursor_that_was_never_handed_out_is_refused() {
+fn cursor_beyond_the_last_position_is_rejected() {
     let mut state = new_state();
     open(&mut state, 1);
     assert_eq!(fetch(&mut state, 1, Position(1)), Err(TrainerRefusal::BadCursor));
 }
 
-/// One step of a trainer's and some relays' history.
+/// A step of a random history of a trainer and its relays.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Open,
     Assign { relay: u8 },
-    Complete { place: u8, behind: u8 },
+    Complete { index: u8, behind: u8 },
     LoseRelay { relay: u8 },
     Fetch,
-    TakeBatch { place: u8 },
+    ReceiveBatch { index: u8 },
     Publish,
     Restart,
     Tighten { bound: u8 },
@@ -179,10 +179,10 @@
         match u8::arbitrary(generator) % 14 {
             0 => Self::Open,
             1..=3 => Self::Assign { relay: number % 3 },
-            4..=6 => Self::Complete { place: number, behind: number % 3 },
+            4..=6 => Self::Complete { index: number, behind: number % 3 },
             7 => Self::LoseRelay { relay: number % 3 },
             8 | 9 => Self::Fetch,
-            10 | 11 => Self::TakeBatch { place: number },
+            10 | 11 => Self::ReceiveBatch { index: number },
             12 => Self::Publish,
             _ if number.is_multiple_of(2) => Self::Restart,
             _ => Self::Tighten { bound: number % 3 },
@@ -190,8 +190,8 @@
     }
 }
 
-/// A trainer as the interface asks it to be: it drops batches of an earlier epoch and takes positions in order. Its
-/// cursor lasts; batches on their way may arrive late, twice, or after it was started again.
+/// A trainer that ignores batches of earlier epochs and accepts positions in order. Its cursor survives restarts;
+/// batches in flight may arrive late or more than once.
 struct History {
     state: ControlState,
     incarnation: u64,
@@ -204,7 +204,7 @@
     relays: [u64; 3],
     next_relay: u64,
     assigned: Vec<SampleAssignment>,
-    on_their_way: Vec<DeliveryBatch>,
+    batches_in_flight: Vec<DeliveryBatch>,
     received: BTreeSet<SampleId>,
 }
 
@@ -219,17 +219,17 @@
             cursor: Position(0),
             epoch: DeliveryEpoch(0),
             published: 0,
-            bound: BOUND,
+            bound: STALENESS_BOUND,
             sequences: [0; 3],
             relays: [1, 2, 3],
             next_relay: 4,
             assigned: Vec::new(),
-            on_their_way: Vec::new(),
+            batches_in_flight: Vec::new(),
             received: BTreeSet::new(),
         }
     }
 
-    fn take(&mut self, batch: &DeliveryBatch) -> Result<(), String> {
+    fn receive(&mut self, batch: &DeliveryBatch) -> Result<(), String> {
         if batch.epoch < self.epoch {
             return Ok(());
         }
@@ -240,7 +240,7 @@
             }
             let behind = self.published - sample.payload.oldest_version().0;
             if behind > self.bound {
-                return Err(format!("{}: {behind} versions behind, {} allowed", sample.sample, self.bound));
+                return Err(format!("{}: {behind} versions behind, the bound is {}", sample.sample, self.bound));
             }
             if !self.received.insert(sample.sample.clone()) {
                 return Err(format!("{}: received again", sample.sample));
@@ -257,52 +257,52 @@
                 open_step(&mut self.state, self.incarnation, self.steps);
             }
             Step::Assign { relay } => {
-                let place = usize::from(relay);
-                self.sequences[place] += 1;
-                let assigned = assign(&mut self.state, self.relays[place], self.sequences[place], 2);
+                let index = usize::from(relay);
+                self.sequences[index] += 1;
+                let assigned = assign(&mut self.state, self.relays[index], self.sequences[index], 2);
                 self.assigned.extend(assigned);
             }
-            Step::Complete { place, behind } if !self.assigned.is_empty() => {
-                let assignment = self.assigned[usize::from(place) % self.assigned.len()].clone();
+            Step::Complete { index, behind } if !self.assigned.is_empty() => {
+                let assignment = self.assigned[usize::from(index) % self.assigned.len()].clone();
                 let version = self.published.saturating_sub(behind.into());
                 complete(&mut self.state, &assignment, version);
             }
             Step::Complete { .. } => {}
             Step::LoseRelay { relay } => {
-                let place = usize::from(relay);
-                lose(&mut self.state, self.relays[place]);
-                self.relays[place] = self.next_relay;
-                self.sequences[place] = 0;
+                let index = usize::from(relay);
+                lose(&mut self.state, self.relays[index]);
+                self.relays[index] = self.next_relay;
+                self.sequences[index] = 0;
                 join(&mut self.state, self.next_relay);
                 self.next_relay += 1;
             }
             Step::Fetch => {
                 let batch = fetch(&mut self.state, self.incarnation, self.cursor);
-                self.on_their_way.push(batch.map_err(|refusal| format!("a fetch was refused: {refusal:?}"))?);
+                self.batches_in_flight.push(batch.map_err(|rejection| format!("a fetch was rejected: {rejection:?}"))?);
             }
-            Step::TakeBatch { place } if !self.on_their_way.is_empty() => {
-                let batch = self.on_their_way[usize::from(place) % self.on_their_way.len()].clone();
-                self.take(&batch)?;
+            Step::ReceiveBatch { index } if !self.batches_in_flight.is_empty() => {
+                let batch = self.batches_in_flight[usize::from(index) % self.batches_in_flight.len()].clone();
+                self.receive(&batch)?;
             }
-            Step::TakeBatch { .. } => {}
+            Step::ReceiveBatch { .. } => {}
             Step::Publish => {
                 self.published += 1;
-                let answer = publish(&mut self.state, self.incarnation, self.published, self.cursor);
-                let CommandOutcome::Trainer(state) = answer else {
-                    return Err(format!("a publication brought {answer:?}"));
+                let outcome = publish(&mut self.state, self.incarnation, self.published, self.cursor);
+                let CommandOutcome::Trainer(state) = outcome else {
+                    return Err(format!("unexpected outcome of a publication: {outcome:?}"));
                 };
                 self.epoch = self.epoch.max(state.epoch);
             }
             Step::Restart => {
                 self.incarnation += 1;
                 open(&mut self.state, self.incarnation);
-                // The earlier incarnation's answers go to nobody.
-                self.on_their_way.clear();
+                // Responses to the earlier incarnation are not received.
+                self.batches_in_flight.clear();
             }
-            // Batches already on their way were decided under the looser bound: the trainer may take them until it is
-            // told otherwise by its next answer, so they are not sent here.
+            // Batches in flight were placed under the old bound, which they may satisfy alone. They are dropped here,
+            // as the trainer may accept them until its next response.
             Step::Tighten { bound } => {
-                self.on_their_way.clear();
+                self.batches_in_flight.clear();
                 self.bound = u64::from(bound);
                 configure(&mut self.state, self.bound);
             }
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn no_history_delivers_twice_too_old_or_out_of_order() {
+fn every_history_delivers_each_sample_once_and_within_the_staleness_bound() {
     fn holds(steps: Vec<Step>) -> Result<(), String> {
         let mut history = History::new();
         steps.into_iter().try_for_each(|step| history.step(step))?;
@@ -321,10 +321,10 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(150, 17)).tests(2_000).quickcheck(holds as fn(Vec<Step>) -> _);
 }
 
-/// After any history, working relays and a trainer that fetches bring every sample that was asked for.
+/// Completes and fetches all outstanding samples; fails if any requested sample is not delivered.
 fn drain(history: &mut History) -> Result<(), String> {
     let expected = history.steps as usize * 4;
-    // Relays that hold samples and never finish them are lost in the end.
+    // Declares all relays lost, so that their unfinished samples are requeued.
     (0..3).try_for_each(|relay| history.step(Step::LoseRelay { relay }))?;
     for _ in 0..=expected {
         history.sequences[0] += 1;
@@ -333,7 +333,7 @@
             complete(&mut history.state, &assignment, history.published);
         }
         let batch = fetch(&mut history.state, history.incarnation, history.cursor);
-        history.take(&batch.map_err(|refusal| format!("a fetch was refused: {refusal:?}"))?)?;
+        history.receive(&batch.map_err(|rejection| format!("a fetch was rejected: {rejection:?}"))?)?;
     }
     let received = history.received.len();
     if received == expected { Ok(()) } else { Err(format!("{received} of {expected} samples were received")) }
--- a/crates/control/tests/routing_updates.rs
+++ b/crates/control/tests/routing_updates.rs
@@ -1,4 +1,4 @@
-//! Routing documents told to relays as differences.
+//! Incremental updates of the routing document.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use saddlerelay_control::routing_updates::RoutingUpdates;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Tenants that change as the routes do; some documents list none.
+/// One tenant per route; every fifth document has no tenant list.
 fn tenants(version: u64, routes: &BTreeMap<u8, u64>) -> Option<Vec<TenantAccess>> {
     let access = |(number, timeout): (&u8, &u64)| TenantAccess {
         name: TenantId(format!("tenant-{number}")),
@@ -38,7 +38,7 @@
     (!version.is_multiple_of(5)).then(|| routes.iter().map(access).collect())
 }
 
-/// A document with these routes: number and timeout of each.
+/// A document with routes given by number and timeout.
 fn document(version: u64, routes: &[(u8, u8)]) -> RoutingDocument {
     let routes_by_number: BTreeMap<u8, u64> =
         routes.iter().map(|(number, timeout)| (*number, u64::from(*timeout) + 1)).collect();
@@ -72,7 +72,7 @@
     document
 }
 
-/// The routes of several documents, one after the other.
+/// The routes of consecutive documents.
 #[derive(Clone, Debug)]
 struct History(Vec<Vec<(u8, u8)>>);
 
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_update_makes_the_newer_document_of_the_older() {
+fn update_turns_the_older_document_into_the_newer_one() {
     fn holds(History(documents): History) -> bool {
         documents.windows(2).all(|pair| {
             let (old, new) = (document(1, &pair[0]), document(2, &pair[1]));
@@ -100,19 +100,19 @@
 }
 
 #[test]
-fn whatever_a_relay_holds_the_update_leads_to_the_newest() {
+fn update_from_any_earlier_document_leads_to_the_newest() {
     fn holds(History(documents): History) -> bool {
         let documents: Vec<RoutingDocument> =
             documents.iter().enumerate().map(|(index, routes)| document(index as u64 + 1, routes)).collect();
         let mut updates = RoutingUpdates::default();
         for (index, current) in documents.iter().enumerate() {
-            for held in std::iter::once(None).chain(documents[..=index].iter().map(Some)) {
-                let update = updates.update(current, held.map(|held| held.version));
-                let made = match update {
-                    None => held.cloned(),
-                    Some(update) => update.decode().and_then(|update| update.apply(held)),
+            for known in std::iter::once(None).chain(documents[..=index].iter().map(Some)) {
+                let update = updates.update(current, known.map(|known| known.version));
+                let result = match update {
+                    None => known.cloned(),
+                    Some(update) => update.decode().and_then(|update| update.apply(known)),
                 };
-                if made.map(sorted) != Some(sorted(current.clone())) {
+                if result.map(sorted) != Some(sorted(current.clone())) {
                     return false;
                 }
             }
@@ -123,20 +123,20 @@
 }
 
 #[test]
-fn an_update_of_one_route_is_small_and_holds_nothing_that_operators_sent() {
+fn update_of_one_route_is_small_and_omits_the_document_source() {
     let routes: Vec<(u8, u8)> = (0..200).map(|number| (number, 0)).collect();
     let mut changed = routes.clone();
     changed[7].1 = 1;
     let (old, new) = (document(1, &routes), document(2, &changed));
     let mut updates = RoutingUpdates::default();
-    let whole = updates.update(&old, None).expect("there is news");
-    let small = updates.update(&new, Some(1)).expect("there is news");
+    let whole = updates.update(&old, None).expect("the document has changed");
+    let small = updates.update(&new, Some(1)).expect("the document has changed");
     assert!(whole.len() < old.routes.len() * 150, "{} bytes for 200 routes and tenants", whole.len());
     assert!(small.len() < 300, "{} bytes for one route", small.len());
 }
 
 #[test]
-fn an_update_on_another_document_is_not_applied() {
+fn update_is_not_applied_to_a_different_document() {
     let (first, second, third) = (document(1, &[(1, 1)]), document(2, &[(2, 1)]), document(3, &[(3, 1)]));
     let update = RoutingUpdate::between(Some(&second), &third);
     assert_eq!(update.clone().apply(Some(&first)), None);
--- a/crates/control/tests/suspicion_watch.rs
+++ b/crates/control/tests/suspicion_watch.rs
@@ -1,4 +1,4 @@
-//! Suspicions as each replica watches them by its own clock.
+//! Expiry of suspicions by the monotonic clock of each replica.
 
 use saddlerelay_control::state::suspicions::SuspicionTable;
 use saddlerelay_control::suspicion_watch::SuspicionWatch;
@@ -7,14 +7,14 @@
 use saddlerelay_types::work::WorkDigest;
 use std::time::Duration;
 
-/// Unix milliseconds of the log when the engine ended.
+/// Log time of the engine failure, in Unix milliseconds.
 const LOG_TIME: u64 = 1_764_720_000_000;
 
-/// A leader's time of day that is an hour ahead.
+/// Wall clock of a leader that is an hour ahead, in Unix milliseconds.
 const AHEAD: u64 = LOG_TIME + 3_600_000;
 
-/// How long work is suspected after one engine has ended under it.
-const SUSPECTED: Duration = Duration::from_secs(600);
+/// Time to live of a suspicion.
+const SUSPICION_TTL: Duration = Duration::from_secs(600);
 
 fn suspect(table: &mut SuspicionTable, body: &[u8], unix_ms: u64) {
     let work = WorkDigest::of_posted(None, "host", "/rollouts", body);
@@ -29,41 +29,42 @@
 }
 
 #[test]
-fn a_time_of_day_that_is_ahead_ends_no_suspicion_before_its_time() {
+fn leader_clock_that_is_ahead_does_not_expire_a_suspicion_early() {
     let mut table = SuspicionTable::default();
     suspect(&mut table, b"an item", LOG_TIME);
     let started = Duration::from_secs(5);
     let mut watch = watched(&table, started);
-    let just_before = started + SUSPECTED - Duration::from_millis(1);
+    let just_before = started + SUSPICION_TTL - Duration::from_millis(1);
     watch.see(&table, just_before);
     assert!(!watch.may_expire(&table, AHEAD, just_before));
-    assert!(watch.may_expire(&table, AHEAD, started + SUSPECTED));
+    assert!(watch.may_expire(&table, AHEAD, started + SUSPICION_TTL));
 }
 
 #[test]
-fn a_suspicion_ends_when_its_time_is_over_by_both_clocks() {
+fn suspicion_expires_after_its_time_to_live_by_both_clocks() {
     let mut table = SuspicionTable::default();
     suspect(&mut table, b"an item", LOG_TIME);
     let watch = watched(&table, Duration::ZERO);
-    let over = LOG_TIME + SUSPECTED.as_millis() as u64;
-    assert!(!watch.may_expire(&table, over - 1, SUSPECTED));
-    assert!(watch.may_expire(&table, over, SUSPECTED));
+    let expires_at = LOG_TIME + SUSPICION_TTL.as_millis() as u64;
+    assert!(!watch.may_expire(&table, expires_at - 1, SUSPICION_TTL));
+    assert!(watch.may_expire(&table, expires_at, SUSPICION_TTL));
 }
 
-/// The command forgets all that are over by the log's time: one that is young by the steady clock holds it up.
+/// The command removes all suspicions that have expired by log time, so it must wait for those that are recent by the
+/// monotonic clock.
 #[test]
-fn an_old_suspicion_waits_for_a_young_one_that_would_go_with_it() {
+fn expiry_waits_for_a_recent_suspicion_that_would_also_be_removed() {
     let mut table = SuspicionTable::default();
     suspect(&mut table, b"an item", LOG_TIME);
     let mut watch = watched(&table, Duration::ZERO);
     suspect(&mut table, b"another", LOG_TIME);
-    watch.see(&table, SUSPECTED);
-    assert!(!watch.may_expire(&table, AHEAD, SUSPECTED));
-    assert!(watch.may_expire(&table, AHEAD, SUSPECTED * 2));
+    watch.see(&table, SUSPICION_TTL);
+    assert!(!watch.may_expire(&table, AHEAD, SUSPICION_TTL));
+    assert!(watch.may_expire(&table, AHEAD, SUSPICION_TTL * 2));
 }
 
 #[test]
-fn nothing_is_to_be_forgotten_where_nothing_is_suspected() {
+fn empty_table_has_nothing_to_expire() {
     let table = SuspicionTable::default();
-    assert!(!watched(&table, Duration::ZERO).may_expire(&table, AHEAD, SUSPECTED));
+    assert!(!watched(&table, Duration::ZERO).may_expire(&table, AHEAD, SUSPICION_TTL));
 }
--- a/crates/control/tests/suspicions.rs
+++ b/crates/control/tests/suspicions.rs
@@ -1,4 +1,4 @@
-//! The table of work under which engines have ended: what counts, what clears, what is forgotten.
+//! Suspicions and quarantines: evidence, expiry, eviction and trial leases.
 
 use quickcheck::{QuickCheck, TestResult};
 use saddlerelay_control::state::suspicions::SuspicionTable;
@@ -19,34 +19,34 @@
     EngineLoss { work: work(number), instance: InstanceId::named(format!("engine-{engine}")) }
 }
 
-fn lost(table: &mut SuspicionTable, number: u32, engine: u32, now: u64) {
+fn record_loss(table: &mut SuspicionTable, number: u32, engine: u32, now: u64) {
     table.take(WorkEvidence { losses: vec![loss(number, engine)], served: Vec::new() }, now);
 }
 
 fn quarantine(table: &mut SuspicionTable, number: u32, now: u64) {
-    (0..MOST_ENGINES_ENDED as u32).for_each(|engine| lost(table, number, engine, now));
+    (0..MOST_ENGINES_ENDED as u32).for_each(|engine| record_loss(table, number, engine, now));
 }
 
 #[test]
-fn three_engines_make_a_quarantine_and_the_same_one_counts_once() {
+fn work_is_quarantined_after_failures_of_three_different_engines() {
     let mut table = SuspicionTable::default();
     for _ in 0..5 {
-        lost(&mut table, 1, 7, 0);
+        record_loss(&mut table, 1, 7, 0);
     }
     assert_eq!(table.get(&work(1)).map(|suspicion| suspicion.engines.len()), Some(1));
-    lost(&mut table, 1, 8, 0);
+    record_loss(&mut table, 1, 8, 0);
     assert!(!table.is_quarantined(&work(1)));
-    lost(&mut table, 1, 9, 0);
+    record_loss(&mut table, 1, 9, 0);
     assert!(table.is_quarantined(&work(1)));
     assert!(!table.is_quarantined(&work(2)));
 }
 
 #[test]
-fn what_changes_nothing_takes_no_revision() {
+fn revision_does_not_change_without_a_change() {
     let mut table = SuspicionTable::default();
     quarantine(&mut table, 1, 0);
     let revision = table.revision();
-    lost(&mut table, 1, 99, 5);
+    record_loss(&mut table, 1, 99, 5);
     table.take(WorkEvidence { losses: Vec::new(), served: vec![work(2)] }, 5);
     table.expire(5);
     assert!(!table.release(&work(2)));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn work_that_is_served_begins_anew() {
+fn served_work_is_cleared_before_new_losses_count() {
     let mut table = SuspicionTable::default();
     quarantine(&mut table, 1, 0);
     table.take(WorkEvidence { losses: vec![loss(1, 50)], served: vec![work(1)] }, 1);
@@ -62,9 +62,9 @@
 }
 
 #[test]
-fn a_suspicion_is_forgotten_and_a_quarantine_leaves_one_engine_to_try() {
+fn suspicions_expire_and_expired_quarantines_allow_one_more_engine() {
     let mut table = SuspicionTable::default();
-    lost(&mut table, 1, 1, 0);
+    record_loss(&mut table, 1, 1, 0);
     quarantine(&mut table, 2, 0);
     assert!(!table.has_expired(9 * MINUTE_MS));
     table.expire(11 * MINUTE_MS);
@@ -72,21 +72,21 @@
     assert!(table.is_quarantined(&work(2)));
     table.expire(61 * MINUTE_MS);
     assert!(!table.is_quarantined(&work(2)));
-    lost(&mut table, 2, 77, 62 * MINUTE_MS);
-    assert!(table.is_quarantined(&work(2)), "one engine more is enough");
+    record_loss(&mut table, 2, 77, 62 * MINUTE_MS);
+    assert!(table.is_quarantined(&work(2)), "one more failure quarantines the work again");
 }
 
 #[test]
-fn a_release_forgets_everything() {
+fn release_removes_a_quarantine() {
     let mut table = SuspicionTable::default();
     quarantine(&mut table, 1, 0);
     assert!(table.release(&work(1)));
     assert!(table.is_empty());
 }
 
-/// Whatever comes, the table stays bounded, and work in quarantine does not give way to work under which fewer ended.
+/// The table size is bounded, and quarantined work is not evicted by work with fewer engine failures.
 #[test]
-fn the_table_is_bounded_and_quarantines_outlast_a_flood() {
+fn table_is_bounded_and_keeps_quarantines_under_a_flood_of_evidence() {
     fn property(floods: Vec<u16>) -> TestResult {
         let mut table = SuspicionTable::default();
         quarantine(&mut table, 1_000_000, 0);
@@ -94,14 +94,14 @@
             let losses = (0..u32::from(flood % 900)).map(|number| loss(number, now as u32 % 2)).collect();
             table.take(WorkEvidence { losses, served: Vec::new() }, now as u64);
         }
-        let kept = table.list().suspicions.len();
-        TestResult::from_bool(kept <= 512 && table.is_quarantined(&work(1_000_000)))
+        let count = table.list().suspicions.len();
+        TestResult::from_bool(count <= 512 && table.is_quarantined(&work(1_000_000)))
     }
     QuickCheck::new().tests(20).quickcheck(property as fn(Vec<u16>) -> TestResult);
 }
 
 #[test]
-fn digests_tell_callers_and_parts_apart() {
+fn digests_differ_by_caller_and_request_part() {
     let tenant = |name: &str| Caller::Tenant(TenantId::new(name));
     let digest = |caller: &Caller, path: &str, body: &str| {
         let work = Work { caller, method: "POST", host: "clinic.example", path, body: body.as_bytes() };
@@ -122,16 +122,16 @@
     assert_eq!(WorkDigest::from_hexadecimal("short"), None);
 }
 
-/// A relay that has not heard of the third engine yet asks for the right all the same.
+/// A relay may request a trial before it has received the quarantine.
 #[test]
-fn nobody_gets_the_right_to_run_quarantined_work() {
+fn no_trial_is_granted_for_quarantined_work() {
     let mut table = SuspicionTable::default();
     let id = TrialId { holder: Incarnation(1), number: 1 };
-    lost(&mut table, 1, 0, 0);
-    lost(&mut table, 1, 1, 0);
+    record_loss(&mut table, 1, 0, 0);
+    record_loss(&mut table, 1, 1, 0);
     assert_eq!(table.begin_trial(work(1), id, 0, MINUTE_MS), TrialAnswer::Granted);
     table.end_trial(&work(1), id);
-    lost(&mut table, 1, 2, 0);
-    assert!(table.is_taken(&work(1), id));
+    record_loss(&mut table, 1, 2, 0);
+    assert!(table.is_trial_refused(&work(1), id));
     assert_eq!(table.begin_trial(work(1), id, 0, MINUTE_MS), TrialAnswer::Taken);
 }
--- a/crates/control/tests/usage.rs
+++ b/crates/control/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Counts of requests: each counts once, and those of a fixed window change no more.
+//! Usage counts: each delta is applied once, and the counts of a closed window do not change.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use saddlerelay_control::group_clock::GroupClock;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_difference_that_comes_again_counts_once() {
+fn duplicate_delta_is_applied_once() {
     let mut state = UsageState::default();
     state.add(usage(1, 1, &[(7, "a", 2)]), 0);
     state.add(usage(1, 1, &[(7, "a", 2)]), 0);
@@ -34,29 +34,29 @@
     state.add(usage(1, 2, &[(7, "b", 4)]), 0);
     state.add(usage(1, 1, &[(7, "a", 2)]), 0);
     assert_eq!((state.taken_from(Incarnation(1)), state.taken_from(Incarnation(3))), (2, 0));
-    state.fix(UsageWindow(7));
+    state.close_windows(UsageWindow(7));
     assert_eq!(state.unreported().collect::<Vec<_>>(), [report(7, &[("a", 3), ("b", 5)])]);
 }
 
 #[test]
-fn a_fixed_window_changes_no_more_and_what_comes_late_is_told() {
+fn closed_window_does_not_change_and_late_requests_are_counted_separately() {
     let mut state = UsageState::default();
     state.add(usage(1, 1, &[(7, "a", 2), (9, "a", 1)]), 0);
-    state.fix(UsageWindow(8));
+    state.close_windows(UsageWindow(8));
     state.add(usage(1, 2, &[(7, "a", 5), (9, "a", 1)]), 0);
     assert_eq!(state.uncounted(), 5);
-    // A window in which nothing was counted is reported as such.
+    // A window without requests is also reported.
     assert_eq!(state.unreported().collect::<Vec<_>>(), [report(7, &[("a", 2)]), report(8, &[])]);
-    state.fix(UsageWindow(7));
-    assert_eq!(state.first_open(), Some(UsageWindow(9)), "what is fixed stays so");
-    state.reported(UsageWindow(7));
-    state.reported(UsageWindow(7));
-    state.fix(UsageWindow(9));
+    state.close_windows(UsageWindow(7));
+    assert_eq!(state.first_open(), Some(UsageWindow(9)), "a closed window stays closed");
+    state.mark_reported(UsageWindow(7));
+    state.mark_reported(UsageWindow(7));
+    state.close_windows(UsageWindow(9));
     assert_eq!(state.unreported().collect::<Vec<_>>(), [report(8, &[]), report(9, &[("a", 2)])]);
     assert_eq!(state.newest_reported(), Some(UsageWindow(7)));
 }
 
-/// Differences as relays send them: some twice, some after a later one.
+/// Relay and sequence number of deltas, with duplicates and interleaved relays.
 #[derive(Clone, Debug)]
 struct Deliveries(Vec<(u64, u64)>);
 
@@ -66,7 +66,7 @@
         let mut sequences = [0; 3];
         for _ in 0..u8::arbitrary(random) % 40 {
             let relay = usize::arbitrary(random) % 3;
-            // A relay sends its next difference only when the last is taken; before that, it repeats it.
+            // A relay repeats a delta until it is acknowledged, and then sends the next one.
             if bool::arbitrary(random) || sequences[relay] == 0 {
                 sequences[relay] += 1;
             }
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn whatever_is_repeated_the_sum_is_that_of_the_differences() {
+fn sum_of_counts_is_correct_despite_duplicate_deltas() {
     fn holds(Deliveries(deliveries): Deliveries) -> bool {
         let mut state = UsageState::default();
         let mut expected: BTreeMap<(u64, u64), u64> = BTreeMap::new();
@@ -86,15 +86,15 @@
             state.add(usage(relay, sequence, &[(1, "a", count)]), 0);
             expected.insert((relay, sequence), count);
         }
-        state.fix(UsageWindow(1));
-        let told: u64 = state.unreported().flat_map(|report| report.counts.into_values()).sum();
-        told == expected.values().sum::<u64>()
+        state.close_windows(UsageWindow(1));
+        let reported: u64 = state.unreported().flat_map(|report| report.counts.into_values()).sum();
+        reported == expected.values().sum::<u64>()
     }
     QuickCheck::new().tests(400).quickcheck(holds as fn(Deliveries) -> bool);
 }
 
 #[test]
-fn the_groups_time_is_true_while_fewer_than_half_of_the_clocks_are_wrong() {
+fn group_time_is_correct_while_fewer_than_half_of_the_clocks_are_wrong() {
     fn holds(wrong: Vec<i16>, right: u8) -> bool {
         let right = wrong.len() + 2 + usize::from(right % 20);
         let mut clock = GroupClock::default();
@@ -116,13 +116,13 @@
 }
 
 #[test]
-fn the_groups_time_is_not_told_before_relays_were_heard_for_a_while_nor_long_after() {
+fn group_time_is_unavailable_at_first_and_after_a_long_time_without_samples() {
     let mut clock = GroupClock::default();
     let at = Duration::from_millis;
     assert_eq!(clock.unix_ms(5_000, at(0)), None);
     clock.hear("relay", 9_000, at(100));
-    assert_eq!(clock.unix_ms(9_200, at(300)), None, "the first words are not enough");
+    assert_eq!(clock.unix_ms(9_200, at(300)), None, "one clock sample is not enough");
     clock.hear("relay", 9_900, at(1_000));
     assert_eq!(clock.unix_ms(10_000, at(1_100)), Some(10_000));
-    assert_eq!(clock.unix_ms(40_000, at(31_100)), None, "nobody was heard for long");
+    assert_eq!(clock.unix_ms(40_000, at(31_100)), None, "the last clock sample is too old");
 }
