--- a/crates/control-client/src/lib.rs
+++ b/crates/control-client/src/lib.rs
@@ -1,8 +1,9 @@
-//! Finds the control group's leader and calls it; `suspicions` is what a relay and the group tell each other of work under
-//! which engines end, `trials` are the rights to run such work, `reports` gathers what engines report.
+//! Client of the control group: finds the leader and sends requests to it. `suspicions` exchanges evidence about
+//! suspected work with the group, `trials` holds the leases to run such work, and `reports` batches the reports of
+//! engines.
 //!
-//! Every command is safe to send again: changes carry a key or a revision, claims an arrival, samples an attempt,
-//! assignments a sequence. A call whose answer is lost is therefore repeated until its time runs out.
+//! All commands are idempotent: changes carry a key or a revision, claims an arrival, samples an attempt, assignments a
+//! sequence number. A call whose reply is lost is therefore retried until its deadline.
 
 mod replicas;
 pub mod reports;
@@ -27,53 +28,52 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The longest wait for one replica's answer before another is tried.
-const ATTEMPT_LIMIT: Duration = Duration::from_millis(1200);
+/// Timeout of a request to one replica.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Pause after a replica that does not lead and knows no leader, unless the group has named another.
+/// Pause before the next attempt while no leader is known, unless the group has set a longer one.
 const RETRY_PAUSE: Duration = Duration::from_millis(40);
 
-/// Longest pause of a client that has never had an answer: processes that start together, before there is a leader, ask
-/// less and less often.
-const LONGEST_FIRST_PAUSE: Duration = Duration::from_millis(400);
+/// Upper limit of the exponential backoff of a client that has not reached a leader yet.
+const MAX_INITIAL_PAUSE: Duration = Duration::from_millis(400);
 
-/// Why a call brought no outcome.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlError {
-    /// The replica that was asked is of an older build, which has no words for the request. It was not sent.
+    /// The replica runs an older build whose protocol cannot encode the request. The request was not sent.
     Unspeakable,
-    /// No leader answered in time. A command may or may not be committed.
+    /// No leader replied before the deadline. A command may or may not be committed.
     Unavailable,
-    /// The leader refused; nothing was done.
+    /// The leader rejected the request; nothing was changed.
     Refused(String),
 }
 
-/// Why a gateway call brought no answer.
+/// Why a gateway call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GatewayError {
-    /// The replica that was asked is of an older build, which has no words for the request. Nothing was done.
+    /// The replica runs an older build whose protocol cannot encode the request. Nothing was changed.
     NotUnderstood,
-    /// Nothing was done, and nothing will be.
+    /// The request was not executed and will not be.
     NotDone,
-    /// It may have been done, or may be later.
+    /// The outcome is unknown: the request may have been executed, or may be later.
     Undecided,
 }
 
 struct Inner<P> {
     platform: P,
     replicas: RefCell<Replicas<P>>,
-    /// Pause after a replica that does not lead and knows no leader.
+    /// Pause before the next attempt while no leader is known.
     retry_pause: Cell<Duration>,
-    /// A leader has answered this client.
-    has_been_answered: Cell<bool>,
-    /// No leader has answered the newest call yet.
+    /// Whether a leader has ever replied to this client.
+    has_reached_leader: Cell<bool>,
+    /// Whether the client has no working leader at present.
     is_searching: Cell<bool>,
-    /// What a leader that speaks level one has told a relay.
+    /// State accumulated from poll replies of leaders at feature level one.
     follow_memory: RefCell<FollowMemory>,
     secret: String,
 }
 
-/// Calls the control group. Clones share connections.
+/// A client of the control group. Clones share connections.
 pub struct ControlClient<P> {
     inner: Rc<Inner<P>>,
 }
@@ -85,14 +85,14 @@
 }
 
 impl<P: Runtime> ControlClient<P> {
-    /// A client of the group whose replicas listen at `addresses`.
+    /// Creates a client of the group whose replicas listen at `addresses`.
     pub fn new(platform: P, addresses: &[SocketAddr], secret: &str) -> Self {
         let replicas = RefCell::new(Replicas::new(platform.clone(), addresses, secret));
         let inner = Inner {
             platform,
             replicas,
             retry_pause: Cell::new(RETRY_PAUSE),
-            has_been_answered: Cell::new(false),
+            has_reached_leader: Cell::new(false),
             is_searching: Cell::new(true),
             follow_memory: RefCell::default(),
             secret: secret.to_string(),
@@ -100,22 +100,21 @@
         Self { inner: Rc::new(inner) }
     }
 
-    /// Sets the pause after a replica that does not lead and knows no leader, as the group names it.
+    /// Sets the pause between attempts while no leader is known, as requested by the group.
     pub fn set_retry_pause(&self, pause: Duration) {
         self.inner.retry_pause.set(pause.max(RETRY_PAUSE));
     }
 
-    /// The pause before the next replica is asked, drawn anew each time so that those who were refused together do not come
-    /// back together.
+    /// The pause before the next attempt, with jitter if it is longer than [`RETRY_PAUSE`].
     fn next_retry_pause(&self) -> Duration {
         let pause = self.inner.retry_pause.get();
-        if !self.inner.has_been_answered.get() {
-            self.inner.retry_pause.set((pause * 3 / 2).min(LONGEST_FIRST_PAUSE));
+        if !self.inner.has_reached_leader.get() {
+            self.inner.retry_pause.set((pause * 3 / 2).min(MAX_INITIAL_PAUSE));
         }
         if pause <= RETRY_PAUSE { pause } else { pause / 2 + self.inner.platform.jitter(pause) }
     }
 
-    /// Commits a command, trying for at most `limit`.
+    /// Commits a command, with retries for at most `limit`.
     pub async fn execute(&self, command: Command, limit: Duration) -> Result<CommandOutcome, ControlError> {
         match self.call_leader(&ControlRequest::Execute(command), limit).await? {
             ControlReply::Executed(outcome) => Ok(outcome),
@@ -123,7 +122,7 @@
         }
     }
 
-    /// Reads the committed state, trying for at most `limit`.
+    /// Reads the committed state, with retries for at most `limit`.
     pub async fn query(&self, query: Query, limit: Duration) -> Result<QueryAnswer, ControlError> {
         match self.call_leader(&ControlRequest::Query(query), limit).await? {
             ControlReply::Answer(answer) => Ok(answer),
@@ -131,7 +130,7 @@
         }
     }
 
-    /// Renews a relay's lease, trying for at most `limit`.
+    /// Renews a relay's lease, with retries for at most `limit`.
     pub async fn renew(&self, renewal: RenewRequest, limit: Duration) -> Result<RenewReply, ControlError> {
         match self.call_leader(&ControlRequest::Renew(renewal), limit).await? {
             ControlReply::Renewed(reply) => Ok(reply),
@@ -139,7 +138,7 @@
         }
     }
 
-    /// Asks the replica at `address` to form a new group.
+    /// Requests the replica at `address` to form a new group.
     pub async fn initialize(&self, address: SocketAddr, limit: Duration) -> Result<(), ControlError> {
         let client = Client::new(self.inner.platform.clone(), address, &self.inner.secret);
         let answer = client.call(|level| messages::encode_request(&ControlRequest::Initialize, level), limit).await;
@@ -151,8 +150,8 @@
         }
     }
 
-    /// Asks the leader about routed requests, instances, versions or batch jobs, trying for at most `limit`, and each
-    /// replica for at most `attempt_limit`.
+    /// Sends a gateway request to the leader, with retries for at most `limit`. `attempt_limit` is the timeout for one
+    /// replica.
     pub async fn gateway(
         &self,
         request: GatewayRequest,
@@ -170,7 +169,7 @@
         }
     }
 
-    /// Asks one replica, whether it leads or not; `None` if it does not answer in time.
+    /// Sends a gateway request to one replica, whether it leads or not; `None` without a readable reply in time.
     pub async fn gateway_at(
         &self,
         address: SocketAddr,
@@ -186,37 +185,37 @@
         }
     }
 
-    /// The replica that is asked first, the leader as far as is known; `None` if none is known at all.
+    /// The replica that receives the next request: the leader, if known. `None` if no replica is known.
     pub fn current_address(&self) -> Option<SocketAddr> {
         self.inner.replicas.borrow().current()
     }
 
-    /// Names the replicas anew; connections to those that stay are kept.
+    /// Replaces the configured replicas. Connections to replicas that remain are kept.
     pub fn set_replicas(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let addresses: BTreeSet<SocketAddr> = addresses.into_iter().collect();
-        self.inner.replicas.borrow_mut().give_anew(&addresses, self.inner.is_searching.get());
+        self.inner.replicas.borrow_mut().replace_configured(&addresses, self.inner.is_searching.get());
     }
 
-    /// Takes further addresses at which replicas may listen, for example when the settings have changed. A client that
-    /// searches for the leader asks new ones next; one that has found it stays with it.
+    /// Adds addresses at which replicas may listen, for example after a change of settings. While the client searches
+    /// for the leader, a new address is tried next.
     pub fn hear_of(&self, addresses: &[SocketAddr]) {
         let mut replicas = self.inner.replicas.borrow_mut();
         match self.inner.is_searching.get() {
-            true => replicas.search_from(addresses),
-            false => replicas.learn(addresses),
+            true => replicas.add_and_select_new(addresses),
+            false => replicas.add_discovered(addresses),
         }
     }
 
-    /// What each replica last answered, for the log of whoever finds no leader.
+    /// The last answer of each replica, for log lines and errors when no leader is found.
     pub fn search(&self) -> LeaderSearch {
         self.inner.replicas.borrow().search()
     }
 
     async fn call_leader(&self, request: &ControlRequest, limit: Duration) -> Result<ControlReply, ControlError> {
-        self.call_until(request, limit, ATTEMPT_LIMIT, &mut false).await
+        self.call_until(request, limit, ATTEMPT_TIMEOUT, &mut false).await
     }
 
-    /// Calls until a leader answers. Sets `may_be_done` once a replica may have taken the request.
+    /// Retries until a leader replies. Sets `may_be_done` once a replica may have received the request.
     async fn call_until(
         &self,
         request: &ControlRequest,
@@ -226,37 +225,37 @@
     ) -> Result<ControlReply, ControlError> {
         let deadline = self.inner.platform.monotonic() + limit;
         loop {
-            let left = deadline.saturating_sub(self.inner.platform.monotonic());
-            if left.is_zero() {
+            let remaining = deadline.saturating_sub(self.inner.platform.monotonic());
+            if remaining.is_zero() {
                 return Err(ControlError::Unavailable);
             }
-            let current = self.inner.replicas.borrow_mut().ask_current();
+            let current = self.inner.replicas.borrow_mut().start_request();
             let Some(replica) = current else {
                 self.inner.platform.sleep(self.next_retry_pause()).await;
                 continue;
             };
-            let outcome = self.ask(&replica, request, left.min(attempt_limit)).await;
-            // A connection that closes before it is served looks like one to an older build: what was sent before may have
-            // been done all the same, and another replica may tell.
+            let outcome = self.send_request(&replica, request, remaining.min(attempt_limit)).await;
+            // A connection that closes during the handshake looks like an older build. After an earlier attempt that
+            // may have been executed, the search goes on for a replica that can report the outcome.
             if outcome == Err(CallError::Unspeakable) && !*may_be_done {
                 return Err(ControlError::Unspeakable);
             }
-            // An answer that cannot be read is one to a request that was taken.
+            // A replica that sent a malformed reply may have executed the request.
             *may_be_done |= matches!(outcome, Err(CallError::Unknown) | Ok(None));
-            self.inner.replicas.borrow_mut().note(replica.address(), LastAnswer::of(&outcome));
+            self.inner.replicas.borrow_mut().record_answer(replica.address(), LastAnswer::of(&outcome));
             match outcome.ok().flatten() {
                 Some(ControlReply::NotLeader { leader: Some(leader), .. }) if leader != replica.address() => {
-                    self.inner.replicas.borrow_mut().choose(leader);
+                    self.inner.replicas.borrow_mut().select_leader(leader);
                 }
-                Some(ControlReply::NotLeader { peers, .. }) => self.turn_away(replica.address(), &peers).await,
+                Some(ControlReply::NotLeader { peers, .. }) => self.select_next(replica.address(), &peers).await,
                 Some(ControlReply::Undecided) => {
                     *may_be_done = true;
-                    self.turn_away(replica.address(), &[]).await;
+                    self.select_next(replica.address(), &[]).await;
                 }
-                None => self.turn_away(replica.address(), &[]).await,
+                None => self.select_next(replica.address(), &[]).await,
                 Some(reply) => {
                     self.inner.is_searching.set(false);
-                    if !self.inner.has_been_answered.replace(true) {
+                    if !self.inner.has_reached_leader.replace(true) {
                         self.inner.retry_pause.set(RETRY_PAUSE);
                     }
                     return Ok(reply);
@@ -265,47 +264,48 @@
         }
     }
 
-    /// Asks one replica, in the words of its level; `None` for an answer that cannot be read.
-    async fn ask(
+    /// Sends a request to one replica, encoded at its feature level; `None` for a malformed reply.
+    async fn send_request(
         &self,
         replica: &Client<P>,
         request: &ControlRequest,
         limit: Duration,
     ) -> Result<Option<ControlReply>, CallError> {
         if let ControlRequest::Gateway(GatewayRequest::Follow(follow)) = request {
-            return self.ask_as_relay(replica, follow, limit).await;
+            return self.send_poll(replica, follow, limit).await;
         }
         let answer = replica.call(|level| messages::encode_request(request, level), limit).await?;
         Ok(messages::decode_reply(&answer.body, answer.level))
     }
 
-    /// A relay's question, whose answer of level one has another content.
-    async fn ask_as_relay(
+    /// Sends a relay's poll, whose request and reply have different contents at level one.
+    async fn send_poll(
         &self,
         replica: &Client<P>,
         follow: &FollowRequest,
         limit: Duration,
     ) -> Result<Option<ControlReply>, CallError> {
-        let question = self.inner.follow_memory.borrow().question(follow);
+        let level_one_poll = self.inner.follow_memory.borrow().question(follow);
         let request = ControlRequest::Gateway(GatewayRequest::Follow(follow.clone()));
         let encode = |level| match level {
-            FeatureLevel::One => Some(messages::encode_follow_one(question.clone())),
+            FeatureLevel::One => Some(messages::encode_follow_one(level_one_poll.clone())),
             FeatureLevel::Two => messages::encode_request(&request, level),
         };
         let Answer { level, body } = replica.call(encode, limit).await?;
         let reply = match level {
             FeatureLevel::One => {
-                messages::decode_follow_one(&body, &question, &mut self.inner.follow_memory.borrow_mut())
+                messages::decode_follow_one(&body, &level_one_poll, &mut self.inner.follow_memory.borrow_mut())
             }
             FeatureLevel::Two => messages::decode_reply(&body, level),
         };
         Ok(reply)
     }
 
-    /// Turns to another replica after `asked` was no help and has named others, and waits a little.
-    async fn turn_away(&self, asked: SocketAddr, named: &[SocketAddr]) {
+    /// Selects another replica after `failed` did not serve the request and returned the addresses `peers`, then
+    /// pauses.
+    async fn select_next(&self, failed: SocketAddr, peers: &[SocketAddr]) {
         self.inner.is_searching.set(true);
-        self.inner.replicas.borrow_mut().choose_after(asked, named);
+        self.inner.replicas.borrow_mut().select_after_failure(failed, peers);
         self.inner.platform.sleep(self.next_retry_pause()).await;
     }
 }
@@ -313,6 +313,6 @@
 fn unexpected(reply: ControlReply) -> ControlError {
     match reply {
         ControlReply::Refused(reason) => ControlError::Refused(reason),
-        _ => ControlError::Refused("the answer does not fit the request".to_string()),
+        _ => ControlError::Refused("the reply has an unexpected type".to_string()),
     }
 }
--- a/crates/control-client/src/replicas.rs
+++ b/crates/control-client/src/replicas.rs
@@ -1,8 +1,8 @@
-//! The replicas that a client may ask, and whom it asks next while it looks for the leader.
+//! The replicas known to a client, and the order in which it tries them while it searches for the leader.
 //!
-//! Some are given: by the settings, or by the group. Others are learned from replicas that could not help. A search asks
-//! each in turn, the one asked longest ago first, so that it ends wherever a path of names leads to the leader, however many
-//! of the machines named on the way are gone.
+//! Replicas are configured, by the settings or by the group, or discovered from the peer addresses in replies of other
+//! replicas. A search tries the least recently tried replica first, so that unreachable addresses don't hide reachable
+//! ones.
 
 use crate::search::{LastAnswer, LeaderSearch};
 use saddlerelay_rpc::client::Client;
@@ -11,189 +11,189 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most replicas that a client asks: some times as many as a group has members and a deployment machines that serve control.
-/// Beyond, those that do not answer make room.
-const MOST_REPLICAS: usize = 64;
+/// Maximum number of replicas that a client keeps. When it is reached, a failed discovered replica is replaced first.
+const MAX_REPLICAS: usize = 64;
 
-/// How long a replica that did not answer is passed over while others may: an election takes no longer.
-const PASSED_OVER: Duration = Duration::from_millis(1500);
+/// A replica that was unreachable or did not reply is skipped for this long while others are available.
+const NO_REPLY_BACKOFF: Duration = Duration::from_millis(1500);
 
-/// A replica that another one names is not asked at once if it has been asked within this time: two that name each other would
-/// be asked by turns, and no other. As long as the longest pause of a search.
-const ASKED_LATELY: Duration = Duration::from_millis(400);
+/// A replica returned as a peer is not preferred if it was tried within this time. Otherwise two replicas that return
+/// each other would be tried in turns, and no other.
+const RECENTLY_TRIED: Duration = Duration::from_millis(400);
 
 /// Where a replica's address comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Origin {
-    /// The settings or the group.
-    Given,
-    /// A replica that could not help.
-    Learned,
+    /// Set by the settings or the group.
+    Configured,
+    /// Returned by a replica that does not lead.
+    Discovered,
 }
 
-/// A replica as a client knows it.
-struct Known<P> {
+/// A replica with its connection and the result of its last request.
+struct ReplicaEntry<P> {
     client: Client<P>,
     origin: Origin,
-    passed_over_until: Duration,
+    skipped_until: Duration,
     last_answer: LastAnswer,
-    asked_at: Option<Duration>,
+    tried_at: Option<Duration>,
 }
 
-impl<P: Runtime> Known<P> {
+impl<P: Runtime> ReplicaEntry<P> {
     fn address(&self) -> SocketAddr {
         self.client.address()
     }
 
-    /// Whether it is of no use as far as is known.
+    /// Whether its last request failed without a usable reply.
     fn has_failed(&self) -> bool {
-        matches!(self.last_answer, LastAnswer::NotReached | LastAnswer::Silent | LastAnswer::Unreadable)
+        matches!(self.last_answer, LastAnswer::Unreachable | LastAnswer::NoReply | LastAnswer::Malformed)
     }
 }
 
-/// Replicas, and the one that is asked now.
+/// The replicas known to a client, and the one that receives its requests at present.
 pub(crate) struct Replicas<P> {
     platform: P,
     secret: String,
-    /// Given ones first, then learned ones, the newest first.
-    known: Vec<Known<P>>,
+    /// Configured ones first, then discovered ones, the newest first.
+    entries: Vec<ReplicaEntry<P>>,
     current: Option<SocketAddr>,
 }
 
 impl<P: Runtime> Replicas<P> {
     pub fn new(platform: P, addresses: &[SocketAddr], secret: &str) -> Self {
-        let mut replicas = Self { platform, secret: secret.to_string(), known: Vec::new(), current: None };
-        replicas.give(addresses);
+        let mut replicas = Self { platform, secret: secret.to_string(), entries: Vec::new(), current: None };
+        replicas.add_configured(addresses);
         replicas.current = addresses.first().copied();
         replicas
     }
 
-    /// The replica to ask, noted as asked now.
-    pub fn ask_current(&mut self) -> Option<Client<P>> {
+    /// The client of the current replica, which is marked as tried now.
+    pub fn start_request(&mut self) -> Option<Client<P>> {
         let now = self.platform.monotonic();
         let current = self.current?;
-        let known = self.known.iter_mut().find(|known| known.address() == current)?;
-        known.asked_at = Some(now);
-        Some(known.client.clone())
+        let entry = self.entries.iter_mut().find(|entry| entry.address() == current)?;
+        entry.tried_at = Some(now);
+        Some(entry.client.clone())
     }
 
-    /// The replica that is asked next.
+    /// The address of the current replica.
     pub fn current(&self) -> Option<SocketAddr> {
         self.current
     }
 
-    /// The connection to one replica.
+    /// The RPC client of one replica.
     pub fn client_of(&self, address: SocketAddr) -> Option<Client<P>> {
-        self.known.iter().find(|known| known.address() == address).map(|known| known.client.clone())
+        self.entries.iter().find(|entry| entry.address() == address).map(|entry| entry.client.clone())
     }
 
-    /// Every replica with its last answer.
+    /// Every replica and its last answer.
     pub fn search(&self) -> LeaderSearch {
-        LeaderSearch { replicas: self.known.iter().map(|known| (known.address(), known.last_answer)).collect() }
+        LeaderSearch { replicas: self.entries.iter().map(|entry| (entry.address(), entry.last_answer)).collect() }
     }
 
-    /// Takes a replica's answer. One that gave none is passed over for a while.
-    pub fn note(&mut self, address: SocketAddr, answer: LastAnswer) {
+    /// Records a replica's answer. A replica without one is skipped for [`NO_REPLY_BACKOFF`].
+    pub fn record_answer(&mut self, address: SocketAddr, answer: LastAnswer) {
         let now = self.platform.monotonic();
-        if let Some(known) = self.known.iter_mut().find(|known| known.address() == address) {
-            known.last_answer = answer;
-            if matches!(answer, LastAnswer::NotReached | LastAnswer::Silent) {
-                known.passed_over_until = now + PASSED_OVER;
+        if let Some(entry) = self.entries.iter_mut().find(|entry| entry.address() == address) {
+            entry.last_answer = answer;
+            if matches!(answer, LastAnswer::Unreachable | LastAnswer::NoReply) {
+                entry.skipped_until = now + NO_REPLY_BACKOFF;
             }
         }
     }
 
-    /// Turns to the replica at `address`, which was named as the leader.
-    pub fn choose(&mut self, address: SocketAddr) {
-        self.learn(&[address]);
+    /// Selects the replica at `address`, which another replica returned as the leader.
+    pub fn select_leader(&mut self, address: SocketAddr) {
+        self.add_discovered(&[address]);
         self.current = Some(address);
     }
 
-    /// Turns to another replica after `asked` was no help: to the first of those that it named and that are known and were not
-    /// asked lately, or else to the one asked longest ago. Of calls that failed there together only the first turns.
-    pub fn choose_after(&mut self, asked: SocketAddr, named: &[SocketAddr]) {
+    /// Selects another replica after `failed` did not serve a request: the first of `peers` that was known before, is
+    /// not skipped and was not tried recently, or else the least recently tried replica. Does nothing if a concurrent
+    /// call has selected another replica already.
+    pub fn select_after_failure(&mut self, failed: SocketAddr, peers: &[SocketAddr]) {
         let now = self.platform.monotonic();
-        let is_of_use = |address: &&SocketAddr| {
-            let known = self.known.iter().find(|known| known.address() == **address);
-            known.is_some_and(|known| {
-                known.passed_over_until <= now && known.asked_at.is_none_or(|at| now >= at + ASKED_LATELY)
+        let is_usable = |address: &&SocketAddr| {
+            let entry = self.entries.iter().find(|entry| entry.address() == **address);
+            entry.is_some_and(|entry| {
+                entry.skipped_until <= now && entry.tried_at.is_none_or(|at| now >= at + RECENTLY_TRIED)
             })
         };
-        let preferred = named.iter().find(is_of_use).copied();
-        self.learn(named);
-        if self.current != Some(asked) {
+        let preferred = peers.iter().find(is_usable).copied();
+        self.add_discovered(peers);
+        if self.current != Some(failed) {
             return;
         }
-        self.current = preferred.or_else(|| self.asked_longest_ago(now));
+        self.current = preferred.or_else(|| self.least_recently_tried(now));
     }
 
-    /// The replica asked longest ago among those that have not been silent lately, or among all if all have.
-    fn asked_longest_ago(&self, now: Duration) -> Option<SocketAddr> {
-        let answers = self.known.iter().filter(|known| known.passed_over_until <= now);
-        let longest_ago = answers.min_by_key(|known| known.asked_at);
-        longest_ago.or_else(|| self.known.iter().min_by_key(|known| known.asked_at)).map(Known::address)
+    /// The least recently tried replica among those that are not skipped, or among all if all are skipped.
+    fn least_recently_tried(&self, now: Duration) -> Option<SocketAddr> {
+        let available = self.entries.iter().filter(|entry| entry.skipped_until <= now);
+        let oldest = available.min_by_key(|entry| entry.tried_at);
+        oldest.or_else(|| self.entries.iter().min_by_key(|entry| entry.tried_at)).map(ReplicaEntry::address)
     }
 
-    /// Turns to the first of `addresses` that is not known yet, and takes them all: those known were no help so far.
-    pub fn search_from(&mut self, addresses: &[SocketAddr]) {
+    /// Adds `addresses` and selects the first of them that was unknown.
+    pub fn add_and_select_new(&mut self, addresses: &[SocketAddr]) {
         let new = addresses.iter().find(|address| self.client_of(**address).is_none()).copied();
-        self.learn(addresses);
+        self.add_discovered(addresses);
         self.current = new.filter(|new| self.client_of(*new).is_some()).or(self.current);
     }
 
-    /// Takes replicas that another has named, before those that were learned earlier.
-    pub fn learn(&mut self, addresses: &[SocketAddr]) {
-        let mut place = self.known.iter().filter(|known| known.origin == Origin::Given).count();
+    /// Adds discovered replicas, in front of those discovered earlier.
+    pub fn add_discovered(&mut self, addresses: &[SocketAddr]) {
+        let mut index = self.entries.iter().filter(|entry| entry.origin == Origin::Configured).count();
         for address in addresses {
-            if self.client_of(*address).is_none() && self.make_room(place) {
-                self.known.insert(place, self.new_known(*address, Origin::Learned));
-                place += 1;
+            if self.client_of(*address).is_none() && self.make_room(index) {
+                self.entries.insert(index, self.new_entry(*address, Origin::Discovered));
+                index += 1;
             }
         }
-        self.current = self.current.or_else(|| self.known.first().map(Known::address));
+        self.current = self.current.or_else(|| self.entries.first().map(ReplicaEntry::address));
     }
 
-    /// Drops a learned replica from `first` on if there are as many as may be: one that has failed, or the oldest that nobody
-    /// has asked. `false` if none can go.
+    /// Makes room for one replica: at the limit, removes a discovered replica (index `first` or later) that has failed,
+    /// or else the oldest one that was never tried. `false` if there is none.
     fn make_room(&mut self, first: usize) -> bool {
-        if self.known.len() < MOST_REPLICAS {
+        if self.entries.len() < MAX_REPLICAS {
             return true;
         }
-        let learned =
-            || self.known.iter().enumerate().skip(first).filter(|(_, known)| Some(known.address()) != self.current);
-        let failed = learned().rev().find(|(_, known)| known.has_failed());
-        let unasked = || learned().rev().find(|(_, known)| known.asked_at.is_none());
-        let place = failed.or_else(unasked).map(|(place, _)| place);
-        place.map(|place| self.known.remove(place)).is_some()
-    }
-
-    /// Names the given replicas anew. Learned ones stay while the client searches: they may be all that leads to the leader.
-    pub fn give_anew(&mut self, addresses: &BTreeSet<SocketAddr>, is_searching: bool) {
-        self.known
-            .retain(|known| addresses.contains(&known.address()) || is_searching && known.origin == Origin::Learned);
+        let discovered =
+            || self.entries.iter().enumerate().skip(first).filter(|(_, entry)| Some(entry.address()) != self.current);
+        let failed = discovered().rev().find(|(_, entry)| entry.has_failed());
+        let untried = || discovered().rev().find(|(_, entry)| entry.tried_at.is_none());
+        let index = failed.or_else(untried).map(|(index, _)| index);
+        index.map(|index| self.entries.remove(index)).is_some()
+    }
+
+    /// Replaces the configured replicas. Discovered ones are kept during a search, as only they may lead to the leader.
+    pub fn replace_configured(&mut self, addresses: &BTreeSet<SocketAddr>, is_searching: bool) {
+        self.entries
+            .retain(|entry| addresses.contains(&entry.address()) || is_searching && entry.origin == Origin::Discovered);
         let addresses: Vec<SocketAddr> = addresses.iter().copied().collect();
-        self.give(&addresses);
+        self.add_configured(&addresses);
         let current = self.current.filter(|current| self.client_of(*current).is_some());
-        self.current = current.or_else(|| self.known.first().map(Known::address));
+        self.current = current.or_else(|| self.entries.first().map(ReplicaEntry::address));
     }
 
-    fn give(&mut self, addresses: &[SocketAddr]) {
+    fn add_configured(&mut self, addresses: &[SocketAddr]) {
         for address in addresses {
-            match self.known.iter_mut().find(|known| known.address() == *address) {
-                Some(known) => known.origin = Origin::Given,
-                None => self.known.push(self.new_known(*address, Origin::Given)),
+            match self.entries.iter_mut().find(|entry| entry.address() == *address) {
+                Some(entry) => entry.origin = Origin::Configured,
+                None => self.entries.push(self.new_entry(*address, Origin::Configured)),
             }
         }
-        self.known.sort_by_key(|known| known.origin == Origin::Learned);
+        self.entries.sort_by_key(|entry| entry.origin == Origin::Discovered);
     }
 
-    fn new_known(&self, address: SocketAddr, origin: Origin) -> Known<P> {
-        Known {
+    fn new_entry(&self, address: SocketAddr, origin: Origin) -> ReplicaEntry<P> {
+        ReplicaEntry {
             client: Client::new(self.platform.clone(), address, &self.secret),
             origin,
-            passed_over_until: Duration::ZERO,
-            last_answer: LastAnswer::NotAsked,
-            asked_at: None,
+            skipped_until: Duration::ZERO,
+            last_answer: LastAnswer::NotContacted,
+            tried_at: None,
         }
     }
 }
--- a/crates/control-client/src/reports.rs
+++ b/crates/control-client/src/reports.rs
@@ -1,11 +1,11 @@
-//! Gathers the reports of engines that come to one machine, so that the group's leader gets one message for many.
+//! Batches the reports that engines send to this machine into one message to the group's leader.
 //!
-//! An engine reports itself every few seconds, and hardly ever says anything new. That it leaves goes to the leader at once,
-//! with all that waits, and is answered when it is committed: from then on it counts. That it is there is answered at once
-//! if this machine has handed it over before; a new one is answered when it is committed, but not kept waiting for long. One
-//! that is lost with this machine is made good by the next. Engines whose reports are not answered come again elsewhere:
-//! after a loss of all machines 10,000 of them would make 10,000 calls a second, and the group would find no time to choose
-//! a leader. While no message has reached the leader for long, nothing is answered.
+//! A report that differs from the last delivered one in the loaded models at most is acknowledged at once and sent with
+//! the next batch, as a heartbeat if it is unchanged. If the machine fails first, the engine's next report replaces it.
+//! A report that an engine is leaving triggers a batch and is acknowledged once committed. A report of a new engine
+//! also triggers a batch, but is acknowledged after a short wait even without a commit: an engine without a reply
+//! retries at another machine, and thousands of retries at once would delay an election. When no batch has reached the
+//! leader for a while, reports are no longer acknowledged without a commit.
 
 use crate::{ControlClient, GatewayError};
 use futures::channel::oneshot;
@@ -22,66 +22,68 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long reports without news are gathered. The engines of the largest deployment make 2,000 of them a second, at 30
-/// machines: 75 messages a second reach the leader.
-const GATHER_TIME: Duration = Duration::from_millis(400);
+/// Maximum delay of a batch without urgent reports.
+const BATCH_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Shortest pause between two messages, whatever they carry: thirty machines send 600 a second at most when all engines
-/// come with news. An engine waits a second for its answer.
-const LEAST_PAUSE: Duration = Duration::from_millis(50);
+/// Minimum pause between batches, also with urgent reports. Engines wait one second for a reply.
+const MIN_BATCH_PAUSE: Duration = Duration::from_millis(50);
 
-/// Reports that may wait are answered at once if a message has reached the leader within this time, or within the engines'
-/// own pause between reports if that is longer: some times as long as they are gathered. An election must not have all
-/// engines come again elsewhere: 10,000 that are refused for a second make 7,000 calls a second.
-const REACHED_LATELY: Duration = Duration::from_millis(1_500);
+/// Reports may be acknowledged without a commit if a batch has reached the leader within this time, or within the
+/// engines' report interval if that is longer. Longer than an election, so that engines don't all retry at other
+/// machines during one.
+const LEADER_CONTACT_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// Longest time for one message, and longest wait for one control replica.
-const HAND_OVER_LIMIT: Duration = Duration::from_millis(900);
-const ATTEMPT_LIMIT: Duration = Duration::from_millis(600);
+/// Timeout of one batch with all attempts.
+const BATCH_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Longest wait of an engine that is there and new for its commit. It calls another machine after a second.
-const COMMIT_WAIT: Duration = Duration::from_millis(600);
+/// Timeout of a request to one replica.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Most reports in one message: about 60 KB.
-const MOST_AT_ONCE: usize = 512;
+/// Maximum time that a new engine waits for the commit of its report; shorter than the engines' timeout of one second.
+const MAX_COMMIT_WAIT: Duration = Duration::from_millis(600);
 
-/// Reports that wait; engines that come beyond are told to go elsewhere.
-const MOST_WAITING: usize = 4_096;
+/// Maximum number of reports in one batch, about 60 KB.
+const MAX_BATCH_SIZE: usize = 512;
 
-/// Instances that are remembered as committed. All are forgotten when there are more: their next report is news then.
-const KNOWN_KEPT: usize = 16_384;
+/// Maximum number of pending reports; further ones are rejected.
+const MAX_PENDING: usize = 4_096;
+
+/// Maximum number of instances in the cache of delivered reports. The cache is cleared when it is full; the next report
+/// of each instance is then sent in full.
+const MAX_DELIVERED: usize = 16_384;
 
 type Answer = Result<GatewayReply, GatewayError>;
 
 #[derive(Default)]
-struct Waiting {
-    /// The newest report of each instance.
+struct PendingReports {
+    /// Newest pending report of each instance.
     reports: BTreeMap<InstanceId, InstanceReport>,
-    /// Who waits for the message that carries an instance's.
-    askers: BTreeMap<InstanceId, Vec<oneshot::Sender<Answer>>>,
+    /// Callers that wait for the delivery of an instance's report.
+    waiters: BTreeMap<InstanceId, Vec<oneshot::Sender<Answer>>>,
 }
 
-impl Waiting {
-    /// Adds a report, unless a newer one of the instance waits.
+impl PendingReports {
+    /// Adds a report, unless a newer one of the instance is pending.
     fn add(&mut self, report: InstanceReport) {
-        let newer = self.reports.get(&report.id).is_some_and(|held| held.sequence > report.sequence);
+        let newer = self.reports.get(&report.id).is_some_and(|pending| pending.sequence > report.sequence);
         if !newer {
             self.reports.insert(report.id.clone(), report);
         }
     }
 }
 
-/// What makes a report news of an instance that has been handed over. Service and address stay the same for one start;
-/// what tells another comes from another writer, and is no heartbeat of the instance.
+/// The content of an instance's last delivered report. A report with the same content is sent as a heartbeat. Service
+/// and address don't change during one start of an engine; a report with others has another sender and is never a
+/// heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct HandedOver {
+struct DeliveredReport {
     service: String,
     address: SocketAddr,
     leaving: bool,
     models: Vec<LoadedModel>,
 }
 
-impl HandedOver {
+impl DeliveredReport {
     fn of(report: &InstanceReport) -> Self {
         Self {
             service: report.service.clone(),
@@ -91,102 +93,103 @@
         }
     }
 
-    /// Whether a report has to wait until it is committed; weights need not.
+    /// Whether a report can be acknowledged without a commit. A change of the loaded models alone needs none.
     fn is_committed(&self, report: &InstanceReport) -> bool {
         self.service == report.service && self.address == report.address && self.leaving == report.leaving
     }
 }
 
-/// The gathering.
+/// Batches reports and sends them to the leader.
 pub struct ReportGatherer<P: Runtime> {
     platform: P,
     control: ControlClient<P>,
-    waiting: RefCell<Waiting>,
-    known: RefCell<BTreeMap<InstanceId, HandedOver>>,
-    /// When a message last reached the leader; before the first, when the process started.
-    reached_at: Cell<Duration>,
-    reached_lately: Duration,
-    /// Something that waits must not be kept waiting.
+    pending: RefCell<PendingReports>,
+    delivered: RefCell<BTreeMap<InstanceId, DeliveredReport>>,
+    /// When a batch last reached the leader; before the first one, when the process started.
+    leader_reached_at: Cell<Duration>,
+    leader_contact_window: Duration,
+    /// Notified when a pending report must be sent without delay.
     urgent: Signal,
 }
 
 impl<P: Runtime> ReportGatherer<P> {
-    /// Hands reports over to the group behind `control` until the process ends. Engines report each `report_interval`.
+    /// Starts sending batches to the group behind `control` until the process ends. Engines report every
+    /// `report_interval`.
     pub fn start(platform: P, control: ControlClient<P>, report_interval: Duration) -> Rc<Self> {
         let gatherer = Rc::new(Self {
             platform: platform.clone(),
             control,
-            waiting: RefCell::default(),
-            known: RefCell::default(),
-            reached_at: Cell::new(platform.monotonic()),
-            reached_lately: REACHED_LATELY.max(report_interval),
+            pending: RefCell::default(),
+            delivered: RefCell::default(),
+            leader_reached_at: Cell::new(platform.monotonic()),
+            leader_contact_window: LEADER_CONTACT_WINDOW.max(report_interval),
             urgent: Signal::default(),
         });
-        platform.spawn(hand_over(gatherer.clone()));
+        platform.spawn(send_batches(gatherer.clone()));
         gatherer
     }
 
-    /// Takes a report; returns the answer for the engine.
+    /// Accepts a report; returns the reply for the engine.
     pub async fn report(&self, report: InstanceReport) -> Answer {
-        if self.waiting.borrow().reports.len() >= MOST_WAITING {
+        if self.pending.borrow().reports.len() >= MAX_PENDING {
             return Err(GatewayError::NotDone);
         }
         let id = report.id.clone();
         let is_committed = self.is_committed(&report);
         let leaving = report.leaving;
-        self.waiting.borrow_mut().add(report);
-        if is_committed && self.has_reached_lately() {
+        self.pending.borrow_mut().add(report);
+        if is_committed && self.has_reached_leader_recently() {
             return Ok(GatewayReply::Done);
         }
         let (sender, answer) = oneshot::channel();
-        self.waiting.borrow_mut().askers.entry(id).or_default().push(sender);
+        self.pending.borrow_mut().waiters.entry(id).or_default().push(sender);
         self.urgent.notify();
-        let limit = if leaving { HAND_OVER_LIMIT } else { COMMIT_WAIT };
+        let limit = if leaving { BATCH_TIMEOUT } else { MAX_COMMIT_WAIT };
         let answer = match timeout(&self.platform, limit, answer).await {
             Some(Ok(answer)) => answer,
             Some(Err(_)) | None => Err(GatewayError::Undecided),
         };
-        // It goes with the next message.
-        let may_wait = answer.is_err() && !leaving && self.has_reached_lately();
+        // The report is sent with the next batch.
+        let may_wait = answer.is_err() && !leaving && self.has_reached_leader_recently();
         if may_wait { Ok(GatewayReply::Done) } else { answer }
     }
 
     fn is_committed(&self, report: &InstanceReport) -> bool {
-        self.known.borrow().get(&report.id).is_some_and(|known| known.is_committed(report))
+        self.delivered.borrow().get(&report.id).is_some_and(|delivered| delivered.is_committed(report))
     }
 
-    fn has_reached_lately(&self) -> bool {
+    fn has_reached_leader_recently(&self) -> bool {
         let now = self.platform.monotonic();
-        now < self.reached_at.get() + self.reached_lately
+        now < self.leader_reached_at.get() + self.leader_contact_window
     }
 
-    /// What one message carries, and everyone who waits for it. Those whose reports do not fit wait for the next one.
-    fn take(&self) -> (Vec<InstanceReport>, Vec<oneshot::Sender<Answer>>) {
-        let mut waiting = self.waiting.borrow_mut();
-        let mut reports = std::mem::take(&mut waiting.reports);
-        if let Some(first_left) = reports.keys().nth(MOST_AT_ONCE).cloned() {
-            waiting.reports = reports.split_off(&first_left);
+    /// Removes the reports of one batch and the callers that wait for them. Further reports stay pending.
+    fn take_batch(&self) -> (Vec<InstanceReport>, Vec<oneshot::Sender<Answer>>) {
+        let mut pending = self.pending.borrow_mut();
+        let mut reports = std::mem::take(&mut pending.reports);
+        if let Some(first_remaining) = reports.keys().nth(MAX_BATCH_SIZE).cloned() {
+            pending.reports = reports.split_off(&first_remaining);
         }
-        let askers = reports.keys().filter_map(|id| waiting.askers.remove(id)).flatten().collect();
-        (reports.into_values().collect(), askers)
+        let waiters = reports.keys().filter_map(|id| pending.waiters.remove(id)).flatten().collect();
+        (reports.into_values().collect(), waiters)
     }
 
-    /// Keeps reports that have not been handed over for the next message. Whoever waited for them is told all the same.
-    fn keep(&self, reports: Vec<InstanceReport>) {
-        let mut waiting = self.waiting.borrow_mut();
+    /// Returns undelivered reports to the pending ones. Their callers are not kept and receive the error.
+    fn put_back(&self, reports: Vec<InstanceReport>) {
+        let mut pending = self.pending.borrow_mut();
         for report in reports {
-            if waiting.reports.len() < MOST_WAITING {
-                waiting.add(report);
+            if pending.reports.len() < MAX_PENDING {
+                pending.add(report);
             }
         }
     }
 
-    /// Tells reports that say something new from those that do not.
-    fn sort(&self, reports: &[InstanceReport]) -> GatheredReports {
-        let known = self.known.borrow();
+    /// Splits reports into changed ones and heartbeats.
+    fn classify(&self, reports: &[InstanceReport]) -> GatheredReports {
+        let delivered = self.delivered.borrow();
         let mut gathered = GatheredReports::default();
         for report in reports {
-            if known.get(&report.id) == Some(&HandedOver::of(report)) {
+            if delivered.get(&report.id) == Some(&DeliveredReport::of(report)) {
                 gathered.heartbeats.push(InstanceHeartbeat { id: report.id.clone(), sequence: report.sequence });
             } else {
                 gathered.news.push(report.clone());
@@ -195,49 +198,49 @@
         gathered
     }
 
-    fn remember(&self, reports: &[InstanceReport]) {
-        let mut known = self.known.borrow_mut();
-        if known.len() + reports.len() > KNOWN_KEPT {
-            known.clear();
+    fn record_delivered(&self, reports: &[InstanceReport]) {
+        let mut delivered = self.delivered.borrow_mut();
+        if delivered.len() + reports.len() > MAX_DELIVERED {
+            delivered.clear();
         }
-        known.extend(reports.iter().map(|report| (report.id.clone(), HandedOver::of(report))));
+        delivered.extend(reports.iter().map(|report| (report.id.clone(), DeliveredReport::of(report))));
     }
 
-    /// To a leader of an older build, which takes one whole report in a message.
-    async fn hand_over_singly(&self, reports: &[InstanceReport]) -> Answer {
-        let hand_over = |report: &InstanceReport| {
+    /// Sends each report in its own message, for a leader of an older build that doesn't support batches.
+    async fn send_singly(&self, reports: &[InstanceReport]) -> Answer {
+        let send = |report: &InstanceReport| {
             let request = GatewayRequest::ReportInstance(report.clone());
-            self.control.gateway(request, HAND_OVER_LIMIT, ATTEMPT_LIMIT)
+            self.control.gateway(request, BATCH_TIMEOUT, ATTEMPT_TIMEOUT)
         };
-        let answers = join_all(reports.iter().map(hand_over)).await;
+        let answers = join_all(reports.iter().map(send)).await;
         answers.into_iter().find(|answer| *answer != Ok(GatewayReply::Done)).unwrap_or(Ok(GatewayReply::Done))
     }
 
-    /// The group holds nothing of these instances: their next reports are news.
+    /// Removes instances that the group has no record of, so that their next reports are sent in full.
     fn forget(&self, missing: &[InstanceId]) {
-        let mut known = self.known.borrow_mut();
-        missing.iter().for_each(|id| drop(known.remove(id)));
+        let mut delivered = self.delivered.borrow_mut();
+        missing.iter().for_each(|id| drop(delivered.remove(id)));
     }
 }
 
-async fn hand_over<P: Runtime>(gatherer: Rc<ReportGatherer<P>>) {
+async fn send_batches<P: Runtime>(gatherer: Rc<ReportGatherer<P>>) {
     loop {
-        gatherer.platform.sleep(LEAST_PAUSE).await;
-        let seen = gatherer.urgent.count();
-        if gatherer.waiting.borrow().askers.is_empty() {
-            let pause = pin!(gatherer.platform.sleep(GATHER_TIME));
-            select(pin!(gatherer.urgent.changed(seen)), pause).await;
+        gatherer.platform.sleep(MIN_BATCH_PAUSE).await;
+        let notified_count = gatherer.urgent.count();
+        if gatherer.pending.borrow().waiters.is_empty() {
+            let pause = pin!(gatherer.platform.sleep(BATCH_INTERVAL));
+            select(pin!(gatherer.urgent.changed(notified_count)), pause).await;
         }
-        let (reports, askers) = gatherer.take();
+        let (reports, waiters) = gatherer.take_batch();
         if reports.is_empty() {
             continue;
         }
-        let gathered = gatherer.sort(&reports);
+        let gathered = gatherer.classify(&reports);
         let (news, heartbeats) = (gathered.news.len(), gathered.heartbeats.len());
         let request = GatewayRequest::ReportInstances(gathered);
-        let mut answer = gatherer.control.gateway(request, HAND_OVER_LIMIT, ATTEMPT_LIMIT).await;
+        let mut answer = gatherer.control.gateway(request, BATCH_TIMEOUT, ATTEMPT_TIMEOUT).await;
         if answer == Err(GatewayError::NotUnderstood) {
-            answer = gatherer.hand_over_singly(&reports).await;
+            answer = gatherer.send_singly(&reports).await;
         }
         let mut missing = Vec::new();
         if let Ok(GatewayReply::ReportsMissing(instances)) = &mut answer {
@@ -245,18 +248,18 @@
             answer = Ok(GatewayReply::Done);
         }
         if answer == Ok(GatewayReply::Done) {
-            gatherer.reached_at.set(gatherer.platform.monotonic());
-            gatherer.remember(&reports);
+            gatherer.leader_reached_at.set(gatherer.platform.monotonic());
+            gatherer.record_delivered(&reports);
             gatherer.forget(&missing);
         } else {
-            gatherer.keep(reports);
-            spdlog::warn!("reports not handed over", kv: {
+            gatherer.put_back(reports);
+            spdlog::warn!("engine reports not delivered, will retry", kv: {
                 news = news, heartbeats = heartbeats, answer = format!("{answer:?}").as_str()
             });
         }
-        for asker in askers {
-            // One that has given up is gone.
-            drop(asker.send(answer.clone()));
+        for waiter in waiters {
+            // Fails if the caller has timed out.
+            drop(waiter.send(answer.clone()));
         }
     }
 }
--- a/crates/control-client/src/search.rs
+++ b/crates/control-client/src/search.rs
@@ -1,44 +1,44 @@
-//! What a client's replicas last answered: tells why it finds no leader.
+//! The last answer of each replica, which shows why a client finds no leader.
 
 use saddlerelay_rpc::client::CallError;
 use saddlerelay_types::protocol::ControlReply;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Replicas that are named one by one in a log line; more are only counted.
-const MOST_NAMED: usize = 12;
+/// Maximum number of replicas listed in a log line; the rest are counted.
+const MAX_LISTED: usize = 12;
 
-/// What a replica last answered.
+/// The result of the last request to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LastAnswer {
-    /// It was not asked yet.
-    NotAsked,
-    /// No connection to it.
-    NotReached,
-    /// A connection, and no answer in time.
-    Silent,
-    /// Bytes that cannot be read.
-    Unreadable,
-    /// It does not lead, and knows no leader.
-    KnowsNoLeader,
-    /// It does not lead, and names the leader.
-    Names(SocketAddr),
-    /// It cannot tell whether it has done what it was asked.
-    Undecided,
-    /// It answered as the leader, or for it.
+    /// No request was sent yet.
+    NotContacted,
+    /// No connection could be established.
+    Unreachable,
+    /// The request was sent, and no reply was received.
+    NoReply,
+    /// The reply could not be decoded.
+    Malformed,
+    /// It does not lead and knows no leader.
+    LeaderUnknown,
+    /// It does not lead and returned the leader's address.
+    Redirected(SocketAddr),
+    /// It does not know whether the request was executed.
+    OutcomeUnknown,
+    /// It served or rejected the request.
     Answered,
 }
 
 impl LastAnswer {
-    /// What became of a call.
+    /// Classifies the outcome of a call.
     pub(crate) fn of(outcome: &Result<Option<ControlReply>, CallError>) -> Self {
         match outcome {
-            Err(CallError::NotSent | CallError::Unspeakable) => Self::NotReached,
-            Err(CallError::Unknown) => Self::Silent,
-            Ok(None) => Self::Unreadable,
-            Ok(Some(ControlReply::NotLeader { leader: None, .. })) => Self::KnowsNoLeader,
-            Ok(Some(ControlReply::NotLeader { leader: Some(leader), .. })) => Self::Names(*leader),
-            Ok(Some(ControlReply::Undecided)) => Self::Undecided,
+            Err(CallError::NotSent | CallError::Unspeakable) => Self::Unreachable,
+            Err(CallError::Unknown) => Self::NoReply,
+            Ok(None) => Self::Malformed,
+            Ok(Some(ControlReply::NotLeader { leader: None, .. })) => Self::LeaderUnknown,
+            Ok(Some(ControlReply::NotLeader { leader: Some(leader), .. })) => Self::Redirected(*leader),
+            Ok(Some(ControlReply::Undecided)) => Self::OutcomeUnknown,
             Ok(Some(_)) => Self::Answered,
         }
     }
@@ -47,42 +47,45 @@
 impl fmt::Display for LastAnswer {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotAsked => write!(formatter, "not asked"),
-            Self::NotReached => write!(formatter, "not reached"),
-            Self::Silent => write!(formatter, "silent"),
-            Self::Unreadable => write!(formatter, "unreadable"),
-            Self::KnowsNoLeader => write!(formatter, "knows no leader"),
-            Self::Names(leader) => write!(formatter, "names {leader}"),
-            Self::Undecided => write!(formatter, "undecided"),
+            Self::NotContacted => write!(formatter, "not contacted"),
+            Self::Unreachable => write!(formatter, "unreachable"),
+            Self::NoReply => write!(formatter, "no reply"),
+            Self::Malformed => write!(formatter, "malformed reply"),
+            Self::LeaderUnknown => write!(formatter, "leader unknown"),
+            Self::Redirected(leader) => write!(formatter, "redirects to {leader}"),
+            Self::OutcomeUnknown => write!(formatter, "outcome unknown"),
             Self::Answered => write!(formatter, "answered"),
         }
     }
 }
 
-/// Every replica that a client asks, with its last answer.
+/// All replicas known to a client, with their last answers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaderSearch {
-    /// In the order in which they are asked.
+    /// Configured replicas first, then discovered ones.
     pub replicas: Vec<(SocketAddr, LastAnswer)>,
 }
 
 impl LeaderSearch {
-    /// How many replicas were no help, by what they answered: short enough for a line for each refused request.
+    /// A short text with the number of replicas by kind of failure.
     pub fn summary(&self) -> String {
         let count = |wanted: fn(&LastAnswer) -> bool| self.replicas.iter().filter(|(_, answer)| wanted(answer)).count();
-        let unreached = count(|answer| matches!(answer, LastAnswer::NotReached | LastAnswer::Silent));
-        let leaderless = count(|answer| matches!(answer, LastAnswer::KnowsNoLeader));
-        format!("{} known, {unreached} without an answer, {leaderless} know no leader", self.replicas.len())
+        let unanswered = count(|answer| matches!(answer, LastAnswer::Unreachable | LastAnswer::NoReply));
+        let leaderless = count(|answer| matches!(answer, LastAnswer::LeaderUnknown));
+        format!(
+            "{} known, {unanswered} unreachable or without a reply, {leaderless} without a known leader",
+            self.replicas.len()
+        )
     }
 }
 
 impl fmt::Display for LeaderSearch {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, (address, answer)) in self.replicas.iter().take(MOST_NAMED).enumerate() {
-            let separator = if place == 0 { "" } else { ", " };
+        for (index, (address, answer)) in self.replicas.iter().take(MAX_LISTED).enumerate() {
+            let separator = if index == 0 { "" } else { ", " };
             write!(formatter, "{separator}{address} {answer}")?;
         }
-        match self.replicas.len().saturating_sub(MOST_NAMED) {
+        match self.replicas.len().saturating_sub(MAX_LISTED) {
             0 => Ok(()),
             more => write!(formatter, ", {more} more"),
         }
--- a/crates/control-client/src/suspicions.rs
+++ b/crates/control-client/src/suspicions.rs
@@ -1,5 +1,5 @@
-//! What a relay knows of work under which engines have ended: what the control group has told, and what the relay has seen
-//! itself and not handed over yet.
+//! Suspected work at a relay: work during which engines ended unexpectedly, as listed by the control group or observed
+//! by the relay and not reported yet.
 
 use crate::trials::{NoAnswer, TrialGroup, TrialGuard, TrialKeeper};
 use crate::{ControlClient, GatewayError};
@@ -17,66 +17,65 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time to hand evidence over before it is tried again.
-const HAND_OVER_LIMIT: Duration = Duration::from_millis(1_000);
+/// Timeout of a request that reports evidence or releases a trial lease.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Pause after evidence could not be handed over.
+/// Pause before evidence is sent again after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long suspected work is held back until the group has the evidence, so that it does not meet an engine or a relay that
-/// others' evidence would have kept it from: some times as long as a commit takes.
-const KNOWN_TO_GROUP_LIMIT: Duration = Duration::from_millis(100);
+/// Maximum time that suspected work is held back for the commit of this relay's evidence, so that its next attempt is
+/// decided with the evidence of all relays.
+const MAX_EVIDENCE_WAIT: Duration = Duration::from_millis(100);
 
-/// How long work that one engine more would quarantine is sent to none, unless the settings say otherwise: about as long as
-/// engines take to come back. Measured in inc1: 2.9 to 3.5 s from a crash to the new instance.
+/// Default pause before work that one more engine loss would quarantine is sent again; longer than an engine takes to
+/// restart.
 pub const LAST_TRIAL_PAUSE: Duration = Duration::from_secs(5);
 
-/// Longest wait for the right to run suspected work: some times as long as a commit takes. Without it, the client is told
-/// to come back.
-const TRIAL_ANSWER_LIMIT: Duration = Duration::from_millis(150);
+/// Timeout of a request for a trial lease. When it expires, the client is told to retry.
+const TRIAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Losses that wait to be handed over; more than engines can end while no leader is to be found.
-const LOSSES_KEPT: usize = 1_024;
+/// Maximum number of losses that wait to be reported; further ones are dropped.
+const MAX_PENDING_LOSSES: usize = 1_024;
 
-/// What is to be done with a request, by what is known of its work.
+/// The decision on a request, by the suspicion of its work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is sent on.
+    /// Forward it to an engine.
     Send,
-    /// It is not sent on for so long.
+    /// Don't forward it for this long.
     Pause(Duration),
-    /// It is sent to no engine.
+    /// Never forward it.
     Quarantine,
 }
 
-/// Suspected work.
+/// Engine losses during one piece of suspected work.
 #[derive(Debug, Default)]
 struct Suspect {
     engines: BTreeSet<InstanceId>,
-    /// When this relay learned of the last of them, by its own clock.
-    learned_at: Duration,
+    /// When this relay recorded the last of them, by its monotonic clock.
+    recorded_at: Duration,
 }
 
 impl Suspect {
-    fn learn(&mut self, engine: InstanceId, now: Duration) {
+    fn record_loss(&mut self, engine: InstanceId, now: Duration) {
         if self.engines.insert(engine) {
-            self.learned_at = now;
+            self.recorded_at = now;
         }
     }
 }
 
-/// The knowledge. Empty on a calm day.
+/// All suspected work, and the evidence that has not been reported yet.
 #[derive(Debug, Default)]
 pub struct Suspicions {
     revision: u64,
-    /// What the group has told and what this relay has seen.
+    /// Suspicions of the group's list and of this relay's own evidence.
     suspects: BTreeMap<WorkDigest, Suspect>,
-    /// What is not handed over yet.
+    /// Evidence that has not been committed yet.
     evidence: WorkEvidence,
 }
 
 impl Suspicions {
-    /// The revision of the group's list that is held.
+    /// Revision of the group's list that was last applied.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -86,42 +85,42 @@
         self.suspects.is_empty()
     }
 
-    /// How many kinds of work are suspected.
+    /// Number of distinct suspected work digests.
     pub fn suspected(&self) -> usize {
         self.suspects.len()
     }
 
-    /// How many engines have ended under `work` since it was last served.
+    /// Number of engines that have ended during `work` since it was last served.
     pub fn engines_ended(&self, work: &WorkDigest) -> usize {
         self.suspects.get(work).map_or(0, |suspect| suspect.engines.len())
     }
 
-    /// What is to be done with a request for `work` at `now`.
+    /// The decision on a request for `work` at `now`.
     ///
-    /// Work that one engine more would quarantine is sent to none for `last_trial_pause`: the engines that have ended are
-    /// back then, and its last trial does not take the last engine.
+    /// Work that one more engine loss would quarantine is paused for `last_trial_pause`, until the lost engines have
+    /// restarted, so that the last trial cannot end the last engine.
     pub fn verdict(&self, work: &WorkDigest, now: Duration, last_trial_pause: Duration) -> Verdict {
         let Some(suspect) = self.suspects.get(work) else {
             return Verdict::Send;
         };
-        let left = (suspect.learned_at + last_trial_pause).saturating_sub(now);
+        let remaining = (suspect.recorded_at + last_trial_pause).saturating_sub(now);
         match suspect.engines.len() {
             ended if ended >= MOST_ENGINES_ENDED => Verdict::Quarantine,
-            ended if ended + 1 == MOST_ENGINES_ENDED && !left.is_zero() => Verdict::Pause(left),
+            ended if ended + 1 == MOST_ENGINES_ENDED && !remaining.is_zero() => Verdict::Pause(remaining),
             _ => Verdict::Send,
         }
     }
 
-    /// An engine has ended under work, as this relay has seen at `now`.
+    /// Records that this relay observed at `now` that an engine ended during work.
     pub fn note_loss(&mut self, loss: EngineLoss, now: Duration) {
-        if self.evidence.losses.len() >= LOSSES_KEPT || self.evidence.losses.contains(&loss) {
+        if self.evidence.losses.len() >= MAX_PENDING_LOSSES || self.evidence.losses.contains(&loss) {
             return;
         }
-        self.suspects.entry(loss.work).or_default().learn(loss.instance.clone(), now);
+        self.suspects.entry(loss.work).or_default().record_loss(loss.instance.clone(), now);
         self.evidence.losses.push(loss);
     }
 
-    /// An engine has served work; returns whether it was suspected.
+    /// Records that an engine has served `work`; returns whether it was suspected.
     pub fn note_served(&mut self, work: &WorkDigest) -> bool {
         let suspected = self.suspects.remove(work).is_some();
         if suspected {
@@ -131,56 +130,56 @@
         suspected
     }
 
-    /// What is not handed over yet.
+    /// The evidence that has not been committed yet.
     pub fn evidence(&self) -> &WorkEvidence {
         &self.evidence
     }
 
-    /// The group has taken this evidence.
-    pub fn handed_over(&mut self, taken: &WorkEvidence) {
-        self.evidence.losses.retain(|loss| !taken.losses.contains(loss));
-        self.evidence.served.retain(|work| !taken.served.contains(work));
+    /// Removes evidence that the group has committed.
+    pub fn handed_over(&mut self, committed: &WorkEvidence) {
+        self.evidence.losses.retain(|loss| !committed.losses.contains(loss));
+        self.evidence.served.retain(|work| !committed.served.contains(work));
     }
 
-    /// Takes the group's list at `now`, unless a newer one is held.
+    /// Applies the group's list at `now`, unless it is not newer than the last one.
     pub fn take(&mut self, list: SuspicionList, now: Duration) {
         if list.revision <= self.revision {
             return;
         }
         self.revision = list.revision;
-        let mut before = std::mem::take(&mut self.suspects);
+        let mut previous = std::mem::take(&mut self.suspects);
         for suspicion in list.suspicions {
-            let mut suspect = before.remove(&suspicion.work).unwrap_or_default();
+            let mut suspect = previous.remove(&suspicion.work).unwrap_or_default();
             suspect.engines.retain(|engine| suspicion.engines.contains(engine));
-            suspicion.engines.into_iter().for_each(|engine| suspect.learn(engine, now));
+            suspicion.engines.into_iter().for_each(|engine| suspect.record_loss(engine, now));
             self.suspects.insert(suspicion.work, suspect);
         }
         for work in &self.evidence.served {
             self.suspects.remove(work);
         }
         for loss in &self.evidence.losses {
-            let at = before.get(&loss.work).map_or(now, |suspect| suspect.learned_at);
-            self.suspects.entry(loss.work).or_default().learn(loss.instance.clone(), at);
+            let at = previous.get(&loss.work).map_or(now, |suspect| suspect.recorded_at);
+            self.suspects.entry(loss.work).or_default().record_loss(loss.instance.clone(), at);
         }
     }
 }
 
-/// The knowledge of one relay, and its way to and from the control group.
+/// Keeps one relay's suspicions in sync with the control group.
 pub struct SuspicionKeeper<P: Runtime> {
     platform: P,
     control: ControlClient<P>,
     last_trial_pause: Duration,
-    /// The rights to run suspected work that this relay holds.
+    /// Trial leases that this relay holds.
     trials: Rc<TrialKeeper<P, ControlClient<P>>>,
     suspicions: RefCell<Suspicions>,
-    /// There is evidence to hand over.
-    waiting: Signal,
-    /// Evidence has been handed over.
-    handed_over: Signal,
+    /// Notified when there is evidence to report.
+    evidence_added: Signal,
+    /// Notified when evidence has been committed or discarded.
+    evidence_reported: Signal,
 }
 
 impl<P: Runtime> SuspicionKeeper<P> {
-    /// Knows nothing yet. Hands evidence over to the group behind `control` until the process ends.
+    /// Starts without suspicions, and reports evidence to the group behind `control` until the process ends.
     pub fn start(platform: P, control: ControlClient<P>, last_trial_pause: Duration) -> Rc<Self> {
         let keeper = Rc::new(Self {
             platform: platform.clone(),
@@ -188,31 +187,31 @@
             last_trial_pause,
             trials: TrialKeeper::start(platform.clone(), control),
             suspicions: RefCell::default(),
-            waiting: Signal::default(),
-            handed_over: Signal::default(),
+            evidence_added: Signal::default(),
+            evidence_reported: Signal::default(),
         });
-        platform.spawn(hand_over(keeper.clone()));
+        platform.spawn(report_evidence(keeper.clone()));
         keeper
     }
 
-    /// How many kinds of work are suspected.
+    /// Number of distinct suspected work digests.
     pub fn suspected(&self) -> usize {
         self.suspicions.borrow().suspected()
     }
 
-    /// The revision of the group's list that is held.
+    /// Revision of the group's list that was last applied.
     pub fn revision(&self) -> u64 {
         self.suspicions.borrow().revision()
     }
 
-    /// How many engines have ended under `work` since it was last served. Here and below the digest is made only if some
-    /// work is suspected.
+    /// Number of engines that have ended during `work` since it was last served. As in [`Self::verdict`], the digest is
+    /// computed only if any work is suspected.
     pub fn engines_ended(&self, work: impl FnOnce() -> WorkDigest) -> usize {
         let suspicions = self.suspicions.borrow();
         if suspicions.is_empty() { 0 } else { suspicions.engines_ended(&work()) }
     }
 
-    /// What is to be done with a request for `work` at this moment.
+    /// The decision on a request for `work` at present.
     pub fn verdict(&self, work: impl FnOnce() -> WorkDigest) -> Verdict {
         let suspicions = self.suspicions.borrow();
         if suspicions.is_empty() {
@@ -221,96 +220,96 @@
         suspicions.verdict(&work(), self.platform.monotonic(), self.last_trial_pause)
     }
 
-    /// Asks the group for the right to run suspected work, for `limit` at most; `None` while another try of it runs, or
-    /// while no leader is to be found.
+    /// Requests a trial lease for suspected work, held for at most `limit`; `None` while another trial of it runs, or
+    /// while no leader is reachable.
     pub async fn begin_trial(&self, work: WorkDigest, limit: Duration) -> Option<RelayTrial<P>> {
         self.trials.begin(work, limit).await
     }
 
-    /// An engine has ended under work.
+    /// Records that an engine ended during work.
     pub fn note_loss(&self, loss: EngineLoss) {
         self.suspicions.borrow_mut().note_loss(loss, self.platform.monotonic());
-        self.waiting.notify();
+        self.evidence_added.notify();
     }
 
-    /// An engine has served work to its end.
+    /// Records that an engine has completed work.
     pub fn note_served(&self, work: impl FnOnce() -> WorkDigest) {
         let mut suspicions = self.suspicions.borrow_mut();
         if !suspicions.is_empty() && suspicions.note_served(&work()) {
-            self.waiting.notify();
+            self.evidence_added.notify();
         }
     }
 
-    /// Takes the group's list, unless a newer one is held.
+    /// Applies the group's list, unless it is not newer than the last one.
     pub fn take(&self, list: SuspicionList) {
         self.suspicions.borrow_mut().take(list, self.platform.monotonic());
     }
 
-    /// Waits until the group knows what this relay has seen of `work`, but not for long.
+    /// Waits until this relay's evidence about `work` is committed, for at most [`MAX_EVIDENCE_WAIT`].
     pub async fn await_known_to_group(&self, work: &WorkDigest) {
         let is_waiting = || self.suspicions.borrow().evidence().losses.iter().any(|loss| loss.work == *work);
-        let known = async {
+        let committed = async {
             while is_waiting() {
-                self.handed_over.changed(self.handed_over.count()).await;
+                self.evidence_reported.changed(self.evidence_reported.count()).await;
             }
         };
-        // Without the group, the client is told all the same.
-        let _ = timeout(&self.platform, KNOWN_TO_GROUP_LIMIT, known).await;
+        // After the timeout the caller goes on without the group's reply.
+        let _ = timeout(&self.platform, MAX_EVIDENCE_WAIT, committed).await;
     }
 }
 
-/// The right of a relay's request to run suspected work.
+/// The trial lease of a relay's request for suspected work.
 pub type RelayTrial<P> = TrialGuard<P, ControlClient<P>>;
 
 impl<P: Runtime> TrialGroup for ControlClient<P> {
     async fn begin(&self, request: TrialRequest) -> Result<TrialAnswer, NoAnswer> {
         let request = GatewayRequest::BeginTrial(request);
-        match self.gateway(request, TRIAL_ANSWER_LIMIT, TRIAL_ANSWER_LIMIT).await {
+        match self.gateway(request, TRIAL_REQUEST_TIMEOUT, TRIAL_REQUEST_TIMEOUT).await {
             Ok(GatewayReply::Trial(answer)) => Ok(answer),
-            // The group keeps no rights yet: work runs as if nobody suspected it.
+            // A group of older builds has no trial leases: work runs as if it were not suspected.
             Err(GatewayError::NotUnderstood) => Ok(TrialAnswer::Granted),
             other => Err(format!("{other:?}")),
         }
     }
 
-    async fn renew(&self, held: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, NoAnswer> {
-        match self.gateway(GatewayRequest::RenewTrials(held), TRIAL_RENEWAL, TRIAL_RENEWAL).await {
+    async fn renew(&self, trials: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, NoAnswer> {
+        match self.gateway(GatewayRequest::RenewTrials(trials), TRIAL_RENEWAL, TRIAL_RENEWAL).await {
             Ok(GatewayReply::TrialsLost(lost)) => Ok(lost),
             Err(GatewayError::NotUnderstood) => Ok(Vec::new()),
             other => Err(format!("{other:?}")),
         }
     }
 
-    async fn end(&self, held: HeldTrial) -> Result<(), NoAnswer> {
-        let HeldTrial { work, id } = held;
-        let answer = self.gateway(GatewayRequest::EndTrial { work, id }, HAND_OVER_LIMIT, HAND_OVER_LIMIT).await;
+    async fn end(&self, trial: HeldTrial) -> Result<(), NoAnswer> {
+        let HeldTrial { work, id } = trial;
+        let answer = self.gateway(GatewayRequest::EndTrial { work, id }, REPORT_TIMEOUT, REPORT_TIMEOUT).await;
         answer.map(|_| ()).map_err(|error| format!("{error:?}"))
     }
 }
 
-/// Hands evidence over to the control group until the process ends.
-async fn hand_over<P: Runtime>(keeper: Rc<SuspicionKeeper<P>>) {
+/// Reports evidence to the control group until the process ends.
+async fn report_evidence<P: Runtime>(keeper: Rc<SuspicionKeeper<P>>) {
     loop {
-        let seen = keeper.waiting.count();
+        let notified_count = keeper.evidence_added.count();
         let evidence = keeper.suspicions.borrow().evidence().clone();
         if evidence.is_empty() {
-            keeper.waiting.changed(seen).await;
+            keeper.evidence_added.changed(notified_count).await;
             continue;
         }
         let request = GatewayRequest::TakeEvidence(evidence.clone());
-        match keeper.control.gateway(request, HAND_OVER_LIMIT, HAND_OVER_LIMIT).await {
+        match keeper.control.gateway(request, REPORT_TIMEOUT, REPORT_TIMEOUT).await {
             Ok(GatewayReply::Suspicions(list)) => {
                 keeper.suspicions.borrow_mut().handed_over(&evidence);
                 keeper.take(list);
-                keeper.handed_over.notify();
+                keeper.evidence_reported.notify();
             }
             Err(GatewayError::NotUnderstood) => {
-                spdlog::info!("evidence not kept by an older build", kv: { losses = evidence.losses.len() });
+                spdlog::info!("evidence discarded, leader runs an older build", kv: { losses = evidence.losses.len() });
                 keeper.suspicions.borrow_mut().handed_over(&evidence);
-                keeper.handed_over.notify();
+                keeper.evidence_reported.notify();
             }
             other => {
-                spdlog::warn!("evidence not handed over", kv: {
+                spdlog::warn!("evidence not delivered, will retry", kv: {
                     losses = evidence.losses.len(), reason = format!("{other:?}").as_str()
                 });
                 keeper.platform.sleep(RETRY_PAUSE).await;
--- a/crates/control-client/src/trials.rs
+++ b/crates/control-client/src/trials.rs
@@ -1,8 +1,9 @@
-//! The rights to run suspected work that one process holds: asked for, renewed while the work runs, given back.
+//! Trial leases of one process: each is the exclusive right to run one piece of suspected work. They are requested,
+//! renewed while the work runs, and released afterwards.
 //!
-//! A right lasts [`TRIAL_LEASE`] beyond its last renewal. A holder that ends, stands still or does not reach the group does not
-//! renew it, and others run the work after that. What it has left running at an engine may still run there; a holder that goes on
-//! begins nothing with a right that is over by its own clock.
+//! A lease expires [`TRIAL_LEASE`] after its last renewal, so that another process can run the work if the holder has
+//! crashed, is paused or cannot reach the group. A run that the holder has started may still be in progress at an
+//! engine then, but the holder starts no further run with a lease that has expired by its own clock.
 
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::signal::Signal;
@@ -16,59 +17,60 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time for the last run that a holder begins to show what the work does to its engine, before another process may run it too:
-/// two engines would end at once.
-const LAST_RUN_SHOWN: Duration = Duration::from_millis(200);
+/// Runs are started only if the lease lasts at least this much longer, so that a crash of the engine shows before
+/// another process can run the work and lose a second engine.
+const RUN_START_MARGIN: Duration = Duration::from_millis(200);
 
-/// Pause after a renewal that was refused at once: nobody leads.
+/// Pause after a failed renewal, for example while there is no leader.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Why a call about rights brought no answer; it may have been carried out.
+/// Why a call about trial leases got no reply. It may have been executed.
 pub type NoAnswer = String;
 
-/// The control group, as far as rights go.
+/// The control group's operations on trial leases.
 pub trait TrialGroup: 'static {
-    /// Asks for a right.
+    /// Requests a lease.
     fn begin(&self, request: TrialRequest) -> impl Future<Output = Result<TrialAnswer, NoAnswer>>;
-    /// Renews rights; the answer is those of them that are not held any more.
-    fn renew(&self, held: Vec<HeldTrial>) -> impl Future<Output = Result<Vec<HeldTrial>, NoAnswer>>;
-    /// Gives a right back.
-    fn end(&self, held: HeldTrial) -> impl Future<Output = Result<(), NoAnswer>>;
+    /// Renews leases; returns those that are no longer held.
+    fn renew(&self, trials: Vec<HeldTrial>) -> impl Future<Output = Result<Vec<HeldTrial>, NoAnswer>>;
+    /// Releases a lease.
+    fn end(&self, trial: HeldTrial) -> impl Future<Output = Result<(), NoAnswer>>;
 }
 
-/// A right as its holder knows it.
+/// A held lease.
 #[derive(Clone, Copy, Debug)]
-struct Renewed {
+struct HeldLease {
     work: WorkDigest,
-    /// When the renewal that the group took last was sent, by the holder's clock.
-    at: Duration,
-    /// When the work is over; the right is not renewed beyond, whatever keeps its guard.
-    until: Duration,
+    /// When the last accepted request or renewal was sent, by the holder's monotonic clock.
+    renewed_at: Duration,
+    /// Deadline of the work. The lease is not renewed beyond it, even if the guard still exists.
+    deadline: Duration,
 }
 
-/// The rights of one process.
+/// Requests, renews and releases the trial leases of one process.
 pub struct TrialKeeper<P, G> {
     platform: P,
     group: G,
-    /// This start of the process, and how many rights it has asked for.
+    /// Incarnation of this process.
     holder: Incarnation,
-    asked: Cell<u64>,
-    held: RefCell<BTreeMap<u64, Renewed>>,
-    /// A right has been granted.
+    /// Number of leases requested so far.
+    requested: Cell<u64>,
+    leases: RefCell<BTreeMap<u64, HeldLease>>,
+    /// Notified when a lease has been granted.
     granted: Signal,
-    /// A right has been lost.
+    /// Notified when a lease has been lost or dropped.
     lost: Signal,
 }
 
 impl<P: Runtime, G: TrialGroup> TrialKeeper<P, G> {
-    /// Holds none yet. Renews those that it is granted by `group` until the process ends.
+    /// Starts without leases, and renews those granted by `group` until the process ends.
     pub fn start(platform: P, group: G) -> Rc<Self> {
         let keeper = Rc::new(Self {
             platform: platform.clone(),
             group,
             holder: Incarnation(platform.random()),
-            asked: Cell::new(0),
-            held: RefCell::default(),
+            requested: Cell::new(0),
+            leases: RefCell::default(),
             granted: Signal::default(),
             lost: Signal::default(),
         });
@@ -76,76 +78,76 @@
         keeper
     }
 
-    /// Asks for the right to run `work`, for `limit` at most; `None` while another try of it runs, or while no leader answers:
-    /// nobody can say then that none does.
+    /// Requests the lease to run `work` for at most `limit`; `None` while another trial of it runs, or while no leader
+    /// replies, as another trial may be running then.
     pub async fn begin(self: &Rc<Self>, work: WorkDigest, limit: Duration) -> Option<TrialGuard<P, G>> {
-        let number = self.asked.get() + 1;
-        self.asked.set(number);
+        let number = self.requested.get() + 1;
+        self.requested.set(number);
         let id = TrialId { holder: self.holder, number };
         let limit_ms = limit.as_millis() as u64;
-        let asked_at = self.platform.monotonic();
+        let requested_at = self.platform.monotonic();
         let answer = self.group.begin(TrialRequest { work, id, limit_ms }).await;
         let granted = answer == Ok(TrialAnswer::Granted);
-        spdlog::info!("trial of suspected work", kv: {
+        spdlog::info!("trial lease requested", kv: {
             work = work.shown().as_str(), number = number, granted = granted, limit_ms = limit_ms,
             answer = format!("{answer:?}").as_str()
         });
         if answer == Ok(TrialAnswer::Taken) {
             return None;
         }
-        // A question without an answer may have been granted: the guard gives back what it may hold.
-        let guard = TrialGuard { keeper: self.clone(), held: HeldTrial { work, id } };
+        // A request without a reply may have been granted; dropping the guard releases the lease.
+        let guard = TrialGuard { keeper: self.clone(), trial: HeldTrial { work, id } };
         if !granted {
             return None;
         }
-        self.held.borrow_mut().insert(number, Renewed { work, at: asked_at, until: asked_at + limit });
+        self.leases
+            .borrow_mut()
+            .insert(number, HeldLease { work, renewed_at: requested_at, deadline: requested_at + limit });
         self.granted.notify();
         Some(guard)
     }
 
-    /// Lets go of rights whose work is over by its time.
-    fn drop_overdue(&self, now: Duration) {
-        let mut held = self.held.borrow_mut();
-        let before = held.len();
-        held.retain(|_, renewed| now < renewed.until);
-        let dropped = before - held.len();
-        drop(held);
+    /// Drops leases whose work has reached its deadline.
+    fn drop_past_deadline(&self, now: Duration) {
+        let mut leases = self.leases.borrow_mut();
+        let previous_count = leases.len();
+        leases.retain(|_, lease| now < lease.deadline);
+        let dropped = previous_count - leases.len();
+        drop(leases);
         if dropped > 0 {
-            spdlog::warn!("rights to run suspected work not renewed, their time is over", kv: { rights = dropped });
+            spdlog::warn!("trial leases dropped, work reached its deadline", kv: { leases = dropped });
             self.lost.notify();
         }
     }
 
-    /// When the next right is to be renewed; `None` while none is held.
+    /// When the next lease must be renewed; `None` while none is held.
     fn next_renewal(&self) -> Option<Duration> {
-        let held = self.held.borrow();
-        held.values().map(|renewed| renewed.at + TRIAL_RENEWAL).min()
+        let leases = self.leases.borrow();
+        leases.values().map(|lease| lease.renewed_at + TRIAL_RENEWAL).min()
     }
 
-    /// Rights that are renewed at `now` if one of them is due: those that would soon be go with it, in one log entry.
+    /// Leases to renew at `now` when at least one is due. Includes those past half of the interval, to batch renewals
+    /// in one log entry.
     fn due(&self, now: Duration) -> Vec<HeldTrial> {
-        let held = self.held.borrow();
-        let due = held.iter().filter(|(_, renewed)| now >= renewed.at + TRIAL_RENEWAL / 2);
-        due.map(|(number, renewed)| HeldTrial {
-            work: renewed.work,
-            id: TrialId { holder: self.holder, number: *number },
-        })
-        .collect()
+        let leases = self.leases.borrow();
+        let due = leases.iter().filter(|(_, lease)| now >= lease.renewed_at + TRIAL_RENEWAL / 2);
+        due.map(|(number, lease)| HeldTrial { work: lease.work, id: TrialId { holder: self.holder, number: *number } })
+            .collect()
     }
 
-    /// The group has answered a renewal that was sent at `sent_at`.
-    fn take_renewal(&self, renewed: &[HeldTrial], lost: &[HeldTrial], sent_at: Duration) {
-        let mut held = self.held.borrow_mut();
-        for right in renewed {
-            if lost.contains(right) {
-                held.remove(&right.id.number);
-            } else if let Some(known) = held.get_mut(&right.id.number) {
-                known.at = sent_at;
+    /// Applies the group's reply to a renewal that was sent at `sent_at`.
+    fn apply_renewal(&self, renewed: &[HeldTrial], lost: &[HeldTrial], sent_at: Duration) {
+        let mut leases = self.leases.borrow_mut();
+        for trial in renewed {
+            if lost.contains(trial) {
+                leases.remove(&trial.id.number);
+            } else if let Some(lease) = leases.get_mut(&trial.id.number) {
+                lease.renewed_at = sent_at;
             }
         }
-        drop(held);
+        drop(leases);
         if !lost.is_empty() {
-            spdlog::warn!("rights to run suspected work lost", kv: {
+            spdlog::warn!("trial leases lost", kv: {
                 lost = lost.len(), work = lost[0].work.shown().as_str(), number = lost[0].id.number
             });
             self.lost.notify();
@@ -153,55 +155,55 @@
     }
 }
 
-/// The right to run suspected work; given back when it is dropped.
+/// A trial lease, released when it is dropped.
 pub struct TrialGuard<P: Runtime, G: TrialGroup> {
     keeper: Rc<TrialKeeper<P, G>>,
-    held: HeldTrial,
+    trial: HeldTrial,
 }
 
 impl<P: Runtime, G: TrialGroup> TrialGuard<P, G> {
-    /// Whether a run may still begin, by this process's clock: another process may have the right at the end of the lease.
+    /// Whether a run may still be started, by this process's monotonic clock.
     pub fn holds(&self) -> bool {
         let now = self.keeper.platform.monotonic();
-        let held = self.keeper.held.borrow();
-        held.get(&self.held.id.number).is_some_and(|renewed| now + LAST_RUN_SHOWN < renewed.at + TRIAL_LEASE)
+        let leases = self.keeper.leases.borrow();
+        leases.get(&self.trial.id.number).is_some_and(|lease| now + RUN_START_MARGIN < lease.renewed_at + TRIAL_LEASE)
     }
 
-    /// Waits until the group says that the right is another's, or the time of the work is over.
+    /// Waits until the group reports the lease as lost, or the work has reached its deadline.
     pub async fn lost(&self) {
         loop {
-            let seen = self.keeper.lost.count();
-            if !self.keeper.held.borrow().contains_key(&self.held.id.number) {
+            let notified_count = self.keeper.lost.count();
+            if !self.keeper.leases.borrow().contains_key(&self.trial.id.number) {
                 return;
             }
-            self.keeper.lost.changed(seen).await;
+            self.keeper.lost.changed(notified_count).await;
         }
     }
 }
 
 impl<P: Runtime, G: TrialGroup> Drop for TrialGuard<P, G> {
     fn drop(&mut self) {
-        let (keeper, held) = (self.keeper.clone(), self.held);
-        keeper.held.borrow_mut().remove(&held.id.number);
+        let (keeper, trial) = (self.keeper.clone(), self.trial);
+        keeper.leases.borrow_mut().remove(&trial.id.number);
         self.keeper.platform.spawn(async move {
-            if let Err(reason) = keeper.group.end(held).await {
-                // Its lease runs out all the same.
-                spdlog::warn!("trial not given back", kv: {
-                    work = held.work.shown().as_str(), reason = reason.as_str()
+            if let Err(reason) = keeper.group.end(trial).await {
+                // The lease expires without a release too.
+                spdlog::warn!("trial lease not released, will expire", kv: {
+                    work = trial.work.shown().as_str(), reason = reason.as_str()
                 });
             }
         });
     }
 }
 
-/// Renews rights until the process ends.
+/// Renews leases until the process ends.
 async fn renew<P: Runtime, G: TrialGroup>(keeper: Rc<TrialKeeper<P, G>>) {
     loop {
-        let seen = keeper.granted.count();
+        let notified_count = keeper.granted.count();
         let now = keeper.platform.monotonic();
-        keeper.drop_overdue(now);
+        keeper.drop_past_deadline(now);
         match keeper.next_renewal() {
-            None => keeper.granted.changed(seen).await,
+            None => keeper.granted.changed(notified_count).await,
             Some(at) if now < at => keeper.platform.sleep(at.saturating_sub(now)).await,
             Some(_) => renew_due(&keeper, now).await,
         }
@@ -211,9 +213,9 @@
 async fn renew_due<P: Runtime, G: TrialGroup>(keeper: &Rc<TrialKeeper<P, G>>, now: Duration) {
     let due = keeper.due(now);
     match keeper.group.renew(due.clone()).await {
-        Ok(lost) => keeper.take_renewal(&due, &lost, now),
+        Ok(lost) => keeper.apply_renewal(&due, &lost, now),
         Err(reason) => {
-            spdlog::warn!("trials not renewed", kv: { rights = due.len(), reason = reason.as_str() });
+            spdlog::warn!("trial leases not renewed, will retry", kv: { leases = due.len(), reason = reason.as_str() });
             keeper.platform.sleep(RETRY_PAUSE).await;
         }
     }
--- a/crates/control-client/tests/may_have_run.rs
+++ b/crates/control-client/tests/may_have_run.rs
@@ -1,10 +1,7 @@
-//! A request is called not done only if no replica can have taken it.
+//! A request is reported as not executed only if no replica can have executed it.
 //!
-//! A soak read that items ran of a job that a gateway had refused with 503, which says that nothing of it has run or will. The
-//! leader had taken the job and was killed before it answered. The gateway asked on, and the next connection closed before it was
-//! served, as the process behind it was just starting. That is how an older build refuses a level that it does not know, so the next
-//! connection spoke that level, which has no words for a job with an owner. What had no words was answered as not done, whatever
-//! had become of the attempt before.
+//! Guards against `NotDone` or `NotUnderstood` after a replica has received the request without a reply, when a later
+//! attempt meets a replica that seems to run an older build.
 
 use compio::net::TcpListener;
 use saddlerelay_control_client::{ControlClient, GatewayError};
@@ -22,20 +19,20 @@
 
 const SECRET: &str = "a secret of sixteen signs";
 
-/// Far longer than an answer takes.
+/// Far longer than a reply takes.
 const ATTEMPT_LIMIT: Duration = Duration::from_millis(400);
 
 /// Time for several attempts.
 const LIMIT: Duration = Duration::from_secs(3);
 
-/// Takes requests and answers none.
+/// Receives requests and never replies.
 struct Silent {
-    taken: Rc<Cell<u32>>,
+    received: Rc<Cell<u32>>,
 }
 
 impl Handler for Silent {
     async fn handle(self: Rc<Self>, _level: FeatureLevel, _body: Vec<u8>) -> Option<Vec<u8>> {
-        self.taken.set(self.taken.get() + 1);
+        self.received.set(self.received.get() + 1);
         std::future::pending().await
     }
 }
@@ -48,56 +45,56 @@
 
 async fn start_silent(runtime: &CompioRuntime) -> (SocketAddr, Rc<Cell<u32>>) {
     let (listener, address) = listen().await;
-    let taken = Rc::new(Cell::new(0));
-    let handler = Rc::new(Silent { taken: taken.clone() });
+    let received = Rc::new(Cell::new(0));
+    let handler = Rc::new(Silent { received: received.clone() });
     runtime.spawn(saddlerelay_rpc::server::serve(runtime.clone(), listener, SECRET.to_string(), handler));
-    (address, taken)
+    (address, received)
 }
 
-/// A replica of the first level: it closes connections of any other, and answers nothing.
+/// A replica at feature level one: closes connections at any other level, and never replies.
 async fn start_older(runtime: &CompioRuntime) -> SocketAddr {
     let (mut listener, address) = listen().await;
     runtime.spawn(async move {
-        let mut kept = Vec::new();
+        let mut open_connections = Vec::new();
         while let Ok((sender, mut receiver)) = listener.accept().await {
-            let greeting = receiver.receive().await.ok().flatten();
-            let hello: Option<Hello> = greeting.and_then(|bytes| bitcode::decode(&bytes).ok());
+            let hello_frame = receiver.receive().await.ok().flatten();
+            let hello: Option<Hello> = hello_frame.and_then(|bytes| bitcode::decode(&bytes).ok());
             if hello.is_some_and(|hello| hello.version == FeatureLevel::One.protocol()) {
-                kept.push((sender, receiver));
+                open_connections.push((sender, receiver));
             }
         }
     });
     address
 }
 
-/// Only the second level has words for it.
+/// A request that feature level one cannot encode.
 fn newer_request() -> GatewayRequest {
     GatewayRequest::ReadSuspicions
 }
 
-async fn ask(runtime: &CompioRuntime, replicas: &[SocketAddr]) -> Result<GatewayReply, GatewayError> {
+async fn send(runtime: &CompioRuntime, replicas: &[SocketAddr]) -> Result<GatewayReply, GatewayError> {
     let client = ControlClient::new(runtime.clone(), replicas, SECRET);
     client.gateway(newer_request(), LIMIT, ATTEMPT_LIMIT).await
 }
 
 #[test]
-fn what_a_replica_took_before_an_older_one_was_asked_is_undecided() {
+fn a_request_received_before_an_older_replica_was_tried_is_undecided() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
-        let (silent, taken) = start_silent(&runtime).await;
+        let (silent, received) = start_silent(&runtime).await;
         let older = start_older(&runtime).await;
-        assert_eq!(ask(&runtime, &[silent, older]).await, Err(GatewayError::Undecided));
-        assert!(taken.get() > 0, "a replica took it");
+        assert_eq!(send(&runtime, &[silent, older]).await, Err(GatewayError::Undecided));
+        assert!(received.get() > 0, "a replica received it");
     });
 }
 
 #[test]
-fn what_no_replica_has_words_for_is_refused_at_once() {
+fn a_request_that_no_replica_supports_is_rejected_without_retries() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
         let older = start_older(&runtime).await;
         let began = runtime.monotonic();
-        assert_eq!(ask(&runtime, &[older]).await, Err(GatewayError::NotUnderstood));
-        assert!(runtime.monotonic() < began + LIMIT, "it is not asked again and again");
+        assert_eq!(send(&runtime, &[older]).await, Err(GatewayError::NotUnderstood));
+        assert!(runtime.monotonic() < began + LIMIT, "the request is not retried");
     });
 }
--- a/crates/control-client/tests/search_order.rs
+++ b/crates/control-client/tests/search_order.rs
@@ -1,4 +1,4 @@
-//! A search for the leader goes on past machines that are gone, however many of them other replicas name.
+//! A search for the leader succeeds although other replicas return addresses of machines that are gone.
 
 use saddlerelay_control_client::ControlClient;
 use saddlerelay_control_client::search::LastAnswer;
@@ -15,120 +15,118 @@
 
 const SECRET: &str = "a secret of sixteen signs";
 
-/// Far longer than any answer of these replicas takes.
+/// Far longer than these replicas take to reply.
 const ATTEMPT_LIMIT: Duration = Duration::from_millis(400);
 
 /// Far longer than a search through all replicas that answer.
 const LIMIT: Duration = Duration::from_secs(8);
 
-enum Conduct {
+enum Behavior {
     Silent,
-    /// It leads nothing, and names others.
-    Names(Vec<SocketAddr>),
+    /// Does not lead, and returns these peers.
+    ReturnsPeers(Vec<SocketAddr>),
     Leads,
 }
 
-struct Replica(Conduct);
+struct Replica(Behavior);
 
 impl Handler for Replica {
     async fn handle(self: Rc<Self>, _level: FeatureLevel, _body: Vec<u8>) -> Option<Vec<u8>> {
         let reply = match &self.0 {
-            Conduct::Silent => return std::future::pending().await,
-            Conduct::Names(peers) => ControlReply::NotLeader { leader: None, peers: peers.clone() },
-            Conduct::Leads => ControlReply::Gateway(GatewayReply::Done),
+            Behavior::Silent => return std::future::pending().await,
+            Behavior::ReturnsPeers(peers) => ControlReply::NotLeader { leader: None, peers: peers.clone() },
+            Behavior::Leads => ControlReply::Gateway(GatewayReply::Done),
         };
         Some(bitcode::encode(&reply))
     }
 }
 
-async fn start(runtime: &CompioRuntime, conduct: Conduct) -> SocketAddr {
+async fn start(runtime: &CompioRuntime, behavior: Behavior) -> SocketAddr {
     let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     let listener = TcpFrameListener::new(listener, Default::default());
-    let handler = Rc::new(Replica(conduct));
+    let handler = Rc::new(Replica(behavior));
     runtime.spawn(saddlerelay_rpc::server::serve(runtime.clone(), listener, SECRET.to_string(), handler));
     address
 }
 
-async fn silent(runtime: &CompioRuntime, count: usize) -> Vec<SocketAddr> {
+async fn start_silent(runtime: &CompioRuntime, count: usize) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     for _ in 0..count {
-        addresses.push(start(runtime, Conduct::Silent).await);
+        addresses.push(start(runtime, Behavior::Silent).await);
     }
     addresses
 }
 
-/// Whether the leader is found.
-async fn search(client: &ControlClient<CompioRuntime>) -> bool {
+/// Whether a request reaches the leader.
+async fn reaches_leader(client: &ControlClient<CompioRuntime>) -> bool {
     client.gateway(GatewayRequest::ReadRouting, LIMIT, ATTEMPT_LIMIT).await == Ok(GatewayReply::Done)
 }
 
-/// Whether none of `addresses` was asked: each costs the time of a call that gets no answer.
-fn nobody_asked(client: &ControlClient<CompioRuntime>, addresses: &[SocketAddr]) -> bool {
-    let mut of_them = client.search().replicas.into_iter().filter(|(address, _)| addresses.contains(address));
-    of_them.all(|(_, answer)| answer == LastAnswer::NotAsked)
+/// Whether no request was sent to any of `addresses`.
+fn none_contacted(client: &ControlClient<CompioRuntime>, addresses: &[SocketAddr]) -> bool {
+    let mut contacts = client.search().replicas.into_iter().filter(|(address, _)| addresses.contains(address));
+    contacts.all(|(_, answer)| answer == LastAnswer::NotContacted)
 }
 
-/// A member that hears no leader names a former member that is gone. The client knows the new leader already, and asks the
-/// one that is gone first: `choose_after` turns to whatever it did not know before what it knew.
+/// Guards against preferring newly discovered peers, which may be gone, over replicas that the client already knows.
 #[test]
-fn members_that_are_known_are_asked_before_machines_that_are_only_named() {
+fn known_replicas_are_tried_before_newly_discovered_peers() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
-        let gone = silent(&runtime, 4).await;
-        let follower = start(&runtime, Conduct::Names(gone.clone())).await;
-        let leader = start(&runtime, Conduct::Leads).await;
+        let gone = start_silent(&runtime, 4).await;
+        let follower = start(&runtime, Behavior::ReturnsPeers(gone.clone())).await;
+        let leader = start(&runtime, Behavior::Leads).await;
         let client = ControlClient::new(runtime.clone(), &[follower, leader], SECRET);
-        assert!(search(&client).await && nobody_asked(&client, &gone), "{}", client.search());
+        assert!(reaches_leader(&client).await && none_contacted(&client, &gone), "{}", client.search());
     });
 }
 
-/// A replica names the leader first, as the likeliest. The client knows that address, and goes through all others before.
+/// Guards against ignoring a returned peer that the client already knows, and trying all other replicas first.
 #[test]
-fn the_likeliest_replica_that_another_names_is_asked_next_also_if_it_is_known() {
+fn a_returned_peer_that_is_already_known_is_tried_next() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
-        let gone = silent(&runtime, 8).await;
-        let leader = start(&runtime, Conduct::Leads).await;
-        let inner = start(&runtime, Conduct::Names(vec![leader])).await;
+        let gone = start_silent(&runtime, 8).await;
+        let leader = start(&runtime, Behavior::Leads).await;
+        let inner = start(&runtime, Behavior::ReturnsPeers(vec![leader])).await;
         let addresses: Vec<SocketAddr> = [inner].into_iter().chain(gone.clone()).chain([leader]).collect();
         let client = ControlClient::new(runtime.clone(), &addresses, SECRET);
-        assert!(search(&client).await && nobody_asked(&client, &gone), "{}", client.search());
+        assert!(reaches_leader(&client).await && none_contacted(&client, &gone), "{}", client.search());
     });
 }
 
-/// A client that has heard of as many machines as it keeps takes no further one, also after none of them has answered: the
-/// replica that names the leader is asked again and again in vain.
+/// Guards against a full list of failed replicas, to which the leader's address is never added.
 #[test]
-fn machines_that_are_gone_make_room_for_one_that_is_named_later() {
+fn failed_replicas_are_evicted_for_a_newly_discovered_one() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
-        // Nobody listens there: each is refused at once.
+        // No listener: connections are refused at once.
         let gone: Vec<SocketAddr> = (1..=64).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
-        let leader = start(&runtime, Conduct::Leads).await;
-        let inner = start(&runtime, Conduct::Names(vec![leader])).await;
-        let outer = start(&runtime, Conduct::Names(gone)).await;
+        let leader = start(&runtime, Behavior::Leads).await;
+        let inner = start(&runtime, Behavior::ReturnsPeers(vec![leader])).await;
+        let outer = start(&runtime, Behavior::ReturnsPeers(gone)).await;
         let client = ControlClient::new(runtime.clone(), &[outer, inner], SECRET);
-        assert!(search(&client).await, "{}", client.search());
+        assert!(reaches_leader(&client).await, "{}", client.search());
     });
 }
 
-/// A machine names its client's replicas anew some times a second, from what its replica knows. What the search has learned
-/// is dropped each time; one named machine that is gone then hides all that are named behind it, for ever.
+/// Guards against dropping discovered replicas on each `set_replicas`: the search would start over each time and never
+/// get past a peer that is gone.
 #[test]
-fn a_search_goes_on_while_the_replicas_are_named_anew() {
+fn a_search_continues_while_the_configured_replicas_are_replaced() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
-        let leader = start(&runtime, Conduct::Leads).await;
-        let mut named = silent(&runtime, 1).await;
-        named.push(leader);
-        let own = start(&runtime, Conduct::Names(named)).await;
-        let client = ControlClient::new(runtime.clone(), &[own], SECRET);
-        let (of_loop, sleeper) = (client.clone(), runtime.clone());
+        let leader = start(&runtime, Behavior::Leads).await;
+        let mut peers = start_silent(&runtime, 1).await;
+        peers.push(leader);
+        let follower = start(&runtime, Behavior::ReturnsPeers(peers)).await;
+        let client = ControlClient::new(runtime.clone(), &[follower], SECRET);
+        let (loop_client, loop_runtime) = (client.clone(), runtime.clone());
         runtime.spawn(async move {
             loop {
-                of_loop.set_replicas([own]);
-                sleeper.sleep(ATTEMPT_LIMIT).await;
+                loop_client.set_replicas([follower]);
+                loop_runtime.sleep(ATTEMPT_LIMIT).await;
             }
         });
         let answer = client.gateway(GatewayRequest::ReadRouting, LIMIT, 2 * ATTEMPT_LIMIT).await;
@@ -136,16 +134,16 @@
     });
 }
 
-/// New settings name a machine that does not answer, while the leader is known and answers: `hear_of` turns away from it.
+/// Guards against leaving a working leader when `hear_of` adds addresses, for example after a change of settings.
 #[test]
-fn a_client_that_is_answered_stays_with_its_leader_when_it_hears_of_others() {
+fn a_client_keeps_its_leader_when_addresses_are_added() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
-        let leader = start(&runtime, Conduct::Leads).await;
+        let leader = start(&runtime, Behavior::Leads).await;
         let client = ControlClient::new(runtime.clone(), &[leader], SECRET);
-        assert!(search(&client).await);
-        let others = silent(&runtime, 1).await;
+        assert!(reaches_leader(&client).await);
+        let others = start_silent(&runtime, 1).await;
         client.hear_of(&others);
-        assert!(search(&client).await && nobody_asked(&client, &others), "{}", client.search());
+        assert!(reaches_leader(&client).await && none_contacted(&client, &others), "{}", client.search());
     });
 }
--- a/crates/control-client/tests/silent_replica.rs
+++ b/crates/control-client/tests/silent_replica.rs
@@ -1,4 +1,4 @@
-//! A replica that stands still costs a caller the time of one call, not of every other one.
+//! A replica that does not reply is skipped for a while, and replicas are tried in turn until one leads.
 
 use saddlerelay_control_client::ControlClient;
 use saddlerelay_rpc::server::Handler;
@@ -15,121 +15,122 @@
 
 const SECRET: &str = "a secret of sixteen signs";
 
-/// Far longer than any answer of these replicas takes.
+/// Far longer than these replicas take to reply.
 const ATTEMPT_LIMIT: Duration = Duration::from_millis(400);
 
-/// For hangs only.
+/// Limit for a hanging test.
 const LIMIT: Duration = Duration::from_secs(20);
 
-/// What a replica answers.
+/// How a replica replies.
 #[derive(Clone)]
-enum Conduct {
+enum Behavior {
     Silent,
     Follows,
-    /// It is no member, and names others.
-    Names(Vec<SocketAddr>),
+    /// Is not a member, and returns these peers.
+    ReturnsPeers(Vec<SocketAddr>),
     Leads,
 }
 
 struct Replica {
-    conduct: Conduct,
-    asked: Rc<Cell<u32>>,
+    behavior: Behavior,
+    request_count: Rc<Cell<u32>>,
 }
 
 impl Handler for Replica {
     async fn handle(self: Rc<Self>, _level: FeatureLevel, _body: Vec<u8>) -> Option<Vec<u8>> {
-        self.asked.set(self.asked.get() + 1);
-        let reply = match &self.conduct {
-            Conduct::Silent => return std::future::pending().await,
-            Conduct::Follows => ControlReply::NotLeader { leader: None, peers: Vec::new() },
-            Conduct::Names(peers) => ControlReply::NotLeader { leader: None, peers: peers.clone() },
-            Conduct::Leads => ControlReply::Gateway(GatewayReply::Done),
+        self.request_count.set(self.request_count.get() + 1);
+        let reply = match &self.behavior {
+            Behavior::Silent => return std::future::pending().await,
+            Behavior::Follows => ControlReply::NotLeader { leader: None, peers: Vec::new() },
+            Behavior::ReturnsPeers(peers) => ControlReply::NotLeader { leader: None, peers: peers.clone() },
+            Behavior::Leads => ControlReply::Gateway(GatewayReply::Done),
         };
         Some(bitcode::encode(&reply))
     }
 }
 
-async fn start(runtime: &CompioRuntime, conduct: Conduct) -> (SocketAddr, Rc<Cell<u32>>) {
+async fn start(runtime: &CompioRuntime, behavior: Behavior) -> (SocketAddr, Rc<Cell<u32>>) {
     let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let asked = Rc::new(Cell::new(0));
-    let handler = Rc::new(Replica { conduct, asked: asked.clone() });
+    let request_count = Rc::new(Cell::new(0));
+    let handler = Rc::new(Replica { behavior, request_count: request_count.clone() });
     let listener = TcpFrameListener::new(listener, Default::default());
     runtime.spawn(saddlerelay_rpc::server::serve(runtime.clone(), listener, SECRET.to_string(), handler));
-    (address, asked)
+    (address, request_count)
 }
 
 #[test]
-fn a_replica_that_does_not_answer_is_passed_over_for_a_while() {
+fn a_replica_without_a_reply_is_skipped_for_a_while() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
-        let (silent, asked_silent) = start(&runtime, Conduct::Silent).await;
-        let (follower, asked_follower) = start(&runtime, Conduct::Follows).await;
+        let (silent, silent_count) = start(&runtime, Behavior::Silent).await;
+        let (follower, follower_count) = start(&runtime, Behavior::Follows).await;
         let client = ControlClient::new(runtime.clone(), &[silent, follower], SECRET);
-        let ask = || client.gateway(GatewayRequest::ReadRouting, LIMIT / 20, ATTEMPT_LIMIT);
-        assert!(ask().await.is_err(), "nobody leads yet");
-        let (silent_asked, follower_asked) = (asked_silent.get(), asked_follower.get());
-        assert!(follower_asked > 2 * silent_asked, "{silent_asked} and {follower_asked} times");
-        let (leader, asked_leader) = start(&runtime, Conduct::Leads).await;
+        let send = || client.gateway(GatewayRequest::ReadRouting, LIMIT / 20, ATTEMPT_LIMIT);
+        assert!(send().await.is_err(), "no replica leads yet");
+        let (silent_requests, follower_requests) = (silent_count.get(), follower_count.get());
+        assert!(follower_requests > 2 * silent_requests, "{silent_requests} and {follower_requests} requests");
+        let (leader, leader_count) = start(&runtime, Behavior::Leads).await;
         client.set_replicas([silent, follower, leader]);
-        assert_eq!(ask().await, Ok(GatewayReply::Done));
-        assert_eq!(asked_leader.get(), 1);
+        assert_eq!(send().await, Ok(GatewayReply::Done));
+        assert_eq!(leader_count.get(), 1);
     });
 }
 
 #[test]
-fn replicas_that_are_all_silent_are_asked_in_turn() {
+fn replicas_without_replies_are_tried_in_turn() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
-        let (first, asked_first) = start(&runtime, Conduct::Silent).await;
-        let (second, asked_second) = start(&runtime, Conduct::Silent).await;
+        let (first, first_count) = start(&runtime, Behavior::Silent).await;
+        let (second, second_count) = start(&runtime, Behavior::Silent).await;
         let client = ControlClient::new(runtime.clone(), &[first, second], SECRET);
         assert!(client.gateway(GatewayRequest::ReadRouting, 3 * ATTEMPT_LIMIT, ATTEMPT_LIMIT).await.is_err());
-        assert!(asked_first.get() >= 1 && asked_second.get() >= 1);
+        assert!(first_count.get() >= 1 && second_count.get() >= 1);
     });
 }
 
 #[test]
-fn replicas_that_another_names_are_asked() {
+fn returned_peers_are_tried() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
-        let (leader, _) = start(&runtime, Conduct::Leads).await;
-        let (inner, _) = start(&runtime, Conduct::Names(vec![leader])).await;
-        let (outer, asked_outer) = start(&runtime, Conduct::Names(vec![inner])).await;
+        let (leader, _) = start(&runtime, Behavior::Leads).await;
+        let (inner, _) = start(&runtime, Behavior::ReturnsPeers(vec![leader])).await;
+        let (outer, outer_count) = start(&runtime, Behavior::ReturnsPeers(vec![inner])).await;
         let client = ControlClient::new(runtime.clone(), &[outer], SECRET);
         assert_eq!(client.gateway(GatewayRequest::ReadRouting, LIMIT, ATTEMPT_LIMIT).await, Ok(GatewayReply::Done));
-        assert_eq!(asked_outer.get(), 1);
+        assert_eq!(outer_count.get(), 1);
     });
 }
 
-/// Two that name each other for ever, and a multitude that is not there, are not asked without a pause or an end.
+/// Guards against a request loop without pauses between replicas that return each other, and against unbounded growth
+/// of the list of replicas.
 #[test]
-fn replicas_that_name_each_other_cost_no_more_than_others() {
+fn replicas_that_return_each_other_are_tried_with_pauses() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
         let absent = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-        let (first, asked_first) = start(&runtime, Conduct::Names((1..1_000).map(absent).collect())).await;
-        let (second, asked_second) = start(&runtime, Conduct::Names(vec![first])).await;
+        let (first, first_count) = start(&runtime, Behavior::ReturnsPeers((1..1_000).map(absent).collect())).await;
+        let (second, second_count) = start(&runtime, Behavior::ReturnsPeers(vec![first])).await;
         let client = ControlClient::new(runtime.clone(), &[second], SECRET);
         assert!(client.gateway(GatewayRequest::ReadRouting, 5 * ATTEMPT_LIMIT, ATTEMPT_LIMIT).await.is_err());
-        let asked = asked_first.get() + asked_second.get();
-        assert!((1..=40).contains(&asked), "asked {asked} times");
+        let requests = first_count.get() + second_count.get();
+        assert!((1..=40).contains(&requests), "{requests} requests");
         assert!(client.search().replicas.len() <= 64);
     });
 }
 
-/// A client whose addresses have all moved away takes new ones, for example of changed settings, while it searches.
+/// Guards against ignoring new addresses, for example of changed settings, when no known replica leads.
 #[test]
-fn addresses_that_are_heard_of_are_asked() {
+fn added_addresses_are_tried() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
-        let (follower, _) = start(&runtime, Conduct::Follows).await;
-        let (leader, asked_leader) = start(&runtime, Conduct::Leads).await;
+        let (follower, _) = start(&runtime, Behavior::Follows).await;
+        let (leader, leader_count) = start(&runtime, Behavior::Leads).await;
         let client = ControlClient::new(runtime.clone(), &[follower], SECRET);
-        let ask = || client.gateway(GatewayRequest::ReadRouting, ATTEMPT_LIMIT, ATTEMPT_LIMIT);
-        assert!(ask().await.is_err());
+        let send = || client.gateway(GatewayRequest::ReadRouting, ATTEMPT_LIMIT, ATTEMPT_LIMIT);
+        assert!(send().await.is_err());
         client.hear_of(&[leader]);
-        assert_eq!(ask().await, Ok(GatewayReply::Done));
-        assert_eq!(asked_leader.get(), 1);
+        assert_eq!(send().await, Ok(GatewayReply::Done));
+        assert_eq!(leader_count.get(), 1);
     });
 }
--- a/crates/control/src/answering.rs
+++ b/crates/control/src/answering.rs
@@ -1,4 +1,4 @@
-//! Answers other processes, each in the words of its level.
+//! Serves RPC requests of other processes, each encoded at the feature level of its connection.
 
 use crate::node::ControlNode;
 use saddlerelay_layouts::messages::{self, Request};
@@ -15,16 +15,16 @@
 impl<P: Runtime, B: Backends> Handler for ControlNode<P, B> {
     async fn handle(self: Rc<Self>, level: FeatureLevel, body: Vec<u8>) -> Option<Vec<u8>> {
         let request = messages::decode_request(&body, level)?;
-        self.answer_at(level, request).await
+        self.handle_at_level(level, request).await
     }
 }
 
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
-    /// Answers a request of another process, both written at `level`.
-    async fn answer_at(&self, level: FeatureLevel, request: Request) -> Option<Vec<u8>> {
+    /// Handles a request; request and reply are encoded at `level`.
+    async fn handle_at_level(&self, level: FeatureLevel, request: Request) -> Option<Vec<u8>> {
         let request = match request {
             Request::FollowOne(follow) => {
-                self.note_older_asker();
+                self.record_older_build_request();
                 return Some(bitcode::encode(&self.follow_level_one(follow).await));
             }
             Request::Today(request) => request,
@@ -33,20 +33,20 @@
             return messages::encode_reply(self.answer_replica(bytes, level).await, level);
         }
         if level < FeatureLevel::NEWEST {
-            self.note_older_asker();
+            self.record_older_build_request();
         }
         let reply = self.answer(request).await;
-        let unspeakable = || messages::encode_reply(ControlReply::Gateway(GatewayReply::Unavailable), level);
-        messages::encode_reply(reply, level).or_else(unspeakable)
+        let fallback = || messages::encode_reply(ControlReply::Gateway(GatewayReply::Unavailable), level);
+        messages::encode_reply(reply, level).or_else(fallback)
     }
 
     pub(crate) async fn answer_replica(&self, bytes: &[u8], level: FeatureLevel) -> ControlReply {
         let Some(request) = message_codec::decode_request(bytes, level) else {
             return ControlReply::Refused("malformed replication message".to_string());
         };
-        // Builds of this age ask to be added at the newest level that both know.
+        // Builds of the current version send join requests at the newest level that both sides support.
         if level < FeatureLevel::NEWEST && matches!(request, ReplicaRequest::Join { .. }) {
-            self.note_older_asker();
+            self.record_older_build_request();
         }
         let reply = self.inner.replica.handle(request, level).await;
         ControlReply::Replication(message_codec::encode_reply(reply, level))
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -1,11 +1,10 @@
-//! Tells relays what they lack, and lets them act on it for a while.
+//! Long polls of relays: state updates, each with a lease during which the relay may act on the state that it holds.
 //!
-//! The leader tells them itself while they are few. Beyond, it sends them on to the group's other replicas, which hold the
-//! same state: what a question costs is then shared among them, and the leader answers each of them some times a second
-//! instead of each relay. A relay may act until what it was told is as old as the lease allows, counted from the moment at
-//! which the leader's state was at least as old: a replica that does not lead asks the leader how far the log is committed,
-//! and from that question on, once it has applied so much, its state is as good as the leader's was then. The time that
-//! passes between that question and a relay's is taken off the relay's lease, so two levels give no longer lease than one.
+//! The leader serves up to `leader_relays` relays itself. With more, it redirects them to followers, which spreads the
+//! load. A follower serves them by follower reads: it requests the leader's commit position, as in Raft's ReadIndex,
+//! and once it has applied the log up to there, its state is at least as new as the leader's was when the request was
+//! sent. The time since that request is subtracted from the relay's lease, so that a lease from a follower ends no
+//! later than one from the leader would.
 
 use crate::node::ControlNode;
 use crate::state::ControlState;
@@ -20,56 +19,54 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a relay's question waits at a replica that does not lead until the leader has confirmed its state: a question
-/// to the leader and the pause before it, with some to spare.
-const CONFIRMATION_WAIT: Duration = Duration::from_millis(300);
+/// Maximum time that a poll of a relay waits at a follower for a confirmation by the leader.
+const MAX_CONFIRMATION_WAIT: Duration = Duration::from_millis(300);
 
-/// The oldest confirmation by which a replica answers. Older ones leave relays too little of their lease.
-const OLDEST_CONFIRMATION: Duration = Duration::from_millis(600);
+/// Maximum age of a confirmation used for a reply. An older one would leave the relay too little of its lease.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(600);
 
-/// How long a replica goes on having its state confirmed after the last relay has asked.
-const ASKED_LATELY: Duration = Duration::from_secs(3);
+/// A follower stops requesting confirmations this long after the last poll of a relay.
+const IDLE_LIMIT: Duration = Duration::from_secs(3);
 
-/// What each relay adds to the pause of all before they ask another replica when none leads, in microseconds: together they
-/// ask 4,000 times a second, whatever their number, so that the replicas that elect a leader have time for it. Up to 160
-/// relays wait for 40 ms.
+/// Retry pause of a relay without a leader, in microseconds per relay in the deployment. Limits all relays together to
+/// 4,000 requests a second, so that they do not delay an election.
 const RETRY_PAUSE_US_PER_RELAY: u32 = 250;
 
-/// A replica that has been silent for so long is given no relays.
-const FOLLOWER_SILENCE_MS: u64 = 300;
+/// Relays are not redirected to a follower that the leader has not heard from for this long.
+const FOLLOWER_SILENCE_LIMIT_MS: u64 = 300;
 
-/// How far behind the log a replica may be that is given relays, in entries.
-const FOLLOWER_BEHIND: u64 = 512;
+/// Maximum replication lag, in log entries, of a follower that relays are redirected to.
+const MAX_FOLLOWER_LAG: u64 = 512;
 
-/// A moment at which the leader's state was not newer than this replica's is now.
+/// A confirmation that this replica's state is at least as new as the leader's was at a moment in the past.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Confirmation {
-    /// When the leader was asked, by this process's clock.
+    /// When the request to the leader was sent, by this process's monotonic clock.
     pub at: Duration,
-    /// The time of day that most machines agreed on then, and when the answer came.
+    /// The leader's group time in Unix milliseconds, and when its reply was received.
     pub group_unix_ms: Option<(u64, Duration)>,
-    /// Relays that the leader had heard of.
+    /// Number of relays known to the leader.
     pub relays: u32,
 }
 
-/// What a replica that does not lead knows of the relays that ask it.
+/// What a follower has received from the relays that poll it, and its newest confirmation.
 #[derive(Debug, Default)]
-pub(crate) struct Following {
+pub(crate) struct FollowerReads {
     /// The newest confirmation.
     pub confirmation: Option<Confirmation>,
-    /// When a relay last asked.
-    asked_at: Option<Duration>,
-    /// Their times of day, and when they were heard.
+    /// When a relay last polled.
+    polled_at: Option<Duration>,
+    /// Wall clock of each relay in Unix milliseconds, and when it was received.
     clocks: BTreeMap<String, (u64, Duration)>,
     usage: Vec<RelayUsage>,
 }
 
-impl Following {
-    fn hear(&mut self, follow: &mut FollowRequest, now: Duration) {
-        self.asked_at = Some(now);
+impl FollowerReads {
+    fn record_poll(&mut self, follow: &mut FollowRequest, now: Duration) {
+        self.polled_at = Some(now);
         self.clocks.insert(follow.relay.clone(), (follow.unix_ms, now));
         if let Some(difference) = follow.usage.take() {
-            // A relay tells the same difference until it is committed.
+            // A relay repeats the same difference until it is committed.
             let usage = RelayUsage { relay: follow.incarnation, difference };
             if !self.usage.contains(&usage) {
                 self.usage.push(usage);
@@ -77,142 +74,144 @@
         }
     }
 
-    /// Whether relays have asked lately; otherwise what was confirmed is forgotten.
-    pub fn is_wanted(&mut self, now: Duration) -> bool {
-        let wanted = self.asked_at.is_some_and(|at| now < at + ASKED_LATELY);
-        if !wanted {
+    /// Whether a relay has polled recently. If none has, everything recorded is discarded.
+    pub fn is_active(&mut self, now: Duration) -> bool {
+        let active = self.polled_at.is_some_and(|at| now < at + IDLE_LIMIT);
+        if !active {
             *self = Self::default();
         }
-        wanted
+        active
     }
 
-    /// What relays have told since the last call.
-    pub fn take_words(&mut self, now: Duration) -> RelayWords {
-        let clocks = std::mem::take(&mut self.clocks).into_iter().map(|(relay, (unix_ms, heard_at))| {
-            let age_ms = now.saturating_sub(heard_at).as_millis() as u64;
+    /// The clocks and usage counts received from relays since the last call.
+    pub fn take_relay_data(&mut self, now: Duration) -> RelayWords {
+        let clocks = std::mem::take(&mut self.clocks).into_iter().map(|(relay, (unix_ms, received_at))| {
+            let age_ms = now.saturating_sub(received_at).as_millis() as u64;
             RelayClock { relay, unix_ms: unix_ms.saturating_add(age_ms) }
         });
         RelayWords { clocks: clocks.collect(), usage: std::mem::take(&mut self.usage) }
     }
 
-    /// The confirmation, if it is not too old.
-    fn fresh(&self, now: Duration) -> Option<Confirmation> {
-        self.confirmation.filter(|confirmation| now < confirmation.at + OLDEST_CONFIRMATION)
+    /// The newest confirmation, unless it is older than [`MAX_CONFIRMATION_AGE`].
+    fn recent_confirmation(&self, now: Duration) -> Option<Confirmation> {
+        self.confirmation.filter(|confirmation| now < confirmation.at + MAX_CONFIRMATION_AGE)
     }
 }
 
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
-    /// Answers as soon as there is something new, or after a while.
+    /// Serves a poll of a relay: replies when there is an update for it, or after `renewal_wait`.
     pub(crate) async fn follow(&self, follow: FollowRequest) -> ControlReply {
         if self.inner.replica.leading_term().is_none() && follow.at_follower {
-            return self.follow_follower(follow).await;
+            return self.serve_as_follower(follow).await;
         }
-        self.follow_leader(follow).await
+        self.serve_as_leader(follow).await
     }
 
-    async fn follow_leader(&self, mut follow: FollowRequest) -> ControlReply {
+    async fn serve_as_leader(&self, mut follow: FollowRequest) -> ControlReply {
         let platform = &self.inner.platform;
         self.inner.group_clock.borrow_mut().hear(&follow.relay, follow.unix_ms, platform.monotonic());
         if let Some(difference) = follow.usage.take() {
-            self.take_usage(RelayUsage { relay: follow.incarnation, difference });
+            self.queue_usage(RelayUsage { relay: follow.incarnation, difference });
         }
-        let until = platform.monotonic() + self.inner.config.renewal_wait;
+        let deadline = platform.monotonic() + self.inner.config.renewal_wait;
         let lease = self.inner.config.follow_lease;
         loop {
-            let seen = self.inner.news.count();
-            let turn = self.inner.answer_turn.lock().await;
+            let notified_count = self.inner.relay_updates.count();
+            let guard = self.inner.reply_lock.lock().await;
             let Some(mut reply) = self.read(|state| self.follow_reply(state, &follow, lease)) else {
                 return self.not_leader();
             };
-            drop(turn);
-            let left = until.saturating_sub(platform.monotonic());
-            if left.is_zero() || brings_news(&reply) {
+            drop(guard);
+            let remaining = deadline.saturating_sub(platform.monotonic());
+            if remaining.is_zero() || has_updates(&reply) {
                 reply.group_unix_ms = self.group_unix_ms();
                 reply.follower = self.follower_for(&follow);
-                reply.retry_pause_ms = retry_pause_ms(self.relays());
+                reply.retry_pause_ms = retry_pause_ms(self.relay_count());
                 if self.leads_at_level_one() {
-                    // Marks of silence move no revision there.
+                    // Marks of silence do not increase the revision at this level, so all instances are sent.
                     let place = RelayPlace::new(&follow.relay, &follow.zone);
                     reply.instances = self.read_applied(|state| state.instances.news_for(place, 0));
                 }
                 return ControlReply::Gateway(GatewayReply::Followed(reply));
             }
-            if timeout(platform, left, self.inner.news.changed(seen)).await.is_some() && self.has_many_relays() {
-                // One answer for what changes in a moment: each would wake every relay.
+            if timeout(platform, remaining, self.inner.relay_updates.changed(notified_count)).await.is_some()
+                && self.has_many_relays()
+            {
+                // Batches changes: each reply would go to every relay.
                 platform.sleep(self.inner.config.news_interval).await;
             }
         }
     }
 
-    async fn follow_follower(&self, mut follow: FollowRequest) -> ControlReply {
+    async fn serve_as_follower(&self, mut follow: FollowRequest) -> ControlReply {
         let platform = &self.inner.platform;
-        self.inner.following.borrow_mut().hear(&mut follow, platform.monotonic());
-        let until = platform.monotonic() + self.inner.config.renewal_wait;
+        self.inner.follower_reads.borrow_mut().record_poll(&mut follow, platform.monotonic());
+        let deadline = platform.monotonic() + self.inner.config.renewal_wait;
         loop {
-            let seen = self.inner.news.count();
-            let Some(confirmation) = self.await_confirmation().await else {
+            let notified_count = self.inner.relay_updates.count();
+            let Some(confirmation) = self.wait_for_confirmation().await else {
                 return self.not_leader();
             };
             let now = platform.monotonic();
             let lease = self.inner.config.follow_lease.saturating_sub(now.saturating_sub(confirmation.at));
-            let turn = self.inner.answer_turn.lock().await;
+            let guard = self.inner.reply_lock.lock().await;
             let reply = self
                 .read_applied(|state| (!is_behind(state, &follow)).then(|| self.follow_reply(state, &follow, lease)));
-            drop(turn);
+            drop(guard);
             let Some(mut reply) = reply else {
                 return self.not_leader();
             };
-            let left = until.saturating_sub(now);
-            if left.is_zero() || brings_news(&reply) {
+            let remaining = deadline.saturating_sub(now);
+            if remaining.is_zero() || has_updates(&reply) {
                 reply.follower = Some(self.inner.replica.address());
                 reply.retry_pause_ms = retry_pause_ms(confirmation.relays);
                 reply.group_unix_ms = confirmation
                     .group_unix_ms
-                    .map(|(unix_ms, heard_at)| unix_ms.saturating_add(now.saturating_sub(heard_at).as_millis() as u64));
+                    .map(|(unix_ms, read_at)| unix_ms.saturating_add(now.saturating_sub(read_at).as_millis() as u64));
                 return ControlReply::Gateway(GatewayReply::Followed(reply));
             }
-            timeout(platform, left, self.inner.news.changed(seen)).await;
+            timeout(platform, remaining, self.inner.relay_updates.changed(notified_count)).await;
         }
     }
 
-    async fn await_confirmation(&self) -> Option<Confirmation> {
+    async fn wait_for_confirmation(&self) -> Option<Confirmation> {
         let platform = &self.inner.platform;
-        let until = platform.monotonic() + CONFIRMATION_WAIT;
+        let deadline = platform.monotonic() + MAX_CONFIRMATION_WAIT;
         loop {
             let now = platform.monotonic();
-            let seen = self.inner.confirmed.count();
-            if let Some(confirmation) = self.inner.following.borrow().fresh(now) {
+            let notified_count = self.inner.confirmed.count();
+            if let Some(confirmation) = self.inner.follower_reads.borrow().recent_confirmation(now) {
                 return Some(confirmation);
             }
-            let left = until.saturating_sub(now);
-            if left.is_zero() {
+            let remaining = deadline.saturating_sub(now);
+            if remaining.is_zero() {
                 return None;
             }
-            timeout(platform, left, self.inner.confirmed.changed(seen)).await;
+            timeout(platform, remaining, self.inner.confirmed.changed(notified_count)).await;
         }
     }
 
-    /// Answers a replica that answers relays.
-    pub(crate) fn confirm(&self, words: RelayWords) -> ControlReply {
+    /// Confirms the state of a follower that serves relays: returns the read position, group time and number of relays.
+    pub(crate) fn confirm(&self, relay_data: RelayWords) -> ControlReply {
         let Some(position) = self.inner.replica.read_position() else {
             return self.not_leader();
         };
         let now = self.inner.platform.monotonic();
-        for clock in words.clocks {
+        for clock in relay_data.clocks {
             self.inner.group_clock.borrow_mut().hear(&clock.relay, clock.unix_ms, now);
         }
-        words.usage.into_iter().for_each(|usage| self.take_usage(usage));
+        relay_data.usage.into_iter().for_each(|usage| self.queue_usage(usage));
         ControlReply::Gateway(GatewayReply::Confirmed {
             position,
             group_unix_ms: self.group_unix_ms(),
-            relays: self.relays(),
+            relays: self.relay_count(),
         })
     }
 
-    /// Takes a relay's counts, unless they are committed or wait already.
-    fn take_usage(&self, usage: RelayUsage) {
+    /// Queues a relay's usage counts for commit, unless they are committed or queued already.
+    fn queue_usage(&self, usage: RelayUsage) {
         if self.leads_at_level_one() {
-            // The relay tells it again.
+            // The relay sends the counts again once the level has been raised.
             return;
         }
         let committed = self.read(|state| state.usage.taken_from(usage.relay) >= usage.difference.sequence);
@@ -222,20 +221,20 @@
         }
     }
 
-    /// The time of day that most machines agree on, in Unix milliseconds; `None` until relays have been heard for a while.
+    /// Median wall clock of the machines, in Unix milliseconds; `None` until relays have reported theirs for a while.
     pub fn group_unix_ms(&self) -> Option<u64> {
         let platform = &self.inner.platform;
         self.inner.group_clock.borrow_mut().unix_ms(platform.unix_milliseconds(), platform.monotonic())
     }
 
-    /// Relays that this leader has heard of lately, also through replicas.
-    fn relays(&self) -> u32 {
+    /// Number of relays whose clocks have been received recently, directly or through followers.
+    fn relay_count(&self) -> u32 {
         self.inner.group_clock.borrow().machines() as u32
     }
 
-    /// Whether there are more relays than the leader answers itself.
+    /// Whether there are more relays than the leader serves itself.
     fn has_many_relays(&self) -> bool {
-        self.relays() as usize > self.inner.config.leader_relays
+        self.relay_count() as usize > self.inner.config.leader_relays
     }
 
     fn follow_reply(&self, state: &ControlState, follow: &FollowRequest, lease: Duration) -> FollowReply {
@@ -257,57 +256,57 @@
         }
     }
 
-    /// The replica that a relay is to ask from now on, where there are many relays: one in its zone, if there is one.
+    /// The follower that a relay should poll from now on, preferably one in its zone; `None` if the leader serves it.
     fn follower_for(&self, follow: &FollowRequest) -> Option<SocketAddr> {
-        // Older builds among the members answer relays as leaders only.
+        // Members of older builds serve relays only while they lead.
         if !self.has_many_relays() || self.leads_at_level_one() {
             return None;
         }
         let view = self.inner.replica.view()?;
-        let able = view.replicas.iter().filter(|replica| {
-            let behind = view.committed.saturating_sub(replica.matched);
+        let eligible = view.replicas.iter().filter(|replica| {
+            let lag = view.committed.saturating_sub(replica.matched);
             replica.id != view.leader
-                && replica.heard_milliseconds_ago < FOLLOWER_SILENCE_MS
-                && behind <= FOLLOWER_BEHIND
+                && replica.heard_milliseconds_ago < FOLLOWER_SILENCE_LIMIT_MS
+                && lag <= MAX_FOLLOWER_LAG
         });
-        let able: Vec<SocketAddr> = able.map(|replica| replica.address).collect();
-        let near: Vec<SocketAddr> = self.read_applied(|state| {
-            state.stores.addresses(Some(&follow.zone)).filter(|address| able.contains(address)).collect()
+        let eligible: Vec<SocketAddr> = eligible.map(|replica| replica.address).collect();
+        let in_zone: Vec<SocketAddr> = self.read_applied(|state| {
+            state.stores.addresses(Some(&follow.zone)).filter(|address| eligible.contains(address)).collect()
         });
-        pick(if near.is_empty() { &able } else { &near }, &follow.relay)
+        pick(if in_zone.is_empty() { &eligible } else { &in_zone }, &follow.relay)
     }
 }
 
-/// How long relays wait before they ask another replica when none leads.
+/// Retry pause of relays that find no leader.
 fn retry_pause_ms(relays: u32) -> u32 {
     relays * RETRY_PAUSE_US_PER_RELAY / 1_000
 }
 
-/// One of several replicas, the same each time for one relay, and shared out among relays.
+/// Picks a replica by the hash of the relay's name: stable for one relay, and spread over the replicas.
 fn pick(replicas: &[SocketAddr], relay: &str) -> Option<SocketAddr> {
     replicas.get(position(relay) as usize % replicas.len().max(1)).copied()
 }
 
-/// A member in the relay's zone; relays of one zone are shared out among several.
+/// A member in the relay's zone; the relays of a zone are spread over its members.
 pub(crate) fn nearest_replica(
     state: &ControlState,
     members: &[SocketAddr],
     relay: &str,
     zone: &str,
 ) -> Option<SocketAddr> {
-    let near: Vec<SocketAddr> =
+    let in_zone: Vec<SocketAddr> =
         state.stores.addresses(Some(zone)).filter(|address| members.contains(address)).collect();
-    pick(&near, relay)
+    pick(&in_zone, relay)
 }
 
-/// Whether a relay knows more than this replica: it has been told by another one.
+/// Whether this replica's state is behind the state that a relay has received from another replica.
 fn is_behind(state: &ControlState, follow: &FollowRequest) -> bool {
     follow.instance_revision > state.instances.revision()
         || follow.routing_version > state.routing.version()
         || follow.suspicion_revision > state.suspicions.revision()
 }
 
-fn brings_news(reply: &FollowReply) -> bool {
+fn has_updates(reply: &FollowReply) -> bool {
     reply.routing.is_some()
         || reply.suspicions.is_some()
         || reply.instances.whole
--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -1,5 +1,5 @@
-//! Answers about routing documents, engine instances, named versions, duties and store machines; those to relays are in
-//! `follow`, those about batch jobs in `job_calls`.
+//! Requests about routing documents, engine instances, named versions, duties and store machines. Polls of relays are
+//! handled in `follow`, requests about batch jobs in `job_calls`.
 
 use crate::node::ControlNode;
 use crate::older_level::{named_in, outcome_without_log, without_starts};
@@ -21,13 +21,14 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Silence after which a machine is not counted among those that are left when another is to be emptied.
-const STORE_SILENCE_MS: u64 = 1_000;
+/// A replica that the leader has not heard from for this long does not count towards the replicas that remain when a
+/// store machine is retired.
+const REPLICA_SILENCE_LIMIT_MS: u64 = 1_000;
 
-/// Most reports in one message: many times what a machine gathers between two.
-const MOST_REPORTS: usize = 4_096;
+/// Maximum number of reports and heartbeats in one message.
+const MAX_REPORTS_PER_MESSAGE: usize = 4_096;
 
-/// Whether relays would act differently after `command`.
+/// Whether `command` changes state that relays act on.
 pub(crate) fn changes_what_relays_act_on(command: &GatewayCommand) -> bool {
     matches!(
         command,
@@ -41,7 +42,7 @@
     )
 }
 
-/// Whether `command` changes what batch jobs are to do, and whether it changes what can be read of them.
+/// Whether `command` concerns the runner of batch jobs, and whether it concerns readers of their results.
 pub(crate) fn effect_on_jobs(command: &GatewayCommand) -> (bool, bool) {
     match command {
         GatewayCommand::ListResults { .. } => (false, true),
@@ -51,29 +52,29 @@
     }
 }
 
-/// What is to be done with reports that have come.
-struct SortedReports<'a> {
-    /// To be committed.
-    news: Vec<InstanceReport>,
-    /// Told by instances that are held or about to be; the others' are left out, so that whoever makes names up is not
-    /// remembered.
-    heard: Vec<&'a InstanceReport>,
-    /// The same for heartbeats.
-    heard_again: Vec<&'a InstanceHeartbeat>,
-    /// Instances that nothing is known of, and of which only a heartbeat has come.
-    missing: Vec<InstanceId>,
+/// Received reports by the action they need.
+struct ClassifiedReports<'a> {
+    /// Reports that change the state and must be committed.
+    changed: Vec<InstanceReport>,
+    /// Reports to record locally. Reports of instances that are neither registered nor pending are left out, so that
+    /// invented names use no memory.
+    reports: Vec<&'a InstanceReport>,
+    /// Heartbeats to record locally.
+    heartbeats: Vec<&'a InstanceHeartbeat>,
+    /// Unknown instances that sent only a heartbeat.
+    unknown: Vec<InstanceId>,
 }
 
-fn sort<'a>(state: &ControlState, reports: &'a GatheredReports) -> SortedReports<'a> {
-    let is_held = |heartbeat: &&InstanceHeartbeat| {
+fn classify<'a>(state: &ControlState, reports: &'a GatheredReports) -> ClassifiedReports<'a> {
+    let is_registered = |heartbeat: &&InstanceHeartbeat| {
         state.instances.get(&heartbeat.id).is_some_and(|record| record.state != InstanceState::Gone)
     };
-    let unknown = reports.heartbeats.iter().filter(|heartbeat| !state.knows(&heartbeat.id));
-    SortedReports {
-        news: reports.news.iter().filter(|report| state.is_news(report)).cloned().collect(),
-        heard: reports.news.iter().filter(|report| state.is_heard(report)).collect(),
-        heard_again: reports.heartbeats.iter().filter(is_held).collect(),
-        missing: unknown.map(|heartbeat| heartbeat.id.clone()).collect(),
+    let without_record = reports.heartbeats.iter().filter(|heartbeat| !state.knows(&heartbeat.id));
+    ClassifiedReports {
+        changed: reports.news.iter().filter(|report| state.is_news(report)).cloned().collect(),
+        reports: reports.news.iter().filter(|report| state.is_heard(report)).collect(),
+        heartbeats: reports.heartbeats.iter().filter(is_registered).collect(),
+        unknown: without_record.map(|heartbeat| heartbeat.id.clone()).collect(),
     }
 }
 
@@ -85,7 +86,7 @@
                 self.report_instances(GatheredReports { news: vec![report], heartbeats: Vec::new() }).await
             }
             GatewayRequest::ReportInstances(reports) => self.report_instances(reports).await,
-            GatewayRequest::Confirm(words) => self.confirm(words),
+            GatewayRequest::Confirm(relay_data) => self.confirm(relay_data),
             GatewayRequest::RemoveInstance(id) => self.remove_instance(id).await,
             GatewayRequest::PutRouting(document) => self.put_routing(document).await,
             GatewayRequest::ReadRouting => self.read_routing(),
@@ -104,9 +105,9 @@
             GatewayRequest::RetireStore(name) => self.retire_store(name).await,
             GatewayRequest::ReadRetirement(name) => self.read_retirement(&name),
             GatewayRequest::ReadDuties => self.read_duties(),
-            GatewayRequest::TakeEvidence(evidence) => self.take_evidence(evidence).await,
-            GatewayRequest::BeginTrial(trial) => self.answer_trial(trial).await,
-            GatewayRequest::RenewTrials(held) => self.execute_gateway(GatewayCommand::RenewTrials(held)).await,
+            GatewayRequest::TakeEvidence(evidence) => self.handle_evidence(evidence).await,
+            GatewayRequest::BeginTrial(trial) => self.handle_begin_trial(trial).await,
+            GatewayRequest::RenewTrials(trials) => self.execute_gateway(GatewayCommand::RenewTrials(trials)).await,
             GatewayRequest::EndTrial { work, id } => self.execute_gateway(GatewayCommand::EndTrial { work, id }).await,
             GatewayRequest::ReadSuspicions => self.read_suspicions(),
             GatewayRequest::ReleaseWork(work) => self.release_work(work).await,
@@ -117,7 +118,7 @@
         reply.map_or_else(|| self.not_leader(), ControlReply::Gateway)
     }
 
-    /// Commits a gateway command.
+    /// Commits a gateway command. At feature level one, commands that the log cannot express get a fixed outcome.
     pub async fn commit_gateway(&self, command: GatewayCommand) -> Result<GatewayOutcome, ProposeError> {
         if self.leads_at_level_one()
             && let Some(outcome) = outcome_without_log(&command)
@@ -142,7 +143,7 @@
         }
     }
 
-    /// The answer to whoever sent a command that was not committed, or may not have been.
+    /// The reply to a command that was not committed, or whose outcome is unknown.
     pub(crate) fn not_committed(&self, error: &ProposeError) -> ControlReply {
         match error {
             ProposeError::NotLeader(_) => self.not_leader(),
@@ -156,13 +157,13 @@
         &self.inner.job_work
     }
 
-    /// What an instance last told this leader that it has loaded, and when.
+    /// The models that an instance last reported as loaded, and when this leader last received a report or heartbeat.
     pub fn reported_models(&self, id: &InstanceId) -> Option<(Duration, Vec<LoadedModel>)> {
         let watch = self.inner.instance_watch.borrow();
         watch.models(id).map(|(at, models)| (at, models.to_vec()))
     }
 
-    /// The instances that have reported to this leader since the last call.
+    /// The instances whose loaded models were reported to this leader since the last call.
     pub fn take_unread_reports(&self) -> BTreeSet<InstanceId> {
         self.inner.instance_watch.borrow_mut().take_unread()
     }
@@ -171,7 +172,7 @@
         let Some(term) = self.inner.replica.leading_term().filter(|_| self.leads_at_level_one()) else {
             return self.take_reports(reports).await;
         };
-        let asked: Vec<InstanceId> = reports.heartbeats.iter().map(|heartbeat| heartbeat.id.clone()).collect();
+        let heartbeat_ids: Vec<InstanceId> = reports.heartbeats.iter().map(|heartbeat| heartbeat.id.clone()).collect();
         let reports = {
             let mut watch = self.inner.instance_watch.borrow_mut();
             watch.follow_term(term);
@@ -179,7 +180,7 @@
         };
         match self.take_reports(reports).await {
             ControlReply::Gateway(GatewayReply::ReportsMissing(missing)) => {
-                ControlReply::Gateway(GatewayReply::ReportsMissing(named_in(&missing, asked.into_iter())))
+                ControlReply::Gateway(GatewayReply::ReportsMissing(named_in(&missing, heartbeat_ids.into_iter())))
             }
             other => other,
         }
@@ -187,29 +188,30 @@
 
     async fn take_reports(&self, reports: GatheredReports) -> ControlReply {
         let count = reports.news.len() + reports.heartbeats.len();
-        if count > MOST_REPORTS {
-            return ControlReply::Refused(format!("{count} reports at once"));
+        if count > MAX_REPORTS_PER_MESSAGE {
+            return ControlReply::Refused(format!("{count} reports in one message exceed the limit"));
         }
-        let turn = self.inner.answer_turn.lock().await;
+        let guard = self.inner.reply_lock.lock().await;
         let now = self.inner.platform.monotonic();
-        let (Some(sorted), Some(term)) = (self.read(|state| sort(state, &reports)), self.inner.replica.leading_term())
+        let (Some(classified), Some(term)) =
+            (self.read(|state| classify(state, &reports)), self.inner.replica.leading_term())
         else {
             return self.not_leader();
         };
         {
             let mut watch = self.inner.instance_watch.borrow_mut();
             watch.follow_term(term);
-            sorted.heard.iter().for_each(|report| watch.hear(report, now));
-            sorted.heard_again.iter().for_each(|heartbeat| watch.hear_again(heartbeat, now));
+            classified.reports.iter().for_each(|report| watch.hear(report, now));
+            classified.heartbeats.iter().for_each(|heartbeat| watch.hear_again(heartbeat, now));
         }
-        drop(turn);
-        let committed = match sorted.news.is_empty() {
+        drop(guard);
+        let committed = match classified.changed.is_empty() {
             true => ControlReply::Gateway(GatewayReply::Done),
-            false => self.execute_gateway(GatewayCommand::ReportInstances(sorted.news)).await,
+            false => self.execute_gateway(GatewayCommand::ReportInstances(classified.changed)).await,
         };
         match committed {
-            ControlReply::Gateway(GatewayReply::Done) if !sorted.missing.is_empty() => {
-                ControlReply::Gateway(GatewayReply::ReportsMissing(sorted.missing))
+            ControlReply::Gateway(GatewayReply::Done) if !classified.unknown.is_empty() => {
+                ControlReply::Gateway(GatewayReply::ReportsMissing(classified.unknown))
             }
             other => other,
         }
@@ -223,8 +225,9 @@
         if let Some(error) = document.error() {
             return ControlReply::Gateway(GatewayReply::InvalidRouting(error));
         }
-        let overtaken = self.read(|state| state.routing.version().is_some_and(|held| document.version <= held));
-        match overtaken {
+        let is_superseded =
+            self.read(|state| state.routing.version().is_some_and(|current| document.version <= current));
+        match is_superseded {
             None => self.not_leader(),
             Some(true) => ControlReply::Gateway(GatewayReply::Done),
             Some(false) => self.execute_gateway(GatewayCommand::PutRouting(document)).await,
@@ -237,9 +240,9 @@
     }
 
     async fn name_version(&self, named: LoadedModel) -> ControlReply {
-        let held =
-            self.read(|state| state.weights.named().get(&named.model).is_some_and(|held| *held >= named.version));
-        match held {
+        let is_superseded =
+            self.read(|state| state.weights.named().get(&named.model).is_some_and(|current| *current >= named.version));
+        match is_superseded {
             None => self.not_leader(),
             Some(true) => ControlReply::Gateway(GatewayReply::Done),
             Some(false) => self.execute_gateway(GatewayCommand::NameVersion(named)).await,
@@ -255,11 +258,11 @@
     }
 
     async fn retire_store(&self, name: String) -> ControlReply {
-        let standing = self.read(|state| state.stores.get(&name).map(|store| (store.retirement, store.record.clone())));
-        match standing {
+        let store = self.read(|state| state.stores.get(&name).map(|store| (store.retirement, store.record.clone())));
+        match store {
             None => self.not_leader(),
             Some(None) => ControlReply::Gateway(GatewayReply::NotFound),
-            Some(Some((Retirement::None, record))) if !self.enough_without(&record) => {
+            Some(Some((Retirement::None, record))) if !self.leaves_enough_replicas(&record) => {
                 ControlReply::Gateway(GatewayReply::TooFew)
             }
             Some(Some((Retirement::None, _))) => self.execute_gateway(GatewayCommand::RetireStore(name)).await,
@@ -267,14 +270,14 @@
         }
     }
 
-    /// Whether as many replicas as the group wants would be left without this machine.
-    fn enough_without(&self, record: &StoreRecord) -> bool {
+    /// Whether enough live replicas remain for the target number of voters once this machine has left.
+    fn leaves_enough_replicas(&self, record: &StoreRecord) -> bool {
         let Some(view) = self.inner.replica.view() else {
             return false;
         };
         let unwanted: Vec<_> = self.read(|state| state.stores.unwanted_replicas().collect()).unwrap_or_default();
         let counts = |replica: &&saddlerelay_types::protocol::ReplicaView| {
-            replica.heard_milliseconds_ago < STORE_SILENCE_MS
+            replica.heard_milliseconds_ago < REPLICA_SILENCE_LIMIT_MS
                 && replica.id != record.replica
                 && !unwanted.contains(&replica.id)
         };
@@ -283,7 +286,7 @@
 
     fn read_duties(&self) -> ControlReply {
         let overview = self.read(|state| {
-            let standing = |(place, wanted): (&EnginePlace, &u32)| EngineStanding {
+            let engine_standing = |(place, wanted): (&EnginePlace, &u32)| EngineStanding {
                 place: place.clone(),
                 wanted: *wanted,
                 present: state.instances.present(place),
@@ -294,7 +297,7 @@
                 newest_reported: state.usage.newest_reported(),
                 unreported: state.usage.unreported().map(|report| report.window).collect(),
                 uncounted: state.usage.uncounted(),
-                engines: state.engine_counts.wanted().iter().map(standing).collect(),
+                engines: state.engine_counts.wanted().iter().map(engine_standing).collect(),
             }
         });
         self.reply(overview.map(GatewayReply::Duties))
--- a/crates/control/src/group_clock.rs
+++ b/crates/control/src/group_clock.rs
@@ -1,73 +1,74 @@
-//! The time of day that most machines agree on.
+//! Group time: the median wall clock of the relays' machines and this machine.
 //!
-//! Every relay tells its time of day when it asks for news. The median of them, and of this machine's own, does not move
-//! when the clocks of fewer than half of the machines are wrong.
+//! Every poll of a relay carries its wall clock. The median stays correct while fewer than half of the clocks are
+//! wrong.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A relay's word counts for so long: some questions may be missed.
-const WORD_LASTS: Duration = Duration::from_secs(10);
+/// Lifetime of a clock sample; several times a relay's poll interval.
+const SAMPLE_LIFETIME: Duration = Duration::from_secs(10);
 
-/// How long relays are heard before the time is told: a relay asks at least twice in it, so the first words, which may be
-/// those of wrong clocks, are not all.
-const SETTLING: Duration = Duration::from_millis(900);
+/// Minimum time of sampling before a median is returned. Every relay polls at least twice in it, so that the first few
+/// samples alone do not decide.
+const WARM_UP: Duration = Duration::from_millis(900);
 
-/// How long the median is kept: the clocks' order hardly changes meanwhile, and there may be as many words as relays.
-const MEDIAN_KEPT: Duration = Duration::from_millis(50);
+/// How long a computed median is reused; computing it reads one sample per relay.
+const MEDIAN_CACHE_TIME: Duration = Duration::from_millis(50);
 
-/// How far a machine's time of day was ahead of this process's steady clock, and when that was heard.
+/// Offset of a machine's wall clock from this process's monotonic clock, and when it was received.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct ClockSample {
     offset_ms: i64,
-    heard_at: Duration,
+    received_at: Duration,
 }
 
-/// What machines have told of their time of day.
+/// Clock samples of the machines.
 #[derive(Debug, Default)]
 pub struct GroupClock {
-    words: BTreeMap<String, Word>,
-    /// Since when words have been heard without a long pause.
-    since: Duration,
-    /// The median of the offsets, and when it was found.
+    samples: BTreeMap<String, ClockSample>,
+    /// Start of the current period of sampling.
+    sampling_since: Duration,
+    /// The cached median offset in milliseconds, and when it was computed.
     median: Option<(i64, Duration)>,
 }
 
 impl GroupClock {
-    /// Takes the time of day that a machine told at `now`.
+    /// Records a machine's wall clock, received at `now`.
     pub fn hear(&mut self, machine: &str, unix_ms: u64, now: Duration) {
-        let word = Word { offset_ms: offset(unix_ms, now), heard_at: now };
-        match self.words.get_mut(machine) {
-            Some(held) => *held = word,
+        let sample = ClockSample { offset_ms: offset(unix_ms, now), received_at: now };
+        match self.samples.get_mut(machine) {
+            Some(previous) => *previous = sample,
             None => {
-                self.words.retain(|_, held| now < held.heard_at + WORD_LASTS);
-                if self.words.is_empty() {
-                    self.since = now;
+                self.samples.retain(|_, previous| now < previous.received_at + SAMPLE_LIFETIME);
+                if self.samples.is_empty() {
+                    self.sampling_since = now;
                 }
-                self.words.insert(machine.to_string(), word);
+                self.samples.insert(machine.to_string(), sample);
             }
         }
     }
 
-    /// How many machines have been heard lately.
+    /// Number of machines with a recorded sample.
     pub fn machines(&self) -> usize {
-        self.words.len()
+        self.samples.len()
     }
 
-    /// The time of day at `now`, in Unix milliseconds; `own_unix_ms` is that of this machine. `None` until relays have been
-    /// heard for a while.
+    /// Group time at `now`, in Unix milliseconds; `own_unix_ms` is this machine's wall clock. `None` until relays have
+    /// been sampled for a while.
     pub fn unix_ms(&mut self, own_unix_ms: u64, now: Duration) -> Option<u64> {
-        let kept = self.median.filter(|(_, found_at)| now < *found_at + MEDIAN_KEPT).map(|(median, _)| median);
-        let median = kept.or_else(|| self.find_median(own_unix_ms, now))?;
-        self.median = self.median.filter(|_| kept.is_some()).or(Some((median, now)));
+        let cached =
+            self.median.filter(|(_, computed_at)| now < *computed_at + MEDIAN_CACHE_TIME).map(|(median, _)| median);
+        let median = cached.or_else(|| self.compute_median(own_unix_ms, now))?;
+        self.median = self.median.filter(|_| cached.is_some()).or(Some((median, now)));
         u64::try_from(milliseconds(now).saturating_add(median)).ok()
     }
 
-    /// How far the machine in the middle is ahead of this process's steady clock.
-    fn find_median(&self, own_unix_ms: u64, now: Duration) -> Option<i64> {
-        let fresh = self.words.values().filter(|word| now < word.heard_at + WORD_LASTS);
-        let mut offsets: Vec<i64> = fresh.map(|word| word.offset_ms).collect();
-        if offsets.is_empty() || now < self.since + SETTLING {
+    /// Median offset from this process's monotonic clock, in milliseconds.
+    fn compute_median(&self, own_unix_ms: u64, now: Duration) -> Option<i64> {
+        let fresh = self.samples.values().filter(|sample| now < sample.received_at + SAMPLE_LIFETIME);
+        let mut offsets: Vec<i64> = fresh.map(|sample| sample.offset_ms).collect();
+        if offsets.is_empty() || now < self.sampling_since + WARM_UP {
             return None;
         }
         offsets.push(offset(own_unix_ms, now));
--- a/crates/control/src/instance_watch.rs
+++ b/crates/control/src/instance_watch.rs
@@ -1,10 +1,9 @@
-//! What engine instances have told this leader: when each was last heard, and the weights it has loaded. Not replicated: a
-//! new leader hears every instance within one report interval. That an instance's reports have ceased is replicated, with
-//! its record.
+//! Liveness and loaded models of engine instances, as reported to this leader. Not replicated: a new leader receives a
+//! report or heartbeat of every instance within one report interval. Only the mark that an instance has become silent
+//! is replicated, with its record.
 //!
-//! A heartbeat costs one look and a number: the engines of a large fleet, started together, report together, 10,000 within
-//! half a second. Each instance stands in one queue, and is looked at when its time would be over: if it has been heard
-//! meanwhile, it goes to the end.
+//! A heartbeat updates one timestamp and leaves the timeout queue alone, as thousands may arrive within a second. When
+//! the queued timeout of an instance expires, the instance is queued again if a heartbeat has arrived in the meantime.
 
 use crate::state::instances::InstanceTable;
 use saddlerelay_runtime::steps;
@@ -12,68 +11,71 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What an instance has told.
+/// The last report or heartbeat of an instance.
 #[derive(Clone, Debug)]
-struct Heard {
-    /// When; if it has told nothing in this term, when it was first seen in it.
+struct LastReport {
+    /// When it was received; before the first one in this term, when tracking started.
     at: Duration,
-    /// Of its newest report; `None` if it has told nothing in this term.
+    /// Its sequence number; `None` before the first one in this term.
     sequence: Option<u64>,
-    /// `None` as long as only heartbeats have come.
+    /// The loaded models of the last report; `None` while only heartbeats have been received.
     models: Option<Vec<LoadedModel>>,
-    /// The time at which it stands in the queue, if it does.
+    /// Its key in the timeout queue, if queued.
     queued_at: Option<Duration>,
 }
 
-impl Heard {
-    fn first_at(at: Duration) -> Self {
+impl LastReport {
+    fn tracked_since(at: Duration) -> Self {
         Self { at, sequence: None, models: None, queued_at: None }
     }
 }
 
-/// Instances whose silence begins or ends.
+/// Instances that have become silent or have resumed reporting.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SilenceChanges {
-    /// Their reports have ceased.
+    /// Not marked as silent, and no report or heartbeat within the limit.
     pub silent: Vec<InstanceId>,
-    /// They are heard again.
+    /// Marked as silent, and reporting again.
     pub heard: Vec<InstanceId>,
 }
 
 impl SilenceChanges {
-    /// Whether there is none.
+    /// Whether there are no changes.
     pub fn is_empty(&self) -> bool {
         self.silent.is_empty() && self.heard.is_empty()
     }
 }
 
-/// Reports as this leader has received them.
+/// Reports and heartbeats received by this leader.
 #[derive(Debug, Default)]
 pub struct InstanceWatch {
     term: u64,
-    heard: BTreeMap<InstanceId, Heard>,
-    /// Ready instances that are not noted as silent, and when each was heard as far as the queue knows.
+    last_reports: BTreeMap<InstanceId, LastReport>,
+    /// Timeout queue of ready instances that are not marked as silent, by the time of a report that may not be the
+    /// last.
     queue: BTreeSet<(Duration, InstanceId)>,
-    /// Those of them whose time is over, until that is noted.
+    /// Instances whose timeout has expired and that are not marked as silent yet.
     overdue: BTreeSet<InstanceId>,
-    /// How far the table has been looked at.
+    /// Revision up to which changes of the instance table have been processed.
     table_revision: u64,
-    /// Instances that have told their weights, which nobody has taken yet.
+    /// Instances whose loaded models have been reported since the last [`Self::take_unread`].
     unread: BTreeSet<InstanceId>,
-    /// The newest start of each engine, where the log has its name alone.
+    /// Newest start time of each engine, in Unix milliseconds, at feature level one, where the log identifies engines
+    /// by name only.
     starts: BTreeMap<String, u64>,
 }
 
 impl InstanceWatch {
-    /// Starts anew in a new term: nobody falls silent at once.
+    /// Resets everything in a new term, so that no instance times out at once.
     pub fn follow_term(&mut self, term: u64) {
         if self.term != term {
             *self = Self { term, ..Self::default() };
         }
     }
 
-    /// Where the log has an engine's name alone: notes which start of it speaks. What was heard of an earlier one counts no more,
-    /// as its sequences begin anew. Returns whether this is the newest start.
+    /// Records an engine's start time at feature level one, where the log identifies engines by name only. A newer
+    /// start discards the last report of the earlier one, as sequence numbers restart. Returns whether this is the
+    /// newest start.
     pub fn note_start(&mut self, id: &InstanceId) -> bool {
         let Some(started_at_ms) = id.started_at_ms else {
             return true;
@@ -81,115 +83,115 @@
         let newest = self.starts.entry(id.name.clone()).or_insert(started_at_ms);
         if started_at_ms > *newest {
             *newest = started_at_ms;
-            self.heard.remove(&InstanceId::named(&*id.name));
+            self.last_reports.remove(&InstanceId::named(&*id.name));
         }
         started_at_ms == *newest
     }
 
-    /// Takes a report; a late one changes nothing.
+    /// Records a report; one with an old sequence number is ignored.
     pub fn hear(&mut self, report: &InstanceReport, now: Duration) {
-        if let Some(heard) = self.take_sequence(&report.id, report.sequence, now) {
-            heard.models = Some(report.models.clone());
+        if let Some(last) = self.accept_sequence(&report.id, report.sequence, now) {
+            last.models = Some(report.models.clone());
             self.unread.insert(report.id.clone());
         }
     }
 
-    /// Takes a heartbeat; a late one changes nothing.
+    /// Records a heartbeat; one with an old sequence number is ignored.
     pub fn hear_again(&mut self, heartbeat: &InstanceHeartbeat, now: Duration) {
-        let heard = self.take_sequence(&heartbeat.id, heartbeat.sequence, now);
-        if heard.is_some_and(|heard| heard.models.is_some()) {
-            // It has what it told last, whatever was believed since.
+        let last = self.accept_sequence(&heartbeat.id, heartbeat.sequence, now);
+        if last.is_some_and(|last| last.models.is_some()) {
+            // A heartbeat confirms the models of the last report.
             self.unread.insert(heartbeat.id.clone());
         }
     }
 
-    fn take_sequence(&mut self, id: &InstanceId, sequence: u64, now: Duration) -> Option<&mut Heard> {
-        if !self.heard.contains_key(id) {
-            self.heard.insert(id.clone(), Heard::first_at(now));
+    fn accept_sequence(&mut self, id: &InstanceId, sequence: u64, now: Duration) -> Option<&mut LastReport> {
+        if !self.last_reports.contains_key(id) {
+            self.last_reports.insert(id.clone(), LastReport::tracked_since(now));
         }
-        let heard = self.heard.get_mut(id)?;
-        if heard.sequence.is_some_and(|held| sequence <= held) {
+        let last = self.last_reports.get_mut(id)?;
+        if last.sequence.is_some_and(|previous| sequence <= previous) {
             return None;
         }
-        heard.sequence = Some(sequence);
-        heard.at = now;
-        Some(heard)
+        last.sequence = Some(sequence);
+        last.at = now;
+        Some(last)
     }
 
-    /// What an instance last said it has loaded, and when it was last heard.
+    /// The models that an instance last reported as loaded, and when its last report or heartbeat was received.
     pub fn models(&self, id: &InstanceId) -> Option<(Duration, &[LoadedModel])> {
-        let heard = self.heard.get(id)?;
-        Some((heard.at, heard.models.as_deref()?))
+        let last = self.last_reports.get(id)?;
+        Some((last.at, last.models.as_deref()?))
     }
 
-    /// The instances that have told their weights since the last call.
+    /// The instances whose loaded models were reported or confirmed since the last call.
     pub fn take_unread(&mut self) -> BTreeSet<InstanceId> {
         std::mem::take(&mut self.unread)
     }
 
-    /// Instances that have not reported for `limit`, and those noted as silent that have. Looks only at what has changed in
-    /// the table, at those that are due, and at those that are silent.
+    /// Instances that have not reported for `limit`, and those marked as silent that have. Visits only changed records,
+    /// expired timeouts and silent instances.
     pub fn silence_changes(&mut self, table: &InstanceTable, now: Duration, limit: Duration) -> SilenceChanges {
-        self.follow_table(table, now);
-        self.follow_queue(now, limit);
-        let is_heard = |id: &&InstanceId| {
+        self.process_table_changes(table, now);
+        self.process_timeouts(now, limit);
+        let has_resumed = |id: &&InstanceId| {
             steps::look();
-            self.heard.get(*id).is_some_and(|heard| heard.sequence.is_some() && now < heard.at + limit)
+            self.last_reports.get(*id).is_some_and(|last| last.sequence.is_some() && now < last.at + limit)
         };
-        let heard = table.silent().iter().filter(is_heard).cloned().collect();
+        let heard = table.silent().iter().filter(has_resumed).cloned().collect();
         SilenceChanges { silent: self.overdue.iter().cloned().collect(), heard }
     }
 
-    /// Looks at those whose time would be over by what the queue knows.
-    fn follow_queue(&mut self, now: Duration, limit: Duration) {
+    /// Processes expired timeouts: queues an instance again if it has reported in the meantime.
+    fn process_timeouts(&mut self, now: Duration, limit: Duration) {
         while let Some((at, id)) = self.queue.pop_first() {
             if now < at + limit {
                 self.queue.insert((at, id));
                 break;
             }
-            let Some(heard) = self.heard.get_mut(&id) else {
+            let Some(last) = self.last_reports.get_mut(&id) else {
                 continue;
             };
-            heard.queued_at = None;
-            if now < heard.at + limit {
+            last.queued_at = None;
+            if now < last.at + limit {
                 self.enqueue(&id, now);
             } else {
                 self.overdue.insert(id);
             }
         }
-        let heard = &self.heard;
-        let back: Vec<InstanceId> = self
+        let last_reports = &self.last_reports;
+        let recovered: Vec<InstanceId> = self
             .overdue
             .iter()
-            .filter(|id| heard.get(*id).is_some_and(|heard| now < heard.at + limit))
+            .filter(|id| last_reports.get(*id).is_some_and(|last| now < last.at + limit))
             .cloned()
             .collect();
-        for id in back {
+        for id in recovered {
             self.overdue.remove(&id);
             self.enqueue(&id, now);
         }
     }
 
-    /// Has an instance looked at when it has not been heard for long.
+    /// Adds an instance to the timeout queue.
     fn enqueue(&mut self, id: &InstanceId, now: Duration) {
-        let heard = self.heard.entry(id.clone()).or_insert_with(|| Heard::first_at(now));
-        if heard.queued_at.is_none() {
-            heard.queued_at = Some(heard.at);
-            self.queue.insert((heard.at, id.clone()));
+        let last = self.last_reports.entry(id.clone()).or_insert_with(|| LastReport::tracked_since(now));
+        if last.queued_at.is_none() {
+            last.queued_at = Some(last.at);
+            self.queue.insert((last.at, id.clone()));
         }
     }
 
     fn dequeue(&mut self, id: &InstanceId) {
         self.overdue.remove(id);
-        let queued_at = self.heard.get_mut(id).and_then(|heard| heard.queued_at.take());
+        let queued_at = self.last_reports.get_mut(id).and_then(|last| last.queued_at.take());
         if let Some(at) = queued_at {
             self.queue.remove(&(at, id.clone()));
         }
     }
 
-    fn follow_table(&mut self, table: &InstanceTable, now: Duration) {
+    fn process_table_changes(&mut self, table: &InstanceTable, now: Duration) {
         if table.revision() < self.table_revision {
-            // Another state has taken the place of this one's.
+            // The state was replaced by one at an older revision.
             self.table_revision = 0;
         }
         for record in table.changed_after(self.table_revision) {
@@ -203,7 +205,7 @@
                 InstanceState::Ready | InstanceState::Leaving => self.dequeue(id),
                 InstanceState::Gone => {
                     self.dequeue(id);
-                    self.heard.remove(id);
+                    self.last_reports.remove(id);
                     self.unread.remove(id);
                 }
             }
--- a/crates/control/src/job_calls.rs
+++ b/crates/control/src/job_calls.rs
@@ -1,4 +1,4 @@
-//! Answers about batch jobs: handing in, reading results and bodies, ending.
+//! Requests about batch jobs: submission, reading results and bodies, ending.
 
 use crate::node::ControlNode;
 use crate::state::ControlState;
@@ -14,56 +14,59 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The longest that a read of results is held open.
-const LONGEST_READ_WAIT: Duration = Duration::from_millis(1_000);
+/// Maximum time that a read of results is held open (long poll).
+const MAX_READ_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Longest wait for a replica to apply what the leader has committed.
-const CATCH_UP_LIMIT: Duration = Duration::from_millis(250);
+/// Maximum time until a replica has applied the log up to the requested position.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Pause between looks at how far a replica has applied the log.
+/// Pause between checks of the applied position.
 const CATCH_UP_POLL: Duration = Duration::from_millis(4);
 
-/// Pause between looks for a result at a replica that does not lead: nothing wakes whoever waits there.
+/// Pause between checks for results at a follower, where no signal announces them.
 const RESULT_POLL: Duration = Duration::from_millis(25);
 
-/// Attempts to make a page of results: while some of its texts are read from disk, others may leave memory.
-const PAGE_ATTEMPTS: usize = 4;
+/// Maximum attempts to build a page of results: texts may be evicted from memory while others are read from disk.
+const MAX_PAGE_ATTEMPTS: usize = 4;
 
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
     pub(crate) async fn submit_job(&self, job: JobSubmission) -> ControlReply {
-        let known = self.read(|state| state.jobs.get(&job.id).map(|known| known.submission.owner == job.owner));
+        let has_same_owner =
+            self.read(|state| state.jobs.get(&job.id).map(|existing| existing.submission.owner == job.owner));
         let keep_ms = self.inner.config.job_keep.as_millis() as u64;
-        match known {
+        match has_same_owner {
             None => self.not_leader(),
             Some(None) => self.execute_gateway(GatewayCommand::SubmitJob { job, keep_ms }).await,
             Some(Some(true)) => ControlReply::Gateway(GatewayReply::Done),
-            // Another tenant has a job of this name.
+            // The id belongs to a job of another tenant.
             Some(Some(false)) => ControlReply::Gateway(GatewayReply::NotFound),
         }
     }
 
-    /// Answers as soon as there is a result at `after`, or after a while.
+    /// Reads results at the leader. Replies when there is a result at `after`, when the job has ended, or after
+    /// `wait_ms`.
     pub(crate) async fn read_results(&self, job: &JobId, after: u64, wait_ms: u64, caller: &Caller) -> ControlReply {
         let platform = &self.inner.platform;
-        let until = platform.monotonic() + Duration::from_millis(wait_ms).min(LONGEST_READ_WAIT);
+        let deadline = platform.monotonic() + Duration::from_millis(wait_ms).min(MAX_READ_WAIT);
         loop {
-            let seen = self.inner.job_results.count();
+            let notified_count = self.inner.job_results.count();
             let Some(has_more) = self.read(|state| has_more_results(state, job, after, caller)) else {
                 return self.not_leader();
             };
             let Some(has_more) = has_more else {
                 return ControlReply::Gateway(GatewayReply::NotFound);
             };
-            let left = until.saturating_sub(platform.monotonic());
-            if left.is_zero() || has_more {
+            let remaining = deadline.saturating_sub(platform.monotonic());
+            if remaining.is_zero() || has_more {
                 return self.read_page(job, after).await;
             }
-            timeout(platform, left, self.inner.job_results.changed(seen)).await;
+            timeout(platform, remaining, self.inner.job_results.changed(notified_count)).await;
         }
     }
 
-    /// Answers at a replica that need not lead, from what it has applied, as soon as that goes as far as `position` and
-    /// there is a result at `after`. A job that it does not know may be one that it has not heard of.
+    /// Reads results at any replica once it has applied the log up to `position`. Replies when there is a result at
+    /// `after`, when the job has ended, or after `wait_ms`. An unknown job gives `Unavailable`, as its submission may
+    /// not be applied yet.
     pub(crate) async fn read_results_at(
         &self,
         position: u64,
@@ -73,39 +76,39 @@
         caller: &Caller,
     ) -> ControlReply {
         let platform = &self.inner.platform;
-        let caught_up_by = platform.monotonic() + CATCH_UP_LIMIT;
+        let catch_up_deadline = platform.monotonic() + CATCH_UP_TIMEOUT;
         while self.inner.replica.applied_index() < position {
-            if platform.monotonic() >= caught_up_by {
+            if platform.monotonic() >= catch_up_deadline {
                 return ControlReply::Gateway(GatewayReply::Unavailable);
             }
             platform.sleep(CATCH_UP_POLL).await;
         }
-        let until = platform.monotonic() + Duration::from_millis(wait_ms).min(LONGEST_READ_WAIT);
+        let deadline = platform.monotonic() + Duration::from_millis(wait_ms).min(MAX_READ_WAIT);
         loop {
             let Some(has_more) = self.read_applied(|state| has_more_results(state, job, after, caller)) else {
                 return ControlReply::Gateway(GatewayReply::Unavailable);
             };
-            if has_more || platform.monotonic() >= until {
+            if has_more || platform.monotonic() >= deadline {
                 return self.read_page(job, after).await;
             }
             platform.sleep(RESULT_POLL).await;
         }
     }
 
-    /// A page of results as this replica has applied them; texts that memory no longer holds are read from its disk.
+    /// A page of results from the locally applied state; texts evicted from memory are read from disk.
     async fn read_page(&self, job: &JobId, after: u64) -> ControlReply {
         let mut loaded = LoadedTexts::default();
-        for _ in 0..PAGE_ATTEMPTS {
+        for _ in 0..MAX_PAGE_ATTEMPTS {
             let missing = match self.read_applied(|state| state.jobs.page(job, after, &loaded)) {
                 None => return ControlReply::Gateway(GatewayReply::Unavailable),
                 Some(Ok(page)) => return ControlReply::Gateway(GatewayReply::Results(page)),
                 Some(Err(missing)) => missing,
             };
-            // One segment at a time: a page may take texts from many, and many may read.
+            // One segment at a time limits memory, as a page may need many segments and many reads may run.
             for number in missing.iter().map(TextPlace::segment).collect::<BTreeSet<u64>>() {
                 match self.inner.replica.read_segment(number).await {
                     Ok(bytes) => loaded.take_from(number, &bytes, &missing),
-                    // The replica has logged why.
+                    // The replica has logged the error.
                     Err(_) => return ControlReply::Gateway(GatewayReply::Unavailable),
                 }
             }
@@ -122,8 +125,8 @@
     }
 
     pub(crate) async fn end_job(&self, job: JobId, caller: &Caller) -> ControlReply {
-        let standing = self.read(|state| usable_job(state, &job, caller).map(Job::is_ended));
-        match standing {
+        let is_ended = self.read(|state| usable_job(state, &job, caller).map(Job::is_ended));
+        match is_ended {
             None => self.not_leader(),
             Some(None) => ControlReply::Gateway(GatewayReply::NotFound),
             Some(Some(true)) => ControlReply::Gateway(GatewayReply::Done),
@@ -132,12 +135,13 @@
     }
 }
 
-/// A job, if there is such a one that the caller may use: nobody learns that another tenant has one of that name.
+/// A job that the caller may use. Jobs of other tenants are reported as missing.
 fn usable_job<'a>(state: &'a ControlState, job: &JobId, caller: &Caller) -> Option<&'a Job> {
     state.jobs.get(job).filter(|job| caller.may_use(job.submission.owner.as_ref()))
 }
 
-/// Whether a read of a job's results from `after` on brings all it ever will, or something; `None` without such a job.
+/// Whether a read of results from `after` on can reply now: there are more results, or the job has ended. `None` if the
+/// caller has no such job.
 fn has_more_results(state: &ControlState, job: &JobId, after: u64, caller: &Caller) -> Option<bool> {
     usable_job(state, job, caller).map(|job| job.is_ended() || job.results().len() as u64 > after)
 }
