--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,8 +1,8 @@
-//! A control process: one replica of the group, answering peers, relays and operators.
+//! A control process: one replica of the control group, which serves requests from peers, relays and operators.
 
 use crate::commands::rollouts;
 use crate::config::ControlConfig;
-use crate::follow::Following;
+use crate::follow::FollowerReads;
 use crate::gateway;
 use crate::group_clock::GroupClock;
 use crate::instance_watch::InstanceWatch;
@@ -33,10 +33,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest pause between the end of a wait for samples and the look for them.
-const WAKE_SPREAD: Duration = Duration::from_millis(10);
+/// Maximum random delay between a wake-up for samples and the next read of the state.
+const MAX_WAKE_DELAY: Duration = Duration::from_millis(10);
 
-/// A control process. Clones are the same process.
+/// A control process. Clones share one state.
 pub struct ControlNode<P: Runtime, B: Backends> {
     pub(crate) inner: Rc<Inner<P, B>>,
 }
@@ -47,45 +47,45 @@
     pub config: ControlConfig,
     pub replica: Replica<P, ControlMachine>,
     pub renewals: RefCell<RenewalTable>,
-    /// Relays would act differently if they were told the newest state.
-    pub news: Signal,
-    /// A trainer has published.
-    pub published: Signal,
-    /// Samples wait for a relay.
+    /// Notified when state that relays act on has changed.
+    pub relay_updates: Signal,
+    /// Notified when a trainer has published weights.
+    pub weights_published: Signal,
+    /// Notified when samples can be assigned to a relay.
     pub samples_pending: Signal,
-    /// Samples wait for their trainer.
+    /// Notified when completed samples can be fetched by their trainer.
     pub samples_ready: Signal,
-    /// Held while an answer to a relay, or what engines report, is worked out: one at a time, so that the group's own messages
-    /// never wait for more than one of them, however many come at once.
-    pub answer_turn: Mutex<()>,
-    /// The relays that ask this replica while another one leads.
-    pub following: RefCell<Following>,
-    /// The leader has confirmed this replica's state.
+    /// Serializes the computation of replies to relays and of engine reports, so that replication messages wait for at
+    /// most one of them.
+    pub reply_lock: Mutex<()>,
+    /// Follower reads for relays that poll this replica while another one leads.
+    pub follower_reads: RefCell<FollowerReads>,
+    /// Notified when the leader has confirmed this replica's state.
     pub confirmed: Signal,
-    /// Questions that only a leader could answer.
-    pub sent_away: RefCell<RepeatedEvent>,
-    /// Tries of suspected work that were refused the right to run.
-    pub refused_trials: RefCell<RepeatedEvent>,
-    /// What instances have told this leader since it leads.
+    /// Rate limit for the log line about requests rejected while the leader is unknown.
+    pub leaderless_rejections: RefCell<RepeatedEvent>,
+    /// Rate limit for the log line about rejected trials of suspected work.
+    pub rejected_trials: RefCell<RepeatedEvent>,
+    /// Reports and heartbeats of instances received in the current term.
     pub instance_watch: RefCell<InstanceWatch>,
-    /// Routing documents on their way to relays.
+    /// Encoded routing updates for relays.
     pub routing_updates: RefCell<RoutingUpdates>,
-    /// Orders that other replicas may have given.
+    /// When the notes of orders of other replicas were first observed.
     pub order_watch: RefCell<OrderWatch>,
-    /// Rights to run suspected work, and when they were renewed.
+    /// When the trial leases for suspected work were last renewed.
     pub trial_watch: RefCell<TrialWatch>,
-    /// How old suspicions are by this process's steady clock.
+    /// Age of each suspicion by this process's monotonic clock.
     pub suspicion_watch: RefCell<SuspicionWatch>,
-    /// The time of day that most machines agree on.
+    /// Median wall clock of the machines.
     pub group_clock: RefCell<GroupClock>,
-    /// What relays have counted and what is not committed yet.
+    /// Usage counts received from relays and not committed yet.
     pub usage_inbox: RefCell<Vec<RelayUsage>>,
-    /// A batch job has new results or has ended.
+    /// Notified when a batch job has new results or has ended.
     pub job_results: Signal,
-    /// There is a new batch job, one has ended, or engines or routes have changed.
+    /// Notified when a batch job was added or has ended, or when engines or routes have changed.
     pub job_work: Signal,
-    /// When an older build last asked this replica anything.
-    pub older_asked_at: Cell<Option<Duration>>,
+    /// When this replica last received a request from an older build.
+    pub older_build_request_at: Cell<Option<Duration>>,
 }
 
 impl<P: Runtime, B: Backends> Clone for ControlNode<P, B> {
@@ -95,7 +95,7 @@
 }
 
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
-    /// Opens the replica and starts every task. The caller serves the node's handler on a listener.
+    /// Opens the replica and starts the background tasks. The caller serves the node's handler on a listener.
     pub async fn start(
         platform: P,
         backends: B,
@@ -111,15 +111,15 @@
             config,
             replica,
             renewals,
-            news: Signal::default(),
-            published: Signal::default(),
+            relay_updates: Signal::default(),
+            weights_published: Signal::default(),
             samples_pending: Signal::default(),
             samples_ready: Signal::default(),
-            answer_turn: Mutex::default(),
-            following: RefCell::default(),
+            reply_lock: Mutex::default(),
+            follower_reads: RefCell::default(),
             confirmed: Signal::default(),
-            sent_away: RefCell::default(),
-            refused_trials: RefCell::default(),
+            leaderless_rejections: RefCell::default(),
+            rejected_trials: RefCell::default(),
             instance_watch: RefCell::default(),
             routing_updates: RefCell::default(),
             order_watch: RefCell::default(),
@@ -129,7 +129,7 @@
             usage_inbox: RefCell::default(),
             job_results: Signal::default(),
             job_work: Signal::default(),
-            older_asked_at: Cell::default(),
+            older_build_request_at: Cell::default(),
         });
         let node = Self { inner };
         platform.spawn(relays::watch(node.clone()));
@@ -150,37 +150,37 @@
         &self.inner.replica
     }
 
-    /// Hands leadership over, as before a planned stop.
+    /// Transfers leadership to another replica, for example before a planned stop.
     pub async fn hand_over(&self) -> bool {
         self.inner.replica.hand_over().await
     }
 
-    /// Reads this process's copy of the state, however old it is.
+    /// Reads the locally applied state, which may be stale.
     pub fn read_applied<T>(&self, read: impl FnOnce(&ControlState) -> T) -> T {
         self.inner.replica.peek(|machine| read(machine.state()))
     }
 
-    /// Reads the committed state, if this replica leads.
+    /// Reads the committed state; `None` unless this replica leads.
     pub fn read<T>(&self, read: impl FnOnce(&ControlState) -> T) -> Option<T> {
         self.inner.replica.read(|machine| read(machine.state()))
     }
 
-    /// Commits a command with this machine's clock, and wakes whoever waits for what it may have changed.
+    /// Commits a command, stamped with this machine's wall clock, and notifies the waiters that it may concern.
     pub async fn commit(&self, command: Command) -> Result<CommandOutcome, ProposeError> {
         let time = self.inner.platform.unix_milliseconds();
         let effects = Effects::of(&command);
         let encode = |level| saddlerelay_layouts::commands::encode(time, command, level);
         let outcome = self.inner.replica.propose_as(encode).await;
-        self.wake_waiting(effects);
+        self.notify_waiters(effects);
         outcome
     }
 
-    fn wake_waiting(&self, effects: Effects) {
-        if effects.news {
-            self.inner.news.notify();
+    fn notify_waiters(&self, effects: Effects) {
+        if effects.relay_updates {
+            self.inner.relay_updates.notify();
         }
         if effects.publication {
-            self.inner.published.notify();
+            self.inner.weights_published.notify();
         }
         if effects.job_work {
             self.inner.job_work.notify();
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Answers a request.
+    /// Handles a request.
     pub async fn answer(&self, request: ControlRequest) -> ControlReply {
         match request {
             ControlRequest::Replication(bytes) => self.answer_replica(&bytes, FeatureLevel::NEWEST).await,
@@ -216,7 +216,7 @@
         }
     }
 
-    /// The answer to whoever has to ask the leader.
+    /// The reply to a request that only the leader can serve.
     pub(crate) fn not_leader(&self) -> ControlReply {
         let leader = self.inner.replica.leader_address();
         let peers = match leader {
@@ -224,21 +224,21 @@
             None => self.inner.replica.peers_by_likelihood(),
         };
         if leader.is_none() {
-            self.tell_sent_away();
+            self.log_leader_unknown();
         }
         ControlReply::NotLeader { leader, peers }
     }
 
-    /// Says that callers were sent away without a leader's name, and what this replica knows of the group.
-    fn tell_sent_away(&self) {
+    /// Logs that requests were rejected while the leader is unknown. Rate limited.
+    fn log_leader_unknown(&self) {
         let now = self.inner.platform.monotonic();
-        let Some(questions) = self.inner.sent_away.borrow_mut().count(now) else {
+        let Some(rejected) = self.inner.leaderless_rejections.borrow_mut().count(now) else {
             return;
         };
         let replica = &self.inner.replica;
         spdlog::warn!("no leader to name", kv: {
             dependency = "leader",
-            questions = questions,
+            questions = rejected,
             replica = replica.id().0,
             is_member = replica.is_member(),
             members_known = replica.member_addresses().len(),
@@ -247,31 +247,31 @@
         });
     }
 
-    /// Commits a command. One that would change nothing is kept open for a while, so that relays and trainers need not
-    /// ask again and again, and costs no log entry.
+    /// Commits a command. One that would change nothing is not logged: it is held for at most `idle_wait` until it has
+    /// an effect (long poll).
     async fn execute(&self, command: Command) -> ControlReply {
-        let until = self.inner.platform.monotonic() + self.inner.config.idle_wait;
+        let deadline = self.inner.platform.monotonic() + self.inner.config.idle_wait;
         loop {
-            let awaited = self.awaited(&command);
-            let seen = awaited.count();
+            let signal = self.signal_for(&command);
+            let notified_count = signal.count();
             let outcome = match self.read(|state| idle_outcome(state, &command)) {
                 None => return self.not_leader(),
                 Some(None) => return self.execute_by_commit(command).await,
                 Some(Some(outcome)) => outcome,
             };
-            let left = until.saturating_sub(self.inner.platform.monotonic());
-            if left.is_zero() {
+            let remaining = deadline.saturating_sub(self.inner.platform.monotonic());
+            if remaining.is_zero() {
                 return ControlReply::Executed(outcome);
             }
-            timeout(&self.inner.platform, left, awaited.changed(seen)).await;
-            // Those woken together do not all ask for the same samples: most find them taken when they look again.
-            let spread = self.inner.platform.jitter(WAKE_SPREAD);
-            self.inner.platform.sleep(spread).await;
+            timeout(&self.inner.platform, remaining, signal.changed(notified_count)).await;
+            // Staggers the waiters: most find the samples taken and propose nothing.
+            let delay = self.inner.platform.jitter(MAX_WAKE_DELAY);
+            self.inner.platform.sleep(delay).await;
         }
     }
 
-    /// What a command that would change nothing waits for.
-    fn awaited(&self, command: &Command) -> &Signal {
+    /// The signal that a command without effect waits for.
+    fn signal_for(&self, command: &Command) -> &Signal {
         match command {
             Command::Rollout(RolloutCommand::Fetch { .. }) => &self.inner.samples_ready,
             _ => &self.inner.samples_pending,
@@ -309,8 +309,8 @@
 
     async fn renew(&self, renewal: RenewRequest) -> ControlReply {
         let relay = renewal.relay.incarnation;
-        let standing = self.read(|state| (state.members.is_live(relay), state.members.is_lost(relay)));
-        let Some((live, lost)) = standing else {
+        let membership = self.read(|state| (state.members.is_live(relay), state.members.is_lost(relay)));
+        let Some((live, lost)) = membership else {
             return self.not_leader();
         };
         let joined = live || !lost && self.admit_relay(&renewal).await;
@@ -323,20 +323,23 @@
         self.renewal_answer(&renewal).await
     }
 
-    /// Answers a renewal as soon as there is something new, or after a while. Changes that come close together are told
-    /// together.
+    /// Replies to a renewal when there is an update for the relay, or after `renewal_wait`. Changes within
+    /// `news_interval` go into one reply.
     async fn renewal_answer(&self, renewal: &RenewRequest) -> ControlReply {
-        let until = self.inner.platform.monotonic() + self.inner.config.renewal_wait;
+        let deadline = self.inner.platform.monotonic() + self.inner.config.renewal_wait;
         loop {
-            let seen = self.inner.news.count();
+            let notified_count = self.inner.relay_updates.count();
             let Some(reply) = self.read(|state| self.renewal_reply(state, renewal)) else {
                 return self.not_leader();
             };
-            let left = until.saturating_sub(self.inner.platform.monotonic());
-            if left.is_zero() || reply.brings_news(renewal) {
+            let remaining = deadline.saturating_sub(self.inner.platform.monotonic());
+            if remaining.is_zero() || reply.brings_news(renewal) {
                 return ControlReply::Renewed(reply);
             }
-            if timeout(&self.inner.platform, left, self.inner.news.changed(seen)).await.is_some() {
+            if timeout(&self.inner.platform, remaining, self.inner.relay_updates.changed(notified_count))
+                .await
+                .is_some()
+            {
                 self.inner.platform.sleep(self.inner.config.news_interval).await;
             }
         }
@@ -361,25 +364,25 @@
     }
 }
 
-/// What a command may change that somebody waits for.
+/// Which waiters a command may concern.
 #[derive(Clone, Copy, Debug)]
 struct Effects {
-    /// What relays act on.
-    news: bool,
-    /// The version that engines should run.
+    /// Relays, which act on the changed state.
+    relay_updates: bool,
+    /// The task that rolls out weights: the target version has changed.
     publication: bool,
-    /// Which samples wait for a relay or for their trainer.
+    /// Relays and trainers that wait for samples.
     samples: bool,
-    /// What batch jobs are to do.
+    /// The runner of batch jobs.
     job_work: bool,
-    /// What batch jobs have brought.
+    /// Readers of batch job results.
     job_results: bool,
 }
 
 impl Effects {
     fn of(command: &Command) -> Self {
         let publication = matches!(command, Command::Rollout(RolloutCommand::Publish { .. }));
-        let (news, samples) = match command {
+        let (relay_updates, samples) = match command {
             Command::Configuration(_) => (true, false),
             Command::Membership(MembershipCommand::DrawFence) => (false, false),
             Command::Membership(MembershipCommand::RelayLost(_) | MembershipCommand::RelayJoined(_)) => (true, true),
@@ -392,11 +395,11 @@
             Command::Gateway(command) => gateway::effect_on_jobs(command),
             _ => (false, false),
         };
-        Self { news, publication, samples, job_work, job_results }
+        Self { relay_updates, publication, samples, job_work, job_results }
     }
 }
 
-/// The outcome of a command that would change nothing, so that polling costs no log entries.
+/// The outcome of a command that would change nothing, so that polls add no log entries.
 fn idle_outcome(state: &ControlState, command: &Command) -> Option<CommandOutcome> {
     match command {
         Command::Rollout(RolloutCommand::Fetch { tenant, incarnation, cursor, .. }) => {
--- a/crates/control/src/older_level.rs
+++ b/crates/control/src/older_level.rs
@@ -1,16 +1,16 @@
-//! What a leader of this build does while its group is at an older feature level.
+//! Compatibility of a leader of this build with a group at an older feature level.
 //!
-//! Older members are sent nothing that they do not understand. What the older level keeps on the log in other words is written
-//! in those; what it has no words for is done without the log, or not at all until the level is raised:
+//! Older members receive only messages that they can decode. State that the older level encodes differently is written in its
+//! encoding; state that it cannot encode is not logged, or the feature is disabled until the level is raised:
 //!
-//! | Matter | At level one |
+//! | Feature | At level one |
 //! |---|---|
-//! | orders to engines | noted, and a fence drawn, by two entries |
-//! | starts of engines | left out: an engine is its name |
-//! | silence of engines | the leader's own view, told to relays by the leader alone |
-//! | rights to run suspected work | given to whoever asks; evidence is not kept |
-//! | usage, numbers of engines | relays keep their counts; nothing is fixed, reported or ordered |
-//! | tenants, public routes, limits of scaling | a document that has them is refused at once |
+//! | orders to engines | the note and the fencing token take two log entries |
+//! | start times of engines | not recorded: an engine is identified by its name |
+//! | silence of engines | in the leader's memory; only the leader sends it to relays |
+//! | trial leases for suspected work | always granted; evidence is discarded |
+//! | usage, engine counts | relays keep their counts; nothing is committed, reported or ordered |
+//! | tenants, public routes, scaling limits | a document that has them is rejected |
 
 use crate::instance_watch::InstanceWatch;
 use crate::node::ControlNode;
@@ -26,7 +26,7 @@
 use saddlerelay_types::instance::{GatheredReports, InstanceId};
 use saddlerelay_types::suspicion::TrialAnswer;
 
-/// What a command about suspected work brings where the log has no words for it: work runs as if nobody suspected it.
+/// The outcome of a command about suspected work where the log cannot encode it: work runs as if it were not suspected.
 pub(crate) fn outcome_without_log(command: &GatewayCommand) -> Option<GatewayOutcome> {
     match command {
         GatewayCommand::BeginTrial(_) => Some(GatewayOutcome::Trial(TrialAnswer::Granted)),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Reports as level one has them: an engine is its name. Those of a start that another has followed are left out.
+/// Removes start times from reports and drops reports of superseded starts: level one identifies engines by name.
 pub(crate) fn without_starts(mut reports: GatheredReports, watch: &mut InstanceWatch) -> GatheredReports {
     reports.news.retain(|report| watch.note_start(&report.id));
     reports.heartbeats.retain(|heartbeat| watch.note_start(&heartbeat.id));
@@ -50,46 +50,46 @@
     reports
 }
 
-/// Those of `ids` whose names are among `missing`.
+/// The `ids` whose names occur in `missing`.
 pub(crate) fn named_in(missing: &[InstanceId], ids: impl Iterator<Item = InstanceId>) -> Vec<InstanceId> {
     ids.filter(|id| missing.iter().any(|missing| missing.name == id.name)).collect()
 }
 
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
-    /// Whether this replica leads a group whose log has no words for what came after level one.
+    /// Whether this replica leads a group at feature level one.
     pub(crate) fn leads_at_level_one(&self) -> bool {
         self.inner.replica.level_of_proposals() == Some(FeatureLevel::One)
     }
 
-    /// An older build has asked something here.
-    pub(crate) fn note_older_asker(&self) {
-        self.inner.older_asked_at.set(Some(self.inner.platform.monotonic()));
+    /// Records that a request from an older build was received.
+    pub(crate) fn record_older_build_request(&self) {
+        self.inner.older_build_request_at.set(Some(self.inner.platform.monotonic()));
     }
 
-    /// Answers a relay of level one: all that has changed, and every engine that is silent.
+    /// Serves a poll of a relay at level one: all changes, and every silent engine.
     pub(crate) async fn follow_level_one(&self, follow: one::FollowRequest) -> ControlReplyOne {
         let platform = &self.inner.platform;
-        let until = platform.monotonic() + self.inner.config.renewal_wait;
+        let deadline = platform.monotonic() + self.inner.config.renewal_wait;
         loop {
-            let seen = self.inner.news.count();
+            let notified_count = self.inner.relay_updates.count();
             let Some(reply) = self.read(|state| self.reply_level_one(state, &follow)) else {
                 return ControlReplyOne::NotLeader { leader: self.inner.replica.leader_address() };
             };
             let Some(reply) = reply else {
-                spdlog::warn!("older relay not answered", kv: {
-                    relay = follow.relay.as_str(), reason = "the routing document says what it cannot read"
+                spdlog::warn!("relay of an older build rejected", kv: {
+                    relay = follow.relay.as_str(), reason = "the routing document cannot be encoded at its level"
                 });
                 return ControlReplyOne::Gateway(one::GatewayReply::Unavailable);
             };
-            let left = until.saturating_sub(platform.monotonic());
-            if left.is_zero() || brings_news(&reply, &follow) {
+            let remaining = deadline.saturating_sub(platform.monotonic());
+            if remaining.is_zero() || has_updates(&reply, &follow) {
                 return ControlReplyOne::Gateway(one::GatewayReply::Followed(reply));
             }
-            timeout(platform, left, self.inner.news.changed(seen)).await;
+            timeout(platform, remaining, self.inner.relay_updates.changed(notified_count)).await;
         }
     }
 
-    /// What a relay of level one lacks; `None` if level one has no words for the routing document.
+    /// The reply to a relay at level one; `None` if level one cannot encode the routing document.
     fn reply_level_one(&self, state: &ControlState, follow: &one::FollowRequest) -> Option<one::FollowReply> {
         let mut updates = self.inner.routing_updates.borrow_mut();
         let update = state.routing.current().and_then(|current| updates.update(current, follow.routing_version));
@@ -111,6 +111,6 @@
     }
 }
 
-fn brings_news(reply: &one::FollowReply, follow: &one::FollowRequest) -> bool {
+fn has_updates(reply: &one::FollowReply, follow: &one::FollowRequest) -> bool {
     reply.routing.is_some() || reply.instance_revision != follow.instance_revision || reply.silent != follow.silent
 }
--- a/crates/control/src/order_watch.rs
+++ b/crates/control/src/order_watch.rs
@@ -1,8 +1,8 @@
-//! When this process saw in the log that an order was about to be given, and by whom.
+//! Records when this process first observed each order note in the log, and which replica wrote it.
 //!
-//! A holder commits a note before each order and gives the order soon after. Whoever takes over need not wait out the
-//! lease of orders for every subject then, only for those about which an order may have been given lately: an order noted
-//! in the log was given no later than its validity after this process first saw the note.
+//! A leader commits a note before each order to an engine or the platform, and sends the order within its validity. A
+//! new leader therefore delays orders only for subjects that another replica has recently noted: such an order was sent
+//! at the latest one validity period after this process first observed the note.
 
 use crate::state::orders::{OrderNote, OrderState};
 use saddlerelay_types::gateway::OrderSubject;
@@ -11,42 +11,42 @@
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug)]
-struct SeenNote {
+struct ObservedNote {
     note: OrderNote,
-    seen_at: Duration,
+    observed_at: Duration,
 }
 
-/// The notes as this process has seen them, by its own clock.
+/// Order notes with the time of their first observation, by this process's monotonic clock.
 #[derive(Debug, Default)]
 pub struct OrderWatch {
-    notes: BTreeMap<OrderSubject, SeenNote>,
-    /// How many notes there were at the last look, and about how many subjects.
-    looked_at: (u64, usize),
+    notes: BTreeMap<OrderSubject, ObservedNote>,
+    /// Total number of notes and number of subjects at the last observation; unchanged numbers mean no new notes.
+    last_counts: (u64, usize),
 }
 
 impl OrderWatch {
-    /// Takes the notes that this process's copy of the state holds at `now`.
+    /// Observes the notes in the locally applied state at `now`.
     pub fn see(&mut self, state: &OrderState, now: Duration) {
         let notes = state.notes();
-        let held = (state.notes_taken(), notes.len());
-        if std::mem::replace(&mut self.looked_at, held) == held {
+        let counts = (state.notes_taken(), notes.len());
+        if std::mem::replace(&mut self.last_counts, counts) == counts {
             return;
         }
         self.notes.retain(|subject, _| notes.contains_key(subject));
         for (subject, note) in notes {
             match self.notes.get(subject) {
-                Some(seen) if seen.note == *note => {}
+                Some(observed) if observed.note == *note => {}
                 _ => {
-                    self.notes.insert(subject.clone(), SeenNote { note: *note, seen_at: now });
+                    self.notes.insert(subject.clone(), ObservedNote { note: *note, observed_at: now });
                 }
             }
         }
     }
 
-    /// From when on `holder` may give orders about a subject, if every holder's orders are apart by `distance` from the
-    /// first sight of the note of another's.
+    /// The earliest time at which `holder` may send orders about a subject: `distance` after the first observation of
+    /// another replica's note, or zero without one.
     pub fn free_at(&self, subject: &OrderSubject, holder: ReplicaId, distance: Duration) -> Duration {
-        let by_another = self.notes.get(subject).filter(|seen| seen.note.holder != holder);
-        by_another.map_or(Duration::ZERO, |seen| seen.seen_at + distance)
+        let other_holder_note = self.notes.get(subject).filter(|observed| observed.note.holder != holder);
+        other_holder_note.map_or(Duration::ZERO, |observed| observed.observed_at + distance)
     }
 }
--- a/crates/control/src/routing_updates.rs
+++ b/crates/control/src/routing_updates.rs
@@ -1,30 +1,30 @@
-//! Routing documents on their way to relays: each is encoded once for all relays that hold the same older one.
+//! Encoded updates of the routing document, cached by the version that the relay holds.
 
 use saddlerelay_types::routing::RoutingDocument;
 use saddlerelay_types::routing_update::{EncodedRoutingUpdate, RoutingUpdate};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Documents remembered, so that relays which hold one of them are told only what has changed since.
-const DOCUMENTS_KEPT: usize = 4;
+/// Number of recent documents kept as a base for updates that contain only the changes.
+const MAX_DOCUMENTS: usize = 4;
 
-/// The newest documents that this leader has told relays of. It is forgotten with the process: whoever holds a document
-/// that is not remembered is told the whole new one.
+/// Recent routing documents and encoded updates to the newest one. Kept in memory only: a relay whose document is not
+/// among them receives the whole new one.
 #[derive(Debug, Default)]
 pub struct RoutingUpdates {
-    /// Oldest first, without what operators sent.
+    /// Oldest first, without their source text.
     documents: VecDeque<RoutingDocument>,
-    /// Updates to the newest document, by the version that they go on from.
+    /// Updates to the newest document, by base version; `None` for the whole document.
     encoded: BTreeMap<Option<u64>, EncodedRoutingUpdate>,
 }
 
 impl RoutingUpdates {
-    /// What a relay that holds version `held` needs for `current`; `None` if that is what it holds.
-    pub fn update(&mut self, current: &RoutingDocument, held: Option<u64>) -> Option<EncodedRoutingUpdate> {
-        if held == Some(current.version) {
+    /// The update to `current` for a relay that holds version `relay_version`; `None` if it holds `current`.
+    pub fn update(&mut self, current: &RoutingDocument, relay_version: Option<u64>) -> Option<EncodedRoutingUpdate> {
+        if relay_version == Some(current.version) {
             return None;
         }
         self.remember(current);
-        let base = self.documents.iter().find(|document| Some(document.version) == held);
+        let base = self.documents.iter().find(|document| Some(document.version) == relay_version);
         let key = base.map(|base| base.version);
         let encode = || EncodedRoutingUpdate::encode(&RoutingUpdate::between(base, current));
         Some(self.encoded.entry(key).or_insert_with(encode).clone())
@@ -36,7 +36,7 @@
         }
         self.encoded.clear();
         self.documents.push_back(RoutingDocument { source: Vec::new(), ..current.clone() });
-        if self.documents.len() > DOCUMENTS_KEPT {
+        if self.documents.len() > MAX_DOCUMENTS {
             self.documents.pop_front();
         }
     }
--- a/crates/control/src/suspected_work.rs
+++ b/crates/control/src/suspected_work.rs
@@ -1,4 +1,4 @@
-//! Answers about work under which engines have ended.
+//! Requests about suspected work: work during which engines ended unexpectedly.
 
 use crate::node::ControlNode;
 use saddlerelay_replication::ProposeError;
@@ -10,65 +10,65 @@
 use saddlerelay_types::work::WorkDigest;
 
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
-    /// Commits evidence if it is news, and logs what it comes to.
+    /// Commits evidence if it changes the state, and logs the result.
     pub async fn commit_evidence(&self, evidence: WorkEvidence) -> Result<(), ProposeError> {
-        let is_news = self.read(|state| state.suspicions.is_news(&evidence));
-        if is_news == Some(false) {
+        let is_new = self.read(|state| state.suspicions.is_news(&evidence));
+        if is_new == Some(false) {
             return Ok(());
         }
-        let told = evidence.clone();
+        let committed = evidence.clone();
         self.commit_gateway(GatewayCommand::TakeEvidence(evidence)).await?;
-        self.tell_evidence(&told);
+        self.log_evidence(&committed);
         Ok(())
     }
 
-    /// Asks for the right to run suspected work. A refusal is told with who holds the right, one line for many.
+    /// Requests a trial lease for suspected work. Rejections are logged with the current holder, rate limited.
     pub async fn begin_trial(&self, request: TrialRequest) -> Result<TrialAnswer, ProposeError> {
         let outcome = self.commit_gateway(GatewayCommand::BeginTrial(request)).await?;
         if outcome == GatewayOutcome::Trial(TrialAnswer::Granted) {
             return Ok(TrialAnswer::Granted);
         }
-        self.tell_refused_trial(&request);
+        self.log_rejected_trial(&request);
         Ok(TrialAnswer::Taken)
     }
 
-    fn tell_refused_trial(&self, request: &TrialRequest) {
+    fn log_rejected_trial(&self, request: &TrialRequest) {
         let now = self.inner.platform.monotonic();
-        let Some(refused) = self.inner.refused_trials.borrow_mut().count(now) else {
+        let Some(rejected_count) = self.inner.rejected_trials.borrow_mut().count(now) else {
             return;
         };
         let unix_ms = self.inner.platform.unix_milliseconds();
-        let (right, held) = self.read_applied(|state| {
+        let (lease, lease_count) = self.read_applied(|state| {
             let suspicions = &state.suspicions;
             (suspicions.trial(&request.work), suspicions.trials_held())
         });
-        let (holder, number, left_ms) =
-            right.map_or((0, 0, 0), |(id, until)| (id.holder.0, id.number, until.saturating_sub(unix_ms)));
-        spdlog::warn!("trial of suspected work refused", kv: {
+        let (holder, number, remaining_ms) =
+            lease.map_or((0, 0, 0), |(id, expires_at)| (id.holder.0, id.number, expires_at.saturating_sub(unix_ms)));
+        spdlog::warn!("trial lease rejected", kv: {
             work = request.work.shown().as_str(),
-            asked_by = request.id.holder.0,
-            held_by = holder,
+            requested_by = request.id.holder.0,
+            holder = holder,
             number = number,
-            left_ms = left_ms,
-            refused = refused,
-            rights_held = held
+            remaining_ms = remaining_ms,
+            rejections = rejected_count,
+            leases_held = lease_count
         });
     }
 
-    pub(crate) async fn answer_trial(&self, request: TrialRequest) -> ControlReply {
+    pub(crate) async fn handle_begin_trial(&self, request: TrialRequest) -> ControlReply {
         match self.begin_trial(request).await {
             Ok(answer) => ControlReply::Gateway(GatewayReply::Trial(answer)),
             Err(error) => self.not_committed(&error),
         }
     }
 
-    fn tell_evidence(&self, evidence: &WorkEvidence) {
+    fn log_evidence(&self, evidence: &WorkEvidence) {
         for loss in &evidence.losses {
             let (engines, quarantined) = self.read_applied(|state| {
                 let suspicion = state.suspicions.get(&loss.work);
                 suspicion.map_or((0, false), |suspicion| (suspicion.engines.len(), suspicion.is_quarantined()))
             });
-            spdlog::warn!("engine ended under work", kv: {
+            spdlog::warn!("engine ended while processing work", kv: {
                 work = loss.work.to_hexadecimal().as_str(),
                 instance = loss.instance.name.as_str(),
                 engines_ended = engines,
@@ -76,12 +76,12 @@
             });
         }
         for work in &evidence.served {
-            spdlog::info!("suspected work served", kv: { work = work.to_hexadecimal().as_str() });
+            spdlog::info!("suspected work completed, suspicion cleared", kv: { work = work.to_hexadecimal().as_str() });
         }
     }
 
-    /// Takes a relay's evidence; the answer is the list as it is then.
-    pub(crate) async fn take_evidence(&self, evidence: WorkEvidence) -> ControlReply {
+    /// Commits a relay's evidence; the reply is the resulting list of suspicions.
+    pub(crate) async fn handle_evidence(&self, evidence: WorkEvidence) -> ControlReply {
         match self.commit_evidence(evidence).await {
             Ok(()) => self.read_suspicions(),
             Err(error) => self.not_committed(&error),
@@ -93,7 +93,7 @@
     }
 
     pub(crate) async fn release_work(&self, work: WorkDigest) -> ControlReply {
-        spdlog::warn!("work released by an operator", kv: { work = work.to_hexadecimal().as_str() });
+        spdlog::warn!("operator released suspected work", kv: { work = work.to_hexadecimal().as_str() });
         self.execute_gateway(GatewayCommand::ReleaseWork(work)).await
     }
 }
--- a/crates/control/src/suspicion_watch.rs
+++ b/crates/control/src/suspicion_watch.rs
@@ -1,8 +1,9 @@
-//! When this process saw in the log that work came to be suspected, by its own steady clock.
+//! Records when this process observed each suspicion in the log, by its monotonic clock.
 //!
-//! A suspicion is forgotten some minutes after the last engine ended. The log has that moment by the time of day of whoever led then; by
-//! that of a later leader, an hour ahead, all of them would be over at once, and work that ends its engines would run anywhere. Replicas that do
-//! not lead watch too, so that they know how old a suspicion is when they lead.
+//! A suspicion expires some minutes after the last engine loss. The log records that time by the wall clock of the
+//! leader of that term; a later leader whose wall clock is ahead would expire every suspicion at once. Expiry therefore
+//! also requires the age by the monotonic clock. Followers observe suspicions too, so that a new leader knows their
+//! age.
 
 use crate::state::suspicions::SuspicionTable;
 use saddlerelay_types::suspicion::Suspicion;
@@ -10,26 +11,27 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The suspicions of the log.
+/// Suspicions with the time of their last observed change.
 #[derive(Debug, Default)]
 pub struct SuspicionWatch {
-    seen: BTreeMap<WorkDigest, (Suspicion, Duration)>,
+    observed: BTreeMap<WorkDigest, (Suspicion, Duration)>,
 }
 
 impl SuspicionWatch {
-    /// Looks at the log's state.
+    /// Observes the suspicions in the locally applied state at `now`.
     pub fn see(&mut self, table: &SuspicionTable, now: Duration) {
-        let mut before = std::mem::take(&mut self.seen);
+        let mut previous = std::mem::take(&mut self.observed);
         for suspicion in table.iter() {
-            let known = before.remove(&suspicion.work).filter(|(seen, _)| seen == suspicion);
-            self.seen.insert(suspicion.work, known.unwrap_or_else(|| (suspicion.clone(), now)));
+            let unchanged = previous.remove(&suspicion.work).filter(|(observed, _)| observed == suspicion);
+            self.observed.insert(suspicion.work, unchanged.unwrap_or_else(|| (suspicion.clone(), now)));
         }
     }
 
-    /// Whether forgetting at `unix_ms` of the log forgets something, and nothing that is younger than it may be by this clock.
+    /// Whether expiry at log time `unix_ms` would remove a suspicion, and only suspicions that are old enough by the
+    /// monotonic clock too.
     pub fn may_expire(&self, table: &SuspicionTable, unix_ms: u64, now: Duration) -> bool {
-        let is_old = |(suspicion, kept): (&Suspicion, Duration)| {
-            self.seen.get(&suspicion.work).is_some_and(|(_, seen_at)| now >= *seen_at + kept)
+        let is_old = |(suspicion, lifetime): (&Suspicion, Duration)| {
+            self.observed.get(&suspicion.work).is_some_and(|(_, observed_at)| now >= *observed_at + lifetime)
         };
         let mut due = table.due(unix_ms).peekable();
         due.peek().is_some() && due.all(is_old)
--- a/crates/control/src/tasks/confirmation.rs
+++ b/crates/control/src/tasks/confirmation.rs
@@ -1,4 +1,4 @@
-//! Has the leader confirm this replica's state while relays ask here.
+//! Requests confirmations of this follower's state from the leader while relays poll this replica.
 
 use crate::follow::Confirmation;
 use crate::node::ControlNode;
@@ -8,61 +8,61 @@
 use saddlerelay_types::protocol::{ControlReply, ControlRequest};
 use std::time::Duration;
 
-/// Pause between questions: what relays lose of their lease, and how long changes are gathered before relays are told. Ten
-/// a second of each of five replicas are a fiftieth of what 836 relays would ask.
-const INTERVAL: Duration = Duration::from_millis(100);
+/// Pause between requests. It shortens the relays' leases and delays updates by as much.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest wait for the leader's answer.
-const LIMIT: Duration = Duration::from_millis(300);
+/// Timeout of a request to the leader.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Longest wait until this replica has applied as much as the leader had committed.
-const APPLY_LIMIT: Duration = Duration::from_millis(300);
+/// Maximum time until this replica has applied the log up to the confirmed position.
+const APPLY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause between looks at how far this replica has applied the log.
+/// Pause between checks of the applied position.
 const APPLY_POLL: Duration = Duration::from_millis(5);
 
-/// Asks while this process does not lead.
+/// Requests confirmations while this process follows and relays poll it.
 pub async fn confirm<P: Runtime, B: Backends>(node: ControlNode<P, B>) {
-    let mut told = (0, None, 0);
+    let mut notified_revisions = (0, None, 0);
     loop {
-        node.inner.platform.sleep(INTERVAL).await;
+        node.inner.platform.sleep(REQUEST_INTERVAL).await;
         let now = node.inner.platform.monotonic();
         let leads = node.replica().leading_term().is_some();
-        if leads || !node.inner.following.borrow_mut().is_wanted(now) {
+        if leads || !node.inner.follower_reads.borrow_mut().is_active(now) {
             continue;
         }
-        if ask(&node).await {
+        if request_confirmation(&node).await {
             node.inner.confirmed.notify();
         }
-        let held = node
+        let revisions = node
             .read_applied(|state| (state.instances.revision(), state.routing.version(), state.suspicions.revision()));
-        if held != told {
-            told = held;
-            node.inner.news.notify();
+        if revisions != notified_revisions {
+            notified_revisions = revisions;
+            node.inner.relay_updates.notify();
         }
     }
 }
 
-/// Asks the leader once; returns whether this replica's state is confirmed anew.
-async fn ask<P: Runtime, B: Backends>(node: &ControlNode<P, B>) -> bool {
+/// Requests one confirmation; returns whether the state was confirmed and applied in time.
+async fn request_confirmation<P: Runtime, B: Backends>(node: &ControlNode<P, B>) -> bool {
     let platform = &node.inner.platform;
-    let asked_at = platform.monotonic();
-    let words = node.inner.following.borrow_mut().take_words(asked_at);
-    let request = ControlRequest::Gateway(GatewayRequest::Confirm(words));
-    let answer = node.replica().ask_leader(&request, LIMIT).await;
-    let Some(ControlReply::Gateway(GatewayReply::Confirmed { position, group_unix_ms, relays })) = answer else {
-        spdlog::debug!("state not confirmed", kv: { answered = answer.is_some() });
+    let requested_at = platform.monotonic();
+    let relay_data = node.inner.follower_reads.borrow_mut().take_relay_data(requested_at);
+    let request = ControlRequest::Gateway(GatewayRequest::Confirm(relay_data));
+    let reply = node.replica().ask_leader(&request, REQUEST_TIMEOUT).await;
+    let Some(ControlReply::Gateway(GatewayReply::Confirmed { position, group_unix_ms, relays })) = reply else {
+        spdlog::debug!("leader did not confirm follower state", kv: { answered = reply.is_some() });
         return false;
     };
-    let answered_at = platform.monotonic();
+    let received_at = platform.monotonic();
     while node.replica().applied_index() < position {
-        if platform.monotonic() >= answered_at + APPLY_LIMIT {
-            spdlog::debug!("state behind", kv: { position = position, applied = node.replica().applied_index() });
+        if platform.monotonic() >= received_at + APPLY_TIMEOUT {
+            spdlog::debug!("follower behind confirmed position", kv: { position = position, applied = node.replica().applied_index() });
             return false;
         }
         platform.sleep(APPLY_POLL).await;
     }
-    let group_unix_ms = group_unix_ms.map(|unix_ms| (unix_ms, answered_at));
-    node.inner.following.borrow_mut().confirmation = Some(Confirmation { at: asked_at, group_unix_ms, relays });
+    let group_unix_ms = group_unix_ms.map(|unix_ms| (unix_ms, received_at));
+    node.inner.follower_reads.borrow_mut().confirmation =
+        Some(Confirmation { at: requested_at, group_unix_ms, relays });
     true
 }
--- a/crates/control/src/tasks/engines.rs
+++ b/crates/control/src/tasks/engines.rs
@@ -1,4 +1,4 @@
-//! Polls engines, records what changed, and rolls out weights in waves by fenced orders.
+//! Polls engines, commits observed changes, and rolls out weights in waves of orders protected by fencing tokens.
 
 use crate::node::ControlNode;
 use crate::queries::weights;
@@ -15,28 +15,28 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time limit of an order.
-const ORDER_LIMIT: Duration = Duration::from_millis(1000);
+/// Timeout of an order.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// How long an order may stay without effect on an engine's report before it is repeated.
-const ORDER_PATIENCE: Duration = Duration::from_millis(1500);
+/// An order is repeated if the engine's status shows no effect after this time.
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(1500);
 
-/// Smallest share of a model's engines that load weights at once, in percent.
-const SMALLEST_WAVE_PERCENT: usize = 25;
+/// Share of a model's engines that may load weights at once, in percent, before staleness is considered.
+const BASE_WAVE_PERCENT: usize = 25;
 
-/// Share added to a wave when only staleness counts, in percent.
-const STALENESS_WAVE_PERCENT: usize = 50;
+/// Maximum share added to a wave, in percent, in proportion to the weight of staleness.
+const MAX_STALENESS_WAVE_PERCENT: usize = 50;
 
-/// Looks at the engines in one poll interval: an engine that loads weights is polled at each of them.
-const LOOKS_PER_POLL: u32 = 5;
+/// Ticks in one poll interval. Engines that load weights are polled at each tick.
+const TICKS_PER_POLL: u32 = 5;
 
-/// Most engines that are polled at each look, so that a large rollout does not multiply the polls.
-const MOST_CLOSE_POLLS: usize = 64;
+/// Maximum number of engines polled at each tick, which limits the polls during a large rollout.
+const MAX_POLLED_PER_TICK: usize = 64;
 
-/// What polling knows of one engine.
+/// Poll state of one engine.
 #[derive(Default)]
 struct Poll {
-    under_way: bool,
+    in_flight: bool,
     due_at: Duration,
     failures: u32,
     status: Option<EngineStatus>,
@@ -44,32 +44,32 @@
 
 type Polls = Rc<RefCell<BTreeMap<EngineId, Poll>>>;
 
-/// Fences drawn and orders given in this term.
+/// Fencing tokens drawn and orders sent in this term.
 #[derive(Default)]
-struct Orders {
-    /// Engines that were loading weights at the last look.
+struct SentOrders {
+    /// Engines that were loading weights at the last tick.
     loading: BTreeSet<EngineId>,
     fences: BTreeMap<ModelName, (WeightVersion, Fence)>,
-    given_at: BTreeMap<EngineId, (WeightVersion, Duration)>,
+    sent_at: BTreeMap<EngineId, (WeightVersion, Duration)>,
 }
 
 /// Manages engines while this process leads.
 pub async fn manage<P: Runtime, B: Backends>(node: ControlNode<P, B>) {
     let polls = Polls::default();
-    let mut orders = Orders::default();
+    let mut orders = SentOrders::default();
     let mut managed_term = 0;
-    let look_interval = node.inner.config.engine_poll_interval / LOOKS_PER_POLL;
+    let tick_interval = node.inner.config.engine_poll_interval / TICKS_PER_POLL;
     loop {
-        // A publication is followed at once.
-        let seen = node.inner.published.count();
-        timeout(&node.inner.platform, look_interval, node.inner.published.changed(seen)).await;
+        // A publication ends the pause early.
+        let notified_count = node.inner.weights_published.count();
+        timeout(&node.inner.platform, tick_interval, node.inner.weights_published.changed(notified_count)).await;
         let Some(term) = node.inner.replica.leading_term() else {
             continue;
         };
         if managed_term != term {
             managed_term = term;
             polls.borrow_mut().clear();
-            orders = Orders::default();
+            orders = SentOrders::default();
         }
         let engines = node.read(|state| state.members.engines().cloned().collect::<Vec<_>>()).unwrap_or_default();
         start_polls(&node, &polls, &engines, &orders.loading);
@@ -85,14 +85,14 @@
     loading: &BTreeSet<EngineId>,
 ) {
     let now = node.inner.platform.monotonic();
-    let close: BTreeSet<&EngineId> = loading.iter().take(MOST_CLOSE_POLLS).collect();
+    let polled_each_tick_ids: BTreeSet<&EngineId> = loading.iter().take(MAX_POLLED_PER_TICK).collect();
     for engine in engines {
         let id = engine.description.id.clone();
         let mut table = polls.borrow_mut();
-        let is_close = close.contains(&id);
+        let polled_each_tick = polled_each_tick_ids.contains(&id);
         let poll = table.entry(id).or_default();
-        if !poll.under_way && (is_close || now >= poll.due_at) {
-            poll.under_way = true;
+        if !poll.in_flight && (polled_each_tick || now >= poll.due_at) {
+            poll.in_flight = true;
             poll.due_at = now + node.inner.config.engine_poll_interval;
             node.inner.platform.spawn(poll_engine(node.clone(), polls.clone(), engine.description.clone()));
         }
@@ -107,7 +107,7 @@
     let Some(poll) = table.get_mut(&engine.id) else {
         return;
     };
-    poll.under_way = false;
+    poll.in_flight = false;
     match status {
         Some(status) => {
             poll.failures = 0;
@@ -124,12 +124,12 @@
         engines.iter().filter_map(|engine| observation(engine, table.get(&engine.description.id)?, limit)).collect()
     };
     if !changed.is_empty() {
-        // A failed commit is tried again after the next polls.
+        // A failed commit is retried after the next polls.
         let _ = node.commit(Command::Membership(MembershipCommand::Observe(changed))).await;
     }
 }
 
-/// What polling saw of an engine, if it differs from the record.
+/// The polled state of an engine, if it differs from its record.
 fn observation(engine: &EngineRecord, poll: &Poll, failure_limit: u32) -> Option<EngineObservation> {
     let lost = poll.failures >= failure_limit;
     let observed = match &poll.status {
@@ -154,8 +154,8 @@
     (!unchanged).then_some(observed)
 }
 
-/// Orders the next wave of every model to load its target version.
-async fn roll_out<P: Runtime, B: Backends>(node: &ControlNode<P, B>, polls: &Polls, orders: &mut Orders) {
+/// Orders the engines of each model's next wave to load its target version.
+async fn roll_out<P: Runtime, B: Backends>(node: &ControlNode<P, B>, polls: &Polls, orders: &mut SentOrders) {
     orders.loading.clear();
     for target in node.read(weights::targets).unwrap_or_default() {
         let now = node.inner.platform.monotonic();
@@ -170,59 +170,59 @@
         };
         for engine in wave {
             orders.loading.insert(engine.id.clone());
-            orders.given_at.insert(engine.id.clone(), (target.version, now));
+            orders.sent_at.insert(engine.id.clone(), (target.version, now));
             let order = EngineOrder { fence, action: EngineAction::LoadWeights(target.version) };
-            node.inner.platform.spawn(give_order(node.clone(), engine, order));
+            node.inner.platform.spawn(send_order(node.clone(), engine, order));
         }
     }
 }
 
-/// Where a model's engines stand with its target version.
+/// Rollout progress of a model's target version.
 #[derive(Default)]
 struct Wave {
-    /// Those that load it now.
+    /// Engines that are loading it.
     loading: Vec<EngineId>,
-    /// Those to order next.
+    /// Engines to order next.
     next: Vec<EngineDescription>,
 }
 
-/// Engines to order now: a broken engine first, and no more at once than the wave allows.
+/// Selects the engines to order now, broken ones first. At most one wave loads at a time.
 fn next_wave(
     state: &ControlState,
     target: &ModelTarget,
     polls: &BTreeMap<EngineId, Poll>,
-    orders: &Orders,
+    orders: &SentOrders,
     now: Duration,
 ) -> Wave {
     let serves = |engine: &&EngineRecord| {
         engine.description.model == target.model && engine.availability == EngineAvailability::Available
     };
     let engines: Vec<&EngineRecord> = state.members.engines().filter(serves).collect();
-    let lacks = |engine: &&&EngineRecord| engine.weights != WeightState::Confirmed(target.version);
-    let under_way = |engine: &EngineRecord| {
-        let ordered = orders.given_at.get(&engine.description.id);
-        let recent = ordered.is_some_and(|(version, at)| *version == target.version && now < *at + ORDER_PATIENCE);
+    let is_outdated = |engine: &&&EngineRecord| engine.weights != WeightState::Confirmed(target.version);
+    let in_flight = |engine: &EngineRecord| {
+        let ordered = orders.sent_at.get(&engine.description.id);
+        let recent = ordered.is_some_and(|(version, at)| *version == target.version && now < *at + ORDER_RETRY_DELAY);
         let status = polls.get(&engine.description.id).and_then(|poll| poll.status.as_ref());
         let fetching = status.is_some_and(|status| status.pending == Some(target.version));
         recent || fetching || engine.weights == WeightState::Loading(target.version)
     };
-    let lacking: Vec<&&EngineRecord> = engines.iter().filter(lacks).collect();
+    let outdated: Vec<&&EngineRecord> = engines.iter().filter(is_outdated).collect();
     let loading: Vec<EngineId> =
-        lacking.iter().filter(|engine| under_way(engine)).map(|engine| engine.description.id.clone()).collect();
+        outdated.iter().filter(|engine| in_flight(engine)).map(|engine| engine.description.id.clone()).collect();
     let staleness_share = weights::staleness_share_percent(state, &target.model) as usize;
-    let percent = SMALLEST_WAVE_PERCENT + staleness_share * STALENESS_WAVE_PERCENT / 100;
+    let percent = BASE_WAVE_PERCENT + staleness_share * MAX_STALENESS_WAVE_PERCENT / 100;
     let wave = (engines.len() * percent).div_ceil(100).max(1);
-    let mut waiting: Vec<&&EngineRecord> = lacking.into_iter().filter(|engine| !under_way(engine)).collect();
+    let mut waiting: Vec<&&EngineRecord> = outdated.into_iter().filter(|engine| !in_flight(engine)).collect();
     waiting.sort_by_key(|engine| (engine.weights != WeightState::Broken, engine.description.id.clone()));
-    let room = wave.saturating_sub(loading.len());
-    let next = waiting.into_iter().take(room).map(|engine| engine.description.clone()).collect();
+    let available = wave.saturating_sub(loading.len());
+    let next = waiting.into_iter().take(available).map(|engine| engine.description.clone()).collect();
     Wave { loading, next }
 }
 
-/// The fence of the orders for `target`: drawn once for each new target, so that an older order is refused.
+/// The fencing token of the orders for `target`, drawn once per target version, so that engines reject older orders.
 async fn fence_for<P: Runtime, B: Backends>(
     node: &ControlNode<P, B>,
-    orders: &mut Orders,
+    orders: &mut SentOrders,
     target: &ModelTarget,
 ) -> Option<Fence> {
     if let Some((version, fence)) = orders.fences.get(&target.model)
@@ -239,7 +239,7 @@
     }
 }
 
-/// A failed order shows in the engine's report and is repeated.
-async fn give_order<P: Runtime, B: Backends>(node: ControlNode<P, B>, engine: EngineDescription, order: EngineOrder) {
-    let _ = timeout(&node.inner.platform, ORDER_LIMIT, node.inner.backends.order(&engine, order)).await;
+/// Sends an order. The result is ignored: a failed order is repeated, as the engine's status shows no effect.
+async fn send_order<P: Runtime, B: Backends>(node: ControlNode<P, B>, engine: EngineDescription, order: EngineOrder) {
+    let _ = timeout(&node.inner.platform, ORDER_TIMEOUT, node.inner.backends.order(&engine, order)).await;
 }
--- a/crates/control/src/tasks/machines.rs
+++ b/crates/control/src/tasks/machines.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's list of machines: new engines are registered, leaving ones get no new work.
+//! Polls the platform's list of machines: registers new engines and drains leaving ones.
 
 use crate::node::ControlNode;
 use saddlerelay_runtime::Runtime;
@@ -7,7 +7,7 @@
 use saddlerelay_types::membership::{EngineAvailability, EngineObservation, PlatformMachine};
 use saddlerelay_types::protocol::{Command, MembershipCommand};
 
-/// Reads the list while this process leads.
+/// Polls the list while this process leads.
 pub async fn follow<P: Runtime, B: Backends>(node: ControlNode<P, B>) {
     let interval = node.inner.config.platform_interval;
     loop {
@@ -18,7 +18,7 @@
         let list = timeout(&node.inner.platform, interval * 2, node.inner.backends.machines()).await;
         if let Some(Ok(machines)) = list {
             for command in changes(&node, &machines) {
-                // A failed commit is tried again at the next read.
+                // A failed commit is retried at the next poll.
                 let _ = node.commit(Command::Membership(command)).await;
             }
         }
--- a/crates/control/src/tasks/mod.rs
+++ b/crates/control/src/tasks/mod.rs
@@ -1,4 +1,4 @@
-//! What a leading control process does on its own.
+//! Background tasks of a control process; most act only while it leads.
 
 pub mod confirmation;
 pub mod engines;
--- a/crates/control/src/tasks/relays.rs
+++ b/crates/control/src/tasks/relays.rs
@@ -1,4 +1,4 @@
-//! Watches relays' lease renewals and declares silent relays lost.
+//! Monitors lease renewals of relays and declares relays lost that have stopped renewing.
 
 use crate::node::ControlNode;
 use crate::state::ControlState;
@@ -10,14 +10,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One relay's newest renewal.
+/// Newest renewal of one relay.
 #[derive(Clone, Copy, Debug)]
 struct Renewal {
-    at: Duration,
+    received_at: Duration,
     revision: Revision,
 }
 
-/// Renewals as this leader has seen them. Not replicated: a new leader grants every relay a whole silence.
+/// Renewals received by this leader. Not replicated: a new leader restarts the loss timeout of every relay.
 #[derive(Debug, Default)]
 pub struct RenewalTable {
     term: u64,
@@ -25,39 +25,39 @@
 }
 
 impl RenewalTable {
-    /// Records a renewal by a relay that acts on `revision`.
-    pub fn record(&mut self, relay: Incarnation, at: Duration, revision: Revision) {
-        self.renewals.insert(relay, Renewal { at, revision });
+    /// Records a renewal by a relay that holds configuration `revision`.
+    pub fn record(&mut self, relay: Incarnation, received_at: Duration, revision: Revision) {
+        self.renewals.insert(relay, Renewal { received_at, revision });
     }
 
-    /// The relays as operators see them.
+    /// The relays with the age of their renewals, for operators.
     pub fn views(&self, state: &ControlState, now: Duration) -> Vec<RelayView> {
-        let view = |(incarnation, description): (&Incarnation, &saddlerelay_types::membership::RelayDescription)| {
+        let to_view = |(incarnation, description): (&Incarnation, &saddlerelay_types::membership::RelayDescription)| {
             let renewal = self.renewals.get(incarnation)?;
             Some(RelayView {
                 description: description.clone(),
                 revision: renewal.revision,
-                renewed_milliseconds_ago: now.saturating_sub(renewal.at).as_millis() as u64,
+                renewed_milliseconds_ago: now.saturating_sub(renewal.received_at).as_millis() as u64,
             })
         };
-        state.members.relays().iter().filter_map(view).collect()
+        state.members.relays().iter().filter_map(to_view).collect()
     }
 
-    /// Forgets relays that are gone and starts the silence of those not heard in this term.
-    fn follow(&mut self, term: u64, relays: &[Incarnation], now: Duration) {
+    /// Drops relays that have left, and starts the loss timeout of relays without a renewal in this term.
+    fn update(&mut self, term: u64, relays: &[Incarnation], now: Duration) {
         if self.term != term {
             self.term = term;
             self.renewals.clear();
         }
         self.renewals.retain(|relay, _| relays.contains(relay));
         for relay in relays {
-            self.renewals.entry(*relay).or_insert(Renewal { at: now, revision: Revision(0) });
+            self.renewals.entry(*relay).or_insert(Renewal { received_at: now, revision: Revision(0) });
         }
     }
 
-    fn silent(&self, now: Duration, limit: Duration) -> Vec<Incarnation> {
-        let silent = self.renewals.iter().filter(|(_, renewal)| now >= renewal.at + limit);
-        silent.map(|(relay, _)| *relay).collect()
+    fn overdue(&self, now: Duration, limit: Duration) -> Vec<Incarnation> {
+        let overdue = self.renewals.iter().filter(|(_, renewal)| now >= renewal.received_at + limit);
+        overdue.map(|(relay, _)| *relay).collect()
     }
 }
 
@@ -71,13 +71,13 @@
         };
         let relays = node.read(|state| state.members.relays().keys().copied().collect::<Vec<_>>());
         let now = node.inner.platform.monotonic();
-        let silent = {
+        let overdue = {
             let mut renewals = node.inner.renewals.borrow_mut();
-            renewals.follow(term, &relays.unwrap_or_default(), now);
-            renewals.silent(now, config.relay_loss)
+            renewals.update(term, &relays.unwrap_or_default(), now);
+            renewals.overdue(now, config.relay_loss)
         };
-        for relay in silent {
-            // A failed commit is tried again at the next look.
+        for relay in overdue {
+            // A failed commit is retried at the next check.
             let _ = node.commit(Command::Membership(MembershipCommand::RelayLost(relay))).await;
         }
     }
--- a/crates/control/src/tasks/retirement.rs
+++ b/crates/control/src/tasks/retirement.rs
@@ -1,5 +1,6 @@
-//! Empties store machines that are to be taken away: their replicas leave the group, and once it is whole without them
-//! the retirement is completed. Also names the machines that are there to the replica, which tells them where the group is.
+//! Drains store machines that are being retired: removes their replicas from the group, and completes the retirement
+//! once the group is at full strength without them. Also passes the present machines to the replica, which announces
+//! the group's members to them.
 
 use crate::node::ControlNode;
 use crate::state::stores::Retirement;
@@ -8,18 +9,18 @@
 use saddlerelay_types::gateway::GatewayCommand;
 use std::time::Duration;
 
-const INTERVAL: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Watches retirements while this process leads.
+/// Drives retirements while this process leads.
 pub async fn watch<P: Runtime, B: Backends>(node: ControlNode<P, B>) {
     loop {
-        node.inner.platform.sleep(INTERVAL).await;
-        let found = node.read(|state| {
+        node.inner.platform.sleep(CHECK_INTERVAL).await;
+        let stores = node.read(|state| {
             let unwanted = state.stores.unwanted_replicas().collect();
             let running: Vec<_> = state.stores.in_stage(Retirement::Running).cloned().collect();
             (unwanted, running, state.stores.present().collect())
         });
-        let Some((unwanted, running, present)) = found else {
+        let Some((unwanted, running, present)) = stores else {
             continue;
         };
         let replica = &node.inner.replica;
@@ -31,7 +32,7 @@
                     replica.hand_over().await;
                 }
             } else if replica.is_whole_without(record.replica) {
-                // A failed commit is tried again at the next look.
+                // A failed commit is retried at the next check.
                 let _ = node.commit_gateway(GatewayCommand::StoreRetired(record.name)).await;
             }
         }
--- a/crates/control/src/tasks/silence.rs
+++ b/crates/control/src/tasks/silence.rs
@@ -1,4 +1,5 @@
-//! Notes in the log whose reports have ceased, so that every replica can tell relays.
+//! Records which engine instances have stopped or resumed reporting: in the log, from which every replica informs
+//! relays, or, at feature level one, in the leader's state only.
 
 use crate::node::ControlNode;
 use saddlerelay_runtime::Runtime;
@@ -6,13 +7,13 @@
 use saddlerelay_types::gateway::GatewayCommand;
 use std::time::Duration;
 
-/// Pause between looks: little beside the seconds after which an instance is called silent.
-const INTERVAL: Duration = Duration::from_millis(100);
+/// Pause between checks; short compared with the silence limit.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Looks while this process leads.
+/// Checks for changes while this process leads.
 pub async fn watch<P: Runtime, B: Backends>(node: ControlNode<P, B>) {
     loop {
-        node.inner.platform.sleep(INTERVAL).await;
+        node.inner.platform.sleep(CHECK_INTERVAL).await;
         let Some(term) = node.replica().leading_term() else {
             continue;
         };
@@ -33,18 +34,18 @@
         if changes.is_empty() {
             continue;
         }
-        spdlog::info!("silence of engines noted", kv: {
-            silent = changes.silent.len(), heard_again = changes.heard.len(), limit_ms = limit.as_millis() as u64
+        spdlog::info!("engine silence changed", kv: {
+            silent = changes.silent.len(), resumed = changes.heard.len(), limit_ms = limit.as_millis() as u64
         });
         if leads_at_level_one {
             node.replica().adjust(|machine| machine.mark_silence(&changes.silent, &changes.heard));
-            node.inner.news.notify();
+            node.inner.relay_updates.notify();
             continue;
         }
         let command = GatewayCommand::NoteSilence { silent: changes.silent, heard: changes.heard };
         if let Err(error) = node.commit_gateway(command).await {
-            // It is looked at anew.
-            spdlog::warn!("silence not noted", kv: { reason = format!("{error:?}").as_str() });
+            // Retried at the next check.
+            spdlog::warn!("engine silence not committed, will retry", kv: { reason = format!("{error:?}").as_str() });
         }
     }
 }
--- a/crates/control/src/tasks/suspicions.rs
+++ b/crates/control/src/tasks/suspicions.rs
@@ -1,4 +1,4 @@
-//! Forgets work under which engines ended long ago.
+//! Expires old suspicions.
 
 use crate::node::ControlNode;
 use saddlerelay_runtime::Runtime;
@@ -6,24 +6,24 @@
 use saddlerelay_types::gateway::GatewayCommand;
 use std::time::Duration;
 
-/// Pause between looks: what is forgotten is many minutes old.
-const INTERVAL: Duration = Duration::from_secs(5);
+/// Pause between checks; short compared with the lifetime of a suspicion.
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Looks while this process leads.
+/// Expires suspicions while this process leads.
 pub async fn expire<P: Runtime, B: Backends>(node: ControlNode<P, B>) {
     loop {
-        node.inner.platform.sleep(INTERVAL).await;
-        if !forgetting_is_due(&node) {
+        node.inner.platform.sleep(CHECK_INTERVAL).await;
+        if !expiry_is_due(&node) {
             continue;
         }
         if let Err(error) = node.commit_gateway(GatewayCommand::ExpireSuspicions).await {
-            spdlog::warn!("suspicions not forgotten", kv: { reason = format!("{error:?}").as_str() });
+            spdlog::warn!("suspicions not expired, will retry", kv: { reason = format!("{error:?}").as_str() });
         }
     }
 }
 
-/// Whether this replica leads and something is too old, by the time of day and by this process's steady clock.
-fn forgetting_is_due<P: Runtime, B: Backends>(node: &ControlNode<P, B>) -> bool {
+/// Whether this replica leads and a suspicion has expired by the wall clock and by this process's monotonic clock.
+fn expiry_is_due<P: Runtime, B: Backends>(node: &ControlNode<P, B>) -> bool {
     let now = node.inner.platform.monotonic();
     let unix_ms = node.inner.platform.unix_milliseconds();
     let mut watch = node.inner.suspicion_watch.borrow_mut();
--- a/crates/control/src/tasks/trials.rs
+++ b/crates/control/src/tasks/trials.rs
@@ -1,4 +1,4 @@
-//! Ends rights to run suspected work whose holders are not heard any more, so that the work goes on elsewhere.
+//! Expires trial leases whose holders have stopped renewing, so that another process can run the suspected work.
 
 use crate::node::ControlNode;
 use saddlerelay_runtime::Runtime;
@@ -7,29 +7,29 @@
 use saddlerelay_types::suspicion::TrialStanding;
 use std::time::Duration;
 
-/// Pause between looks: little beside the lease of a right.
-const INTERVAL: Duration = Duration::from_millis(100);
+/// Pause between checks; short compared with the lease.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Most lines about single rights at one look.
-const LINES_AT_ONCE: usize = 4;
+/// Maximum number of log lines about single leases per check.
+const MAX_LOG_LINES: usize = 4;
 
-/// Watches on every replica, and ends rights while this one leads.
+/// Observes leases on every replica, and expires them while this one leads.
 pub async fn watch<P: Runtime, B: Backends>(node: ControlNode<P, B>) {
     loop {
-        node.inner.platform.sleep(INTERVAL).await;
+        node.inner.platform.sleep(CHECK_INTERVAL).await;
         let expired = find_expired(&node);
         if expired.is_empty() {
             continue;
         }
-        tell(&expired);
+        log_expired(&expired);
         if let Err(error) = node.commit_gateway(GatewayCommand::ExpireTrials(expired)).await {
-            // It is looked at anew.
-            spdlog::warn!("trials not ended", kv: { reason = format!("{error:?}").as_str() });
+            // Retried at the next check.
+            spdlog::warn!("expired trial leases not committed, will retry", kv: { reason = format!("{error:?}").as_str() });
         }
     }
 }
 
-/// Takes what this replica's state holds; the rights whose lease is over, if this replica leads.
+/// Observes the leases of the applied state; returns those that have expired, if this replica leads.
 fn find_expired<P: Runtime, B: Backends>(node: &ControlNode<P, B>) -> Vec<TrialStanding> {
     let now = node.inner.platform.monotonic();
     let mut watch = node.inner.trial_watch.borrow_mut();
@@ -37,14 +37,14 @@
     node.replica().leading_term().map_or_else(Vec::new, |term| watch.expired(term, now))
 }
 
-fn tell(expired: &[TrialStanding]) {
-    for standing in expired.iter().take(LINES_AT_ONCE) {
-        spdlog::warn!("trial ended, its holder is not heard", kv: {
+fn log_expired(expired: &[TrialStanding]) {
+    for standing in expired.iter().take(MAX_LOG_LINES) {
+        spdlog::warn!("trial lease expired, holder stopped renewing", kv: {
             work = standing.held.work.shown().as_str(),
-            held_by = standing.held.id.holder.0,
+            holder = standing.held.id.holder.0,
             number = standing.held.id.number,
             renewals = standing.renewals,
-            rights_ended = expired.len()
+            leases_expired = expired.len()
         });
     }
 }
--- a/crates/control/src/tasks/usage.rs
+++ b/crates/control/src/tasks/usage.rs
@@ -1,4 +1,4 @@
-//! Commits what relays have counted: the differences of all relays in one log entry at a time.
+//! Commits the usage counts of all relays in batches, one log entry each.
 
 use crate::node::ControlNode;
 use saddlerelay_runtime::Runtime;
@@ -7,20 +7,19 @@
 use saddlerelay_types::usage::RelayUsage;
 use std::time::Duration;
 
-/// Pause between commits: well below the pace at which relays ask, so that a relay is told of its counts by the answer to
-/// the question that brought them.
-const INTERVAL: Duration = Duration::from_millis(100);
+/// Pause between commits; short enough that the reply to the poll that carried the counts can acknowledge them.
+const COMMIT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Commits while this process leads. A relay keeps its counts until it is told that they are committed, so nothing is
-/// lost with what waits here.
+/// Commits queued counts while this process leads. Counts that are dropped here are sent again: a relay keeps them
+/// until their commit is acknowledged.
 pub async fn commit<P: Runtime, B: Backends>(node: ControlNode<P, B>) {
     loop {
-        node.inner.platform.sleep(INTERVAL).await;
-        let waiting: Vec<RelayUsage> = node.inner.usage_inbox.borrow_mut().drain(..).collect();
-        if waiting.is_empty() || node.replica().leading_term().is_none() {
+        node.inner.platform.sleep(COMMIT_INTERVAL).await;
+        let pending: Vec<RelayUsage> = node.inner.usage_inbox.borrow_mut().drain(..).collect();
+        if pending.is_empty() || node.replica().leading_term().is_none() {
             continue;
         }
-        if let Err(error) = node.commit_gateway(GatewayCommand::AddUsage(waiting)).await {
+        if let Err(error) = node.commit_gateway(GatewayCommand::AddUsage(pending)).await {
             spdlog::warn!("usage not committed", kv: { reason = format!("{error:?}").as_str() });
         }
     }
