--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -1,16 +1,16 @@
-//! A coordinator and what its parts share.
+//! The coordinator and the state shared by its tasks.
 
 use crate::config::CoordinatorConfig;
 use crate::dialect::EngineDialect;
 use crate::fleet::Fleet;
-use crate::homes::Homes;
 use crate::job_run::JobRun;
-use crate::lost_connections::LeaderGroup;
+use crate::lost_connections::LocalTrialGroup;
 use crate::metrics::CoordinatorMetrics;
+use crate::model_assignments::ModelAssignments;
 use crate::scorers::Scorers;
-use crate::waits::WaitLines;
+use crate::waits::WaitLog;
 use crate::working_set::WorkingSet;
-use crate::working_set_policy::{DemandWithReserve, WorkingSetPolicy};
+use crate::working_set_policy::{DemandWithHeadroom, WorkingSetPolicy};
 use saddlerelay_control::node::ControlNode;
 use saddlerelay_control_client::trials::TrialKeeper;
 use saddlerelay_runtime::Runtime;
@@ -25,7 +25,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The process's control node.
+/// The control node of this process.
 pub type LeaderNode<B> = ControlNode<CompioRuntime, B>;
 
 pub(crate) struct Inner<B: Backends> {
@@ -37,43 +37,44 @@
     pub pool: Pool,
     pub fleet: Fleet,
     pub scorers: Scorers,
-    pub homes: RefCell<Homes>,
-    /// The engines that items go to and that are kept up to date.
+    pub model_assignments: RefCell<ModelAssignments>,
+    /// Engines that receive items and weight orders.
     pub working_set: RefCell<WorkingSet>,
     pub working_set_policy: Box<dyn WorkingSetPolicy>,
-    /// The revision of the instance table for which engines that are gone were last forgotten.
-    pub forgotten_at: Cell<u64>,
-    /// Items that wait for an engine, by model.
-    pub waiting: RefCell<BTreeMap<String, u32>>,
-    /// The version of each model that items wait for and no engine holds; see [`crate::plan::Plan`].
-    pub awaited: RefCell<BTreeMap<String, u64>>,
-    /// Bounds what is told of items that wait.
-    pub wait_lines: WaitLines,
+    /// Revision of the instance table at which state of removed engines was last pruned.
+    pub pruned_revision: Cell<u64>,
+    /// Number of items waiting for an engine, by model.
+    pub waiting_items: RefCell<BTreeMap<String, u32>>,
+    /// For each model, the version that waiting items require and no eligible engine has; see [`crate::plan::Plan`].
+    pub awaited_versions: RefCell<BTreeMap<String, u64>>,
+    /// Rate limits log lines about waiting items.
+    pub wait_log: WaitLog,
+    /// Checks whether an engine process has terminated.
     pub ended_checks: EndedChecks,
-    /// The rights to run suspected items that this process holds.
-    pub trials: Rc<TrialKeeper<CompioRuntime, LeaderGroup<B>>>,
+    /// Trials of suspected work that this process holds.
+    pub trials: Rc<TrialKeeper<CompioRuntime, LocalTrialGroup<B>>>,
     pub metrics: CoordinatorMetrics,
-    /// The jobs of this term.
+    /// Jobs run in the current term.
     pub jobs: RefCell<BTreeMap<JobId, JobRun>>,
-    /// Outcomes that wait to be committed.
+    /// Outcomes not committed yet, by job.
     pub outcomes: RefCell<BTreeMap<JobId, Vec<ItemOutcome>>>,
     pub outcomes_waiting: Signal,
-    /// An item has ended, or something else calls for a new plan.
+    /// Notified when an item ends or another change requires a new plan.
     pub replan: Signal,
-    /// The term that jobs and fleet belong to.
+    /// Term to which `jobs` and `fleet` belong.
     pub term: Cell<u64>,
 }
 
-/// Who a coordinator is.
+/// Identity of a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoordinatorIdentity {
-    /// The name that its orders carry.
+    /// Name sent in orders as the grant holder.
     pub name: String,
-    /// Where it stands; engines there are preferred where nothing else decides.
+    /// Zone of this process; engines in it are preferred for scoring, other criteria being equal.
     pub zone: String,
 }
 
-/// The coordinator. Clones are the same one.
+/// Handle to the coordinator; clones share its state.
 pub struct Coordinator<B: Backends> {
     pub(crate) inner: Rc<Inner<B>>,
 }
@@ -85,7 +86,7 @@
 }
 
 impl<B: Backends> Coordinator<B> {
-    /// Starts the tasks; they act while `node` leads its group.
+    /// Starts the coordinator's tasks, which act only while `node` leads its group.
     pub fn start(
         runtime: CompioRuntime,
         node: LeaderNode<B>,
@@ -94,8 +95,8 @@
         dialect: Box<dyn EngineDialect>,
         config: CoordinatorConfig,
     ) -> Self {
-        let pool = Pool::new(Rc::new(names), config.connect_limit);
-        let trials = TrialKeeper::start(runtime.clone(), LeaderGroup(node.clone()));
+        let pool = Pool::new(Rc::new(names), config.connect_timeout);
+        let trials = TrialKeeper::start(runtime.clone(), LocalTrialGroup(node.clone()));
         let inner = Inner {
             runtime: runtime.clone(),
             node,
@@ -106,13 +107,13 @@
             pool,
             fleet: Fleet::default(),
             scorers: Scorers::new(identity.zone),
-            homes: RefCell::default(),
+            model_assignments: RefCell::default(),
             working_set: RefCell::default(),
-            working_set_policy: Box::new(DemandWithReserve),
-            forgotten_at: Cell::new(0),
-            waiting: RefCell::default(),
-            awaited: RefCell::default(),
-            wait_lines: WaitLines::default(),
+            working_set_policy: Box::new(DemandWithHeadroom),
+            pruned_revision: Cell::new(0),
+            waiting_items: RefCell::default(),
+            awaited_versions: RefCell::default(),
+            wait_log: WaitLog::default(),
             ended_checks: EndedChecks::default(),
             metrics: CoordinatorMetrics::default(),
             jobs: RefCell::default(),
@@ -123,9 +124,9 @@
         };
         let coordinator = Self { inner: Rc::new(inner) };
         runtime.spawn(crate::runner::run(coordinator.clone()));
-        runtime.spawn(crate::listing::list_results(coordinator.clone()));
-        runtime.spawn(crate::listing::keep_texts(coordinator.clone()));
-        runtime.spawn(crate::orders::give_orders(coordinator.clone()));
+        runtime.spawn(crate::listing::commit_results(coordinator.clone()));
+        runtime.spawn(crate::listing::save_partial_texts(coordinator.clone()));
+        runtime.spawn(crate::orders::issue_orders(coordinator.clone()));
         coordinator
     }
 
@@ -142,7 +143,7 @@
         self.inner.pool.names()
     }
 
-    /// Whether this process still leads `term`, by its clock at this moment.
+    /// Whether this process currently leads in `term`, according to its local clock.
     pub(crate) fn leads(&self, term: u64) -> bool {
         self.inner.node.replica().leading_term() == Some(term)
     }
--- a/crates/coordinator/src/dialect.rs
+++ b/crates/coordinator/src/dialect.rs
@@ -1,36 +1,36 @@
-//! How engines are told what to do, and how they tell what they have. The formats are the deployment's.
+//! The engine's request and response formats for weight orders and reports, defined by the deployment.
 
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
 use saddlerelay_types::instance::{InstanceId, LoadedModel};
 use serde::{Deserialize, Serialize};
 
-/// An order to change a model's weights.
+/// An order to load a weight version of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionOrder {
-    /// The model and the version it is to have.
+    /// The model and the version to load.
     pub target: LoadedModel,
-    /// Who gives the order.
+    /// Name of the process that sends the order.
     pub holder: String,
-    /// Rises with each holder; engines refuse a lower one.
+    /// Fencing token, which increases with each holder; engines reject orders with a lower one.
     pub fence: u64,
-    /// Orders that the engine must have taken before this one.
+    /// Number of orders that the engine must have accepted before this one.
     pub orders_taken: u64,
-    /// What becomes of the model's running streams.
+    /// How the load treats running streams of the model.
     pub running: RunningStreams,
 }
 
-/// What becomes of streams that run when a model's weights change.
+/// How a weight load treats running streams of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunningStreams {
-    /// They end first.
+    /// Running streams finish before the load starts.
     Wait,
-    /// They go on under the new weights.
+    /// Running streams continue with the new weights.
     Keep,
 }
 
-/// A call to an engine.
+/// An HTTP request to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     /// The method.
@@ -41,53 +41,53 @@
     pub body: Bytes,
 }
 
-/// What an engine tells of itself when asked.
+/// An engine's response to a report request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// What it has loaded.
+    /// Loaded models and their versions.
     pub models: Vec<LoadedModel>,
-    /// An order is under way.
+    /// Whether the engine is executing an order.
     pub busy: bool,
-    /// Orders taken since it started.
+    /// Number of orders accepted since the engine started.
     pub orders_taken: u64,
-    /// When it started, in Unix milliseconds, if it tells.
+    /// Start of the engine in Unix milliseconds, if the engine reports it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_at_ms: Option<u64>,
 }
 
 impl EngineReport {
-    /// Whether this start of an engine may have told it. One that tells no start is believed: it came over a connection to
-    /// the engine itself.
+    /// Whether the report may come from this incarnation of the engine. A report without a start time is accepted,
+    /// because it was received directly from the engine's address.
     pub fn may_be_of(&self, instance: &InstanceId) -> bool {
         match (self.started_at_ms, instance.started_at_ms) {
-            (Some(told), Some(wanted)) => told == wanted,
+            (Some(reported), Some(expected)) => reported == expected,
             _ => true,
         }
     }
 }
 
-/// What an engine answered to an order.
+/// The meaning of an engine's response to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is being done.
+    /// The order was accepted and is being executed.
     Taken,
-    /// It holds already.
+    /// The version is already loaded.
     Holds,
-    /// Another is under way, or the count of orders differs.
+    /// Another order is being executed, or `orders_taken` does not match.
     Conflict,
-    /// It has seen a higher fence.
+    /// The engine has seen a higher fencing token.
     Fenced,
-    /// Another instance has the address.
+    /// Another instance is listening at the address.
     OtherInstance,
-    /// It cannot be done.
+    /// The order was rejected for any other reason.
     Refused,
 }
 
-/// The deployment's formats.
+/// The deployment's formats for calls to engines.
 pub trait EngineDialect: 'static {
-    /// The call that gives an order.
+    /// Builds a weight order.
     fn order(&self, order: &VersionOrder) -> Call;
-    /// What the status of its answer means.
+    /// Interprets the response status of a weight order.
     fn order_answer(&self, status: StatusCode) -> OrderAnswer {
         match status {
             StatusCode::ACCEPTED => OrderAnswer::Taken,
@@ -98,8 +98,8 @@
             _ => OrderAnswer::Refused,
         }
     }
-    /// The call that asks for a report.
+    /// Builds a report request.
     fn report(&self) -> Call;
-    /// Reads a report.
+    /// Parses a report; `None` if it is malformed.
     fn read_report(&self, body: &[u8]) -> Option<EngineReport>;
 }
--- a/crates/coordinator/src/job_run.rs
+++ b/crates/coordinator/src/job_run.rs
@@ -1,6 +1,6 @@
-//! Where the items of a job stand in this leader's memory.
+//! In-memory state of the items of an open job.
 
-use crate::lengths::{OVERRUN_SHARE, earlier_lengths, expected_tokens, most_tokens};
+use crate::lengths::{OVERRUN_SHARE, earlier_lengths, expected_tokens, max_tokens};
 use crate::text::ItemText;
 use crate::waits::{Wait, WaitReason};
 use compio::runtime::JoinHandle;
@@ -17,96 +17,94 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Where an item stands.
+/// Processing phase of an item.
 pub(crate) enum Phase {
-    /// It waits for an engine.
+    /// Waiting for an engine or for a score call.
     Waiting,
-    /// It runs; dropping the handle ends the request.
+    /// Running at an engine; dropping the handle cancels the request.
     Running { _task: JoinHandle<()>, instance: InstanceId, since: Duration },
-    /// Its text is whole and is being scored; dropping the handle ends the call.
+    /// The complete text is being scored; dropping the handle cancels the call.
     Scoring { _task: JoinHandle<()> },
-    /// It has a result, listed or on its way.
+    /// The item has a result, committed or queued for commit.
     Ended,
 }
 
-/// An item of a job that runs.
+/// State of an item of an open job.
 pub(crate) struct ItemRun {
     pub phase: Phase,
     pub text: Rc<RefCell<ItemText>>,
-    /// Events that its text is expected to have.
+    /// Expected number of events in the complete text.
     pub expected_events: f64,
-    /// Events that its text has at most, where its request says so.
-    pub most_events: Option<f64>,
-    /// Failures that count as attempts.
+    /// Upper bound of events, if the request sets one.
+    pub max_events: Option<f64>,
+    /// Failures that count towards the maximum number of attempts.
     pub failures: u32,
-    /// Not sent before.
+    /// Earliest time of the next attempt.
     pub not_before: Duration,
-    /// What it waits for until then.
+    /// Reason for the delay until `not_before`.
     pub pause_reason: WaitReason,
-    /// How long it has been at no engine.
+    /// Time without an engine.
     pub wait: Wait,
-    /// The engine that failed it last, or that it moved away from.
+    /// The engine of the last failed attempt, or the one that the item was moved away from.
     pub avoid: Option<InstanceId>,
     pub moves: u32,
     pub scoring: ScoringProgress,
-    /// What the item asks for; made only while some work is suspected.
+    /// Digest of the item's work; computed only while any work is suspected.
     pub work: OnceCell<WorkDigest>,
-    /// What its call for a score asks for; likewise.
+    /// Digest of the score call's work; computed only while any work is suspected.
     pub scoring_work: OnceCell<WorkDigest>,
-    /// It has been held back because engines have ended under its work.
-    pub held_back: bool,
+    /// Whether its quarantine was counted and logged.
+    pub quarantine_recorded: bool,
 }
 
-/// How far the scoring of an item's whole text is.
+/// Progress of scoring a complete text.
 pub(crate) struct ScoringProgress {
-    /// Calls begun.
+    /// Calls started.
     pub calls: u32,
-    /// Answers by which the engine said that it failed; only these count as attempts.
+    /// Internal errors of engines; only these count towards the maximum number of attempts.
     pub failures: u32,
     pub not_before: Duration,
-    /// What it waits for until then.
+    /// Reason for the delay until `not_before`.
     pub pause_reason: WaitReason,
-    /// The engine that was called last.
     pub avoid: Option<InstanceId>,
 }
 
 impl Default for ScoringProgress {
     fn default() -> Self {
-        Self { calls: 0, failures: 0, not_before: Duration::ZERO, pause_reason: WaitReason::RetryPause, avoid: None }
+        Self { calls: 0, failures: 0, not_before: Duration::ZERO, pause_reason: WaitReason::RetryDelay, avoid: None }
     }
 }
 
 impl ItemRun {
-    /// Events that are expected to be missing of its text.
+    /// Expected number of events still to be generated.
     pub fn remaining_events(&self) -> f64 {
         let done = f64::from(self.text.borrow().events());
-        // One that has gone beyond what was expected of it is likely to go on for a while.
+        // A text longer than its estimate is expected to grow by a share of its current length.
         let expected = (self.expected_events - done).max(done * OVERRUN_SHARE);
-        match self.most_events {
+        match self.max_events {
             Some(most) => expected.min((most - done).max(1.0)),
             None => expected,
         }
     }
 }
 
-/// A job that runs.
+/// State of an open job.
 pub(crate) struct JobRun {
-    pub seen_at: Duration,
+    pub started_at: Duration,
     pub items: Vec<ItemRun>,
-    /// The items' indexes, those expected to take longest first.
+    /// Item indexes, longest expected texts first.
     pub order: Vec<u32>,
-    /// Mean of the events that its items are expected to have.
+    /// Mean of the items' expected events.
     pub mean_events: f64,
-    /// Where each group's items were last sent.
+    /// The engine that each group's items were last sent to.
     pub group_engines: BTreeMap<String, InstanceId>,
-    /// Groups that came in an earlier job too.
-    pub carried_groups: BTreeSet<String>,
-    /// When moves were last considered.
+    /// Groups with items that an earlier job contained too.
+    pub repeated_groups: BTreeSet<String>,
     pub moves_considered_at: Duration,
 }
 
 impl JobRun {
-    /// Takes a job up where the group's state and earlier jobs leave it.
+    /// Restores a job's items from saved and listed texts of this job and its predecessors.
     pub fn new(job: &Job, state: &ControlState, names: &HeaderNames, tokens_per_event: u32, now: Duration) -> Self {
         let submission = &job.submission;
         let route = state.routing.current().and_then(|document| document.find(&submission.host, &submission.path));
@@ -114,24 +112,24 @@
         let lengths = earlier_lengths(job, state);
         let per_event = f64::from(tokens_per_event.max(1));
         let item = |(index, item): (usize, &JobItem)| {
-            let own = job.partial_text(index as u32).map(ItemText::saved);
-            let text = own.or_else(|| texts.get(&item.id).cloned()).unwrap_or_default();
-            let guess = expected_tokens(item, &names.length_hint) as f64 / per_event;
+            let own_text = job.partial_text(index as u32).map(ItemText::saved);
+            let text = own_text.or_else(|| texts.get(&item.id).cloned()).unwrap_or_default();
+            let estimate = expected_tokens(item, &names.length_hint) as f64 / per_event;
             ItemRun {
                 phase: Phase::Waiting,
                 text: Rc::new(RefCell::new(text)),
-                expected_events: lengths.get(&item.id).map_or(guess, |seen| seen.correct(guess)),
-                most_events: most_tokens(item, &names.token_count).map(|most| (most as f64 / per_event).ceil()),
+                expected_events: lengths.get(&item.id).map_or(estimate, |observed| observed.adjust(estimate)),
+                max_events: max_tokens(item, &names.token_count).map(|tokens| (tokens as f64 / per_event).ceil()),
                 failures: 0,
                 not_before: Duration::ZERO,
-                pause_reason: WaitReason::RetryPause,
+                pause_reason: WaitReason::RetryDelay,
                 wait: Wait::default(),
                 avoid: None,
                 moves: 0,
                 scoring: ScoringProgress::default(),
                 work: OnceCell::new(),
                 scoring_work: OnceCell::new(),
-                held_back: false,
+                quarantine_recorded: false,
             }
         };
         let items: Vec<ItemRun> = submission.items.iter().enumerate().map(item).collect();
@@ -139,46 +137,48 @@
         let expected = |index: &u32| items[*index as usize].expected_events;
         order.sort_by(|left, right| expected(right).total_cmp(&expected(left)));
         let mean_events = items.iter().map(|item| item.expected_events).sum::<f64>() / items.len().max(1) as f64;
-        let carried = submission.items.iter().filter(|item| lengths.contains_key(&item.id));
-        let carried_groups = carried.map(|item| item.group.clone()).collect();
+        let repeated = submission.items.iter().filter(|item| lengths.contains_key(&item.id));
+        let repeated_groups = repeated.map(|item| item.group.clone()).collect();
         Self {
-            seen_at: now,
+            started_at: now,
             items,
             order,
             mean_events,
             group_engines: BTreeMap::new(),
-            carried_groups,
+            repeated_groups,
             moves_considered_at: Duration::ZERO,
         }
     }
 }
 
-/// The text of a listed item, if memory still holds it; one that is only on disk is made again.
-fn whole_text(listed: &ListedItem, state: &ControlState) -> Option<ItemText> {
+/// The text of a listed item if it is in memory; a text that is only on disk is not loaded but generated again.
+fn listed_text(listed: &ListedItem, state: &ControlState) -> Option<ItemText> {
     let loaded = LoadedTexts::default();
     let text = state.jobs.texts().text(&listed.text, &loaded)?;
     Some(ItemText::whole(text, &listed.versions))
 }
 
-/// What earlier jobs have left of this job's items, where it may stand in this one.
+/// Texts of identical items in earlier jobs, where this job may reuse them.
 fn earlier_texts(job: &Job, state: &ControlState, route: Option<&Route>) -> BTreeMap<ItemId, ItemText> {
     let mut texts = BTreeMap::new();
     let Some(route) = route else {
         return texts;
     };
     let indexed = job.submission.items.iter().enumerate();
-    let wanted: BTreeMap<&ItemId, Option<u64>> =
+    let wanted_items: BTreeMap<&ItemId, Option<u64>> =
         indexed.map(|(index, item)| (&item.id, job.digest(index as u32))).collect();
     for earlier in state.jobs.predecessors(&job.submission.id) {
         for (index, item) in earlier.submission.items.iter().enumerate() {
-            let same = wanted.get(&item.id).is_some_and(|wanted| *wanted == earlier.digest(index as u32));
-            if !same || texts.contains_key(&item.id) {
+            let has_same_content =
+                wanted_items.get(&item.id).is_some_and(|wanted_digest| *wanted_digest == earlier.digest(index as u32));
+            if !has_same_content || texts.contains_key(&item.id) {
                 continue;
             }
-            let whole = earlier.completed(index as u32).and_then(|listed| whole_text(listed, state));
+            let whole = earlier.completed(index as u32).and_then(|listed| listed_text(listed, state));
             let partial = earlier.partial_text(index as u32).filter(|_| route.resumable).map(ItemText::unsaved);
-            let fits = |text: &ItemText| text.fits(job.submission.minimum_version, route.batch.single_version);
-            if let Some(text) = whole.or(partial).filter(fits) {
+            let is_usable =
+                |text: &ItemText| text.satisfies(job.submission.minimum_version, route.batch.single_version);
+            if let Some(text) = whole.or(partial).filter(is_usable) {
                 texts.insert(item.id.clone(), text);
             }
         }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,16 +1,14 @@
-//! What the control group's leader does with engines.
+//! Runs batch jobs and orders weight loads on engines while this process leads the control group.
 //!
-//! `runner` plans which item of which batch job runs where, `item` runs one, `scoring` has a whole text scored by one of
-//! the engines that `scorers` chooses among, `listing` commits what they bring, `orders`
-//! brings engines to the weight versions that trainers name, `working_set` says which engines all this is done with, and
-//! `fleet` remembers what is known of each engine. All of
-//! it lives in the leader's memory: a new leader starts from the committed jobs and versions.
+//! `runner` assigns items of batch jobs to engines, `item` runs one item, `scoring` sends a completed text to one of
+//! the engines chosen by `scorers`, `listing` commits results, `orders` brings engines to the weight versions that
+//! trainers publish, `working_set` selects the engines in use, and `fleet` caches the observed state of each engine.
+//! This state is held in the leader's memory only; a new leader rebuilds it from the committed jobs and versions.
 
 pub mod config;
 pub mod coordinator;
 pub mod dialect;
 pub mod fleet;
-pub mod homes;
 pub mod item;
 mod job_run;
 mod lengths;
@@ -18,6 +16,7 @@
 pub mod load_order;
 mod lost_connections;
 pub mod metrics;
+pub mod model_assignments;
 mod moves;
 pub mod orders;
 pub mod pace;
--- a/crates/coordinator/src/listing.rs
+++ b/crates/coordinator/src/listing.rs
@@ -1,4 +1,4 @@
-//! Commits results, gathered for a moment, and now and then the texts of items that still run.
+//! Commits item results in batches, and periodically saves texts of running items.
 
 use crate::coordinator::Coordinator;
 use crate::job_run::Phase;
@@ -11,35 +11,35 @@
 use saddlerelay_types::job::{ItemOutcome, JobId, TextPart};
 use std::time::Duration;
 
-/// How long results are gathered.
-const GATHER: Duration = Duration::from_millis(4);
+/// How long results are collected into a batch.
+const BATCH_DELAY: Duration = Duration::from_millis(4);
 
-/// Pause before results that were not taken are proposed again.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before results are proposed again after the log was overloaded.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Most bytes of text in one command.
-const COMMAND_BYTES: usize = 128 * 1024;
+/// A command takes no further entry once it has this many bytes of text.
+const MAX_COMMAND_BYTES: usize = 128 * 1024;
 
-/// Fewest bytes of a running item's text that are kept by themselves.
-const LEAST_PART_BYTES: usize = 2 * 1024;
+/// Minimum number of unsaved bytes for which the text of a running item is saved.
+const MIN_PART_BYTES: usize = 2 * 1024;
 
 impl<B: Backends> Coordinator<B> {
-    /// Has an item's outcome committed.
-    pub(crate) fn list(&self, job: &JobId, outcome: ItemOutcome) {
+    /// Queues an item's outcome for commit.
+    pub(crate) fn queue_outcome(&self, job: &JobId, outcome: ItemOutcome) {
         self.inner.outcomes.borrow_mut().entry(job.clone()).or_default().push(outcome);
         self.inner.outcomes_waiting.notify();
     }
 
-    /// What the group does not hold of running items' texts.
+    /// Unsaved parts of the texts of running items.
     fn unsaved_parts(&self) -> Vec<(JobId, Vec<TextPart>)> {
         let jobs = self.inner.jobs.borrow();
         let unsaved = jobs.iter().map(|(id, run)| {
             let not_ended = run.items.iter().enumerate().filter(|(_, item)| !matches!(item.phase, Phase::Ended));
             let parts = not_ended.filter_map(|(index, item)| {
                 let text = item.text.borrow();
-                // The next leader need not have a whole text made again before it can be scored.
-                let worth_keeping = text.unsaved_bytes() >= LEAST_PART_BYTES || text.is_unsaved_as_whole();
-                worth_keeping.then(|| text.unsaved_part(index as u32))
+                // A complete text is always saved, so that the next leader can score it without generating it again.
+                let worth_saving = text.unsaved_bytes() >= MIN_PART_BYTES || text.is_completion_unsaved();
+                worth_saving.then(|| text.unsaved_part(index as u32))
             });
             (id.clone(), parts.collect::<Vec<_>>())
         });
@@ -59,51 +59,51 @@
     }
 }
 
-/// Commits results until the process ends.
-pub(crate) async fn list_results<B: Backends>(coordinator: Coordinator<B>) {
+/// Commits queued results; runs until the process ends.
+pub(crate) async fn commit_results<B: Backends>(coordinator: Coordinator<B>) {
     let inner = &coordinator.inner;
     loop {
         let seen = inner.outcomes_waiting.count();
         if inner.outcomes.borrow().is_empty() {
             inner.outcomes_waiting.changed(seen).await;
         }
-        inner.runtime.sleep(GATHER).await;
+        inner.runtime.sleep(BATCH_DELAY).await;
         let waiting = std::mem::take(&mut *inner.outcomes.borrow_mut());
         let parts = waiting.into_iter().flat_map(|(job, outcomes)| {
-            let parts = in_commands(outcomes, |outcome| outcome.rest.data.len());
+            let parts = split_into_commands(outcomes, |outcome| outcome.rest.data.len());
             parts.into_iter().map(move |part| (job.clone(), part))
         });
-        // All are proposed at once: the log takes them in few writes.
-        join_all(parts.map(|(job, part)| commit(&coordinator, job, part))).await;
+        // Proposed concurrently, so that the log can batch them.
+        join_all(parts.map(|(job, part)| commit_outcomes(&coordinator, job, part))).await;
     }
 }
 
-/// Keeps the texts of running items until the process ends, so that the next leader goes on where this one stops.
-pub(crate) async fn keep_texts<B: Backends>(coordinator: Coordinator<B>) {
+/// Periodically saves the texts of running items, so that the next leader can resume them; runs until the process ends.
+pub(crate) async fn save_partial_texts<B: Backends>(coordinator: Coordinator<B>) {
     let inner = &coordinator.inner;
     loop {
         inner.runtime.sleep(inner.config.keep_interval).await;
         let unsaved = coordinator.unsaved_parts().into_iter().flat_map(|(job, parts)| {
-            let commands = in_commands(parts, |part| part.data.len());
+            let commands = split_into_commands(parts, |part| part.data.len());
             commands.into_iter().map(move |parts| (job.clone(), parts))
         });
-        join_all(unsaved.map(|(job, parts)| keep(&coordinator, job, parts))).await;
+        join_all(unsaved.map(|(job, parts)| save_parts(&coordinator, job, parts))).await;
     }
 }
 
-async fn keep<B: Backends>(coordinator: &Coordinator<B>, job: JobId, parts: Vec<TextPart>) {
+async fn save_parts<B: Backends>(coordinator: &Coordinator<B>, job: JobId, parts: Vec<TextPart>) {
     let command = GatewayCommand::KeepTexts { job: job.clone(), parts: parts.clone() };
     if coordinator.inner.node.commit_gateway(command).await == Ok(GatewayOutcome::Done) {
         coordinator.mark_saved(&job, &parts);
     }
 }
 
-/// Cuts a list into pieces for commands of a bounded size.
-fn in_commands<T>(list: Vec<T>, size: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
+/// Splits a list into commands of bounded size.
+fn split_into_commands<T>(entries: Vec<T>, size: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
     let mut pieces: Vec<Vec<T>> = Vec::new();
-    let mut bytes = COMMAND_BYTES;
-    for entry in list {
-        if bytes >= COMMAND_BYTES {
+    let mut bytes = MAX_COMMAND_BYTES;
+    for entry in entries {
+        if bytes >= MAX_COMMAND_BYTES {
             pieces.push(Vec::new());
             bytes = 0;
         }
@@ -115,24 +115,24 @@
     pieces
 }
 
-/// Commits outcomes. What is not committed because leadership was lost is run again by the next leader.
-async fn commit<B: Backends>(coordinator: &Coordinator<B>, job: JobId, outcomes: Vec<ItemOutcome>) {
+/// Commits outcomes, retrying while the log is overloaded. If leadership is lost, the next leader runs the items again.
+async fn commit_outcomes<B: Backends>(coordinator: &Coordinator<B>, job: JobId, outcomes: Vec<ItemOutcome>) {
     let count = outcomes.len();
     loop {
         let command = GatewayCommand::ListResults { job: job.clone(), outcomes: outcomes.clone() };
         match coordinator.inner.node.commit_gateway(command).await {
-            Ok(GatewayOutcome::TextMissing(items)) => coordinator.list_whole(&job, &items, &outcomes),
+            Ok(GatewayOutcome::TextMissing(items)) => coordinator.relist_full_texts(&job, &items, &outcomes),
             Ok(outcome) => {
-                spdlog::info!("results listed", kv: {
+                spdlog::info!("item results committed", kv: {
                     job = job.0.as_str(), results = count, outcome = format!("{outcome:?}").as_str()
                 });
                 coordinator.release_texts(&job, &outcomes);
             }
             Err(ProposeError::Overloaded) => {
-                coordinator.inner.runtime.sleep(RETRY_PAUSE).await;
+                coordinator.inner.runtime.sleep(RETRY_DELAY).await;
                 continue;
             }
-            Err(error) => spdlog::warn!("results not listed", kv: {
+            Err(error) => spdlog::warn!("item results not committed", kv: {
                 job = job.0.as_str(), results = count, reason = format!("{error:?}").as_str()
             }),
         }
@@ -141,7 +141,7 @@
 }
 
 impl<B: Backends> Coordinator<B> {
-    /// Forgets the texts of listed items: the group holds them.
+    /// Releases the texts of items whose results are committed.
     fn release_texts(&self, job: &JobId, outcomes: &[ItemOutcome]) {
         let jobs = self.inner.jobs.borrow();
         let Some(run) = jobs.get(job) else {
@@ -154,23 +154,25 @@
         }
     }
 
-    /// Sends whole texts where the group does not hold their beginnings.
-    fn list_whole(&self, job: &JobId, items: &[u32], outcomes: &[ItemOutcome]) {
-        let whole: Vec<ItemOutcome> = {
+    /// Queues outcomes again with their full text, for items whose saved text the group does not hold.
+    fn relist_full_texts(&self, job: &JobId, items: &[u32], outcomes: &[ItemOutcome]) {
+        let full_outcomes: Vec<ItemOutcome> = {
             let jobs = self.inner.jobs.borrow();
             let run = jobs.get(job);
             let items = items.iter().filter_map(|index| Some((*index, run?.items.get(*index as usize)?)));
-            let again = items.map(|(index, item)| {
+            let full = items.map(|(index, item)| {
                 let score = outcomes.iter().find(|outcome| outcome.rest.item == index)?.score.clone();
                 let mut text = item.text.borrow_mut();
-                text.forget_saved();
+                text.reset_saved();
                 Some(text.outcome(index, score))
             });
-            again.flatten().collect()
+            full.flatten().collect()
         };
-        spdlog::warn!("texts sent again whole", kv: { job = job.0.as_str(), items = whole.len() });
-        for outcome in whole {
-            self.list(job, outcome);
+        spdlog::warn!("saved text missing; full texts queued again", kv: {
+            job = job.0.as_str(), items = full_outcomes.len()
+        });
+        for outcome in full_outcomes {
+            self.queue_outcome(job, outcome);
         }
     }
 }
--- a/crates/coordinator/src/load_order.rs
+++ b/crates/coordinator/src/load_order.rs
@@ -1,98 +1,98 @@
-//! Which changes of weights come first where not all that are due can run at once.
+//! Prioritizes weight loads when more are due than may run concurrently.
 //!
-//! An engine that is two versions behind can serve no step. Where items wait for its model, it is brought up to date
-//! before any other: first for the model with most waiting items for each engine that can serve them, or soon will.
+//! An engine two or more versions behind cannot serve the next step. If items wait for its model, it loads first; among
+//! such models, the one with the most waiting items per engine that serves it or is loading it has priority.
 
 use saddlerelay_types::instance::InstanceId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A change of weights that is due.
+/// A weight load that is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DueLoad {
     /// The engine.
     pub instance: InstanceId,
     /// The model.
     pub model: String,
-    /// The engine can serve no step of the model until then.
-    pub useless: bool,
-    /// Versions that the engine is behind.
+    /// Whether the engine cannot serve the model's next step until it has loaded.
+    pub cannot_serve: bool,
+    /// Number of versions that the engine is behind.
     pub behind: u64,
-    /// Items at the engine.
+    /// Items in flight at the engine.
     pub in_flight: u32,
 }
 
-/// What a model's items ask for, and who can serve them.
+/// Waiting items of a model and the engines that can serve them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ModelNeed {
-    /// Items that wait for an engine.
+pub struct ModelBacklog {
+    /// Items waiting for an engine.
     pub waiting: u32,
-    /// Engines that can serve them, or are being brought to it.
+    /// Engines that can serve them or are loading the model.
     pub engines: u32,
 }
 
-impl ModelNeed {
-    fn pressure(&self) -> f64 {
+impl ModelBacklog {
+    fn waiting_per_engine(&self) -> f64 {
         f64::from(self.waiting) / f64::from(self.engines + 1)
     }
 }
 
-/// Loads that are alike but for their engines.
+/// Loads of equal priority that differ only in their engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Kind<'a> {
+struct LoadClass<'a> {
     model: &'a str,
-    useless: bool,
+    cannot_serve: bool,
     behind: u64,
 }
 
-/// Chooses up to `most` loads, one for each engine; returns their places in `due`, the first to be given first.
+/// Chooses up to `limit` loads, at most one per engine. Returns indexes into `due`, in order of priority.
 ///
-/// Loads are told apart by kind, of which there are a few for each model: what a choice costs does not grow with what is
-/// due.
-pub fn choose_loads(due: &[DueLoad], needs: &BTreeMap<String, ModelNeed>, most: usize) -> Vec<usize> {
-    let mut needs = needs.clone();
-    let mut places: Vec<usize> = (0..due.len()).collect();
-    // Of those alike, one whose slots are free serves soonest.
-    places.sort_by_key(|place| due[*place].in_flight);
-    let mut kinds: BTreeMap<Kind<'_>, VecDeque<(usize, usize)>> = BTreeMap::new();
-    for (order, place) in places.into_iter().enumerate() {
-        let load = &due[place];
-        let kind = Kind { model: &load.model, useless: load.useless, behind: load.behind };
-        kinds.entry(kind).or_default().push_back((order, place));
+/// Loads are grouped by class, of which each model has only a few, so that the cost of one choice does not grow with
+/// the number of due loads.
+pub fn choose_loads(due: &[DueLoad], backlogs: &BTreeMap<String, ModelBacklog>, limit: usize) -> Vec<usize> {
+    let mut backlogs = backlogs.clone();
+    let mut indexes: Vec<usize> = (0..due.len()).collect();
+    // Within a class, the engine with the fewest items in flight loads first.
+    indexes.sort_by_key(|index| due[*index].in_flight);
+    let mut classes: BTreeMap<LoadClass<'_>, VecDeque<(usize, usize)>> = BTreeMap::new();
+    for (position, index) in indexes.into_iter().enumerate() {
+        let load = &due[index];
+        let class = LoadClass { model: &load.model, cannot_serve: load.cannot_serve, behind: load.behind };
+        classes.entry(class).or_default().push_back((position, index));
     }
-    let mut taken: BTreeSet<&InstanceId> = BTreeSet::new();
+    let mut used_engines: BTreeSet<&InstanceId> = BTreeSet::new();
     let mut chosen = Vec::new();
-    while chosen.len() < most {
-        for left in kinds.values_mut() {
-            while left.front().is_some_and(|(_, place)| taken.contains(&due[*place].instance)) {
-                left.pop_front();
+    while chosen.len() < limit {
+        for remaining in classes.values_mut() {
+            while remaining.front().is_some_and(|(_, index)| used_engines.contains(&due[*index].instance)) {
+                remaining.pop_front();
             }
         }
-        let Some(kind) = most_urgent(&kinds, &needs) else {
+        let Some(class) = most_urgent(&classes, &backlogs) else {
             break;
         };
-        let Some((_, place)) = kinds.get_mut(&kind).and_then(VecDeque::pop_front) else {
+        let Some((_, index)) = classes.get_mut(&class).and_then(VecDeque::pop_front) else {
             break;
         };
-        needs.entry(kind.model.to_string()).or_default().engines += 1;
-        taken.insert(&due[place].instance);
-        chosen.push(place);
+        backlogs.entry(class.model.to_string()).or_default().engines += 1;
+        used_engines.insert(&due[index].instance);
+        chosen.push(index);
     }
     chosen
 }
 
-/// The kind whose first load is to be given first; of equally urgent ones that with the freer engine.
+/// The class with the highest priority; ties go to the engine with fewer items in flight.
 fn most_urgent<'a>(
-    kinds: &BTreeMap<Kind<'a>, VecDeque<(usize, usize)>>,
-    needs: &BTreeMap<String, ModelNeed>,
-) -> Option<Kind<'a>> {
-    let urgency = |kind: &Kind<'_>| {
-        let need = needs.get(kind.model).copied().unwrap_or_default();
-        if kind.useless { need.pressure() } else { 0.0 }
+    classes: &BTreeMap<LoadClass<'a>, VecDeque<(usize, usize)>>,
+    backlogs: &BTreeMap<String, ModelBacklog>,
+) -> Option<LoadClass<'a>> {
+    let urgency = |class: &LoadClass<'_>| {
+        let backlog = backlogs.get(class.model).copied().unwrap_or_default();
+        if class.cannot_serve { backlog.waiting_per_engine() } else { 0.0 }
     };
-    let left = kinds.iter().filter_map(|(kind, loads)| Some((*kind, loads.front()?.0)));
-    let first = left.min_by(|(left, left_order), (right, right_order)| {
-        let awaited = urgency(right).total_cmp(&urgency(left));
-        awaited.then(right.behind.cmp(&left.behind)).then(left_order.cmp(right_order))
+    let remaining = classes.iter().filter_map(|(class, loads)| Some((*class, loads.front()?.0)));
+    let first = remaining.min_by(|(left, left_position), (right, right_position)| {
+        let by_urgency = urgency(right).total_cmp(&urgency(left));
+        by_urgency.then(right.behind.cmp(&left.behind)).then(left_position.cmp(right_position))
     });
-    first.map(|(kind, _)| kind)
+    first.map(|(class, _)| class)
 }
--- a/crates/coordinator/src/lost_connections.rs
+++ b/crates/coordinator/src/lost_connections.rs
@@ -1,5 +1,7 @@
-//! Looks into connections that engines have lost under an item or a call for a score, and holds work back under which
-//! engine after engine has ended.
+//! Detects engines that terminated while running an item or a score call.
+//!
+//! Such work is suspected of crashing engines. It runs again only under a trial, an exclusive right granted by the
+//! control group, and not at all while it is quarantined.
 
 use crate::coordinator::{Coordinator, LeaderNode};
 use futures::future::{self, Either};
@@ -17,47 +19,47 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// What is about to run at an engine: an item, or a call for its score.
-pub(crate) trait SuspectedRun {
-    /// Whose item it is.
+/// Work to run at an engine: an attempt of an item, or its score call.
+pub(crate) trait EngineWork {
+    /// The item that the work belongs to.
     fn item(&self) -> &ItemId;
-    /// What it asks for.
+    /// Digest that identifies the work across attempts.
     fn work_digest(&self) -> WorkDigest;
-    /// When it is over at the latest, if it begins at `now`.
-    fn ends_by(&self, now: Duration) -> Duration;
+    /// Latest end if the work starts at `now`.
+    fn latest_end(&self, now: Duration) -> Duration;
 }
 
-/// Another try of the same work is under way, or this process does not lead.
+/// The trial was denied: another attempt of the same work is running, or this process is not leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TrialTaken;
 
-/// The right to run suspected work of an item.
-pub(crate) type ItemTrial<B> = TrialGuard<CompioRuntime, LeaderGroup<B>>;
+/// A granted trial of suspected work.
+pub(crate) type ItemTrial<B> = TrialGuard<CompioRuntime, LocalTrialGroup<B>>;
 
-/// Runs `attempt`, and ends it when the right to run its suspected work is another's: `None` then.
-pub(crate) async fn while_held<B: Backends, T>(
+/// Runs `attempt`; cancels it and returns `None` if its trial is lost.
+pub(crate) async fn run_while_held<B: Backends, T>(
     trial: Option<&ItemTrial<B>>,
     attempt: impl Future<Output = T>,
 ) -> Option<T> {
-    let Some(held) = trial else {
+    let Some(held_trial) = trial else {
         return Some(attempt.await);
     };
-    match future::select(pin!(attempt), pin!(held.lost())).await {
+    match future::select(pin!(attempt), pin!(held_trial.lost())).await {
         Either::Left((end, _)) => Some(end),
         Either::Right(_) => None,
     }
 }
 
-/// The control group as its leader asks it.
-pub(crate) struct LeaderGroup<B: Backends>(pub LeaderNode<B>);
+/// Trial operations committed by the local control node.
+pub(crate) struct LocalTrialGroup<B: Backends>(pub LeaderNode<B>);
 
-impl<B: Backends> LeaderGroup<B> {
+impl<B: Backends> LocalTrialGroup<B> {
     async fn commit(&self, command: GatewayCommand) -> Result<GatewayOutcome, NoAnswer> {
         self.0.commit_gateway(command).await.map_err(|error| format!("{error:?}"))
     }
 }
 
-impl<B: Backends> TrialGroup for LeaderGroup<B> {
+impl<B: Backends> TrialGroup for LocalTrialGroup<B> {
     async fn begin(&self, request: TrialRequest) -> Result<TrialAnswer, NoAnswer> {
         self.0.begin_trial(request).await.map_err(|error| format!("{error:?}"))
     }
@@ -76,47 +78,47 @@
 }
 
 impl<B: Backends> Coordinator<B> {
-    /// Finds out whether the engine at `target` has ended under work that belongs to an item, says so, and has the group
-    /// take it as evidence.
-    pub(crate) async fn look_into_lost_connection(&self, item: &ItemId, work: WorkDigest, target: &EngineTarget) {
+    /// Checks whether the engine at `target` terminated when a connection was lost while it ran `work`. If the engine
+    /// was ready, its termination is committed as evidence against the work.
+    pub(crate) async fn investigate_lost_connection(&self, item: &ItemId, work: WorkDigest, target: &EngineTarget) {
         let inner = &self.inner;
         let ended = inner.ended_checks.has_ended(target.address).await;
-        // One that was leaving has ended for a reason of its own.
+        // An engine that was draining is expected to terminate.
         let record_state = |state: &ControlState| state.instances.get(&target.instance).map(|record| record.state);
-        let counts = ended && inner.node.read(record_state).flatten() == Some(InstanceState::Ready);
-        spdlog::warn!("connection lost under an item", kv: {
+        let is_evidence = ended && inner.node.read(record_state).flatten() == Some(InstanceState::Ready);
+        spdlog::warn!("engine connection lost while running item", kv: {
             item = item.0.as_str(),
             work = work.shown().as_str(),
             instance = target.instance.name.as_str(),
             engine_ended = ended,
-            counts = counts
+            counted_as_evidence = is_evidence
         });
         if ended {
             inner.metrics.engines_ended.inc();
         }
-        if counts {
+        if is_evidence {
             let losses = vec![EngineLoss { work, instance: target.instance.clone() }];
             self.commit_evidence(WorkEvidence { losses, served: Vec::new() }).await;
         }
     }
 
-    /// Asks for the right to run something, if its work is suspected; `Err` while another try of it runs.
-    pub(crate) async fn begin_trial(&self, run: &impl SuspectedRun) -> Result<Option<ItemTrial<B>>, TrialTaken> {
+    /// Requests a trial if the work is suspected; fails if the trial is denied.
+    pub(crate) async fn begin_trial(&self, run: &impl EngineWork) -> Result<Option<ItemTrial<B>>, TrialTaken> {
         if !self.is_suspected(run) {
             return Ok(None);
         }
         let work = run.work_digest();
         let now = self.now();
-        let limit = run.ends_by(now).saturating_sub(now);
+        let limit = run.latest_end(now).saturating_sub(now);
         let trial = self.inner.trials.begin(work, limit).await;
-        spdlog::info!("trial of suspected item", kv: {
+        spdlog::info!("trial requested for suspected item", kv: {
             item = run.item().0.as_str(), work = work.shown().as_str(), granted = trial.is_some()
         });
         trial.map(Some).ok_or(TrialTaken)
     }
 
-    /// Whether an engine has ended under the work of what is about to run.
-    pub(crate) fn is_suspected(&self, run: &impl SuspectedRun) -> bool {
+    /// Whether an engine terminated while running this work.
+    pub(crate) fn is_suspected(&self, run: &impl EngineWork) -> bool {
         let suspected = self
             .inner
             .node
@@ -124,8 +126,8 @@
         suspected == Some(true)
     }
 
-    /// An engine has done an item's work to its end: if the work was suspected, it no longer is.
-    pub(crate) fn note_served(&self, work: impl FnOnce() -> WorkDigest) {
+    /// Records that an engine completed the work, which clears a suspicion of it.
+    pub(crate) fn clear_suspicion(&self, work: impl FnOnce() -> WorkDigest) {
         let suspected = self.inner.node.read(|state| {
             let suspicions = &state.suspicions;
             if suspicions.is_empty() {
@@ -143,7 +145,7 @@
 
     async fn commit_evidence(&self, evidence: WorkEvidence) {
         if let Err(error) = self.inner.node.commit_evidence(evidence).await {
-            spdlog::warn!("evidence not committed", kv: { reason = format!("{error:?}").as_str() });
+            spdlog::warn!("work evidence not committed", kv: { reason = format!("{error:?}").as_str() });
         }
     }
 }
--- a/crates/coordinator/src/metrics.rs
+++ b/crates/coordinator/src/metrics.rs
@@ -1,9 +1,9 @@
-//! Counters and histograms of a coordinator.
+//! Metrics of a coordinator.
 
 use crate::waits::WaitReason;
 use saddlerelay_telemetry::registry::{Counter, Histogram, MetricRegistry};
 
-/// Long waits by their reason.
+/// Counters of long waits, by reason.
 struct LongWaits {
     suspected: Counter,
     no_engine: Counter,
@@ -26,40 +26,40 @@
     }
 }
 
-/// What a coordinator has done since its process started.
+/// Counters and histograms since the start of the process.
 pub struct CoordinatorMetrics {
     registry: MetricRegistry,
     /// Items sent to engines.
     pub items_sent: Counter,
-    /// Items whose text became whole.
+    /// Items completed, including the score if they name a scorer; not those completed by a reused text alone.
     pub items_completed: Counter,
-    /// Items given up.
+    /// Items aborted.
     pub items_aborted: Counter,
-    /// Item attempts that ended without a whole text.
+    /// Item attempts that ended without a complete text.
     pub item_failures: Counter,
-    /// Texts of earlier jobs used again.
+    /// Saved texts reused when a job was initialized.
     pub texts_reused: Counter,
-    /// Calls that have a text scored.
+    /// Score calls sent.
     pub score_calls: Counter,
-    /// Calls that brought no score.
+    /// Score calls that ended without a score.
     pub score_failures: Counter,
-    /// Engines found to have ended under an item or a call for a score.
+    /// Engines found terminated after a connection was lost during an item or a score call.
     pub engines_ended: Counter,
-    /// Items held back because engines have ended under their work.
+    /// Items quarantined because engines terminated while running their work.
     pub items_held_back: Counter,
-    /// Waits at no engine that have lasted for long, by what the item waited for. Counted anew each time a wait doubles.
+    /// Long waits for an engine, by reason; counted again each time a wait doubles.
     long_waits: LongWaits,
-    /// How long items were at no engine before one took them, in seconds.
+    /// Time that items waited before an engine started to respond, in seconds.
     pub wait_seconds: Histogram,
-    /// Orders given to engines.
+    /// Weight orders sent to engines.
     pub orders: Counter,
-    /// Orders whose outcome is not known.
+    /// Weight orders whose result is unknown.
     pub orders_unknown: Counter,
-    /// From sending an item to the end of its attempt, in seconds.
+    /// Duration of item attempts, in seconds.
     pub attempt_seconds: Histogram,
-    /// From calling for a score to the end of the call, in seconds.
+    /// Duration of score calls, in seconds.
     pub score_seconds: Histogram,
-    /// How long changes of weights took, in seconds.
+    /// Duration of successful weight loads, in seconds.
     pub load_seconds: Histogram,
 }
 
@@ -107,18 +107,17 @@
 }
 
 impl CoordinatorMetrics {
-    /// The count of long waits for a reason.
     pub(crate) fn long_waits(&self, reason: WaitReason) -> &Counter {
         let counts = &self.long_waits;
         match reason {
             WaitReason::Quarantined | WaitReason::TrialTaken => &counts.suspected,
-            WaitReason::NoFittingEngine | WaitReason::NoSoundEngine | WaitReason::NoScorer => &counts.no_engine,
-            WaitReason::NoRoom | WaitReason::PlanIsFull => &counts.load,
-            WaitReason::RetryPause => &counts.retry,
+            WaitReason::NoEligibleEngine | WaitReason::OnlyDegradedEngines | WaitReason::NoScorer => &counts.no_engine,
+            WaitReason::NoRoom | WaitReason::PlanLimitReached => &counts.load,
+            WaitReason::RetryDelay => &counts.retry,
         }
     }
 
-    /// The metrics as text.
+    /// Encodes the metrics in the text exposition format.
     pub fn encode(&self) -> String {
         self.registry.encode()
     }
--- a/crates/coordinator/src/pace.rs
+++ b/crates/coordinator/src/pace.rs
@@ -1,73 +1,73 @@
-//! How fast engines make events, from the pauses between the events of their streams.
+//! Estimates the pace of engines, in seconds per event, from the intervals between the events of their streams.
 
 use saddlerelay_types::instance::InstanceId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Weight of the newest pause in an engine's pace. An engine makes some hundred events a second.
-const NEWEST_WEIGHT: f64 = 0.03;
+/// Weight of a new interval in the exponential moving average.
+const SMOOTHING_FACTOR: f64 = 0.03;
 
-/// An engine whose newest event is no older than this is believed to be as fast as its events say.
-const FRESH: Duration = Duration::from_secs(1);
+/// Age of the last event up to which an estimate is used unchanged.
+const FRESH_PERIOD: Duration = Duration::from_secs(1);
 
-/// After that, it is believed like the others by half in this time, so that a slow one is tried again.
+/// Half-life with which an older estimate decays to the median, so that a slow engine is tried again.
 const HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// Seconds an event, before any engine has made one. Only compared with itself then.
-const FIRST_GUESS: f64 = 0.045;
+/// Pace used before any event was observed.
+const DEFAULT_PACE: f64 = 0.045;
 
-/// What has been seen of one engine's events.
+/// Pace estimate of one engine.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SeenPace {
-    /// Smoothed seconds an event; `None` before the first pause.
+pub struct PaceEstimate {
+    /// Moving average of seconds per event; `None` before the first interval.
     smoothed: Option<f64>,
-    seen_at: Duration,
+    observed_at: Duration,
 }
 
-impl SeenPace {
-    /// An event came after `pause`; `typical` is the pace of the middle engine, if it is known.
-    pub fn observe(&mut self, pause: Duration, typical: Option<f64>, now: Duration) {
-        let before = match typical {
-            Some(typical) => self.expected(typical, now),
-            None => self.smoothed.unwrap_or(pause.as_secs_f64()),
+impl PaceEstimate {
+    /// Records an interval; `median` is the median pace of all engines, if known.
+    pub fn observe(&mut self, interval: Duration, median: Option<f64>, now: Duration) {
+        let previous = match median {
+            Some(median) => self.expected(median, now),
+            None => self.smoothed.unwrap_or(interval.as_secs_f64()),
         };
-        self.smoothed = Some(before + (pause.as_secs_f64() - before) * NEWEST_WEIGHT);
-        self.seen_at = now;
+        self.smoothed = Some(previous + (interval.as_secs_f64() - previous) * SMOOTHING_FACTOR);
+        self.observed_at = now;
     }
 
-    fn expected(&self, typical: f64, now: Duration) -> f64 {
+    fn expected(&self, median: f64, now: Duration) -> f64 {
         let Some(smoothed) = self.smoothed else {
-            return typical;
+            return median;
         };
-        let age = now.saturating_sub(self.seen_at + FRESH).as_secs_f64();
-        let kept = 0.5_f64.powf(age / HALF_LIFE.as_secs_f64());
-        typical + (smoothed - typical) * kept
+        let age = now.saturating_sub(self.observed_at + FRESH_PERIOD).as_secs_f64();
+        let weight = 0.5_f64.powf(age / HALF_LIFE.as_secs_f64());
+        median + (smoothed - median) * weight
     }
 }
 
-/// The paces of all engines at one moment.
+/// Paces of all engines at one time.
 pub struct Paces {
-    typical: f64,
+    median: f64,
     of_engines: BTreeMap<InstanceId, f64>,
 }
 
 impl Paces {
-    /// From what has been seen until `now`.
-    pub fn new<'a>(seen: impl Iterator<Item = (&'a InstanceId, &'a SeenPace)> + Clone, now: Duration) -> Self {
-        let mut smoothed: Vec<f64> = seen.clone().filter_map(|(_, pace)| pace.smoothed).collect();
+    /// Evaluates the estimates at `now`.
+    pub fn new<'a>(estimates: impl Iterator<Item = (&'a InstanceId, &'a PaceEstimate)> + Clone, now: Duration) -> Self {
+        let mut smoothed: Vec<f64> = estimates.clone().filter_map(|(_, pace)| pace.smoothed).collect();
         smoothed.sort_by(f64::total_cmp);
-        let typical = smoothed.get(smoothed.len() / 2).copied().unwrap_or(FIRST_GUESS);
-        let of_engines = seen.map(|(instance, pace)| (instance.clone(), pace.expected(typical, now))).collect();
-        Self { typical, of_engines }
+        let median = smoothed.get(smoothed.len() / 2).copied().unwrap_or(DEFAULT_PACE);
+        let of_engines = estimates.map(|(instance, pace)| (instance.clone(), pace.expected(median, now))).collect();
+        Self { median, of_engines }
     }
 
-    /// Seconds an event at an engine; that of the middle one for an engine that has made none.
+    /// Seconds per event of an engine; the median for an engine without observations.
     pub fn of(&self, instance: &InstanceId) -> f64 {
-        self.of_engines.get(instance).copied().unwrap_or(self.typical)
+        self.of_engines.get(instance).copied().unwrap_or(self.median)
     }
 
-    /// Seconds an event at the middle engine.
-    pub fn typical(&self) -> f64 {
-        self.typical
+    /// Median of the engines' seconds per event.
+    pub fn median(&self) -> f64 {
+        self.median
     }
 }
--- a/crates/coordinator/src/plan.rs
+++ b/crates/coordinator/src/plan.rs
@@ -1,11 +1,11 @@
-//! Plans which items go to which engines now.
+//! Assigns waiting items of open jobs to engines.
 
 use crate::coordinator::{Coordinator, Inner};
 use crate::job_run::{JobRun, Phase};
-use crate::lost_connections::SuspectedRun;
+use crate::lost_connections::EngineWork;
 use crate::moves::plan_moves;
 use crate::pace::Paces;
-use crate::placement::{FittingEngine, choose_engine, fitting_engines, usable_engines};
+use crate::placement::{EligibleEngine, choose_engine, eligible_engines, usable_engines};
 use crate::scorers::ScoringRound;
 use crate::scoring::ScoreCall;
 use crate::text::ItemText;
@@ -25,50 +25,49 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Jobs that one plan takes up. A new leader finds a dozen, and reads what is there of each one's texts; between plans it
-/// answers the group, which would lose it otherwise.
-const TAKEN_UP_AT_ONCE: usize = 2;
+/// Maximum number of newly seen jobs that one plan initializes. Bounds the time that a new leader spends on loading
+/// saved texts before it handles group messages again.
+const MAX_NEW_JOBS_PER_PLAN: usize = 2;
 
-/// Items that one plan starts. Where engines are plenty, all items of a step can start at once: 176 connections and requests
-/// take a leader of 0.3 of a core a quarter of a second, three trainers' steps more than its quorum waits. Plans follow each
-/// other within 20 ms: so 1,600 items a second start at least, of 300 that come.
-const STARTED_AT_ONCE: usize = 32;
+/// Maximum number of items that one plan starts. Bounds the time that the leader spends on opening connections and
+/// sending requests before it handles group messages again.
+const MAX_STARTS_PER_PLAN: usize = 32;
 
-/// An engine that may be given items.
+/// An engine that may receive items.
 pub(crate) struct Engine {
     pub target: EngineTarget,
     pub service: String,
     pub slots: u32,
     pub silent: bool,
-    /// Seconds an event, as far as is known.
+    /// Estimated seconds per event.
     pub pace: f64,
-    /// The weights that it has, by model; without those that are being changed.
+    /// Loaded weight versions by model, without models being loaded.
     pub weights: Rc<BTreeMap<String, u64>>,
-    /// Items at it, and those planned in this round.
+    /// Items in flight, including those assigned by this plan.
     load: Cell<u32>,
 }
 
 impl Engine {
-    /// Whether it may be given another item.
+    /// Whether a slot is free.
     pub fn has_room(&self) -> bool {
         self.load.get() < self.slots
     }
 
-    /// The part of its slots that is taken.
+    /// The fraction of slots in use.
     pub fn fullness(&self) -> f64 {
         f64::from(self.load.get()) / f64::from(self.slots.max(1))
     }
 
-    /// An item is planned to go there.
+    /// Reserves a slot for an item assigned by this plan.
     pub fn plan_item(&self) {
         self.load.set(self.load.get() + 1);
     }
 }
 
-/// What the plans of all jobs in one round share.
+/// Inputs shared by the planning of all jobs in one round.
 pub(crate) struct Round {
     pub engines: Vec<Engine>,
-    /// Seconds an event at the fastest of them.
+    /// Seconds per event of the fastest engine.
     pub fastest: f64,
     pub paces: Paces,
     pub now: Duration,
@@ -85,14 +84,14 @@
     }
 }
 
-/// An item to send to an engine.
-pub(crate) struct Start {
+/// A planned attempt of an item at an engine.
+pub(crate) struct PlannedAttempt {
     pub job: JobId,
     pub index: u32,
     pub item: JobItem,
     pub host: String,
     pub path: String,
-    /// The tenant whose job it is.
+    /// The tenant that owns the job.
     pub owner: Option<TenantId>,
     pub model: Option<String>,
     pub target: EngineTarget,
@@ -100,12 +99,12 @@
     pub minimum_version: u64,
     pub single_version: bool,
     pub max_attempts: u32,
-    pub give_up_at: Duration,
+    pub item_deadline: Duration,
     pub text: Rc<RefCell<ItemText>>,
     pub term: u64,
 }
 
-impl SuspectedRun for Start {
+impl EngineWork for PlannedAttempt {
     fn item(&self) -> &ItemId {
         &self.item.id
     }
@@ -114,33 +113,33 @@
         self.item.work_digest(self.owner.as_ref(), &self.host)
     }
 
-    fn ends_by(&self, _now: Duration) -> Duration {
-        self.give_up_at
+    fn latest_end(&self, _now: Duration) -> Duration {
+        self.item_deadline
     }
 }
 
-/// What is to be done now.
+/// Actions that a plan decided on.
 #[derive(Default)]
 pub(crate) struct Plan {
-    pub starts: Vec<Start>,
-    /// Whole texts to have scored now.
+    pub starts: Vec<PlannedAttempt>,
+    /// Complete texts to score.
     pub score_calls: Vec<ScoreCall>,
-    /// Items whose text is whole already and that name no scorer.
-    pub whole: Vec<(JobId, u32)>,
-    /// Items to give up, and why.
-    pub give_up: Vec<(JobId, u32, &'static str)>,
-    /// Running items that go on at a faster engine.
+    /// Items that name no scorer and whose text is complete.
+    pub completed: Vec<(JobId, u32)>,
+    /// Items to abort, with the reason.
+    pub aborts: Vec<(JobId, u32, &'static str)>,
+    /// Running items to move to a faster engine.
     pub moves: Vec<(JobId, u32)>,
     pub open: BTreeSet<JobId>,
-    /// Items that are left waiting, by model.
-    pub waiting: BTreeMap<String, u32>,
-    /// The newest version of each model that waiting items ask for at least and that no engine of theirs holds.
-    pub awaited: BTreeMap<String, u64>,
-    /// Jobs are left to be taken up, or items to be started, by the next plan.
+    /// Number of items left waiting for an engine, by model.
+    pub waiting_items: BTreeMap<String, u32>,
+    /// For each model, the highest minimum version of jobs whose items have no eligible engine.
+    pub awaited_versions: BTreeMap<String, u64>,
+    /// The next plan has further jobs to initialize or items to start.
     pub has_more: bool,
 }
 
-/// Plans from the committed state.
+/// Makes a plan from the committed state.
 pub(crate) fn plan<B: Backends>(coordinator: &Coordinator<B>, state: &ControlState, term: u64) -> Plan {
     let inner = &coordinator.inner;
     let round = Round::new(coordinator, state, term);
@@ -150,40 +149,40 @@
     open.sort_by_key(|(_, job)| job.order());
     let mut scoring = ScoringRound::new(state, now);
     let mut jobs = inner.jobs.borrow_mut();
-    let mut taken_up = 0;
+    let mut new_jobs = 0;
     for (id, job) in open {
         plan.open.insert(id.clone());
         let submission = &job.submission;
         let route = state.routing.current().and_then(|document| document.find(&submission.host, &submission.path));
         if !jobs.contains_key(id) {
-            if taken_up == TAKEN_UP_AT_ONCE {
+            if new_jobs == MAX_NEW_JOBS_PER_PLAN {
                 plan.has_more = true;
                 continue;
             }
-            taken_up += 1;
+            new_jobs += 1;
         }
-        let run = jobs.entry(id.clone()).or_insert_with(|| take_up(coordinator, state, job, route, now));
+        let run = jobs.entry(id.clone()).or_insert_with(|| start_job_run(coordinator, state, job, route, now));
         plan_job(
-            &mut PlanOfJob {
+            &mut JobContext {
                 inner,
                 job,
                 run,
                 route,
                 now,
                 round: &round,
-                fitting: Vec::new(),
+                eligible: Vec::new(),
                 scoring: &mut scoring,
                 suspicions: &state.suspicions,
             },
             &mut plan,
         );
     }
-    plan.has_more |= plan.starts.len() == STARTED_AT_ONCE;
+    plan.has_more |= plan.starts.len() == MAX_STARTS_PER_PLAN;
     plan
 }
 
-/// Begins to run a job.
-fn take_up<B: Backends>(
+/// Creates the in-memory state of a newly seen job.
+fn start_job_run<B: Backends>(
     coordinator: &Coordinator<B>,
     state: &ControlState,
     job: &Job,
@@ -200,21 +199,21 @@
         let mut working_set = coordinator.inner.working_set.borrow_mut();
         let items = submission.items.len() as u32;
         for target in &route.targets {
-            working_set.note_job(&target.service, submission.model.as_deref(), items);
+            working_set.record_job(&target.service, submission.model.as_deref(), items);
         }
     }
     let run = JobRun::new(job, state, coordinator.names(), tokens_per_event, now);
     if let Some(model) = &submission.model {
         let expected = run.mean_events * run.items.len() as f64;
-        coordinator.inner.homes.borrow_mut().note_demand(model, expected);
+        coordinator.inner.model_assignments.borrow_mut().record_demand(model, expected);
     }
     let reused = run.items.iter().filter(|item| item.text.borrow().events() > 0).count();
-    let whole = run.items.iter().filter(|item| item.text.borrow().is_complete()).count();
+    let complete = run.items.iter().filter(|item| item.text.borrow().is_complete()).count();
     coordinator.inner.metrics.texts_reused.inc_by(reused as u64);
     spdlog::info!("job taken up", kv: {
         job = submission.id.0.as_str(), step = submission.step, items = submission.items.len(),
         minimum_version = submission.minimum_version, model = submission.model.as_deref().unwrap_or("-"),
-        listed = job.results().len(), texts_reused = reused, whole_texts_reused = whole
+        listed = job.results().len(), texts_reused = reused, whole_texts_reused = complete
     });
     run
 }
@@ -229,7 +228,7 @@
     let working_set = coordinator.inner.working_set.borrow();
     let records = working_set.iter().filter_map(|instance| state.instances.get(instance));
     let usable =
-        records.filter(|record| record.state == InstanceState::Ready && !fleet.is_resting(&record.report.id, now));
+        records.filter(|record| record.state == InstanceState::Ready && !fleet.is_backing_off(&record.report.id, now));
     usable
         .map(|record| Engine {
             target: EngineTarget { instance: record.report.id.clone(), address: record.report.address },
@@ -237,153 +236,154 @@
             slots: record.report.slots,
             silent: record.silent,
             pace: paces.of(&record.report.id),
-            weights: fleet.settled_weights(&record.report.id),
+            weights: fleet.loaded_versions(&record.report.id),
             load: Cell::new(fleet.in_flight(&record.report.id)),
         })
         .collect()
 }
 
-/// What the plan of one job starts from.
-pub(crate) struct PlanOfJob<'a, 's, B: Backends> {
+/// Inputs for the planning of one job.
+pub(crate) struct JobContext<'a, 's, B: Backends> {
     pub inner: &'a Inner<B>,
     pub job: &'a Job,
     pub run: &'a mut JobRun,
     route: Option<&'a Route>,
     pub now: Duration,
     pub round: &'a Round,
-    /// The engines that its items may go to, with room or without.
-    pub fitting: Vec<FittingEngine<'a>>,
+    /// Engines that the job's items may run on, including full ones.
+    pub eligible: Vec<EligibleEngine<'a>>,
     scoring: &'a mut ScoringRound<'s>,
-    /// Work under which engines have ended.
+    /// Work during which engines have terminated.
     suspicions: &'a SuspicionTable,
 }
 
-fn plan_job<B: Backends>(of: &mut PlanOfJob<'_, '_, B>, plan: &mut Plan) {
-    let id = &of.job.submission.id;
-    let give_up_at = of.route.map(|route| {
+fn plan_job<B: Backends>(context: &mut JobContext<'_, '_, B>, plan: &mut Plan) {
+    let id = &context.job.submission.id;
+    let item_deadline = context.route.map(|route| {
         let after = Duration::from_millis(route.batch.give_up_after_ms);
-        of.run.seen_at + after + of.inner.config.give_up_margin
+        context.run.started_at + after + context.inner.config.item_deadline_margin
     });
-    of.fitting = of.route.map(|route| fitting_engines(of, route)).unwrap_or_default();
-    for position in 0..of.run.order.len() {
-        let index = of.run.order[position];
-        if of.job.is_listed(index) {
-            of.run.items[index as usize].phase = Phase::Ended;
+    context.eligible = context.route.map(|route| eligible_engines(context, route)).unwrap_or_default();
+    for position in 0..context.run.order.len() {
+        let index = context.run.order[position];
+        if context.job.is_listed(index) {
+            context.run.items[index as usize].phase = Phase::Ended;
         }
-        if !matches!(of.run.items[index as usize].phase, Phase::Waiting) {
+        if !matches!(context.run.items[index as usize].phase, Phase::Waiting) {
             continue;
         }
-        let (Some(route), Some(give_up_at)) = (of.route, give_up_at) else {
-            plan.give_up.push((id.clone(), index, "its route is gone"));
+        let (Some(route), Some(item_deadline)) = (context.route, item_deadline) else {
+            plan.aborts.push((id.clone(), index, "no route matches the job"));
             continue;
         };
-        let is_whole = of.run.items[index as usize].text.borrow().is_complete();
-        let scorer = of.job.submission.items[index as usize].scorer.as_ref();
-        if is_whole && scorer.is_none() {
-            plan.whole.push((id.clone(), index));
-        } else if of.now >= give_up_at {
-            plan.give_up.push((id.clone(), index, "its time is over"));
-        } else if is_quarantined(of, index, is_whole) {
-            hold_back(of, index);
-            go_on_waiting(of, index, WaitReason::Quarantined);
-        } else if is_whole {
-            match plan_score_call(of, index, give_up_at) {
+        let text_is_complete = context.run.items[index as usize].text.borrow().is_complete();
+        let scorer = context.job.submission.items[index as usize].scorer.as_ref();
+        if text_is_complete && scorer.is_none() {
+            plan.completed.push((id.clone(), index));
+        } else if context.now >= item_deadline {
+            plan.aborts.push((id.clone(), index, "item deadline exceeded"));
+        } else if is_quarantined(context, index, text_is_complete) {
+            record_quarantine(context, index);
+            record_wait(context, index, WaitReason::Quarantined);
+        } else if text_is_complete {
+            match plan_score_call(context, index, item_deadline) {
                 Ok(call) => plan.score_calls.push(call),
-                Err(reason) => go_on_waiting(of, index, reason),
+                Err(reason) => record_wait(context, index, reason),
             }
         } else {
-            match plan_item(of, route, index, give_up_at, plan) {
+            match plan_item(context, route, index, item_deadline, plan) {
                 Ok(start) => plan.starts.push(start),
-                Err(reason) => leave_waiting(of, index, reason, plan),
+                Err(reason) => keep_waiting(context, index, reason, plan),
             }
         }
     }
-    if let Some(route) = of.route.filter(|route| route.resumable) {
-        plan_moves(of, route, plan);
+    if let Some(route) = context.route.filter(|route| route.resumable) {
+        plan_moves(context, route, plan);
     }
 }
 
-/// Whether what an item needs next, a run or a score, is work under which engine after engine has ended.
-fn is_quarantined<B: Backends>(of: &PlanOfJob<'_, '_, B>, index: u32, is_whole: bool) -> bool {
-    if of.suspicions.is_empty() {
+/// Whether the item's next work, an attempt or a score call, is quarantined because several engines terminated while
+/// running it.
+fn is_quarantined<B: Backends>(context: &JobContext<'_, '_, B>, index: u32, text_is_complete: bool) -> bool {
+    if context.suspicions.is_empty() {
         return false;
     }
-    let submission = &of.job.submission;
+    let submission = &context.job.submission;
     let item = &submission.items[index as usize];
-    let run = &of.run.items[index as usize];
+    let run = &context.run.items[index as usize];
     let owner = submission.owner.as_ref();
-    let work = match item.scorer.as_ref().filter(|_| is_whole) {
+    let work = match item.scorer.as_ref().filter(|_| text_is_complete) {
         Some(scorer) => run.scoring_work.get_or_init(|| scorer.work_digest(owner)),
         None => run.work.get_or_init(|| item.work_digest(owner, &submission.host)),
     };
-    of.suspicions.is_quarantined(work)
+    context.suspicions.is_quarantined(work)
 }
 
-/// Leaves an item waiting until its time is over or its work is released: it is neither done nor failed by an engine, so it
-/// may not be listed as either.
-fn hold_back<B: Backends>(of: &mut PlanOfJob<'_, '_, B>, index: u32) {
-    let submission = &of.job.submission;
-    let run = &mut of.run.items[index as usize];
-    if !std::mem::replace(&mut run.held_back, true) {
-        of.inner.metrics.items_held_back.inc();
-        spdlog::warn!("item held back", kv: {
+/// Counts and logs, once per item, that it is quarantined. A quarantined item stays waiting until its work is released
+/// or its deadline passes.
+fn record_quarantine<B: Backends>(context: &mut JobContext<'_, '_, B>, index: u32) {
+    let submission = &context.job.submission;
+    let run = &mut context.run.items[index as usize];
+    if !std::mem::replace(&mut run.quarantine_recorded, true) {
+        context.inner.metrics.items_held_back.inc();
+        spdlog::warn!("item quarantined", kv: {
             item = submission.items[index as usize].id.0.as_str(),
             job = submission.id.0.as_str(),
-            reason = "engines have ended under its work",
-            suspicion_revision = of.suspicions.revision()
+            reason = "engines terminated while running this work",
+            suspicion_revision = context.suspicions.revision()
         });
     }
 }
 
-/// Counts an item that this plan does not start.
-fn leave_waiting<B: Backends>(of: &mut PlanOfJob<'_, '_, B>, index: u32, reason: WaitReason, plan: &mut Plan) {
-    go_on_waiting(of, index, reason);
-    let Some(model) = &of.job.submission.model else {
+/// Records that the plan leaves an item waiting for an engine.
+fn keep_waiting<B: Backends>(context: &mut JobContext<'_, '_, B>, index: u32, reason: WaitReason, plan: &mut Plan) {
+    record_wait(context, index, reason);
+    let Some(model) = &context.job.submission.model else {
         return;
     };
-    *plan.waiting.entry(model.clone()).or_default() += 1;
-    if of.fitting.is_empty() {
-        let awaited = plan.awaited.entry(model.clone()).or_default();
-        *awaited = of.job.submission.minimum_version.max(*awaited);
+    *plan.waiting_items.entry(model.clone()).or_default() += 1;
+    if context.eligible.is_empty() {
+        let awaited_version = plan.awaited_versions.entry(model.clone()).or_default();
+        *awaited_version = context.job.submission.minimum_version.max(*awaited_version);
     }
 }
 
-/// Tells of an item that has been at no engine for long.
-fn go_on_waiting<B: Backends>(of: &mut PlanOfJob<'_, '_, B>, index: u32, reason: WaitReason) {
-    let submission = &of.job.submission;
+/// Updates an item's wait, which is logged if it is long.
+fn record_wait<B: Backends>(context: &mut JobContext<'_, '_, B>, index: u32, reason: WaitReason) {
+    let submission = &context.job.submission;
     let describe = || WaitingItem {
         job: &submission.id,
         item: &submission.items[index as usize].id,
         reason,
-        engines: of.round.engines.len(),
-        fitting: of.fitting.len(),
-        with_room: of.fitting.iter().filter(|fitting| fitting.engine.has_room()).count(),
-        suspicion_revision: of.suspicions.revision(),
+        engines: context.round.engines.len(),
+        eligible: context.eligible.len(),
+        with_room: context.eligible.iter().filter(|candidate| candidate.engine.has_room()).count(),
+        suspicion_revision: context.suspicions.revision(),
     };
-    let wait = &mut of.run.items[index as usize].wait;
-    of.inner.wait_lines.go_on(wait, of.now, &of.inner.metrics, describe);
+    let wait = &mut context.run.items[index as usize].wait;
+    context.inner.wait_log.update(wait, context.now, &context.inner.metrics, describe);
 }
 
-/// Plans an item's start, or says what it waits for.
+/// Plans an attempt of an item; fails with the reason why the item has to wait.
 fn plan_item<B: Backends>(
-    of: &mut PlanOfJob<'_, '_, B>,
+    context: &mut JobContext<'_, '_, B>,
     route: &Route,
     index: u32,
-    give_up_at: Duration,
+    item_deadline: Duration,
     plan: &Plan,
-) -> Result<Start, WaitReason> {
-    if plan.starts.len() >= STARTED_AT_ONCE {
-        return Err(WaitReason::PlanIsFull);
+) -> Result<PlannedAttempt, WaitReason> {
+    if plan.starts.len() >= MAX_STARTS_PER_PLAN {
+        return Err(WaitReason::PlanLimitReached);
     }
-    let run = &of.run.items[index as usize];
-    if of.now < run.not_before {
+    let run = &context.run.items[index as usize];
+    if context.now < run.not_before {
         return Err(run.pause_reason);
     }
-    let submission = &of.job.submission;
+    let submission = &context.job.submission;
     let item = &submission.items[index as usize];
-    let chosen = choose_engine(of, route, index).ok_or_else(|| why_no_engine(of, route, index))?;
+    let chosen = choose_engine(context, route, index).ok_or_else(|| no_engine_reason(context, route, index))?;
     let target = chosen.engine.target.clone();
-    let start = Start {
+    let start = PlannedAttempt {
         job: submission.id.clone(),
         index,
         item: item.clone(),
@@ -396,65 +396,65 @@
         minimum_version: submission.minimum_version,
         single_version: route.batch.single_version,
         max_attempts: route.max_attempts.max(1),
-        give_up_at,
+        item_deadline,
         text: run.text.clone(),
-        term: of.round.term,
+        term: context.round.term,
     };
     chosen.engine.plan_item();
-    of.run.group_engines.insert(item.group.clone(), target.instance);
+    context.run.group_engines.insert(item.group.clone(), target.instance);
     Ok(start)
 }
 
-/// Why no engine was chosen for an item.
-fn why_no_engine<B: Backends>(of: &PlanOfJob<'_, '_, B>, route: &Route, index: u32) -> WaitReason {
-    if of.fitting.is_empty() {
-        WaitReason::NoFittingEngine
-    } else if usable_engines(of, route, index).next().is_none() {
+fn no_engine_reason<B: Backends>(context: &JobContext<'_, '_, B>, route: &Route, index: u32) -> WaitReason {
+    if context.eligible.is_empty() {
+        WaitReason::NoEligibleEngine
+    } else if usable_engines(context, route, index).next().is_none() {
         WaitReason::NoRoom
     } else {
-        WaitReason::NoSoundEngine
+        WaitReason::OnlyDegradedEngines
     }
 }
 
-/// Plans the call for an item's score, or says what it waits for.
+/// Plans the score call of an item; fails with the reason why the item has to wait.
 fn plan_score_call<B: Backends>(
-    of: &mut PlanOfJob<'_, '_, B>,
+    context: &mut JobContext<'_, '_, B>,
     index: u32,
-    give_up_at: Duration,
+    item_deadline: Duration,
 ) -> Result<ScoreCall, WaitReason> {
-    let progress = &of.run.items[index as usize].scoring;
-    let item = &of.job.submission.items[index as usize];
-    if of.now < progress.not_before {
+    let progress = &context.run.items[index as usize].scoring;
+    let item = &context.job.submission.items[index as usize];
+    if context.now < progress.not_before {
         return Err(progress.pause_reason);
     }
     let request = item.scorer.as_ref().ok_or(WaitReason::NoScorer)?;
-    let chosen = of.inner.scorers.choose(of.scoring, request, progress.avoid.as_ref());
+    let chosen = context.inner.scorers.choose(context.scoring, request, progress.avoid.as_ref());
     let (route, engine) = chosen.ok_or(WaitReason::NoScorer)?;
     Ok(ScoreCall {
-        job: of.job.submission.id.clone(),
+        job: context.job.submission.id.clone(),
         index,
         item: item.id.clone(),
         request: request.clone(),
-        owner: of.job.submission.owner.clone(),
+        owner: context.job.submission.owner.clone(),
         engine,
         max_attempts: route.max_attempts.max(1),
         call: progress.calls + 1,
-        give_up_at,
-        call_limit: of.inner.config.score_limit,
-        text: of.run.items[index as usize].text.clone(),
-        term: of.round.term,
+        item_deadline,
+        call_timeout: context.inner.config.score_timeout,
+        text: context.run.items[index as usize].text.clone(),
+        term: context.round.term,
     })
 }
 
-/// Whether the item may still be sent, by the committed state at this moment.
-pub(crate) fn still_wanted(state: &ControlState, start: &Start) -> bool {
+/// Whether the committed state still allows sending the item: its job is open, it has no result, and the route and
+/// engine accept it.
+pub(crate) fn is_still_pending(state: &ControlState, start: &PlannedAttempt) -> bool {
     let job = state.jobs.get(&start.job);
-    let wanted = job.is_some_and(|job| !job.is_ended() && !job.is_listed(start.index));
-    wanted && may_reach(state, &start.target.instance, &start.host, &start.path)
+    let is_pending = job.is_some_and(|job| !job.is_ended() && !job.is_listed(start.index));
+    is_pending && may_route_to(state, &start.target.instance, &start.host, &start.path)
 }
 
-/// Whether a request for `host` and `path` may go to an instance, by the committed state at this moment.
-pub(crate) fn may_reach(state: &ControlState, instance: &InstanceId, host: &str, path: &str) -> bool {
+/// Whether the committed state allows sending a request for `host` and `path` to an instance.
+pub(crate) fn may_route_to(state: &ControlState, instance: &InstanceId, host: &str, path: &str) -> bool {
     let instance = state.instances.get(instance);
     let ready = instance.is_some_and(|record| record.state == InstanceState::Ready);
     let allows = |document: &RoutingDocument| {
--- a/crates/coordinator/src/runner.rs
+++ b/crates/coordinator/src/runner.rs
@@ -1,9 +1,9 @@
-//! Starts and stops items while this process leads.
+//! Plans, starts and stops items while this process is leader.
 
 use crate::coordinator::Coordinator;
 use crate::item;
 use crate::job_run::Phase;
-use crate::plan::{self, Plan, Start};
+use crate::plan::{self, Plan, PlannedAttempt};
 use crate::scoring::{self, ScoreCall};
 use crate::text;
 use futures::future::{self, Either};
@@ -17,22 +17,22 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Longest pause between plans while there are open jobs.
-const PLAN_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum time between plans while jobs are open.
+const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Shortest pause before a plan: several items end in one moment, and one plan serves them all.
-const LEAST_GATHER: Duration = Duration::from_millis(1);
+/// Minimum delay before a new plan; batches events that occur close together.
+const MIN_PLAN_DELAY: Duration = Duration::from_millis(1);
 
-/// Longest pause before a plan, though making one takes long.
-const MOST_GATHER: Duration = Duration::from_millis(20);
+/// Maximum delay before a new plan, even if the previous one took long.
+const MAX_PLAN_DELAY: Duration = Duration::from_millis(20);
 
-/// How many times as long as the last plan took the next one waits: planning takes a fifth of the process at most.
-const GATHER_FACTOR: u32 = 4;
+/// The delay before a plan, as a multiple of the time the previous plan took; limits planning to a fifth of the
+/// process's time.
+const PLAN_DELAY_FACTOR: u32 = 4;
 
-/// Pause between looks at whether this process leads.
+/// Interval between leadership checks while there is no work.
 const IDLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs until the process ends.
 pub(crate) async fn run<B: Backends>(coordinator: Coordinator<B>) {
     let inner = &coordinator.inner;
     loop {
@@ -40,92 +40,94 @@
         let seen_work = inner.node.job_work().count();
         let seen_replan = inner.replan.count();
         let busy = match inner.node.replica().leading_term() {
-            Some(term) => coordinator.act(term),
-            // A leader that no quorum has answered lately starts nothing, but may go on with what runs.
+            Some(term) => coordinator.run_plan(term),
+            // A leader without recent quorum contact starts no items, but running items continue.
             None if inner.node.replica().claimed_term() == Some(inner.term.get()) => true,
             None => {
-                coordinator.stop_all();
+                coordinator.stop_all_jobs();
                 false
             }
         };
-        let took = coordinator.now().saturating_sub(began_at);
-        let gather = (took * GATHER_FACTOR).clamp(LEAST_GATHER, MOST_GATHER);
+        let elapsed = coordinator.now().saturating_sub(began_at);
+        let delay = (elapsed * PLAN_DELAY_FACTOR).clamp(MIN_PLAN_DELAY, MAX_PLAN_DELAY);
         let work = pin!(inner.node.job_work().changed(seen_work));
         let replan = pin!(inner.replan.changed(seen_replan));
-        let pause = pin!(inner.runtime.sleep(if busy { PLAN_INTERVAL } else { IDLE_INTERVAL }));
+        let pause = pin!(inner.runtime.sleep(if busy { MAX_PLAN_INTERVAL } else { IDLE_INTERVAL }));
         if let Either::Left(_) = future::select(future::select(work, replan), pause).await {
-            inner.runtime.sleep(gather).await;
+            inner.runtime.sleep(delay).await;
         }
     }
 }
 
 impl<B: Backends> Coordinator<B> {
-    /// Plans and starts; returns whether there are open jobs.
-    fn act(&self, term: u64) -> bool {
+    /// Makes and applies a plan; returns whether there are open jobs.
+    fn run_plan(&self, term: u64) -> bool {
         if self.inner.term.replace(term) != term {
-            self.stop_all();
+            self.stop_all_jobs();
             self.inner.fleet.clear();
             self.inner.working_set.borrow_mut().clear();
             spdlog::info!("leading", kv: { term = term });
         }
         let planned = self.inner.node.read(|state| {
-            self.follow_engines(state, term);
-            self.forget_engines(state);
+            self.update_working_set(state, term);
+            self.prune_engines(state);
             plan::plan(self, state, term)
         });
         let Some(plan) = planned else {
             return false;
         };
-        self.drop_ended(&plan.open);
+        self.remove_ended_jobs(&plan.open);
         let busy = !plan.open.is_empty();
-        self.inner.waiting.borrow_mut().clone_from(&plan.waiting);
-        self.inner.awaited.borrow_mut().clone_from(&plan.awaited);
+        self.inner.waiting_items.borrow_mut().clone_from(&plan.waiting_items);
+        self.inner.awaited_versions.borrow_mut().clone_from(&plan.awaited_versions);
         if plan.has_more {
             self.inner.replan.notify();
         }
-        self.carry_out(plan);
+        self.apply_plan(plan);
         busy
     }
 
-    /// Follows which engines there are, and takes what those that are worked with report of their weights.
-    fn follow_engines(&self, state: &ControlState, term: u64) {
+    /// Updates the working set, and records the weight versions that its engines report.
+    fn update_working_set(&self, state: &ControlState, term: u64) {
         let inner = &self.inner;
         let mut working_set = inner.working_set.borrow_mut();
-        let added = working_set.follow(state, inner.working_set_policy.as_ref());
+        let added = working_set.update(state, inner.working_set_policy.as_ref());
         let reported = inner.node.take_unread_reports();
         for instance in reported.iter().filter(|instance| working_set.contains(instance)) {
-            self.learn_report(instance);
+            self.apply_engine_report(instance);
         }
         if !added.is_empty() {
-            spdlog::info!("engines taken into work", kv: { added = added.len(), engines = working_set.iter().count() });
+            spdlog::info!("engines added to working set", kv: {
+                added = added.len(), engines = working_set.iter().count()
+            });
         }
         let document = state.routing.current();
         let hosts_models = |service: &str| {
             let service = document.and_then(|document| document.service(service));
             service.is_some_and(|service| service.hosting.is_some())
         };
-        let unheard = added.into_iter().filter(|instance| !self.learn_report(instance));
-        let targets = unheard.filter_map(|instance| {
+        let without_report = added.into_iter().filter(|instance| !self.apply_engine_report(instance));
+        let targets = without_report.filter_map(|instance| {
             let report = &state.instances.get(&instance)?.report;
             hosts_models(&report.service).then_some(EngineTarget { instance, address: report.address })
         });
-        crate::orders::ask_reports(self, targets.collect(), term);
+        crate::orders::request_reports(self, targets.collect(), term);
     }
 
-    /// Takes what an engine has reported to this leader, if it has.
-    fn learn_report(&self, instance: &InstanceId) -> bool {
+    /// Records the weight versions that an engine reported to this process; returns whether there is such a report.
+    fn apply_engine_report(&self, instance: &InstanceId) -> bool {
         let report = self.inner.node.reported_models(instance);
         if let Some((at, models)) = &report {
-            self.inner.fleet.learn(instance, models, *at);
+            self.inner.fleet.record_versions(instance, models, *at);
         }
         report.is_some()
     }
 
-    /// Forgets engines that are no longer worked with, when the table has changed.
-    fn forget_engines(&self, state: &ControlState) {
+    /// Drops the state of engines that left the working set or were removed, if the instance table has changed.
+    fn prune_engines(&self, state: &ControlState) {
         let inner = &self.inner;
         let revision = state.instances.revision();
-        if inner.forgotten_at.replace(revision) == revision {
+        if inner.pruned_revision.replace(revision) == revision {
             return;
         }
         let working_set = inner.working_set.borrow();
@@ -137,17 +139,17 @@
         inner.pool.retain(|instance| !is_gone(instance));
     }
 
-    fn carry_out(&self, plan: Plan) {
-        for (job, index) in plan.whole {
-            self.finish(&job, index, None);
+    fn apply_plan(&self, plan: Plan) {
+        for (job, index) in plan.completed {
+            self.finish_item(&job, index, None);
         }
-        for (job, index, reason) in plan.give_up {
-            spdlog::warn!("item given up", kv: { job = job.0.as_str(), index = index, reason = reason });
+        for (job, index, reason) in plan.aborts {
+            spdlog::warn!("item aborted", kv: { job = job.0.as_str(), index = index, reason = reason });
             self.inner.metrics.items_aborted.inc();
-            self.finish(&job, index, Some(text::aborted(index)));
+            self.finish_item(&job, index, Some(text::aborted(index)));
         }
         for (job, index) in plan.moves {
-            self.move_away(&job, index);
+            self.move_item(&job, index);
         }
         for start in plan.starts {
             self.start_item(start);
@@ -157,25 +159,26 @@
         }
     }
 
-    fn finish(&self, job: &JobId, index: u32, outcome: Option<ItemOutcome>) {
+    fn finish_item(&self, job: &JobId, index: u32, outcome: Option<ItemOutcome>) {
         let mut jobs = self.inner.jobs.borrow_mut();
         let run = jobs.get_mut(job).and_then(|run| run.items.get_mut(index as usize));
         if let Some(run) = run {
             run.phase = Phase::Ended;
             let outcome = outcome.unwrap_or_else(|| run.text.borrow().outcome(index, None));
-            self.list(job, outcome);
+            self.queue_outcome(job, outcome);
         }
     }
 
-    /// Ends an item's request so that it goes on at a faster engine.
-    fn move_away(&self, job: &JobId, index: u32) {
+    /// Cancels an item's request, so that the next plan resumes it on another engine.
+    fn move_item(&self, job: &JobId, index: u32) {
         let mut jobs = self.inner.jobs.borrow_mut();
         let run = jobs.get_mut(job).and_then(|run| run.items.get_mut(index as usize));
         if let Some(run) = run
             && let Phase::Running { instance, .. } = std::mem::replace(&mut run.phase, Phase::Waiting)
         {
             spdlog::info!("item moved", kv: {
-                job = job.0.as_str(), index = index, instance = instance.name.as_str(), events = run.text.borrow().events()
+                job = job.0.as_str(), index = index, instance = instance.name.as_str(),
+                events = run.text.borrow().events()
             });
             run.avoid = Some(instance);
             run.moves += 1;
@@ -183,7 +186,7 @@
         }
     }
 
-    fn start_item(&self, start: Start) {
+    fn start_item(&self, start: PlannedAttempt) {
         let instance = start.target.instance.clone();
         let (job, index) = (start.job.clone(), start.index as usize);
         let since = self.now();
@@ -197,7 +200,7 @@
     fn start_scoring(&self, call: ScoreCall) {
         let (job, index) = (call.job.clone(), call.index as usize);
         let instance = call.engine.target.instance.clone();
-        let in_flight = self.inner.scorers.begin(&instance, self.now());
+        let in_flight = self.inner.scorers.begin_call(&instance, self.now());
         let task = compio::runtime::spawn(scoring::run(self.clone(), call, in_flight));
         let mut jobs = self.inner.jobs.borrow_mut();
         if let Some(run) = jobs.get_mut(&job).and_then(|run| run.items.get_mut(index)) {
@@ -207,24 +210,26 @@
         }
     }
 
-    /// Ends what runs of jobs that have ended.
-    fn drop_ended(&self, open: &BTreeSet<JobId>) {
+    /// Drops jobs that are no longer open, which cancels their running items.
+    fn remove_ended_jobs(&self, open: &BTreeSet<JobId>) {
         let inner = &self.inner;
         let ended: Vec<JobId> = inner.jobs.borrow().keys().filter(|id| !open.contains(*id)).cloned().collect();
         for id in ended {
-            let dropped = inner.jobs.borrow_mut().remove(&id);
-            let items = dropped.as_ref().map_or(0, |run| run.items.len());
+            let removed = inner.jobs.borrow_mut().remove(&id);
+            let items = removed.as_ref().map_or(0, |run| run.items.len());
             spdlog::info!("job dropped", kv: { job = id.0.as_str(), items = items });
         }
     }
 
-    /// Ends everything: this process does not lead, or leads anew.
-    fn stop_all(&self) {
+    /// Cancels all running items, on loss of leadership or at the start of a new term.
+    fn stop_all_jobs(&self) {
         let inner = &self.inner;
         if inner.jobs.borrow().is_empty() {
             return;
         }
-        spdlog::warn!("leadership lost", kv: { term = inner.term.get(), jobs = inner.jobs.borrow().len() });
+        spdlog::warn!("leadership lost; running jobs stopped", kv: {
+            term = inner.term.get(), jobs = inner.jobs.borrow().len()
+        });
         let stopped = std::mem::take(&mut *inner.jobs.borrow_mut());
         drop(stopped);
         inner.outcomes.borrow_mut().clear();
--- a/crates/coordinator/src/scorers.rs
+++ b/crates/coordinator/src/scorers.rs
@@ -1,7 +1,7 @@
-//! Chooses the engine that scores an item's whole text.
+//! Chooses the engine for a score call.
 //!
-//! Callers' requests go to the same engines and come first: calls for scores take only a part of an engine's slots, and
-//! none while the engine says that requests wait there.
+//! Callers' requests share these engines and have priority: score calls use only part of an engine's slots, and none
+//! while the engine reports queued requests.
 
 use saddlerelay_control::state::ControlState;
 use saddlerelay_types::instance::{InstanceId, InstanceRecord, InstanceState};
@@ -14,38 +14,36 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The part of an engine's slots that calls for scores may take.
-const SLOT_SHARE: f64 = 0.5;
+/// Fraction of an engine's slots that score calls may use.
+const MAX_SLOT_SHARE: f64 = 0.5;
 
-/// Engines of a service in one zone among which the one for a call is chosen. Each call looks at all of them: 64 of 4 slots
-/// score some thousand texts a second, more than a leader has made.
-const MOST_OF_A_PLACE: usize = 64;
+/// Maximum number of engines considered per service and zone; bounds the cost of a choice in large fleets.
+const MAX_ENGINES_PER_PLACE: usize = 64;
 
-/// How long an engine that told of waiting requests is given no calls for scores.
-const CROWDED_REST: Duration = Duration::from_millis(40);
+/// How long an engine that reported queued requests receives no score calls.
+const QUEUE_BACKOFF: Duration = Duration::from_millis(40);
 
-/// What one plan knows of the engines that may score.
+/// State of one planning round: the committed state and the calls planned so far.
 pub(crate) struct ScoringRound<'a> {
     state: &'a ControlState,
     now: Duration,
     /// Calls planned in this round, by engine.
     planned: BTreeMap<InstanceId, u32>,
-    /// Services without room; no need to look again in this round.
-    full: BTreeSet<String>,
+    /// Services found to have no free capacity in this round.
+    full_services: BTreeSet<String>,
 }
 
 impl<'a> ScoringRound<'a> {
-    /// A round over the committed state.
     pub fn new(state: &'a ControlState, now: Duration) -> Self {
-        Self { state, now, planned: BTreeMap::new(), full: BTreeSet::new() }
+        Self { state, now, planned: BTreeMap::new(), full_services: BTreeSet::new() }
     }
 
     fn engines(&self, service: &str) -> Vec<ReadyEngine> {
         let instances = &self.state.instances;
         let places = instances.places().filter(|place| place.service == service);
         let ready = |record: &&InstanceRecord| record.state == InstanceState::Ready;
-        let serving = places.flat_map(|place| instances.engines_in(place).filter(ready).take(MOST_OF_A_PLACE));
-        serving
+        let candidates = places.flat_map(|place| instances.engines_in(place).filter(ready).take(MAX_ENGINES_PER_PLACE));
+        candidates
             .map(|record| ReadyEngine {
                 target: EngineTarget { instance: record.report.id.clone(), address: record.report.address },
                 zone: record.report.zone.clone(),
@@ -56,55 +54,55 @@
     }
 }
 
-/// The turns of a route's targets, and the targets that they were made for.
+/// Weighted round-robin state of a route, valid for `targets`.
 struct RouteTurns {
     targets: Vec<WeightedTarget>,
     turns: WeightedTurns,
 }
 
-/// What this leader has seen of the engines that score.
+/// Selects scoring engines by route weights, observed latency and failures, and free slots.
 pub(crate) struct Scorers {
     zone: String,
     balance: Balance,
-    /// Engines that have told of waiting requests, and until when they are spared.
-    crowded: RefCell<BTreeMap<InstanceId, Duration>>,
-    /// By host and prefix, for routes with several targets.
+    /// Engines that reported queued requests, and until when they receive no score calls.
+    backed_off: RefCell<BTreeMap<InstanceId, Duration>>,
+    /// Round-robin state by host and path prefix.
     turns: RefCell<BTreeMap<(String, String), RouteTurns>>,
 }
 
 impl Scorers {
-    /// Nothing seen yet; engines in `zone` are nearest.
+    /// Engines in `zone` are treated as nearest.
     pub fn new(zone: String) -> Self {
-        Self { zone, balance: Balance::default(), crowded: RefCell::default(), turns: RefCell::default() }
+        Self { zone, balance: Balance::default(), backed_off: RefCell::default(), turns: RefCell::default() }
     }
 
-    /// Counts a call as in flight.
-    pub fn begin(&self, instance: &InstanceId, now: Duration) -> InFlight {
+    /// Counts a call as in flight until the result is dropped.
+    pub fn begin_call(&self, instance: &InstanceId, now: Duration) -> InFlight {
         self.balance.begin(instance, now)
     }
 
-    /// What has been seen of engines' latencies and failures.
+    /// Observed latencies and failures of engines.
     pub fn balance(&self) -> &Balance {
         &self.balance
     }
 
-    /// The engine told how many requests wait for one of its slots.
-    pub fn hear_waiting(&self, instance: &InstanceId, waiting: u32, now: Duration) {
-        let mut crowded = self.crowded.borrow_mut();
+    /// Records the queue length that an engine reported; a nonzero one backs it off from score calls.
+    pub fn record_queue_length(&self, instance: &InstanceId, waiting: u32, now: Duration) {
+        let mut backed_off = self.backed_off.borrow_mut();
         if waiting > 0 {
-            crowded.insert(instance.clone(), now + CROWDED_REST);
+            backed_off.insert(instance.clone(), now + QUEUE_BACKOFF);
         } else {
-            crowded.remove(instance);
+            backed_off.remove(instance);
         }
     }
 
-    /// Forgets engines that `keep` does not want.
+    /// Drops the state of engines for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&InstanceId) -> bool) {
         self.balance.retain(&keep);
-        self.crowded.borrow_mut().retain(|instance, _| keep(instance));
+        self.backed_off.borrow_mut().retain(|instance, _| keep(instance));
     }
 
-    /// The route of a call and the engine for it; `None` while there is no route or no engine has room.
+    /// The route and engine for a call; `None` if no route matches or no engine has free capacity.
     pub fn choose<'a>(
         &self,
         round: &mut ScoringRound<'a>,
@@ -113,15 +111,16 @@
     ) -> Option<(&'a Route, ReadyEngine)> {
         let route = round.state.routing.current()?.find(&request.host, &request.path)?;
         let mut turns = self.turns.borrow_mut();
-        let held = turns.entry((route.host.clone(), route.path_prefix.clone())).or_insert_with(|| begin_turns(route));
-        if held.targets != route.targets {
-            *held = begin_turns(route);
+        let route_turns =
+            turns.entry((route.host.clone(), route.path_prefix.clone())).or_insert_with(|| new_turns(route));
+        if route_turns.targets != route.targets {
+            *route_turns = new_turns(route);
         }
-        // The turn is taken only if the call can be made now.
-        let mut next = held.turns.clone();
-        let service = &route.targets[next.take(&route.targets)].service;
+        // The turn is consumed only if an engine is available.
+        let mut next_turns = route_turns.turns.clone();
+        let service = &route.targets[next_turns.take(&route.targets)].service;
         let engine = self.choose_engine(round, service, avoid)?;
-        held.turns = next;
+        route_turns.turns = next_turns;
         *round.planned.entry(engine.target.instance.clone()).or_default() += 1;
         Some((route, engine))
     }
@@ -132,13 +131,13 @@
         service: &str,
         avoid: Option<&InstanceId>,
     ) -> Option<ReadyEngine> {
-        if round.full.contains(service) {
+        if round.full_services.contains(service) {
             return None;
         }
         let with_room: Vec<ReadyEngine> =
             round.engines(service).into_iter().filter(|engine| self.has_room(round, engine)).collect();
         if with_room.is_empty() {
-            round.full.insert(service.to_string());
+            round.full_services.insert(service.to_string());
             return None;
         }
         let tried: Vec<InstanceId> = avoid.into_iter().cloned().collect();
@@ -147,15 +146,15 @@
 
     fn has_room(&self, round: &ScoringRound, engine: &ReadyEngine) -> bool {
         let instance = &engine.target.instance;
-        if self.crowded.borrow().get(instance).is_some_and(|until| round.now < *until) {
+        if self.backed_off.borrow().get(instance).is_some_and(|until| round.now < *until) {
             return false;
         }
         let planned = round.planned.get(instance).copied().unwrap_or(0);
-        let most = (f64::from(engine.slots) * SLOT_SHARE).max(1.0);
-        f64::from(self.balance.in_flight(instance) + planned) < most.floor()
+        let limit = (f64::from(engine.slots) * MAX_SLOT_SHARE).max(1.0);
+        f64::from(self.balance.in_flight(instance) + planned) < limit.floor()
     }
 }
 
-fn begin_turns(route: &Route) -> RouteTurns {
+fn new_turns(route: &Route) -> RouteTurns {
     RouteTurns { targets: route.targets.clone(), turns: WeightedTurns::new(&route.targets, 0.0) }
 }
--- a/crates/coordinator/src/scoring.rs
+++ b/crates/coordinator/src/scoring.rs
@@ -1,10 +1,10 @@
-//! Has an item's whole text scored by the request that the item names.
+//! Calls a scoring engine for an item's complete text, with the request that the item names.
 
 use crate::coordinator::Coordinator;
 use crate::item::set_tenant;
 use crate::job_run::Phase;
-use crate::lost_connections::{ItemTrial, SuspectedRun, TrialTaken, while_held};
-use crate::plan::may_reach;
+use crate::lost_connections::{EngineWork, ItemTrial, TrialTaken, run_while_held};
+use crate::plan::may_route_to;
 use crate::text::{self, ItemText};
 use crate::waits::WaitReason;
 use hyper::header::{HOST, HeaderMap, HeaderValue};
@@ -22,33 +22,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest answer to a call for a score.
-const ANSWER_BYTES: usize = 1 << 20;
+/// Maximum response body size.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Most doublings of the pause between calls for one score.
-const PAUSE_DOUBLINGS: u32 = 5;
+/// Maximum number of doublings of the retry delay.
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// A call for the score of one item.
+/// A planned score call for one item.
 pub(crate) struct ScoreCall {
     pub job: JobId,
     pub index: u32,
     pub item: ItemId,
     pub request: ScoringRequest,
-    /// The tenant whose job it is.
+    /// The tenant that owns the job.
     pub owner: Option<TenantId>,
     pub engine: ReadyEngine,
-    /// Failures after which the item is given up.
+    /// Number of failures after which the item is aborted.
     pub max_attempts: u32,
-    /// Which of the item's calls it is, from 1.
+    /// Number of this call among the item's score calls, from 1.
     pub call: u32,
-    pub give_up_at: Duration,
-    /// Longest wait for the whole answer.
-    pub call_limit: Duration,
+    pub item_deadline: Duration,
+    /// Timeout of the call, including the response body.
+    pub call_timeout: Duration,
     pub text: Rc<RefCell<ItemText>>,
     pub term: u64,
 }
 
-impl SuspectedRun for ScoreCall {
+impl EngineWork for ScoreCall {
     fn item(&self) -> &ItemId {
         &self.item
     }
@@ -57,27 +57,27 @@
         self.request.work_digest(self.owner.as_ref())
     }
 
-    fn ends_by(&self, now: Duration) -> Duration {
-        (now + self.call_limit).min(self.give_up_at)
+    fn latest_end(&self, now: Duration) -> Duration {
+        (now + self.call_timeout).min(self.item_deadline)
     }
 }
 
-/// How a call ended.
+/// Result of a score call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum ScoreEnd {
-    /// With the engine's stamp.
+    /// The engine's score stamp.
     Scored(String),
-    /// The engine ran it and failed; counts as an attempt.
+    /// The engine responded with an internal error; counts towards the maximum number of attempts.
     Failed,
-    /// There is no score, for a reason that says nothing of the text.
+    /// There is no score, for a reason independent of the text.
     NoAnswer(String),
-    /// The connection ended before the answer was whole.
+    /// The connection was lost before the response was complete.
     ConnectionLost(String),
-    /// Another try of the same suspected work is under way.
+    /// The trial of this suspected work was denied or lost.
     TrialTaken,
 }
 
-/// Makes the call and records how it ended.
+/// Makes a score call and records its result.
 pub(crate) async fn run<B: Backends>(coordinator: Coordinator<B>, call: ScoreCall, _in_flight: InFlight) {
     let inner = &coordinator.inner;
     let trial = coordinator.begin_trial(&call).await;
@@ -86,103 +86,107 @@
         Ok(trial) => {
             inner.metrics.score_calls.inc();
             let trial = trial.as_ref();
-            while_held(trial, ask_in_time(&coordinator, &call, trial)).await.unwrap_or(ScoreEnd::TrialTaken)
+            run_while_held(trial, call_with_timeout(&coordinator, &call, trial)).await.unwrap_or(ScoreEnd::TrialTaken)
         }
         Err(TrialTaken) => ScoreEnd::TrialTaken,
     };
     if matches!(end, ScoreEnd::ConnectionLost(_)) {
-        coordinator.look_into_lost_connection(&call.item, call.work_digest(), &call.engine.target).await;
+        coordinator.investigate_lost_connection(&call.item, call.work_digest(), &call.engine.target).await;
     }
     let now = coordinator.now();
-    let lasted = now.saturating_sub(began_at);
-    inner.metrics.score_seconds.observe(lasted.as_secs_f64());
+    let elapsed = now.saturating_sub(began_at);
+    inner.metrics.score_seconds.observe(elapsed.as_secs_f64());
     let instance = &call.engine.target.instance;
     match &end {
-        ScoreEnd::Scored(_) => inner.scorers.balance().answered(instance, lasted, now),
+        ScoreEnd::Scored(_) => inner.scorers.balance().answered(instance, elapsed, now),
         ScoreEnd::Failed | ScoreEnd::NoAnswer(_) | ScoreEnd::ConnectionLost(_) => {
             inner.scorers.balance().failed(instance, now)
         }
-        // It says nothing of the engine.
+        // The engine was not at fault.
         ScoreEnd::TrialTaken => {}
     }
-    tell(&call, &end, lasted);
+    log_call(&call, &end, elapsed);
     coordinator.record_score(&call, end);
 }
 
-fn tell(call: &ScoreCall, end: &ScoreEnd, lasted: Duration) {
+fn log_call(call: &ScoreCall, end: &ScoreEnd, elapsed: Duration) {
     spdlog::info!("score call ended", kv: {
         item = call.item.0.as_str(),
         job = call.job.0.as_str(),
         request = call.request.id.as_str(),
         instance = call.engine.target.instance.name.as_str(),
         call = call.call,
-        lasted_ms = lasted.as_millis() as u64,
+        lasted_ms = elapsed.as_millis() as u64,
         outcome = format!("{end:?}").as_str()
     });
 }
 
-async fn ask_in_time<B: Backends>(
+async fn call_with_timeout<B: Backends>(
     coordinator: &Coordinator<B>,
     call: &ScoreCall,
     trial: Option<&ItemTrial<B>>,
 ) -> ScoreEnd {
-    let ended = compio::time::timeout(call.call_limit, ask(coordinator, call, trial)).await;
-    ended.unwrap_or_else(|_| ScoreEnd::NoAnswer("no answer in time".to_string()))
+    let result = compio::time::timeout(call.call_timeout, send_call(coordinator, call, trial)).await;
+    result.unwrap_or_else(|_| ScoreEnd::NoAnswer("no response within the timeout".to_string()))
 }
 
-async fn ask<B: Backends>(coordinator: &Coordinator<B>, call: &ScoreCall, trial: Option<&ItemTrial<B>>) -> ScoreEnd {
-    let outgoing = match outgoing(coordinator.names(), &call.request, call.owner.as_ref()) {
+async fn send_call<B: Backends>(
+    coordinator: &Coordinator<B>,
+    call: &ScoreCall,
+    trial: Option<&ItemTrial<B>>,
+) -> ScoreEnd {
+    let outgoing = match build_request(coordinator.names(), &call.request, call.owner.as_ref()) {
         Ok(outgoing) => outgoing,
         Err(reason) => return ScoreEnd::NoAnswer(reason),
     };
     let inner = &coordinator.inner;
-    let deadline = call.ends_by(coordinator.now());
+    let deadline = call.latest_end(coordinator.now());
     let time_left = || deadline.saturating_sub(coordinator.now());
     let may_send = || {
-        let wanted = inner.node.read(|state| still_wanted(state, call));
-        let alone = trial.is_some_and(ItemTrial::holds) || !coordinator.is_suspected(call);
-        coordinator.leads(call.term) && wanted == Some(true) && alone
+        let is_pending = inner.node.read(|state| is_still_pending(state, call));
+        let exclusive = trial.is_some_and(ItemTrial::holds) || !coordinator.is_suspected(call);
+        coordinator.leads(call.term) && is_pending == Some(true) && exclusive
     };
     let answer = inner.pool.send(&call.engine.target, &outgoing, Reuse::Any, time_left, may_send).await;
     let answer = match answer {
         Ok(answer) => answer,
-        Err(failure) => return no_answer(&failure),
+        Err(failure) => return failure_end(&failure),
     };
     let not_executed = answer.is_not_executed(coordinator.names());
-    match answer.read_whole(ANSWER_BYTES).await {
+    match answer.read_whole(MAX_RESPONSE_BYTES).await {
         Ok((head, _, connection)) => {
             if let Some(connection) = connection {
                 inner.pool.put_back(&call.engine.target, connection);
             }
-            coordinator.hear_load(&call.engine, &head);
-            judge(&head, not_executed, coordinator.names())
+            coordinator.record_load(&call.engine, &head);
+            classify_response(&head, not_executed, coordinator.names())
         }
-        Err(failure) => no_answer(&failure),
+        Err(failure) => failure_end(&failure),
     }
 }
 
-fn no_answer(failure: &Failure) -> ScoreEnd {
+fn failure_end(failure: &Failure) -> ScoreEnd {
     match failure {
         Failure::ConnectionLost(reason) => ScoreEnd::ConnectionLost(reason.clone()),
         Failure::NotSent(_) | Failure::MayHaveRun(_) => ScoreEnd::NoAnswer(failure.to_string()),
     }
 }
 
-fn judge(head: &Parts, not_executed: bool, names: &HeaderNames) -> ScoreEnd {
+fn classify_response(head: &Parts, not_executed: bool, names: &HeaderNames) -> ScoreEnd {
     if !not_executed && head.status == StatusCode::INTERNAL_SERVER_ERROR {
         return ScoreEnd::Failed;
     }
     if not_executed || !head.status.is_success() {
-        return ScoreEnd::NoAnswer(format!("the engine answered {}", head.status.as_u16()));
+        return ScoreEnd::NoAnswer(format!("engine responded with status {}", head.status.as_u16()));
     }
     let stamp = head.headers.get(&names.stamp).and_then(|value| value.to_str().ok());
     match stamp {
         Some(stamp) => ScoreEnd::Scored(stamp.to_string()),
-        None => ScoreEnd::NoAnswer("the answer has no stamp".to_string()),
+        None => ScoreEnd::NoAnswer("response has no stamp header".to_string()),
     }
 }
 
-fn outgoing(names: &HeaderNames, request: &ScoringRequest, owner: Option<&TenantId>) -> Result<Outgoing, String> {
+fn build_request(names: &HeaderNames, request: &ScoringRequest, owner: Option<&TenantId>) -> Result<Outgoing, String> {
     let text = |value: &str| HeaderValue::from_str(value).map_err(|error| error.to_string());
     let mut headers = HeaderMap::new();
     headers.insert(HOST, text(&request.host)?);
@@ -197,20 +201,21 @@
     })
 }
 
-/// Whether the call may still be made, by the committed state at this moment.
-fn still_wanted(state: &ControlState, call: &ScoreCall) -> bool {
+/// Whether the committed state still allows the call: the job is open, the item has no result, and the route and engine
+/// accept it.
+fn is_still_pending(state: &ControlState, call: &ScoreCall) -> bool {
     let job = state.jobs.get(&call.job);
-    let wanted = job.is_some_and(|job| !job.is_ended() && !job.is_listed(call.index));
-    wanted && may_reach(state, &call.engine.target.instance, &call.request.host, &call.request.path)
+    let is_pending = job.is_some_and(|job| !job.is_ended() && !job.is_listed(call.index));
+    is_pending && may_route_to(state, &call.engine.target.instance, &call.request.host, &call.request.path)
 }
 
 impl<B: Backends> Coordinator<B> {
-    /// Takes the load that an engine tells with an answer: requests running, waiting, and slots.
-    fn hear_load(&self, engine: &ReadyEngine, head: &Parts) {
-        let told = head.headers.get(&self.names().load).and_then(|value| value.to_str().ok());
-        let waiting = told.and_then(|told| told.split(',').nth(1)?.trim().parse().ok());
+    /// Records the queue length from the load header: requests running, waiting, and slots, separated by commas.
+    fn record_load(&self, engine: &ReadyEngine, head: &Parts) {
+        let load_header = head.headers.get(&self.names().load).and_then(|value| value.to_str().ok());
+        let waiting = load_header.and_then(|load_header| load_header.split(',').nth(1)?.trim().parse().ok());
         if let Some(waiting) = waiting {
-            self.inner.scorers.hear_waiting(&engine.target.instance, waiting, self.now());
+            self.inner.scorers.record_queue_length(&engine.target.instance, waiting, self.now());
         }
     }
 
@@ -223,16 +228,16 @@
         };
         inner.replan.notify();
         if let ScoreEnd::Scored(stamp) = end {
-            self.note_served(|| call.work_digest());
+            self.clear_suspicion(|| call.work_digest());
             run.phase = Phase::Ended;
             inner.metrics.items_completed.inc();
             let outcome = call.text.borrow().outcome(call.index, Some(stamp));
-            self.list(&call.job, outcome);
+            self.queue_outcome(&call.job, outcome);
             return;
         }
         run.phase = Phase::Waiting;
         if end == ScoreEnd::TrialTaken {
-            // Neither the engine nor the text has anything to do with it.
+            // A denied trial is not a failure of the engine or the text, so it does not count as a call.
             run.scoring.calls -= 1;
             run.scoring.avoid = None;
             run.scoring.not_before = self.now() + TRIAL_RETRY_AFTER;
@@ -246,11 +251,11 @@
         if run.scoring.failures >= call.max_attempts {
             run.phase = Phase::Ended;
             inner.metrics.items_aborted.inc();
-            self.list(&call.job, text::aborted(call.index));
+            self.queue_outcome(&call.job, text::aborted(call.index));
             return;
         }
-        let doublings = (call.call - 1).min(PAUSE_DOUBLINGS);
-        run.scoring.not_before = self.now() + inner.config.retry_pause * 2_u32.pow(doublings);
-        run.scoring.pause_reason = WaitReason::RetryPause;
+        let doublings = (call.call - 1).min(MAX_BACKOFF_DOUBLINGS);
+        run.scoring.not_before = self.now() + inner.config.retry_delay * 2_u32.pow(doublings);
+        run.scoring.pause_reason = WaitReason::RetryDelay;
     }
 }
--- a/crates/coordinator/src/waits.rs
+++ b/crates/coordinator/src/waits.rs
@@ -1,160 +1,160 @@
-//! Tells of items that are at no engine for long, and why. Bounded: an item is told of once each time that its wait has
-//! doubled, and [`LINES_AT_ONCE`] items each [`LINES_INTERVAL`] at most; the next line says how many were left out.
+//! Logs items that wait long for an engine, with the reason. An item is logged once each time its wait has doubled, and
+//! at most [`MAX_LINES_PER_INTERVAL`] lines are written per [`LOG_INTERVAL`]; the next line reports how many were
+//! suppressed.
 
 use crate::metrics::CoordinatorMetrics;
 use saddlerelay_types::job::{ItemId, JobId};
 use std::cell::RefCell;
 use std::time::Duration;
 
-/// An item that has been at no engine for so long is told of. A new leader sends what it takes up within 1 to 2 s of the
-/// old one's end, so that what waits longer waits for something else.
-const LONG_WAIT: Duration = Duration::from_secs(2);
+/// Wait after which an item is first logged; longer than a leader change normally delays an item.
+const LOG_AFTER: Duration = Duration::from_secs(2);
 
-/// Most lines in each [`LINES_INTERVAL`].
-const LINES_AT_ONCE: u32 = 8;
+/// Maximum number of lines per [`LOG_INTERVAL`].
+const MAX_LINES_PER_INTERVAL: u32 = 8;
 
-/// See [`LINES_AT_ONCE`].
-const LINES_INTERVAL: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why an item is not sent to an engine now.
+/// Why an item is waiting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WaitReason {
-    /// Engine after engine has ended under its work.
+    /// Its work is quarantined because several engines terminated while running it.
     Quarantined,
-    /// Another process holds the right to run its suspected work.
+    /// Another process holds the trial of its suspected work, or the trial could not be granted.
     TrialTaken,
-    /// A pause after an attempt that failed.
-    RetryPause,
-    /// No ready engine has the weights that it asks for.
-    NoFittingEngine,
-    /// The engines that fit are full.
+    /// The retry delay after a failed attempt has not elapsed.
+    RetryDelay,
+    /// No ready engine has the required weights.
+    NoEligibleEngine,
+    /// All eligible engines are full.
     NoRoom,
-    /// Only slow or silent engines have room.
-    NoSoundEngine,
-    /// This plan starts no more items; the next one follows at once.
-    PlanIsFull,
-    /// Its text is whole, and no engine takes the call for its score.
+    /// Only slow or non-reporting engines have a free slot.
+    OnlyDegradedEngines,
+    /// The plan has reached its limit of started items; the next one follows at once.
+    PlanLimitReached,
+    /// Its text is complete, and no engine is available for the score call.
     NoScorer,
 }
 
 impl WaitReason {
-    /// The reason as logs tell it.
+    /// The value of the log key `reason`.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Quarantined => "engines have ended under its work",
-            Self::TrialTaken => "another process holds the right to run its work",
-            Self::RetryPause => "pause after a failed attempt",
-            Self::NoFittingEngine => "no ready engine has the weights",
-            Self::NoRoom => "fitting engines are full",
-            Self::NoSoundEngine => "only slow or silent engines have room",
-            Self::PlanIsFull => "other items are started first",
-            Self::NoScorer => "no engine takes the call for its score",
+            Self::Quarantined => "work is quarantined after engine terminations",
+            Self::TrialTaken => "no trial held for suspected work",
+            Self::RetryDelay => "retry delay after a failed attempt",
+            Self::NoEligibleEngine => "no ready engine has the required weights",
+            Self::NoRoom => "all eligible engines are full",
+            Self::OnlyDegradedEngines => "only slow or non-reporting engines have a free slot",
+            Self::PlanLimitReached => "start limit of this plan reached",
+            Self::NoScorer => "no engine available for scoring",
         }
     }
 
-    /// Whether it is a matter of load alone.
+    /// Whether the reason is load alone, which is logged at a lower level.
     fn is_load(self) -> bool {
-        matches!(self, Self::NoRoom | Self::PlanIsFull)
+        matches!(self, Self::NoRoom | Self::PlanLimitReached)
     }
 }
 
-/// How long an item has been at no engine.
+/// Tracks how long an item has been waiting for an engine.
 #[derive(Debug, Default)]
 pub(crate) struct Wait {
     since: Option<Duration>,
-    /// It is told of again once it has waited so long; zero stands for [`LONG_WAIT`].
-    next_told: Duration,
+    /// Wait after which the item is logged next; zero stands for [`LOG_AFTER`].
+    next_log_at: Duration,
 }
 
 impl Wait {
-    /// The item waits at `now`. Returns how long it has, if that is to be told.
-    fn go_on(&mut self, now: Duration) -> Option<Duration> {
+    /// Records that the item is waiting at `now`. Returns the wait so far if it is to be logged.
+    fn update(&mut self, now: Duration) -> Option<Duration> {
         let waited = now.saturating_sub(*self.since.get_or_insert(now));
-        let told_at = self.next_told.max(LONG_WAIT);
-        if waited < told_at {
+        let log_at = self.next_log_at.max(LOG_AFTER);
+        if waited < log_at {
             return None;
         }
-        self.next_told = told_at * 2;
+        self.next_log_at = log_at * 2;
         Some(waited)
     }
 
-    /// An engine has the item at `now`. Returns how long it has waited.
+    /// Ends the wait at `now` and returns how long it lasted.
     pub fn end(&mut self, now: Duration) -> Duration {
         let since = std::mem::take(self).since;
         since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 }
 
-/// An item that waits, and what the plan knew of engines.
+/// A waiting item and the engines that the plan found.
 pub(crate) struct WaitingItem<'a> {
     pub job: &'a JobId,
     pub item: &'a ItemId,
     pub reason: WaitReason,
-    /// Engines that are ready, those of them that fit, and those of these that have room.
+    /// Number of ready engines, of eligible ones among them, and of eligible ones with a free slot.
     pub engines: usize,
-    pub fitting: usize,
+    pub eligible: usize,
     pub with_room: usize,
-    /// The revision of the list of suspected work that was looked at.
+    /// Revision of the suspicion table that the plan used.
     pub suspicion_revision: u64,
 }
 
-/// Bounds the lines about waiting items.
+/// Rate-limited log of waiting items.
 #[derive(Debug, Default)]
-pub(crate) struct WaitLines {
-    window: RefCell<LineWindow>,
+pub(crate) struct WaitLog {
+    window: RefCell<LogWindow>,
 }
 
 #[derive(Debug, Default)]
-struct LineWindow {
+struct LogWindow {
     began_at: Duration,
-    told: u32,
-    left_out: u32,
+    logged: u32,
+    suppressed: u32,
 }
 
-impl LineWindow {
-    /// Takes a line at `now`; returns how many were left out before it, or `None` if it is left out itself.
-    fn take(&mut self, now: Duration) -> Option<u32> {
-        if now >= self.began_at + LINES_INTERVAL {
+impl LogWindow {
+    /// Admits a line at `now`. Returns how many lines were suppressed since the last admitted one, or `None` if this
+    /// one is suppressed.
+    fn admit(&mut self, now: Duration) -> Option<u32> {
+        if now >= self.began_at + LOG_INTERVAL {
             self.began_at = now;
-            self.told = 0;
+            self.logged = 0;
         }
-        if self.told >= LINES_AT_ONCE {
-            self.left_out += 1;
+        if self.logged >= MAX_LINES_PER_INTERVAL {
+            self.suppressed += 1;
             return None;
         }
-        self.told += 1;
-        Some(std::mem::take(&mut self.left_out))
+        self.logged += 1;
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
 
-impl WaitLines {
-    /// An item waits at `now`; says so if it has for long.
-    pub fn go_on<'a>(
+impl WaitLog {
+    /// Records that an item is waiting at `now`; counts and logs it if the wait is long.
+    pub fn update<'a>(
         &self,
         wait: &mut Wait,
         now: Duration,
         metrics: &CoordinatorMetrics,
         describe: impl FnOnce() -> WaitingItem<'a>,
     ) {
-        let Some(waited) = wait.go_on(now) else {
+        let Some(waited) = wait.update(now) else {
             return;
         };
         let waiting = describe();
         metrics.long_waits(waiting.reason).inc();
-        let Some(left_out) = self.window.borrow_mut().take(now) else {
+        let Some(suppressed) = self.window.borrow_mut().admit(now) else {
             return;
         };
         let level = if waiting.reason.is_load() { spdlog::Level::Info } else { spdlog::Level::Warn };
-        spdlog::log!(level, "item waits at no engine", kv: {
+        spdlog::log!(level, "item still waiting for an engine", kv: {
             item = waiting.item.0.as_str(),
             job = waiting.job.0.as_str(),
             reason = waiting.reason.as_str(),
             waited_ms = waited.as_millis() as u64,
             engines = waiting.engines,
-            fitting = waiting.fitting,
+            eligible = waiting.eligible,
             with_room = waiting.with_room,
             suspicion_revision = waiting.suspicion_revision,
-            items_left_out = left_out
+            items_suppressed = suppressed
         });
     }
 }
--- a/crates/coordinator/src/working_set.rs
+++ b/crates/coordinator/src/working_set.rs
@@ -1,10 +1,8 @@
-//! Which engines the leader gives items to and keeps at the newest weights, where there are more than the work needs.
+//! Selects the engines that receive items and weight orders, if there are more than the work needs.
 //!
-//! A job asks for some hundred engines at most, whatever the fleet has. To keep all engines of a large fleet up to date
-//! would take an order, a note in the log and three calls for each engine and version (9,625 engines, a version each 4 s:
-//! 2,400 orders a second; a leader of 0.3 of a core gives some 30), and each plan would look at all of them. So a leader
-//! works with a set, as large as the policy wants it, which grows at once with the demand. Where engines are few, the set
-//! is all of them.
+//! Keeping every engine of a large fleet up to date would take an order, a log entry and several calls per engine and
+//! version, and each plan would consider every engine. The leader therefore uses a working set whose size the policy
+//! chooses and which grows with demand. In a small fleet it contains all engines.
 
 use crate::working_set_policy::{ModelDemand, ServiceDemand, WorkingSetPolicy};
 use saddlerelay_control::state::ControlState;
@@ -14,70 +12,70 @@
 use saddlerelay_types::routing::{RouteKind, RoutingDocument};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The set of one service.
+/// Working set of one service.
 #[derive(Debug, Default)]
 struct ServiceSet {
     members: BTreeSet<InstanceId>,
-    /// How many the policy wants.
+    /// Size wanted by the policy.
     wanted: usize,
-    /// The largest job seen lately of each model, in items; the name is empty for jobs without a model.
+    /// Largest job seen of each model, in items; the key is empty for jobs without a model.
     largest_jobs: BTreeMap<String, u32>,
 }
 
-/// The sets of all services that run batch jobs.
+/// Working sets of all services that run batch jobs or host models.
 #[derive(Debug, Default)]
 pub struct WorkingSet {
     services: BTreeMap<String, ServiceSet>,
-    /// How far the table has been looked at; `None` in a new term.
+    /// Revision of the instance table at the last update; `None` in a new term.
     table_revision: Option<u64>,
 }
 
-/// Engines that have come into the set.
+/// Engines added to the working set.
 pub type Added = Vec<InstanceId>;
 
-fn is_sound(record: &InstanceRecord) -> bool {
+fn is_healthy(record: &InstanceRecord) -> bool {
     record.state == InstanceState::Ready && !record.silent
 }
 
 impl WorkingSet {
-    /// Forgets everything but what jobs have asked for: another term begins.
+    /// Drops all members at the start of a term; recorded job sizes are kept.
     pub fn clear(&mut self) {
         self.table_revision = None;
         self.services.values_mut().for_each(|set| set.members.clear());
     }
 
-    /// A job of so many items has come for a service.
-    pub fn note_job(&mut self, service: &str, model: Option<&str>, items: u32) {
+    /// Records the number of items of a job for a service.
+    pub fn record_job(&mut self, service: &str, model: Option<&str>, items: u32) {
         let set = self.services.entry(service.to_string()).or_default();
         let largest = set.largest_jobs.entry(model.unwrap_or_default().to_string()).or_default();
         *largest = (*largest).max(items);
     }
 
-    /// The engines of a service.
+    /// Members of a service's working set.
     pub fn of_service<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a InstanceId> + use<'a> {
         self.services.get(service).into_iter().flat_map(|set| &set.members)
     }
 
-    /// The engines of all services.
+    /// Members of all working sets.
     pub fn iter(&self) -> impl Iterator<Item = &InstanceId> {
         self.services.values().flat_map(|set| &set.members)
     }
 
-    /// Whether an engine is in the set of some service.
+    /// Whether an engine is in any working set.
     pub fn contains(&self, instance: &InstanceId) -> bool {
         self.services.values().any(|set| set.members.contains(instance))
     }
 
-    /// Follows the state: engines that may no longer be given work leave, others take their places. Looks at what has changed,
-    /// and at engines of a place only while one is wanted.
-    pub fn follow(&mut self, state: &ControlState, policy: &dyn WorkingSetPolicy) -> Added {
+    /// Updates the sets from the committed state: engines that are no longer ready are removed and replaced. Only
+    /// changed records are read, and further engines of a place only while some are missing.
+    pub fn update(&mut self, state: &ControlState, policy: &dyn WorkingSetPolicy) -> Added {
         let Some(document) = state.routing.current() else {
             return Vec::new();
         };
         let table = &state.instances;
-        let is_new = self.table_revision.is_none_or(|revision| revision > table.revision());
-        let changed = is_new || self.table_revision != Some(table.revision());
-        self.take_changes(table, is_new);
+        let must_rebuild = self.table_revision.is_none_or(|revision| revision > table.revision());
+        let changed = must_rebuild || self.table_revision != Some(table.revision());
+        self.remove_unready(table, must_rebuild);
         self.table_revision = Some(table.revision());
         let mut added = Vec::new();
         for service in batch_services(document) {
@@ -88,20 +86,20 @@
             let models = hosting.map(|hosting| hosting.models.as_slice()).unwrap_or_default();
             let slots = hosting.map(|hosting| hosting.slots).or_else(|| reported_slots(table, &places)).unwrap_or(1);
             let wanted = policy.engines(&ServiceDemand { ready, slots, models: set.demands(models) });
-            let grows = std::mem::replace(&mut set.wanted, wanted) < wanted;
-            if is_new {
-                set.take_over(state, service, &mut added);
+            let has_grown = std::mem::replace(&mut set.wanted, wanted) < wanted;
+            if must_rebuild {
+                set.adopt_ordered_engines(state, service, &mut added);
             }
-            if changed || grows {
+            if changed || has_grown {
                 set.fill(table, &places, ready, &mut added);
             }
         }
         added
     }
 
-    /// Lets go of engines that have left.
-    fn take_changes(&mut self, table: &InstanceTable, is_new: bool) {
-        if is_new {
+    /// Removes engines that are no longer ready, or all members before a rebuild.
+    fn remove_unready(&mut self, table: &InstanceTable, must_rebuild: bool) {
+        if must_rebuild {
             self.services.values_mut().for_each(|set| set.members.clear());
             return;
         }
@@ -117,13 +115,13 @@
 
 impl ServiceSet {
     fn demands(&self, models: &[String]) -> Vec<ModelDemand> {
-        let hosted = models.iter().map(|model| ModelDemand { largest_job: self.largest_jobs.get(model).copied() });
-        let without = self.largest_jobs.get("").map(|items| ModelDemand { largest_job: Some(*items) });
-        hosted.chain(without).collect()
+        let by_model = models.iter().map(|model| ModelDemand { largest_job: self.largest_jobs.get(model).copied() });
+        let unnamed = self.largest_jobs.get("").map(|items| ModelDemand { largest_job: Some(*items) });
+        by_model.chain(unnamed).collect()
     }
 
-    /// Begins with the engines that the leader before has given orders: they have the weights.
-    fn take_over(&mut self, state: &ControlState, service: &str, added: &mut Added) {
+    /// Adds the engines that earlier leaders sent orders to, as they have recent weights.
+    fn adopt_ordered_engines(&mut self, state: &ControlState, service: &str, added: &mut Added) {
         for subject in state.orders.notes().keys() {
             let OrderSubject::Engine(name) = subject else {
                 continue;
@@ -131,18 +129,20 @@
             let Some(id) = state.instances.newest_start(name) else {
                 continue;
             };
-            let record = state.instances.get(id).filter(|record| is_sound(record) && record.report.service == service);
+            let record =
+                state.instances.get(id).filter(|record| is_healthy(record) && record.report.service == service);
             if record.is_some() && self.members.insert(id.clone()) {
                 added.push(id.clone());
             }
         }
     }
 
-    /// Adds engines of each place in turn until there are enough; all of them, also silent ones, where all are wanted.
+    /// Adds engines from each place in turn until there are enough. If the policy wants all engines, non-reporting ones
+    /// are added too.
     fn fill(&mut self, table: &InstanceTable, places: &[&EnginePlace], ready: usize, added: &mut Added) {
         let takes_all = self.wanted >= ready;
-        let sound = self.members.iter().filter(|id| table.get(id).is_some_and(is_sound)).count();
-        let mut missing = self.wanted.saturating_sub(sound);
+        let healthy = self.members.iter().filter(|id| table.get(id).is_some_and(is_healthy)).count();
+        let mut missing = self.wanted.saturating_sub(healthy);
         if missing == 0 && !takes_all {
             return;
         }
@@ -165,13 +165,13 @@
     }
 }
 
-/// Items that an engine of these places runs at once, as one of them has reported.
+/// Slots per engine, from the report of one engine of these places.
 fn reported_slots(table: &InstanceTable, places: &[&EnginePlace]) -> Option<u32> {
     let first = places.iter().find_map(|place| table.engines_in(place).next());
     first.map(|record| record.report.slots)
 }
 
-/// The services that run batch jobs or hold models.
+/// Names of services that run batch jobs or host models.
 fn batch_services(document: &RoutingDocument) -> BTreeSet<&str> {
     let routes = document.routes.iter().filter(|route| route.kind == RouteKind::Rollout);
     let targets = routes.flat_map(|route| &route.targets).map(|target| target.service.as_str());
--- a/crates/coordinator/src/working_set_policy.rs
+++ b/crates/coordinator/src/working_set_policy.rs
@@ -1,49 +1,44 @@
-//! How many engines of a service the leader works with.
-//!
-//! The pattern that this answers: trainers that each hand a job of some hundred items in every few seconds, before thousands
-//! of engines. Six trainers with 208 items each want 35 engines of 6 slots for a step; all 9,625 would have to be told of
-//! each new version.
+//! Policies that choose the size of a service's working set.
 
-/// Steps of one model whose items run at the same time: the next one begins while the longest texts of the one before are
-/// still being made (7 s of a step each 4 s).
-const STEPS_AT_ONCE: f64 = 2.0;
+/// Number of a model's steps whose items run at the same time: a step starts while the longest texts of the previous
+/// one are still being generated.
+const CONCURRENT_STEPS: f64 = 2.0;
 
-/// Engines for each one that the items fill. A quarter more: a zone of five may be lost, or a quarter of the engines be
-/// changing weights or leaving, without an item waiting.
-const RESERVE: f64 = 1.25;
+/// Factor on the number of engines that the items fill; covers the loss of one of five zones, or engines that are
+/// loading weights or draining.
+const HEADROOM_FACTOR: f64 = 1.25;
 
-/// Items of a job, as long as none of a model has been seen. Jobs of 180 to 210 items have been the rule; the first job
-/// corrects it at once.
-const UNKNOWN_JOB_ITEMS: u32 = 200;
+/// Assumed number of items of a job before the first job of a model.
+const DEFAULT_JOB_ITEMS: u32 = 200;
 
-/// Fewest engines of a model: with less, what one engine's end takes with it is much of a step.
-const FEWEST_PER_MODEL: usize = 8;
+/// Limits the share of a step that is lost with one engine.
+const MIN_ENGINES_PER_MODEL: usize = 8;
 
-/// What batch jobs ask of one model.
+/// Demand of batch jobs for one model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ModelDemand {
-    /// Items of the largest job that has been seen; `None` before the first.
+    /// Items of the largest job so far; `None` before the first.
     pub largest_job: Option<u32>,
 }
 
-/// What batch jobs ask of a service.
+/// Demand of batch jobs for one service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceDemand {
-    /// Engines that may be given work and report themselves.
+    /// Number of ready, reporting engines.
     pub ready: usize,
-    /// Items that one of them runs at once.
+    /// Number of items that one engine runs concurrently.
     pub slots: u32,
-    /// The service's models; one without a name where jobs name none.
+    /// Demand of each model; includes an entry for jobs without a model, if there were any.
     pub models: Vec<ModelDemand>,
 }
 
-/// Chooses how many engines of a service the leader works with.
+/// Chooses the size of a service's working set.
 pub trait WorkingSetPolicy {
-    /// So many; more than there are means all.
+    /// Number of engines; a number above the existing engines selects all.
     fn engines(&self, demand: &ServiceDemand) -> usize;
 }
 
-/// All there are.
+/// Selects all engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AllEngines;
 
@@ -53,10 +48,10 @@
     }
 }
 
-/// The same number for each model, whatever its jobs ask for.
+/// Selects a fixed number of engines per model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FixedPerModel {
-    /// The number.
+    /// Engines per model.
     pub engines: usize,
 }
 
@@ -66,20 +61,20 @@
     }
 }
 
-/// As many as the items of the models' steps fill, and a reserve.
+/// Selects as many engines as the items of concurrent steps fill, plus headroom.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DemandWithReserve;
+pub struct DemandWithHeadroom;
 
-impl WorkingSetPolicy for DemandWithReserve {
+impl WorkingSetPolicy for DemandWithHeadroom {
     fn engines(&self, demand: &ServiceDemand) -> usize {
         let slots = f64::from(demand.slots.max(1));
-        let of_model = |model: &ModelDemand| {
-            let items = f64::from(model.largest_job.unwrap_or(UNKNOWN_JOB_ITEMS));
-            let filled = items * STEPS_AT_ONCE / slots;
-            ((filled * RESERVE).ceil() as usize).max(FEWEST_PER_MODEL)
+        let model_engines = |model: &ModelDemand| {
+            let items = f64::from(model.largest_job.unwrap_or(DEFAULT_JOB_ITEMS));
+            let filled_engines = items * CONCURRENT_STEPS / slots;
+            ((filled_engines * HEADROOM_FACTOR).ceil() as usize).max(MIN_ENGINES_PER_MODEL)
         };
-        let nobody_asked = [ModelDemand::default()];
-        let models = if demand.models.is_empty() { nobody_asked.as_slice() } else { &demand.models };
-        models.iter().map(of_model).sum()
+        let default_models = [ModelDemand::default()];
+        let models = if demand.models.is_empty() { default_models.as_slice() } else { &demand.models };
+        models.iter().map(model_engines).sum()
     }
 }
--- /dev/null
+++ b/crates/coordinator/tests/model_assignments.rs
@@ -0,0 +1,155 @@
+//! Assignment of engines to models.
+
+use quickcheck::{Gen, QuickCheck};
+use saddlerelay_coordinator::model_assignments::ModelAssignments;
+use saddlerelay_types::instance::InstanceId;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+fn engines(count: usize) -> Vec<InstanceId> {
+    (0..count).map(|index| InstanceId::named(format!("engine-{index}"))).collect()
+}
+
+fn models(count: usize) -> Vec<String> {
+    (0..count).map(|index| format!("model-{index}")).collect()
+}
+
+fn counts(assignments: &ModelAssignments, engines: &[InstanceId]) -> BTreeMap<String, usize> {
+    let mut counts = BTreeMap::new();
+    for assigned_model in engines.iter().filter_map(|engine| assignments.assigned_model(engine)) {
+        *counts.entry(assigned_model.to_string()).or_default() += 1;
+    }
+    counts
+}
+
+fn none_behind(_: &InstanceId, _: &str) -> u64 {
+    0
+}
+
+#[test]
+fn engines_are_assigned_in_proportion_to_demand() {
+    let mut assignments = ModelAssignments::default();
+    assignments.record_demand("model-0", 1_000.0);
+    assignments.record_demand("model-1", 2_000.0);
+    assignments.rebalance(&engines(9), &models(2), none_behind, Duration::ZERO);
+    let counts = counts(&assignments, &engines(9));
+    assert_eq!((counts["model-0"], counts["model-1"]), (3, 6));
+}
+
+/// A new leader has no assignments of its own and only knows the loaded versions.
+#[test]
+fn a_new_leader_assigns_engines_to_the_model_they_are_least_behind_with() {
+    let engines = engines(9);
+    let least_behind_model =
+        |instance: &InstanceId| if engines[..4].contains(instance) { "model-1" } else { "model-0" };
+    let mut assignments = ModelAssignments::default();
+    assignments.record_demand("model-0", 1_000.0);
+    assignments.record_demand("model-1", 900.0);
+    assignments.rebalance(
+        &engines,
+        &models(2),
+        |instance, model| if model == least_behind_model(instance) { 1 } else { 7 },
+        Duration::ZERO,
+    );
+    for engine in &engines {
+        assert_eq!(assignments.assigned_model(engine), Some(least_behind_model(engine)));
+    }
+}
+
+#[test]
+fn no_engine_has_a_single_assigned_model_with_one_model_or_too_few_engines() {
+    let mut assignments = ModelAssignments::default();
+    assignments.rebalance(&engines(9), &models(1), none_behind, Duration::ZERO);
+    assert_eq!(assignments.assigned_model(&engines(1)[0]), None);
+    assignments.rebalance(&engines(2), &models(3), none_behind, Duration::ZERO);
+    assert_eq!(assignments.assigned_model(&engines(1)[0]), None);
+}
+
+/// Guards against an engine having to keep all models up to date when there are fewer engines than models.
+#[test]
+fn models_are_spread_evenly_over_fewer_engines() {
+    fn check(present: Vec<bool>, models_count: u8) -> bool {
+        let models = models(3 + usize::from(models_count % 5));
+        let all = engines(models.len() - 1);
+        let mut assignments = ModelAssignments::default();
+        assignments.rebalance(&all, &models, none_behind, Duration::ZERO);
+        let is_remaining = |index: &usize| *index == 0 || present.get(*index).copied().unwrap_or(true);
+        let remaining: Vec<InstanceId> = (0..all.len()).filter(is_remaining).map(|index| all[index].clone()).collect();
+        for time in 1..20 {
+            assignments.rebalance(&remaining, &models, none_behind, Duration::from_secs(4 * time));
+        }
+        let model_count =
+            |engine: &InstanceId| models.iter().filter(|model| assignments.is_assigned(engine, model)).count();
+        let counts: Vec<usize> = remaining.iter().map(model_count).collect();
+        let (least, most) = (counts.iter().min().copied(), counts.iter().max().copied());
+        counts.iter().sum::<usize>() == models.len() && most <= least.map(|least| least + 1)
+    }
+    QuickCheck::new().rng(Gen::from_size_and_seed(8, 3)).tests(200).quickcheck(check as fn(Vec<bool>, u8) -> bool);
+}
+
+#[test]
+fn each_engine_gets_one_model_again_once_there_are_enough_engines() {
+    let mut assignments = ModelAssignments::default();
+    assignments.rebalance(&engines(2), &models(3), none_behind, Duration::ZERO);
+    assignments.rebalance(&engines(6), &models(3), none_behind, Duration::from_secs(4));
+    for engine in &engines(6) {
+        assert_eq!(models(3).iter().filter(|model| assignments.is_assigned(engine, model)).count(), 1);
+    }
+}
+
+#[test]
+fn assignments_of_many_engines_follow_demand_within_a_few_intervals() {
+    let mut assignments = ModelAssignments::default();
+    let (engines, models) = (engines(128), models(6));
+    assignments.rebalance(&engines, &models, none_behind, Duration::ZERO);
+    for (index, model) in models.iter().enumerate() {
+        assignments.record_demand(model, if index == 0 { 1_000.0 } else { 2_000.0 });
+    }
+    for time in 1..=3 {
+        assignments.rebalance(&engines, &models, none_behind, Duration::from_secs(4 * time));
+    }
+    assert!((11..=13).contains(&counts(&assignments, &engines)["model-0"]));
+}
+
+#[test]
+fn one_engine_is_reassigned_per_interval_when_demand_changes() {
+    let mut assignments = ModelAssignments::default();
+    assignments.record_demand("model-0", 1_000.0);
+    assignments.record_demand("model-1", 1_000.0);
+    assignments.rebalance(&engines(10), &models(2), none_behind, Duration::ZERO);
+    for _ in 0..20 {
+        assignments.record_demand("model-1", 9_000.0);
+    }
+    assignments.rebalance(&engines(10), &models(2), none_behind, Duration::from_secs(10));
+    assert_eq!(counts(&assignments, &engines(10))["model-0"], 4);
+    assignments.rebalance(&engines(10), &models(2), none_behind, Duration::from_secs(11));
+    assert_eq!(counts(&assignments, &engines(10))["model-0"], 4, "no second reassignment within the interval");
+    for time in 1..20 {
+        assignments.rebalance(&engines(10), &models(2), none_behind, Duration::from_secs(10 + 4 * time));
+    }
+    assert_eq!(counts(&assignments, &engines(10))["model-0"], 1);
+}
+
+/// Whichever engines are removed, each remaining engine has one model, every model has an engine, and no model has two
+/// engines too many or too few.
+#[test]
+fn every_model_keeps_its_fair_share_as_engines_are_removed() {
+    fn check(present: Vec<bool>, models_count: u8) -> bool {
+        let models = models(2 + usize::from(models_count % 3));
+        let mut assignments = ModelAssignments::default();
+        let all = engines(present.len().max(1));
+        assignments.rebalance(&all, &models, none_behind, Duration::ZERO);
+        let remaining: Vec<InstanceId> =
+            all.iter().zip(&present).filter(|(_, present)| **present).map(|(engine, _)| engine.clone()).collect();
+        for time in 1..40 {
+            assignments.rebalance(&remaining, &models, none_behind, Duration::from_secs(4 * time));
+        }
+        let counts = counts(&assignments, &remaining);
+        if remaining.len() < models.len() {
+            return counts.is_empty();
+        }
+        let fair_share = remaining.len() as f64 / models.len() as f64;
+        counts.len() == models.len() && counts.values().all(|count| (*count as f64 - fair_share).abs() < 2.0)
+    }
+    QuickCheck::new().tests(300).quickcheck(check as fn(Vec<bool>, u8) -> bool);
+}
--- a/crates/coordinator/tests/pace.rs
+++ b/crates/coordinator/tests/pace.rs
@@ -1,4 +1,4 @@
-//! Paces of engines: learned from events, compared with the middle engine, forgotten without news.
+//! Pace estimates of engines: moving average, median as default, decay without events.
 
 use saddlerelay_coordinator::fleet::Fleet;
 use saddlerelay_types::instance::InstanceId;
@@ -8,12 +8,12 @@
     InstanceId::named(name)
 }
 
-/// An engine makes `count` events with one pause between them, from `from` on; returns when the last came.
-fn make_events(fleet: &Fleet, name: &str, count: u32, pause: Duration, from: Duration) -> Duration {
-    let mut now = from;
+/// Records `count` events at a fixed interval after `start`; returns the time of the last one.
+fn record_events(fleet: &Fleet, name: &str, count: u32, interval: Duration, start: Duration) -> Duration {
+    let mut now = start;
     for _ in 0..count {
-        now += pause;
-        fleet.observe_pause(&instance(name), pause, now);
+        now += interval;
+        fleet.observe_event_interval(&instance(name), interval, now);
     }
     now
 }
@@ -23,33 +23,36 @@
 }
 
 #[test]
-fn engines_are_alike_until_their_events_differ() {
+fn paces_are_equal_until_observed_events_differ() {
     let fleet = Fleet::default();
     let paces = fleet.paces(Duration::ZERO);
     assert_eq!(paces.of(&instance("a")), paces.of(&instance("b")));
     for name in ["a", "b", "c"] {
-        make_events(&fleet, name, 200, Duration::from_millis(30), Duration::ZERO);
+        record_events(&fleet, name, 200, Duration::from_millis(30), Duration::ZERO);
     }
-    let now = make_events(&fleet, "slow", 200, Duration::from_millis(90), Duration::ZERO);
+    let now = record_events(&fleet, "slow", 200, Duration::from_millis(90), Duration::ZERO);
     assert!((milliseconds(&fleet, "slow", now) - 90.0).abs() < 1.0);
-    let fresh = milliseconds(&fleet, "fresh", now);
-    assert!((28.0..50.0).contains(&fresh), "an engine without events is like the middle one: {fresh}");
+    let unobserved = milliseconds(&fleet, "fresh", now);
+    assert!(
+        (28.0..50.0).contains(&unobserved),
+        "an engine without events should have about the median pace: {unobserved}"
+    );
 }
 
 #[test]
-fn one_late_event_hardly_changes_a_pace() {
+fn one_late_event_changes_a_pace_by_little() {
     let fleet = Fleet::default();
-    let now = make_events(&fleet, "a", 300, Duration::from_millis(30), Duration::ZERO);
-    fleet.observe_pause(&instance("a"), Duration::from_millis(120), now);
+    let now = record_events(&fleet, "a", 300, Duration::from_millis(30), Duration::ZERO);
+    fleet.observe_event_interval(&instance("a"), Duration::from_millis(120), now);
     assert!(milliseconds(&fleet, "a", now) < 33.0);
 }
 
 #[test]
-fn a_slow_engine_without_news_is_believed_like_the_others_again() {
+fn the_pace_of_an_engine_without_events_decays_to_the_median() {
     let fleet = Fleet::default();
-    let now = make_events(&fleet, "slow", 300, Duration::from_millis(90), Duration::ZERO);
+    let now = record_events(&fleet, "slow", 300, Duration::from_millis(90), Duration::ZERO);
     for name in ["a", "b", "c"] {
-        make_events(&fleet, name, 300, Duration::from_millis(30), now - Duration::from_secs(9));
+        record_events(&fleet, name, 300, Duration::from_millis(30), now - Duration::from_secs(9));
     }
     let at_once = milliseconds(&fleet, "slow", now);
     let later = milliseconds(&fleet, "slow", now + Duration::from_secs(4));
--- a/crates/coordinator/tests/text.rs
+++ b/crates/coordinator/tests/text.rs
@@ -1,4 +1,4 @@
-//! Texts that grow, are kept in part, go on and begin anew.
+//! Item texts: growth, partial saves, and restoring.
 
 use quickcheck::QuickCheck;
 use saddlerelay_coordinator::text::{ItemText, aborted};
@@ -10,37 +10,37 @@
 }
 
 #[test]
-fn events_are_parted_by_line_feeds_and_versions_noted() {
+fn events_are_joined_by_line_feeds_and_versions_are_recorded() {
     let mut text = ItemText::default();
     text.push(&event(1, "one"), 6);
     text.push(&event(2, "two"), 7);
     let outcome = text.outcome(3, None);
     assert_eq!((outcome.end, outcome.rest.item, &outcome.rest.data[..]), (ItemEnd::Completed, 3, &b"one\ntwo"[..]));
     assert_eq!((outcome.rest.versions, text.last_event), (vec![6, 7], Some(2)));
-    assert!(text.fits(6, false) && !text.fits(7, false) && !text.fits(6, true));
+    assert!(text.satisfies(6, false) && !text.satisfies(7, false) && !text.satisfies(6, true));
 }
 
 #[test]
-fn an_item_that_is_given_up_has_no_text() {
+fn an_aborted_item_has_no_text() {
     let outcome = aborted(4);
     assert_eq!((outcome.end, outcome.rest.item, outcome.rest.data.len()), (ItemEnd::Aborted, 4, 0));
 }
 
-/// Whenever parts are kept and whichever of them are lost on the way, what the group puts together is the text.
+/// Whenever parts are saved and whichever acknowledgements are lost, the group reassembles the full text.
 #[test]
-fn kept_parts_make_the_whole() {
+fn saved_parts_and_the_rest_make_up_the_text() {
     fn check(steps: Vec<(u8, bool, bool)>) -> bool {
         let mut text = ItemText::default();
-        let mut held = PartialText::default();
-        for (index, (data, keep, answered)) in steps.iter().enumerate() {
+        let mut group_text = PartialText::default();
+        for (index, (data, keep, acknowledged)) in steps.iter().enumerate() {
             text.push(&event(index as u64 + 1, &"x".repeat(usize::from(data % 5))), 1);
             if *keep {
                 let part = text.unsaved_part(0);
-                if !held.add(&part) {
+                if !group_text.add(&part) {
                     return false;
                 }
-                // A lost answer: the group holds the part, the leader does not know.
-                if *answered {
+                // Without an acknowledgement, the group has saved the part but the leader does not know it.
+                if *acknowledged {
                     text.mark_saved(&part);
                 }
             }
@@ -49,14 +49,14 @@
         for (index, (data, ..)) in steps.iter().enumerate() {
             whole.push(&event(index as u64 + 1, &"x".repeat(usize::from(data % 5))), 1);
         }
-        held.add(&text.outcome(0, None).rest) && held.data == whole.outcome(0, None).rest.data
+        group_text.add(&text.outcome(0, None).rest) && group_text.data == whole.outcome(0, None).rest.data
     }
     QuickCheck::new().tests(500).quickcheck(check as fn(Vec<(u8, bool, bool)>) -> bool);
 }
 
-/// However the bytes of a stream are cut on their way, its events are the same.
+/// The same events must result however the stream's bytes are split.
 #[test]
-fn events_do_not_depend_on_how_bytes_arrive() {
+fn events_do_not_depend_on_how_the_stream_is_split() {
     fn check(cuts: Vec<u8>) -> bool {
         let stream =
             b"version: 7\nid: 1\ndata: one\n\nid: 2\ndata: two\ndata: lines\n\r\n\r\nid: 3\r\ndata: three\r\n\r\n";
@@ -86,20 +86,20 @@
 }
 
 #[test]
-fn a_whole_text_that_the_group_keeps_is_whole_for_the_next_leader() {
+fn a_complete_saved_text_is_complete_for_the_next_leader() {
     let mut text = ItemText::default();
     text.push(&event(1, "one"), 1);
-    let mut held = PartialText::default();
-    assert!(!text.is_unsaved_as_whole());
+    let mut group_text = PartialText::default();
+    assert!(!text.is_completion_unsaved());
     text.complete();
-    assert!(text.is_unsaved_as_whole());
+    assert!(text.is_completion_unsaved());
     let part = text.unsaved_part(0);
-    assert!(held.add(&part));
+    assert!(group_text.add(&part));
     text.mark_saved(&part);
-    assert!(!text.is_unsaved_as_whole());
-    let taken_up = ItemText::saved(&held);
-    assert!(taken_up.is_complete() && !taken_up.is_unsaved_as_whole());
-    assert!(ItemText::unsaved(&held).is_unsaved_as_whole(), "another job's item does not hold it yet");
-    let outcome = taken_up.outcome(0, Some("stamp".to_string()));
+    assert!(!text.is_completion_unsaved());
+    let restored = ItemText::saved(&group_text);
+    assert!(restored.is_complete() && !restored.is_completion_unsaved());
+    assert!(ItemText::unsaved(&group_text).is_completion_unsaved(), "nothing is saved yet for the item of another job");
+    let outcome = restored.outcome(0, Some("stamp".to_string()));
     assert_eq!((outcome.rest.data.len(), outcome.score.as_deref()), (0, Some("stamp")));
 }
--- a/crates/coordinator/tests/working_set.rs
+++ b/crates/coordinator/tests/working_set.rs
@@ -1,9 +1,9 @@
-//! Which engines are worked with, where there are thousands for the work of some hundred.
+//! Selection of the working set in large fleets.
 
 use saddlerelay_control::state::ControlState;
 use saddlerelay_coordinator::working_set::WorkingSet;
 use saddlerelay_coordinator::working_set_policy::{
-    AllEngines, DemandWithReserve, FixedPerModel, ModelDemand, ServiceDemand, WorkingSetPolicy,
+    AllEngines, DemandWithHeadroom, FixedPerModel, ModelDemand, ServiceDemand, WorkingSetPolicy,
 };
 use saddlerelay_runtime::steps::looks_of;
 use saddlerelay_types::gateway::OrderSubject;
@@ -14,7 +14,6 @@
 
 const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
 const MODELS: usize = 6;
-/// Items of a step, and slots of an engine: those of the users' largest deployment.
 const ITEMS: u32 = 208;
 const SLOTS: u32 = 6;
 
@@ -62,9 +61,10 @@
     ServiceDemand { ready, slots: SLOTS, models: vec![ModelDemand { largest_job: largest }; MODELS] }
 }
 
-/// Two steps of 208 items fill 70 engines of 6 slots; a quarter more may be changing weights, leaving or lost.
+/// Two steps of 208 items fill 70 engines of 6 slots; a quarter more covers engines that are loading weights, draining
+/// or lost.
 #[test]
-fn as_many_engines_as_two_steps_fill_and_a_quarter_more() {
+fn the_size_covers_two_steps_plus_a_quarter() {
     let table = [
         // Items of the largest job, engines wanted for six models.
         (Some(208), 522),
@@ -74,74 +74,73 @@
         (None, 504),
     ];
     for (items, engines) in table {
-        assert_eq!(DemandWithReserve.engines(&demand(9_625, items)), engines, "{items:?} items");
+        assert_eq!(DemandWithHeadroom.engines(&demand(9_625, items)), engines, "{items:?} items");
     }
     assert_eq!(FixedPerModel { engines: 20 }.engines(&demand(9_625, None)), 120);
     assert_eq!(AllEngines.engines(&demand(9_625, None)), usize::MAX);
 }
 
-/// What the deployments with few engines have, nothing changes for them.
 #[test]
-fn few_engines_are_all_worked_with_also_silent_ones() {
+fn a_small_fleet_is_used_completely_including_non_reporting_engines() {
     for engines in [1, 15, 45, 128, 500] {
         let mut state = state(engines);
         state.instances.note_silence(&[InstanceId::named("engine-0")], &[]);
         let mut set = WorkingSet::default();
-        let added = set.follow(&state, &DemandWithReserve);
+        let added = set.update(&state, &DemandWithHeadroom);
         assert_eq!((added.len(), set.iter().count()), (engines, engines));
     }
 }
 
 #[test]
-fn the_set_follows_demand_and_takes_engines_of_each_zone() {
+fn the_set_grows_with_demand_and_is_spread_over_zones() {
     let state = state(9_625);
     let mut set = WorkingSet::default();
     for model in models() {
-        set.note_job("models", Some(&model), ITEMS / 2);
+        set.record_job("models", Some(&model), ITEMS / 2);
     }
-    set.follow(&state, &DemandWithReserve);
+    set.update(&state, &DemandWithHeadroom);
     assert_eq!(set.iter().count(), 264);
     for model in models() {
-        set.note_job("models", Some(&model), ITEMS);
+        set.record_job("models", Some(&model), ITEMS);
     }
-    let added = set.follow(&state, &DemandWithReserve);
+    let added = set.update(&state, &DemandWithHeadroom);
     assert_eq!((added.len(), set.iter().count()), (258, 522));
     let mut by_zone: BTreeMap<String, usize> = BTreeMap::new();
     for instance in set.iter() {
-        let zone = state.instances.get(instance).expect("it is known").report.zone.clone();
+        let zone = state.instances.get(instance).expect("members are in the instance table").report.zone.clone();
         *by_zone.entry(zone).or_default() += 1;
     }
     assert!(by_zone.len() == 5 && by_zone.values().all(|count| (100..=110).contains(count)), "{by_zone:?}");
 }
 
 #[test]
-fn engines_that_leave_or_fall_silent_are_replaced_at_once_and_the_others_stay() {
+fn removed_and_non_reporting_engines_are_replaced_and_other_members_stay() {
     let mut state = state(9_625);
     let mut set = WorkingSet::default();
-    set.follow(&state, &DemandWithReserve);
+    set.update(&state, &DemandWithHeadroom);
     let before: BTreeSet<InstanceId> = set.iter().cloned().collect();
-    let mut left = before.iter().take(20).cloned();
-    let gone: Vec<InstanceId> = left.by_ref().take(10).collect();
-    let silent: Vec<InstanceId> = left.collect();
-    gone.iter().for_each(|instance| state.instances.remove(instance));
+    let mut members = before.iter().take(20).cloned();
+    let removed: Vec<InstanceId> = members.by_ref().take(10).collect();
+    let silent: Vec<InstanceId> = members.collect();
+    removed.iter().for_each(|instance| state.instances.remove(instance));
     state.instances.note_silence(&silent, &[]);
-    let added = set.follow(&state, &DemandWithReserve);
+    let added = set.update(&state, &DemandWithHeadroom);
     assert_eq!(added.len(), 20);
     let after: BTreeSet<InstanceId> = set.iter().cloned().collect();
-    assert!(gone.iter().all(|instance| !after.contains(instance)));
+    assert!(removed.iter().all(|instance| !after.contains(instance)));
     assert_eq!(before.difference(&after).count(), 10);
 }
 
 #[test]
-fn a_new_leader_goes_on_with_the_engines_that_were_given_orders() {
+fn a_new_leader_keeps_the_engines_that_earlier_leaders_sent_orders_to() {
     let mut state = state(9_625);
     let ordered: Vec<OrderSubject> =
         (4_000..4_400).map(|number| OrderSubject::Engine(format!("engine-{number}"))).collect();
     state.orders.note(ReplicaId(1), ordered.clone());
     let mut set = WorkingSet::default();
-    set.follow(&state, &DemandWithReserve);
+    set.update(&state, &DemandWithHeadroom);
     set.clear();
-    set.follow(&state, &DemandWithReserve);
+    set.update(&state, &DemandWithHeadroom);
     let kept = ordered.iter().filter(|subject| match subject {
         OrderSubject::Engine(name) => set.contains(&InstanceId::named(&**name)),
         _ => false,
@@ -149,23 +148,23 @@
     assert_eq!((kept.count(), set.iter().count()), (400, 504));
 }
 
-/// A plan is made some 20 times a second: what it looks at may grow with the work, not with the fleet.
+/// Plans are frequent, so the number of records that an update reads must not grow with the fleet.
 #[test]
-fn following_costs_the_same_in_any_fleet() {
+fn the_cost_of_an_update_does_not_grow_with_the_fleet() {
     let mut costs = Vec::new();
     for engines in [1_000, 10_000, 20_000] {
         let mut state = state(engines);
         let mut set = WorkingSet::default();
-        set.follow(&state, &DemandWithReserve);
-        let (idle, _) = looks_of(|| set.follow(&state, &DemandWithReserve));
-        assert!(idle <= 8, "{idle} looks while nothing changes, with {engines} engines");
-        let member = set.iter().next().cloned().expect("there are members");
+        set.update(&state, &DemandWithHeadroom);
+        let (idle, _) = looks_of(|| set.update(&state, &DemandWithHeadroom));
+        assert!(idle <= 8, "{idle} reads while nothing changes, with {engines} engines");
+        let member = set.iter().next().cloned().expect("the working set is not empty");
         state.instances.remove(&member);
-        let (looks, added) = looks_of(|| set.follow(&state, &DemandWithReserve));
+        let (reads, added) = looks_of(|| set.update(&state, &DemandWithHeadroom));
         assert_eq!(added.len(), 1);
-        costs.push(looks);
+        costs.push(reads);
     }
     let (least, most) = (costs.iter().min(), costs.iter().max());
-    // Members, and the engines of each place that are members already.
+    // Reads of members, and of engines of each place that are members already.
     assert!(most <= least.map(|least| least + 64).as_ref() && most < Some(&2_000), "{costs:?}");
 }
--- a/crates/duties/src/backoff.rs
+++ b/crates/duties/src/backoff.rs
@@ -1,36 +1,35 @@
-//! Pauses between calls that were not taken: longer each time, and not the same for all.
+//! Exponential backoff with jitter between calls that the platform did not accept.
 
 use saddlerelay_runtime::Runtime;
 use std::time::Duration;
 
-/// The first pause.
-const SHORTEST: Duration = Duration::from_millis(200);
+const INITIAL_DELAY: Duration = Duration::from_millis(200);
 
-/// The longest pause, without its random part: a platform that is back is noticed well within a report's time.
-const LONGEST: Duration = Duration::from_millis(1_600);
+/// Without jitter. Short enough for several retries before a usage report is due.
+const MAX_DELAY: Duration = Duration::from_millis(1_600);
 
-/// The next moment at which a call may be tried.
+/// Tracks consecutive failures and when the next call is allowed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backoff {
     failures: u32,
-    until: Duration,
+    retry_at: Duration,
 }
 
 impl Backoff {
-    /// Whether a call may be tried.
-    pub fn is_over(&self, now: Duration) -> bool {
-        now >= self.until
+    /// Whether the delay after the last failure has elapsed.
+    pub fn is_elapsed(&self, now: Duration) -> bool {
+        now >= self.retry_at
     }
 
-    /// A call was taken.
+    /// Resets the delay after an accepted call.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// A call was not taken.
-    pub fn fail<P: Runtime>(&mut self, runtime: &P) {
-        let pause = SHORTEST.saturating_mul(2_u32.saturating_pow(self.failures)).min(LONGEST);
+    /// Starts the delay after a failed or rejected call.
+    pub fn record_failure<P: Runtime>(&mut self, runtime: &P) {
+        let delay = INITIAL_DELAY.saturating_mul(2_u32.saturating_pow(self.failures)).min(MAX_DELAY);
         self.failures += 1;
-        self.until = runtime.monotonic() + pause + runtime.jitter(pause / 2);
+        self.retry_at = runtime.monotonic() + delay + runtime.jitter(delay / 2);
     }
 }
--- a/crates/duties/src/client.rs
+++ b/crates/duties/src/client.rs
@@ -1,4 +1,4 @@
-//! Makes calls to the platform.
+//! HTTP client for the platform.
 
 use crate::dialect::PlatformCall;
 use bytes::Bytes;
@@ -10,16 +10,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Largest answer that is read, in bytes.
-const ANSWER_BYTES: usize = 64 * 1024;
+/// Maximum response body size.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// Longest time to connect.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Reaches the platform.
+/// Transport for calls to the platform.
 #[allow(async_fn_in_trait)]
 pub trait PlatformClient: 'static {
-    /// Makes a call within `limit` and returns the answer's status. `may_send` is asked immediately before the first byte.
+    /// Makes a call with timeout `limit` and returns the response status. `may_send` is checked after the connection is
+    /// open, immediately before the request is written; if it returns false, the request is not sent.
     async fn call(
         &self,
         call: PlatformCall,
@@ -28,10 +28,10 @@
     ) -> Result<StatusCode, Failure>;
 }
 
-/// A platform that is reached over HTTP. Calls are few, so each has a connection of its own.
+/// A platform reached over HTTP. Each call opens its own connection, as calls are infrequent.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpPlatform {
-    /// Where it listens.
+    /// The platform's listening address.
     pub address: SocketAddr,
 }
 
@@ -44,17 +44,18 @@
     ) -> Result<StatusCode, Failure> {
         let request = self.request(call)?;
         let exchange = async {
-            let mut connection = Connection::open(self.address, CONNECT_LIMIT).await?;
+            let mut connection = Connection::open(self.address, CONNECT_TIMEOUT).await?;
             if !may_send() {
-                return Err(Failure::NotSent("the right to act has ended".to_string()));
+                return Err(Failure::NotSent("the grant for this call is no longer valid".to_string()));
             }
             let (head, body) = connection.send(request).await?.into_parts();
-            let read = Limited::new(body, ANSWER_BYTES).collect().await;
-            read.map_err(|error| Failure::MayHaveRun(format!("the answer broke off: {error}")))?;
+            let read = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+            read.map_err(|error| Failure::MayHaveRun(format!("the response body could not be read: {error}")))?;
             Ok(head.status)
         };
-        let ended = compio::time::timeout(limit, exchange).await;
-        ended.unwrap_or_else(|_| Err(Failure::MayHaveRun("no answer in time".to_string())))
+        let result = compio::time::timeout(limit, exchange).await;
+        result
+            .unwrap_or_else(|_| Err(Failure::MayHaveRun("the platform did not respond within the timeout".to_string())))
     }
 }
 
--- a/crates/duties/src/config.rs
+++ b/crates/duties/src/config.rs
@@ -1,34 +1,33 @@
-//! What the platform expects.
+//! Timing of usage reports and engine orders.
 
 use std::time::Duration;
 
-/// Part of the time for a report, in percent, that relays have to hand over what they counted in its window. A relay hands
-/// over twice a second; a request that an engine has begun may take a second or two to end, and only then is it counted. The
-/// rest of the time is for leaders that are lost and for a platform that does not answer.
+/// Share of `due_after`, in percent, during which relays may still deliver counts of an ended window: a request is
+/// counted only when it ends, which may be seconds later. The rest covers leader changes and retries to the platform.
 const COUNTING_PERCENT: u32 = 40;
 
-/// When usage is reported.
+/// Timing of usage reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageTerms {
-    /// The length of a window.
+    /// Length of a window.
     pub window: Duration,
-    /// A window's report is due that long after its end.
+    /// Time from the end of a window until its report is due.
     pub due_after: Duration,
 }
 
 impl UsageTerms {
-    /// How long after a window's end its counts are fixed.
+    /// Time from the end of a window until its counts are final.
     pub fn counting_time(&self) -> Duration {
         self.due_after * COUNTING_PERCENT / 100
     }
 }
 
-/// How engines are ordered.
+/// Timing of engine orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineCountTerms {
-    /// How long the leader has known engines of a place before it takes those that it sees for all there are: each reports
+    /// Time after a new leader first observes a place during which it orders nothing there. Each present engine reports
     /// itself within this time.
     pub settling_time: Duration,
-    /// How long engines are missing before others are ordered in their place: those that only restart are back by then.
+    /// Time for which engines must be missing before replacements are ordered; covers an engine restart.
     pub missing_time: Duration,
 }
--- a/crates/duties/src/dialect.rs
+++ b/crates/duties/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How the platform is told what the group has decided. The formats are the deployment's.
+//! The platform's request and response formats, defined by the deployment.
 
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, StatusCode};
@@ -7,27 +7,27 @@
 use saddlerelay_types::usage::UsageReport;
 use serde::{Deserialize, Serialize};
 
-/// Under which right a call is made.
+/// The fencing information of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRight {
-    /// Who makes it.
+    /// The name of the process that makes the call.
     pub holder: String,
-    /// Higher than that of every call before it about the same subject.
+    /// The fencing token, higher than that of every earlier call about the same subject.
     pub fence: Fence,
 }
 
-/// How many engines are ordered in a place.
+/// An order for a number of engines in a service and zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCountOrder {
-    /// The place.
+    /// The service and zone.
     pub place: EnginePlace,
-    /// How many there are to be.
+    /// The total number of engines wanted.
     pub count: u32,
-    /// Whether the order is about the cheaper engines that the platform may withdraw.
+    /// Whether the order is for preemptible engines, which the platform may withdraw.
     pub withdrawable: bool,
 }
 
-/// A call to the platform.
+/// An HTTP request to the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformCall {
     /// The method.
@@ -40,28 +40,29 @@
     pub body: Bytes,
 }
 
-/// What an answer of the platform means.
+/// The meaning of a platform response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformAnswer {
-    /// It is taken.
+    /// The call was accepted.
     Taken,
-    /// A call with a higher fence came before; one with a fresh fence may be taken.
+    /// The platform has seen a higher fencing token; a retry needs a new token.
     Fenced,
-    /// An order of withdrawable engines: a higher fence came before, or there are none now.
+    /// An order for preemptible engines was rejected: the platform has seen a higher fencing token, or it has no such
+    /// engines now.
     FencedOrNoneThere,
-    /// Too many calls; later.
+    /// The call was rate limited; retry later.
     TooMany,
-    /// Something else.
+    /// The call was rejected for any other reason.
     Refused,
 }
 
-/// The deployment's formats.
+/// The deployment's formats for calls to the platform.
 pub trait PlatformDialect: 'static {
-    /// The call that reports a window's usage.
+    /// Builds the usage report of one window.
     fn usage_report(&self, right: &CallRight, report: &UsageReport) -> PlatformCall;
-    /// The call that orders engines.
+    /// Builds an engine order.
     fn engine_count(&self, right: &CallRight, order: &EngineCountOrder) -> PlatformCall;
-    /// What the status of an answer to an order, or to a report (`None`), means.
+    /// Interprets the response status of an engine order, or of a usage report if `order` is `None`.
     fn answer(&self, status: StatusCode, order: Option<&EngineCountOrder>) -> PlatformAnswer {
         match status {
             status if status.is_success() => PlatformAnswer::Taken,
--- a/crates/duties/src/engine_counts.rs
+++ b/crates/duties/src/engine_counts.rs
@@ -1,7 +1,7 @@
-//! Tells the platform how many engines are wanted, by service and zone.
+//! Orders from the platform the number of engines wanted per service and zone.
 //!
-//! The numbers are committed before they are ordered. Orders are given when a number changes, and when engines have been
-//! missing for a while. Each order has a fence of its own, so that an older one that is carried out late changes nothing.
+//! The numbers are committed before they are ordered. An order is sent when fewer engines than wanted have been present
+//! for a while. Each order has its own fencing token, so that a delayed older order has no effect.
 
 use crate::Duties;
 use crate::backoff::Backoff;
@@ -17,65 +17,65 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause between looks at the engines.
-const INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between checks of the engine counts.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest wait for an answer.
-const CALL_LIMIT: Duration = Duration::from_millis(1_500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What this leader knows of a place.
+/// What this leader has observed of a service in a zone during its term.
 #[derive(Clone, Copy, Debug)]
-struct Standing {
-    /// When it first saw an engine there.
+struct PlaceState {
+    /// When the place was first observed in this term.
     first_seen: Duration,
-    /// Since when engines have been missing.
+    /// Since when fewer engines than wanted have been present.
     missing_since: Option<Duration>,
-    /// No further engines are ordered in the place of missing ones before.
-    rest_until: Duration,
+    /// No order is sent before this time, so that ordered engines have time to start.
+    next_order_at: Duration,
     backoff: Backoff,
 }
 
-impl Standing {
+impl PlaceState {
     fn new(now: Duration) -> Self {
-        Self { first_seen: now, missing_since: None, rest_until: Duration::ZERO, backoff: Backoff::default() }
+        Self { first_seen: now, missing_since: None, next_order_at: Duration::ZERO, backoff: Backoff::default() }
     }
 }
 
-/// Orders engines while this process leads.
+/// Runs until the process ends; orders engines only while this process is leader.
 pub async fn order<P: Runtime, B: Backends, C: PlatformClient>(
     duties: Rc<Duties<P, B, C>>,
     terms: EngineCountTerms,
     policy: impl EngineCountPolicy,
 ) {
-    let mut led_term = None;
-    let mut standings: BTreeMap<EnginePlace, Standing> = BTreeMap::new();
+    let mut last_term = None;
+    let mut place_states: BTreeMap<EnginePlace, PlaceState> = BTreeMap::new();
     loop {
-        duties.runtime.sleep(INTERVAL).await;
+        duties.runtime.sleep(CHECK_INTERVAL).await;
         duties.node.watch_orders();
         let now = duties.runtime.monotonic();
         let Some(term) = duties.node.replica().leading_term() else {
-            led_term = None;
+            last_term = None;
             continue;
         };
-        if led_term.replace(term) != Some(term) {
-            standings.clear();
+        if last_term.replace(term) != Some(term) {
+            place_states.clear();
         }
-        let mut views = duties.node.read(places).unwrap_or_default();
+        let mut views = duties.node.read(place_views).unwrap_or_default();
         for view in &views {
-            standings.entry(view.place.clone()).or_insert_with(|| Standing::new(now));
+            place_states.entry(view.place.clone()).or_insert_with(|| PlaceState::new(now));
         }
-        views.retain(|view| now >= standings[&view.place].first_seen + terms.settling_time);
-        duties.want(&views, &policy).await;
+        views.retain(|view| now >= place_states[&view.place].first_seen + terms.settling_time);
+        duties.commit_wanted(&views, &policy).await;
         for view in &views {
-            if let Some(standing) = standings.get_mut(&view.place) {
-                duties.order_missing(term, view, standing, terms).await;
+            if let Some(place_state) = place_states.get_mut(&view.place) {
+                duties.order_missing(term, view, place_state, terms).await;
             }
         }
     }
 }
 
-/// Every place where engines can be ordered. A place that has no engine and never had one is not known.
-fn places(state: &ControlState) -> Vec<PlaceView> {
+/// Every service and zone with scaling limits that has a committed number of wanted engines or at least one engine
+/// present.
+fn place_views(state: &ControlState) -> Vec<PlaceView> {
     let Some(document) = state.routing.current() else {
         return Vec::new();
     };
@@ -85,10 +85,10 @@
             continue;
         };
         let wanted = state.engine_counts.wanted();
-        let known = wanted.keys().filter(|place| place.service == service.name).cloned();
+        let recorded = wanted.keys().filter(|place| place.service == service.name).cloned();
         let of_service = state.instances.places().filter(|place| place.service == service.name);
-        let seen = of_service.filter(|place| state.instances.present(place) > 0).cloned();
-        let places: BTreeSet<EnginePlace> = known.chain(seen).collect();
+        let with_engines = of_service.filter(|place| state.instances.present(place) > 0).cloned();
+        let places: BTreeSet<EnginePlace> = recorded.chain(with_engines).collect();
         views.extend(places.into_iter().map(|place| PlaceView {
             wanted: wanted.get(&place).copied(),
             present: state.instances.present(&place),
@@ -100,8 +100,8 @@
 }
 
 impl<P: Runtime, B: Backends, C: PlatformClient> Duties<P, B, C> {
-    /// Commits the numbers that the policy wants, where they differ from those held.
-    async fn want(&self, views: &[PlaceView], policy: &impl EngineCountPolicy) {
+    /// Commits the numbers that the policy wants, where they differ from the committed ones.
+    async fn commit_wanted(&self, views: &[PlaceView], policy: &impl EngineCountPolicy) {
         let changed = |view: &PlaceView| {
             let count = policy.wanted(view);
             (view.wanted != Some(count)).then(|| WantedEngines { place: view.place.clone(), count })
@@ -110,41 +110,41 @@
         if wanted.is_empty() {
             return;
         }
-        let told = format!("{wanted:?}");
+        let description = format!("{wanted:?}");
         match self.node.commit_gateway(GatewayCommand::WantEngines(wanted)).await {
-            Ok(_) => spdlog::info!("engines wanted", kv: { wanted = told.as_str() }),
+            Ok(_) => spdlog::info!("wanted engine counts committed", kv: { wanted = description.as_str() }),
             Err(error) => {
-                spdlog::warn!("wanted engines not committed", kv: { reason = format!("{error:?}").as_str() });
+                spdlog::warn!("wanted engine counts not committed", kv: { reason = format!("{error:?}").as_str() });
             }
         }
     }
 
-    /// Orders the wanted number in a place where engines have been missing for a while.
-    async fn order_missing(&self, term: u64, view: &PlaceView, standing: &mut Standing, terms: EngineCountTerms) {
+    /// Orders the wanted number in a place where engines have been missing for `missing_time`.
+    async fn order_missing(&self, term: u64, view: &PlaceView, place_state: &mut PlaceState, terms: EngineCountTerms) {
         let now = self.runtime.monotonic();
         let Some(wanted) = view.wanted else {
             return;
         };
         if view.present >= wanted {
-            standing.missing_since = None;
+            place_state.missing_since = None;
             return;
         }
-        let missing_since = *standing.missing_since.get_or_insert(now);
-        let due = now >= missing_since + terms.missing_time && now >= standing.rest_until;
+        let missing_since = *place_state.missing_since.get_or_insert(now);
+        let due = now >= missing_since + terms.missing_time && now >= place_state.next_order_at;
         let subject = OrderSubject::EngineCount(view.place.clone());
-        if !due || !standing.backoff.is_over(now) || !self.node.may_order(&subject) {
+        if !due || !place_state.backoff.is_elapsed(now) || !self.node.may_order(&subject) {
             return;
         }
         if self.send_order(term, view, wanted).await {
-            standing.backoff.reset();
+            place_state.backoff.reset();
             let start_time = Duration::from_millis(view.limits.start_ms);
-            standing.rest_until = self.runtime.monotonic() + start_time + terms.missing_time;
+            place_state.next_order_at = self.runtime.monotonic() + start_time + terms.missing_time;
         } else {
-            standing.backoff.fail(&self.runtime);
+            place_state.backoff.record_failure(&self.runtime);
         }
     }
 
-    /// Sends an order; returns whether the platform has taken it.
+    /// Sends an order; returns whether the platform accepted it.
     async fn send_order(&self, term: u64, view: &PlaceView, count: u32) -> bool {
         let subject = OrderSubject::EngineCount(view.place.clone());
         let Some(grant) = self.node.note_orders(term, vec![subject]).await else {
@@ -153,13 +153,13 @@
         let right = CallRight { holder: self.name.clone(), fence: grant.fence };
         let order = EngineCountOrder { place: view.place.clone(), count, withdrawable: false };
         let call = self.dialect.engine_count(&right, &order);
-        let answered = self.client.call(call, CALL_LIMIT, || self.node.grant_holds(&grant)).await;
+        let answered = self.client.call(call, CALL_TIMEOUT, || self.node.grant_holds(&grant)).await;
         let outcome = match &answered {
             Ok(status) => format!("{:?}", self.dialect.answer(*status, Some(&order))),
             Err(failure) => failure.to_string(),
         };
         let taken = answered.is_ok_and(|status| self.dialect.answer(status, Some(&order)) == PlatformAnswer::Taken);
-        spdlog::info!("engines ordered", kv: {
+        spdlog::info!("engine order sent", kv: {
             service = view.place.service.as_str(), zone = view.place.zone.as_str(), count = count,
             present = view.present, fence = grant.fence.0, taken = taken, outcome = outcome.as_str()
         });
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -1,9 +1,9 @@
-//! What the control group's leader does towards the platform.
+//! Periodic calls from the control group's leader to the platform.
 //!
-//! `usage_reports` tells it how many requests engines have begun for each tenant, `engine_counts` how many engines are
-//! wanted where, by one of the `policies`. Both act under the right to give orders that the control group keeps
-//! (`saddlerelay_control::orders`). How the platform is spoken to is behind [`dialect::PlatformDialect`], and how its answers
-//! are had behind [`client::PlatformClient`].
+//! `usage_reports` reports the number of requests that engines started for each tenant; `engine_counts` orders the
+//! number of engines that a policy from `policies` wants per service and zone. Both require a fenced grant from the
+//! control group (`saddlerelay_control::orders`). [`dialect::PlatformDialect`] defines the platform's formats,
+//! [`client::PlatformClient`] its transport.
 
 pub mod backoff;
 pub mod client;
@@ -24,17 +24,17 @@
 use saddlerelay_runtime::backend::Backends;
 use std::rc::Rc;
 
-/// What the duties of one process share.
+/// State shared by the platform tasks of one process.
 pub struct Duties<P: Runtime, B: Backends, C> {
-    /// The clock and the tasks.
+    /// Provides the clock, timers and task spawning.
     pub runtime: P,
-    /// The process's control node: duties are done while it leads.
+    /// The process's control node; the tasks act only while it is leader.
     pub node: ControlNode<P, B>,
-    /// How the platform is reached.
+    /// The transport to the platform.
     pub client: C,
-    /// How it is spoken to.
+    /// The platform's request and response formats.
     pub dialect: Box<dyn PlatformDialect>,
-    /// The name that calls carry as their holder's.
+    /// This process's name, sent in calls as the grant holder.
     pub name: String,
     /// Counters.
     pub metrics: Rc<DutyMetrics>,
--- a/crates/duties/src/metrics.rs
+++ b/crates/duties/src/metrics.rs
@@ -1,21 +1,21 @@
-//! Counters of duties.
+//! Metrics of the calls to the platform.
 
 use saddlerelay_telemetry::registry::{Counter, MetricRegistry};
 
-/// What a process has done towards the platform since it started.
+/// Counters since the start of the process.
 pub struct DutyMetrics {
     registry: MetricRegistry,
-    /// Windows whose counts were fixed.
+    /// Usage windows whose counts were committed.
     pub windows_fixed: Counter,
-    /// Usage reports that the platform has taken.
+    /// Usage reports that the platform accepted.
     pub reports_taken: Counter,
-    /// Usage reports that it has not, or from which no answer came.
+    /// Usage reports that the platform rejected or that got no response.
     pub reports_failed: Counter,
-    /// Reports taken after they were due.
+    /// Usage reports accepted after their due time.
     pub reports_late: Counter,
-    /// Orders of engines that the platform has taken.
+    /// Engine orders that the platform accepted.
     pub engine_orders_taken: Counter,
-    /// Orders of engines that it has not, or from which no answer came.
+    /// Engine orders that the platform rejected or that got no response.
     pub engine_orders_failed: Counter,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl DutyMetrics {
-    /// The metrics as text.
+    /// Encodes the metrics in the text exposition format.
     pub fn encode(&self) -> String {
         self.registry.encode()
     }
--- a/crates/duties/src/policies/keep_initial.rs
+++ b/crates/duties/src/policies/keep_initial.rs
@@ -1,8 +1,8 @@
-//! Keeps the number of engines that the deployment began with: what is lost is replaced, nothing is added.
+//! Keeps the number of engines present when the place was first observed: lost engines are replaced, none are added.
 
 use crate::policies::{EngineCountPolicy, PlaceView};
 
-/// The policy.
+/// Wants the committed number, or at first the number present, within the scaling limits.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KeepInitial;
 
--- a/crates/duties/src/policies/mod.rs
+++ b/crates/duties/src/policies/mod.rs
@@ -1,4 +1,4 @@
-//! How many engines are wanted: one policy a file, behind one trait.
+//! Policies that choose how many engines are wanted.
 
 pub mod keep_initial;
 
@@ -7,21 +7,21 @@
 use saddlerelay_types::gateway::EnginePlace;
 use saddlerelay_types::routing::ScalingLimits;
 
-/// A service in a zone, as the leader sees it.
+/// The state of a service in a zone, as observed by the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlaceView {
-    /// The service and the zone.
+    /// The service and zone.
     pub place: EnginePlace,
-    /// Engines that report themselves and may be given work.
+    /// Engines that are ready and reporting.
     pub present: u32,
-    /// How many are wanted so far; `None` before that was decided.
+    /// The committed number of wanted engines; `None` before the first decision.
     pub wanted: Option<u32>,
-    /// Between which numbers they may be ordered, and what they cost.
+    /// The service's scaling limits and costs.
     pub limits: ScalingLimits,
 }
 
-/// Decides how many engines are wanted.
+/// Chooses how many engines are wanted.
 pub trait EngineCountPolicy: 'static {
-    /// How many are wanted in a place from now on.
+    /// The number of engines wanted in a place from now on.
     fn wanted(&self, view: &PlaceView) -> u32;
 }
