--- a/crates/duties/src/usage_reports.rs
+++ b/crates/duties/src/usage_reports.rs
@@ -1,7 +1,7 @@
-//! Reports to the platform how many requests engines have begun for each tenant, window by window.
+//! Reports to the platform the number of requests that engines started for each tenant, per time window.
 //!
-//! The counts of a window are fixed in the log before the first call; whoever leads sends just these until the platform
-//! has taken them. One report is on its way at a time.
+//! The counts of a window are committed before the first call. The current leader retries the same counts until the
+//! platform accepts them. Only one report is in flight at a time.
 
 use crate::Duties;
 use crate::backoff::Backoff;
@@ -16,25 +16,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause between looks at whether a report is due.
-const INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between checks for a due report.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest wait for an answer. A platform that is slow answers within it; one that is down costs a small part of the time
-/// for a report.
-const CALL_LIMIT: Duration = Duration::from_millis(1_500);
+/// Covers a slow platform, but is short enough to leave time for retries before the report is due.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Reports while this process leads.
+/// Runs until the process ends; sends reports only while this process is leader.
 pub async fn report<P: Runtime, B: Backends, C: PlatformClient>(duties: Rc<Duties<P, B, C>>, terms: UsageTerms) {
     let mut backoff = Backoff::default();
     loop {
-        duties.runtime.sleep(INTERVAL).await;
+        duties.runtime.sleep(CHECK_INTERVAL).await;
         duties.node.watch_orders();
         let Some(term) = duties.node.replica().leading_term() else {
             backoff.reset();
             continue;
         };
-        duties.fix_closed_windows(terms).await;
-        if !backoff.is_over(duties.runtime.monotonic()) || !duties.node.may_order(&OrderSubject::UsageReports) {
+        duties.commit_closed_windows(terms).await;
+        if !backoff.is_elapsed(duties.runtime.monotonic()) || !duties.node.may_order(&OrderSubject::UsageReports) {
             continue;
         }
         let group_unix_ms = duties.node.group_unix_ms();
@@ -44,24 +43,24 @@
         if duties.send_report(term, &report, terms).await {
             backoff.reset();
         } else {
-            backoff.fail(&duties.runtime);
+            backoff.record_failure(&duties.runtime);
         }
     }
 }
 
-/// The newest window that ended so long ago that its counts can be fixed.
+/// The newest window whose counting time is over at `unix_ms`.
 fn newest_closed(terms: UsageTerms, unix_ms: u64) -> Option<UsageWindow> {
     let length_ms = terms.window.as_millis() as u64;
     let counted_until = unix_ms.saturating_sub(terms.counting_time().as_millis() as u64);
-    let running = UsageWindow::containing(counted_until, length_ms);
-    running.0.checked_sub(1).map(UsageWindow)
+    let open = UsageWindow::containing(counted_until, length_ms);
+    open.0.checked_sub(1).map(UsageWindow)
 }
 
-/// The report to send next: the oldest that is not late yet, or else the newest of those that are.
+/// The report to send next: the oldest one that is not overdue, otherwise the newest overdue one.
 fn next_report(state: &ControlState, terms: UsageTerms, group_unix_ms: Option<u64>) -> Option<UsageReport> {
     let is_late = |report: &UsageReport| group_unix_ms.is_some_and(|now| now > due_at_ms(report.window, terms));
-    let in_time = state.usage.unreported().find(|report| !is_late(report));
-    in_time.or_else(|| state.usage.unreported().last())
+    let on_time = state.usage.unreported().find(|report| !is_late(report));
+    on_time.or_else(|| state.usage.unreported().last())
 }
 
 fn due_at_ms(window: UsageWindow, terms: UsageTerms) -> u64 {
@@ -69,8 +68,8 @@
 }
 
 impl<P: Runtime, B: Backends, C: PlatformClient> Duties<P, B, C> {
-    /// Fixes the counts of windows that have ended, once there are tenants.
-    async fn fix_closed_windows(&self, terms: UsageTerms) {
+    /// Commits the final counts of ended windows, if the routing document defines tenants.
+    async fn commit_closed_windows(&self, terms: UsageTerms) {
         let closed = self.node.group_unix_ms().and_then(|unix_ms| newest_closed(terms, unix_ms));
         let Some(closed) = closed else {
             return;
@@ -86,15 +85,17 @@
             Ok(_) => {
                 self.metrics.windows_fixed.inc();
                 let uncounted = self.node.read_applied(|state| state.usage.uncounted());
-                spdlog::info!("usage fixed", kv: { window = closed.0, uncounted = uncounted });
+                spdlog::info!("usage window counts committed", kv: { window = closed.0, uncounted = uncounted });
             }
             Err(error) => {
-                spdlog::warn!("usage not fixed", kv: { window = closed.0, reason = format!("{error:?}").as_str() });
+                spdlog::warn!("usage window counts not committed", kv: {
+                    window = closed.0, reason = format!("{error:?}").as_str()
+                });
             }
         }
     }
 
-    /// Sends a report; returns whether the platform has taken it.
+    /// Sends a report; returns whether the platform accepted it and that acceptance was committed.
     async fn send_report(&self, term: u64, report: &UsageReport, terms: UsageTerms) -> bool {
         let Some(grant) = self.node.note_orders(term, vec![OrderSubject::UsageReports]).await else {
             return false;
@@ -102,14 +103,14 @@
         let right = CallRight { holder: self.name.clone(), fence: grant.fence };
         let call = self.dialect.usage_report(&right, report);
         let began_at = self.runtime.monotonic();
-        let answered = self.client.call(call, CALL_LIMIT, || self.node.grant_holds(&grant)).await;
+        let answered = self.client.call(call, CALL_TIMEOUT, || self.node.grant_holds(&grant)).await;
         let outcome = match &answered {
             Ok(status) => format!("{:?}", self.dialect.answer(*status, None)),
             Err(failure) => failure.to_string(),
         };
         let taken = answered.is_ok_and(|status| self.dialect.answer(status, None) == PlatformAnswer::Taken);
         let late = self.node.group_unix_ms().is_some_and(|now| now > due_at_ms(report.window, terms));
-        spdlog::info!("usage reported", kv: {
+        spdlog::info!("usage report sent", kv: {
             window = report.window.0,
             tenants = report.counts.len(),
             requests = report.counts.values().sum::<u64>(),
@@ -127,8 +128,8 @@
         if late {
             self.metrics.reports_late.inc();
         }
-        // If this is not committed, the same report is sent again, which changes nothing.
-        let noted = self.node.commit_gateway(GatewayCommand::UsageReported(report.window)).await;
-        noted == Ok(GatewayOutcome::Done)
+        // If the commit fails, the same report is sent again; the platform handles it idempotently.
+        let committed = self.node.commit_gateway(GatewayCommand::UsageReported(report.window)).await;
+        committed == Ok(GatewayOutcome::Done)
     }
 }
