--- a/crates/engine-client/src/lib.rs
+++ b/crates/engine-client/src/lib.rs
@@ -1,7 +1,7 @@
-//! Calls engines, scorers and the platform over HTTP.
+//! HTTP client for engines, the scorer and the platform.
 //!
-//! Generations go over a hyper connection of their own: a failed connect proves that nothing was sent, and dropping
-//! the stream closes the connection, which cancels the generation. Everything else goes through cyper's pool.
+//! Each generation uses its own hyper connection: a failed connect means that nothing was sent, and dropping the stream
+//! closes the connection, which cancels the generation. All other calls use cyper's connection pool.
 
 pub mod wire;
 
@@ -21,16 +21,16 @@
 use std::net::SocketAddr;
 use wire::{CompletionChunk, CompletionRequest, ScoreReply, ScoreRequest};
 
-/// Where the other back ends are.
+/// Addresses of back ends other than engines.
 #[derive(Clone, Debug)]
 pub struct BackendAddresses {
-    /// The scorer, if samples are scored.
+    /// The scorer; without one, every sample has reward 0.
     pub scorer: Option<SocketAddr>,
-    /// The platform's machine list, if there is one.
+    /// The platform's machine list API; without one, the machine list is empty.
     pub platform: Option<SocketAddr>,
 }
 
-/// Makes the calls.
+/// The HTTP client. Clones share the connection pool.
 #[derive(Clone)]
 pub struct HttpBackends {
     client: Client,
@@ -38,7 +38,7 @@
 }
 
 impl HttpBackends {
-    /// Back ends at `addresses`.
+    /// Creates a client; fails if the HTTP client cannot be built.
     pub fn new(addresses: BackendAddresses) -> Result<Self, cyper::Error> {
         Ok(Self { client: Client::builder().no_proxy().build()?, addresses })
     }
@@ -116,7 +116,7 @@
     }
 }
 
-/// A connection to an engine.
+/// A connection to an engine, for one generation.
 pub struct HttpEngineConnection {
     connection: Connection,
     model: String,
@@ -133,7 +133,7 @@
         })?;
         let status = response.status();
         if !status.is_success() {
-            return Err(refusal(status, response).await);
+            return Err(engine_error(status, response).await);
         }
         let (events, stream) = mpsc::unbounded();
         let reader = EventReader::new(response.into_body());
@@ -142,16 +142,16 @@
     }
 }
 
-/// An engine proves with its own words that it did not admit a request; any other error leaves that open.
-async fn refusal(status: StatusCode, response: hyper::Response<hyper::body::Incoming>) -> BackendError {
+/// Maps an error response: `Refused` only if the engine reported that it did not admit the request, else `Unknown`.
+async fn engine_error(status: StatusCode, response: hyper::Response<hyper::body::Incoming>) -> BackendError {
     let body = read_whole(response.into_body()).await.unwrap_or_default();
     let text = format!("{status}: {}", String::from_utf8_lossy(&body));
     let refused = parse_json::<wire::ErrorReply>(&body).is_ok_and(|reply| reply.error.admitted == Some(false));
     if refused { BackendError::Refused(text) } else { BackendError::Unknown(text) }
 }
 
-/// Passes events on until the stream ends, or its receiver is dropped, which the next event notices. The connection
-/// closes with this task.
+/// Forwards events until the stream ends, or until the first event after the receiver was dropped. Closes the
+/// connection at the end.
 async fn read_events(
     connection: Connection,
     mut reader: EventReader,
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,4 +1,4 @@
-//! Who may ask for what: checks the key of a request or of a call about batch jobs.
+//! Authenticates requests and batch job calls by their key.
 
 use crate::gateway::{ChosenRoute, Gateway};
 use crate::refusal::Refusal;
@@ -9,15 +9,15 @@
 use saddlerelay_types::tenancy::Caller;
 
 impl Gateway {
-    /// Checks the key of a request on `chosen`, and replaces what the client says of its tenant by what the key tells. The
-    /// key goes no further.
+    /// Authenticates a request on `chosen` and sets its caller. The key and any tenant header from the client are
+    /// removed; engines receive the tenant that the key belongs to.
     pub fn admit(&self, chosen: &ChosenRoute, request: &mut ClientRequest) -> Result<(), Refusal> {
         let names = self.names();
         let key = request.headers.remove(&names.key);
         request.headers.remove(&names.tenant);
         let caller = self.caller(chosen, key.as_ref());
         if caller.is_err() {
-            self.tell_unknown_key(&request.id, key.as_ref());
+            self.log_unknown_key(&request.id, key.as_ref());
         }
         request.caller = caller?;
         if let Some(tenant) = request.caller.tenant() {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Checks the key of a call about batch jobs, which no route is chosen for.
+    /// Authenticates a batch job call, which has no route.
     pub fn job_caller(&self, id: &str, headers: &HeaderMap) -> Result<Caller, Refusal> {
         let table = {
             let view = self.inner.view.borrow();
@@ -54,17 +54,17 @@
         let key = headers.get(&self.names().key);
         match key.map(|key| keys.tenant(key.as_bytes())) {
             Some(Some(tenant)) => Ok(Caller::Tenant(tenant.clone())),
-            // Jobs that were handed in on a public route belong to nobody.
+            // Jobs submitted on a public route have no owner.
             None if table.has_public_routes() => Ok(Caller::Public),
             _ => {
-                self.tell_unknown_key(id, key);
+                self.log_unknown_key(id, key);
                 Err(Refusal::UnknownKey)
             }
         }
     }
 
-    /// Logs show the beginning of a key's digest, never the key.
-    fn tell_unknown_key(&self, id: &str, key: Option<&HeaderValue>) {
+    /// Logs a prefix of the key's digest, never the key.
+    fn log_unknown_key(&self, id: &str, key: Option<&HeaderValue>) {
         self.inner.metrics.keys_refused.inc();
         let digest = key.map(|key| SecretDigest::of(key.as_bytes()).shown()).unwrap_or_default();
         let view = self.inner.view.borrow();
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an engine: whether it may have run the request, and what its answer means.
+//! The outcome of an attempt to run a request on an engine, and whether the engine may have executed it.
 
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -7,34 +7,34 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-/// How one attempt ended.
-pub(crate) enum AttemptEnd {
-    /// With the engine's final answer.
+/// The outcome of an attempt.
+pub(crate) enum AttemptOutcome {
+    /// The engine returned a final response.
     Answered(Parts, Bytes),
-    /// The engine has proved that it did not run the request.
+    /// The engine did not receive the request, or reported that it did not execute it.
     NotExecuted(String),
-    /// The request may have run; the engine's own failing answer, if there is one.
+    /// The request may have executed. Carries the engine's error response if it can be passed to the client.
     Failed(String, Option<(Parts, Bytes)>),
-    /// The connection ended before an answer was whole; the request may have run, and may be what ended the engine.
+    /// The connection closed before the response was complete; the request may have executed.
     ConnectionLost(String),
 }
 
-/// An engine's whole answer: whether it says that it did not run the request, its head and its body.
+/// A buffered response: whether it reports that the request was not executed, its head and its body.
 pub(crate) type WholeAnswer = (bool, Parts, Bytes);
 
-impl AttemptEnd {
-    /// What a whole answer, or the want of one, means.
+impl AttemptOutcome {
+    /// Classifies a response or a failure.
     pub fn of(answer: Result<WholeAnswer, Failure>, names: &HeaderNames) -> Self {
         match answer {
-            Ok((true, head, _)) => Self::NotExecuted(answered(head.status)),
+            Ok((true, head, _)) => Self::NotExecuted(status_reason(head.status)),
             Ok((false, head, body)) if is_engine_failure(head.status) => {
-                let reason = answered(head.status);
-                // An engine that ran the request must not be quoted with a promise that it has not run.
-                let quoted = (!promises_not_run(head.status)).then_some((head, body));
-                Self::Failed(reason, quoted)
+                let reason = status_reason(head.status);
+                // These statuses tell the client that the request was not executed, which is not certain here.
+                let forwardable = (!implies_not_executed(head.status)).then_some((head, body));
+                Self::Failed(reason, forwardable)
             }
             Ok((false, head, _)) if head.status.is_success() && !head.headers.contains_key(&names.stamp) => {
-                Self::Failed("the answer has no stamp".to_string(), None)
+                Self::Failed("the response has no stamp header".to_string(), None)
             }
             Ok((false, head, body)) => Self::Answered(head, body),
             Err(Failure::NotSent(reason)) => Self::NotExecuted(reason),
@@ -44,7 +44,7 @@
     }
 }
 
-fn answered(status: StatusCode) -> String {
+fn status_reason(status: StatusCode) -> String {
     format!("the engine answered {}", status.as_u16())
 }
 
@@ -52,8 +52,8 @@
     status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS
 }
 
-/// Statuses by which a client is told that its request has not run.
-fn promises_not_run(status: StatusCode) -> bool {
+/// Statuses that tell a client that its request was not executed.
+fn implies_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE
@@ -63,39 +63,39 @@
     )
 }
 
-/// Attempts of one request of which a byte may have reached an engine that has not proved that it did not run it.
+/// Attempts of one request that may have executed: a byte was sent, and the engine did not report otherwise.
 #[derive(Default)]
 pub(crate) struct PossibleRuns {
-    /// When the first byte of each was sent.
+    /// Time of the first sent byte of each.
     sent_at: RefCell<Vec<Duration>>,
 }
 
 impl PossibleRuns {
-    /// Whether it is not proved that no engine has run the request.
+    /// Whether any attempt may have executed the request.
     pub fn may_have_run(&self) -> bool {
         !self.sent_at.borrow().is_empty()
     }
 
-    /// When the first of them was sent.
+    /// When the earliest of them was sent.
     pub fn first_sent_at(&self) -> Option<Duration> {
         self.sent_at.borrow().iter().min().copied()
     }
 
-    /// A new attempt, of which nothing has been sent yet.
+    /// Tracks a new attempt.
     pub fn attempt(&self) -> PossibleRun<'_> {
         PossibleRun { runs: self, sent_at: Cell::new(None) }
     }
 }
 
-/// One attempt; it counts as a possible run from its first byte on, also when it is given up.
+/// One attempt. Counts as a possible run from its first sent byte, also if it is cancelled later.
 pub(crate) struct PossibleRun<'a> {
     runs: &'a PossibleRuns,
     sent_at: Cell<Option<Duration>>,
 }
 
 impl PossibleRun<'_> {
-    /// Notes whether the first byte is about to be sent at `now`; returns the same.
-    pub fn note_sending(&self, sends: bool, now: Duration) -> bool {
+    /// Records that sending starts at `now` if `sends` is set; returns `sends`.
+    pub fn record_send(&self, sends: bool, now: Duration) -> bool {
         if sends && self.sent_at.get().is_none() {
             self.sent_at.set(Some(now));
             self.runs.sent_at.borrow_mut().push(now);
@@ -103,14 +103,14 @@
         sends
     }
 
-    /// The engine has proved that it did not run the request.
-    pub fn disprove(&self) {
+    /// Removes the attempt from the possible runs: the engine did not execute the request.
+    pub fn mark_not_executed(&self) {
         let Some(sent_at) = self.sent_at.take() else {
             return;
         };
         let mut runs = self.runs.sent_at.borrow_mut();
-        if let Some(place) = runs.iter().position(|other| *other == sent_at) {
-            runs.swap_remove(place);
+        if let Some(index) = runs.iter().position(|other| *other == sent_at) {
+            runs.swap_remove(index);
         }
     }
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,27 +1,26 @@
-//! Limits of a gateway.
+//! Gateway limits and timeouts.
 
 use saddlerelay_control_client::suspicions::LAST_TRIAL_PAUSE;
 use std::time::Duration;
 
-/// Limits; times are derived from the deployment's bounds by the settings.
+/// Limits and timeouts; the settings derive the times from the deployment's timing bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewayConfig {
-    /// Longest time to connect to an engine.
+    /// Timeout for connecting to an engine.
     pub connect_limit: Duration,
-    /// Share of a route's objective after which an idempotent request is tried at a second engine too, in percent.
+    /// Hedging delay of idempotent requests, in percent of the route's latency objective.
     pub hedge_percent: u32,
-    /// What refused clients are told to wait.
+    /// `Retry-After` of requests that were refused without execution.
     pub retry_after: Duration,
-    /// What clients are told to wait while the relay may not act: about as long as the control group takes to choose a
-    /// leader.
+    /// `Retry-After` while the relay has no lease: about the duration of a leader election.
     pub lease_retry_after: Duration,
-    /// Largest answer that is held until it is whole, in bytes.
+    /// Maximum size of a buffered response, in bytes.
     pub whole_answer_bytes: usize,
-    /// Largest request body before the first routing document, in bytes.
+    /// Maximum request body size until the first routing document arrives, in bytes.
     pub default_body_bytes: u64,
-    /// Longest wait for the control group's answer to a follow request.
+    /// Timeout of a follow request to the control group.
     pub follow_limit: Duration,
-    /// How long work under which engines have ended is kept from the one that would quarantine it.
+    /// Delay before the last trial of suspected work, whose failure quarantines it.
     pub last_trial_pause: Duration,
 }
 
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps the view new: asks the control group for what the relay lacks, again and again.
+//! Keeps the view up to date by follow requests to the control group, which also renew the lease.
 
 use crate::gateway::Gateway;
 use saddlerelay_runtime::Runtime;
@@ -6,71 +6,71 @@
 use saddlerelay_types::routing_update::EncodedRoutingUpdate;
 use std::time::Duration;
 
-/// Engines that are told one by one in the log when all are told anew; more are only counted.
-const MOST_ENGINES_TOLD: usize = 64;
+/// A full instance list is logged engine by engine up to this size, larger ones as a count.
+const MAX_ENGINES_LOGGED: usize = 64;
 
-/// How long a replica that did not answer is not asked: an election takes no longer.
-const SILENT_PASSED_OVER: Duration = Duration::from_millis(1_500);
+/// How long a replica that did not respond is skipped; at least the duration of an election.
+const UNRESPONSIVE_SKIP_TIME: Duration = Duration::from_millis(1_500);
 
-/// Pause before a replica is asked again that is not sure of its state, doubled at random.
-const UNCONFIRMED_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a replica could not confirm that its state is current; up to doubled by jitter.
+const UNCONFIRMED_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long a replica that is not sure of its state is not asked, once the lease runs short.
-const UNCONFIRMED_PASSED_OVER: Duration = Duration::from_millis(500);
+/// How long such a replica is skipped once half of the lease has passed.
+const UNCONFIRMED_SKIP_TIME: Duration = Duration::from_millis(500);
 
-/// A relay without a lease tells why this often: some lines in the time in which a group elects a leader anew.
-const SEARCH_TOLD_EVERY: Duration = Duration::from_secs(1);
+/// Interval of log lines about the search for the control group while there is no lease.
+const SEARCH_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pause after a question that brought no answer.
+/// Pause after a failed follow request.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Follows until the process ends.
+/// Sends follow requests until the process ends.
 pub(crate) async fn follow(gateway: Gateway) {
     let inner = &gateway.inner;
     let mut leased = false;
-    let mut search_told_at = inner.runtime.monotonic();
+    let mut search_logged_at = inner.runtime.monotonic();
     loop {
-        let asked_at = inner.runtime.monotonic();
-        match ask(&gateway).await {
-            Some(reply) => take(&gateway, reply, asked_at),
+        let requested_at = inner.runtime.monotonic();
+        match send_follow_request(&gateway).await {
+            Some(reply) => apply_reply(&gateway, reply, requested_at),
             None => inner.runtime.sleep(RETRY_PAUSE).await,
         }
         let now_leased = inner.view.borrow().is_leased(inner.runtime.monotonic());
         if now_leased != leased {
-            tell_lease(&gateway, now_leased);
+            log_lease_change(&gateway, now_leased);
             leased = now_leased;
         }
         let now = inner.runtime.monotonic();
-        if !leased && now >= search_told_at + SEARCH_TOLD_EVERY {
-            tell_search(&gateway);
-            search_told_at = now;
+        if !leased && now >= search_logged_at + SEARCH_LOG_INTERVAL {
+            log_control_search(&gateway);
+            search_logged_at = now;
         }
     }
 }
 
-/// Asks the replica that the group has named for this relay, or else the leader.
-async fn ask(gateway: &Gateway) -> Option<FollowReply> {
+/// Sends a follow request to the replica assigned to this relay, or to the leader.
+async fn send_follow_request(gateway: &Gateway) -> Option<FollowReply> {
     let inner = &gateway.inner;
     let limit = inner.options.config.follow_limit;
     let Some(follower) = inner.follower.address(inner.runtime.monotonic()) else {
-        let request = GatewayRequest::Follow(question(gateway, false));
+        let request = GatewayRequest::Follow(follow_request(gateway, false));
         return match inner.control.gateway(request, limit, limit).await {
             Ok(GatewayReply::Followed(reply)) => Some(reply),
             _ => None,
         };
     };
-    let request = GatewayRequest::Follow(question(gateway, true));
+    let request = GatewayRequest::Follow(follow_request(gateway, true));
     match inner.control.gateway_at(follower, request, limit).await {
         Some(GatewayReply::Followed(reply)) => Some(reply),
-        // It is there, and not sure of its state: the leader is busy, or there is none. Hundreds of relays that turned to the
-        // leader then would keep it busy.
+        // The replica could not confirm its state: the leader is overloaded or absent. Waiting avoids that all relays
+        // send their requests to the leader at once.
         Some(_) if inner.view.borrow().may_wait(inner.runtime.monotonic()) => {
-            inner.runtime.sleep(UNCONFIRMED_PAUSE + inner.runtime.jitter(UNCONFIRMED_PAUSE)).await;
+            inner.runtime.sleep(UNCONFIRMED_RETRY_PAUSE + inner.runtime.jitter(UNCONFIRMED_RETRY_PAUSE)).await;
             None
         }
         other => {
-            let pause = if other.is_some() { UNCONFIRMED_PASSED_OVER } else { SILENT_PASSED_OVER };
-            spdlog::info!("replica passed over", kv: {
+            let pause = if other.is_some() { UNCONFIRMED_SKIP_TIME } else { UNRESPONSIVE_SKIP_TIME };
+            spdlog::info!("control replica skipped", kv: {
                 replica = follower.to_string().as_str(), answered = other.is_some(),
                 pause_ms = pause.as_millis() as u64
             });
@@ -80,7 +80,7 @@
     }
 }
 
-fn question(gateway: &Gateway, at_follower: bool) -> FollowRequest {
+fn follow_request(gateway: &Gateway, at_follower: bool) -> FollowRequest {
     let view = gateway.inner.view.borrow();
     FollowRequest {
         relay: gateway.inner.options.name.clone(),
@@ -95,12 +95,12 @@
     }
 }
 
-fn take(gateway: &Gateway, mut reply: FollowReply, asked_at: Duration) {
+fn apply_reply(gateway: &Gateway, mut reply: FollowReply, requested_at: Duration) {
     let inner = &gateway.inner;
     if let Some(list) = reply.suspicions.take() {
         inner.suspicions.take(list);
     }
-    tell_instances(&reply);
+    log_instance_changes(&reply);
     if !reply.replicas.is_empty() {
         let seeds = inner.options.seeds.borrow();
         inner.control.set_replicas(reply.replicas.iter().chain(seeds.iter()).copied());
@@ -115,8 +115,8 @@
     let changed = reply.instances.whole || !reply.instances.records.is_empty();
     let update_bytes = reply.routing.as_ref().map_or(0, EncodedRoutingUpdate::len);
     let before = inner.view.borrow().routing_version();
-    inner.view.borrow_mut().take(reply, asked_at, inner.offset);
-    tell_routing(gateway, before, update_bytes);
+    inner.view.borrow_mut().take(reply, requested_at, inner.offset);
+    log_routing_update(gateway, before, update_bytes);
     if changed {
         let view = inner.view.borrow();
         inner.pool.retain(|instance| view.is_known(instance));
@@ -124,13 +124,13 @@
     }
 }
 
-fn tell_instances(reply: &FollowReply) {
-    let news = &reply.instances;
-    if news.whole && news.records.len() > MOST_ENGINES_TOLD {
-        spdlog::info!("engines told whole", kv: { revision = news.revision, engines = news.records.len() });
+fn log_instance_changes(reply: &FollowReply) {
+    let update = &reply.instances;
+    if update.whole && update.records.len() > MAX_ENGINES_LOGGED {
+        spdlog::info!("engine list received", kv: { revision = update.revision, engines = update.records.len() });
         return;
     }
-    for record in &news.records {
+    for record in &update.records {
         spdlog::info!("engine instance changed", kv: {
             instance = record.report.id.name.as_str(),
             started_at_ms = record.report.id.started_at_ms.unwrap_or_default(),
@@ -142,23 +142,24 @@
     }
 }
 
-fn tell_routing(gateway: &Gateway, before: Option<u64>, update_bytes: usize) {
+fn log_routing_update(gateway: &Gateway, before: Option<u64>, update_bytes: usize) {
     let view = gateway.inner.view.borrow();
-    let (held, routes) = view.table().map_or((0, 0), |table| (table.document().version, table.document().routes.len()));
+    let (current_version, routes) =
+        view.table().map_or((0, 0), |table| (table.document().version, table.document().routes.len()));
     if view.routing_version() != before {
         spdlog::info!("routing version in force", kv: {
-            version = held, before = before.unwrap_or_default(), routes = routes, update_bytes = update_bytes
+            version = current_version, before = before.unwrap_or_default(), routes = routes, update_bytes = update_bytes
         });
     } else if update_bytes > 0 {
-        spdlog::warn!("routing update not taken", kv: { held = held, update_bytes = update_bytes });
+        spdlog::warn!("routing update rejected", kv: { held = current_version, update_bytes = update_bytes });
     }
 }
 
-/// Says why there is no lease: whom this relay asks, and what each answered.
-fn tell_search(gateway: &Gateway) {
+/// Logs the control replicas that this relay tries, and the newest result of each.
+fn log_control_search(gateway: &Gateway) {
     let search = gateway.inner.control.search();
-    gateway.inner.metrics.searches_told.inc();
-    spdlog::warn!("control group not found", kv: {
+    gateway.inner.metrics.searches_logged.inc();
+    spdlog::warn!("control group unreachable", kv: {
         dependency = "control",
         view_age_ms = gateway.inner.view.borrow().age(gateway.now()).as_millis() as u64,
         replicas = search.replicas.len(),
@@ -166,12 +167,12 @@
     });
 }
 
-fn tell_lease(gateway: &Gateway, leased: bool) {
+fn log_lease_change(gateway: &Gateway, leased: bool) {
     let age = gateway.inner.view.borrow().age(gateway.now()).as_millis() as u64;
     if leased {
-        spdlog::info!("control group regained", kv: { dependency = "control" });
+        spdlog::info!("control group lease acquired", kv: { dependency = "control" });
     } else {
         gateway.inner.metrics.leases_lost.inc();
-        spdlog::warn!("control group lost", kv: { dependency = "control", view_age_ms = age });
+        spdlog::warn!("control group lease expired", kv: { dependency = "control", view_age_ms = age });
     }
 }
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -1,33 +1,33 @@
-//! The replica that a relay asks for news, where the leader has named one, and whether it answers.
+//! The control replica assigned to a relay for its follow requests.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The replica, unless it has not answered lately.
+/// The assigned replica, and whether it is being skipped.
 #[derive(Debug, Default)]
 pub struct NamedFollower {
-    named: Cell<Option<SocketAddr>>,
-    /// One that is not asked, and until when.
-    passed_over: Cell<Option<(SocketAddr, Duration)>>,
+    assigned: Cell<Option<SocketAddr>>,
+    /// A replica that is skipped, and until when.
+    skipped: Cell<Option<(SocketAddr, Duration)>>,
 }
 
 impl NamedFollower {
-    /// The group names a replica, or none.
+    /// Sets the replica assigned by the control group, if any.
     pub fn name(&self, address: Option<SocketAddr>) {
-        self.named.set(address);
+        self.assigned.set(address);
     }
 
-    /// The replica to ask at `now`; `None` for the leader.
+    /// The replica to send follow requests to at `now`; `None` for the leader.
     pub fn address(&self, now: Duration) -> Option<SocketAddr> {
-        let is_passed_over = |address: &SocketAddr| {
-            self.passed_over.get().is_some_and(|(passed_over, until)| passed_over == *address && now < until)
+        let is_skipped = |address: &SocketAddr| {
+            self.skipped.get().is_some_and(|(skipped, until)| skipped == *address && now < until)
         };
-        self.named.get().filter(|address| !is_passed_over(address))
+        self.assigned.get().filter(|address| !is_skipped(address))
     }
 
-    /// The replica at `address` is not asked before `until`.
+    /// Skips the replica at `address` until `until`.
     pub fn pass_over(&self, address: SocketAddr, until: Duration) {
-        self.passed_over.set(Some((address, until)));
+        self.skipped.set(Some((address, until)));
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A relay's gateway and what its parts share.
+//! The gateway's entry points and shared state.
 
 use crate::config::GatewayConfig;
 use crate::follower::NamedFollower;
@@ -26,20 +26,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How a gateway is started.
+/// Start-up options.
 #[derive(Clone, Debug)]
 pub struct GatewayOptions {
-    /// The relay's name.
+    /// The relay's name, as reported to the control group.
     pub name: String,
-    /// Its zone.
+    /// The relay's zone; engines in it are preferred.
     pub zone: String,
-    /// Where control replicas may be found, whatever the group tells; changes with the settings.
+    /// Configured control addresses, used in addition to those that the group reports; follows settings reloads.
     pub seeds: Rc<RefCell<Vec<SocketAddr>>>,
-    /// The headers that clients and engines use.
+    /// Names of the headers exchanged with clients and engines.
     pub names: HeaderNames,
-    /// Limits.
+    /// Limits and timeouts.
     pub config: GatewayConfig,
-    /// How long the windows are for which tenants' requests are counted; `None` if they are not.
+    /// Length of a usage window; `None` disables usage counting.
     pub usage_window: Option<Duration>,
 }
 
@@ -49,7 +49,7 @@
     pub control: ControlClient<CompioRuntime>,
     pub pool: Pool,
     pub view: RefCell<View>,
-    /// This start of the relay.
+    /// Identifies this run of the relay process.
     pub incarnation: Incarnation,
     pub clock: RefCell<FollowedClock>,
     pub usage: RefCell<UsageLedger>,
@@ -57,24 +57,24 @@
     pub suspicions: Rc<SuspicionKeeper<CompioRuntime>>,
     pub ended_checks: EndedChecks,
     pub metrics: GatewayMetrics,
-    /// Where in each route's turn of targets this relay begins.
+    /// Random start position (0 to 1) in the weighted round-robin of each route's targets.
     pub offset: f64,
     pub draining: Cell<bool>,
-    /// The replica that this relay asks for news instead of the leader.
+    /// The control replica that serves this relay's follow requests in place of the leader.
     pub follower: NamedFollower,
     /// A control replica in the relay's zone.
     pub nearest_replica: Cell<Option<SocketAddr>>,
-    /// Until when that one is not asked, because it did not answer.
-    pub nearest_passed_over_until: Cell<Duration>,
+    /// Time until which `nearest_replica` is skipped after a request to it failed.
+    pub nearest_skipped_until: Cell<Duration>,
 }
 
-/// The gateway. Clones are the same one.
+/// The gateway. Clones share state.
 #[derive(Clone)]
 pub struct Gateway {
     pub(crate) inner: Rc<Inner>,
 }
 
-/// A route, and the table that it stands in.
+/// A matched route and the version of the route table that contains it.
 #[derive(Clone)]
 pub struct ChosenRoute {
     pub(crate) table: Rc<RouteTable>,
@@ -82,19 +82,19 @@
 }
 
 impl ChosenRoute {
-    /// The route.
+    /// The matched route.
     pub fn route(&self) -> &Route {
         self.table.route(self.index)
     }
 }
 
 impl Gateway {
-    /// Starts following the control group.
+    /// Creates the gateway and spawns the task that follows the control group.
     pub fn start(runtime: CompioRuntime, control: ControlClient<CompioRuntime>, options: GatewayOptions) -> Self {
         let pool = Pool::new(Rc::new(options.names.clone()), options.config.connect_limit);
         let offset = (runtime.random() % 1_000) as f64 / 1_000.0;
-        let pause = options.config.last_trial_pause;
-        let suspicions = SuspicionKeeper::start(runtime.clone(), control.clone(), pause);
+        let last_trial_pause = options.config.last_trial_pause;
+        let suspicions = SuspicionKeeper::start(runtime.clone(), control.clone(), last_trial_pause);
         let inner = Inner {
             runtime: runtime.clone(),
             options,
@@ -112,14 +112,14 @@
             draining: Cell::new(false),
             follower: NamedFollower::default(),
             nearest_replica: Cell::new(None),
-            nearest_passed_over_until: Cell::new(Duration::ZERO),
+            nearest_skipped_until: Cell::new(Duration::ZERO),
         };
         let gateway = Self { inner: Rc::new(inner) };
         runtime.spawn(crate::follow::follow(gateway.clone()));
         gateway
     }
 
-    /// The time by the relay's clock.
+    /// The relay's monotonic time.
     pub fn now(&self) -> Duration {
         self.inner.runtime.monotonic()
     }
@@ -139,38 +139,38 @@
         &self.inner.metrics
     }
 
-    /// Whether clients should be sent here.
+    /// Whether the gateway accepts requests: it has a valid lease and a route table, and is not draining.
     pub fn is_ready(&self) -> bool {
         let view = self.inner.view.borrow();
         !self.inner.draining.get() && view.is_leased(self.now()) && view.table().is_some()
     }
 
-    /// How many engines of a service may be given new work, as far as this relay knows.
+    /// Number of ready engines of a service in the current view.
     pub fn ready_engines(&self, service: &str) -> usize {
         self.inner.view.borrow().ready_engines(service).count()
     }
 
-    /// Whether this relay may send to an instance, as far as it knows.
+    /// Whether an instance is ready in the current view.
     pub fn sends_to(&self, instance: &InstanceId) -> bool {
         self.inner.view.borrow().is_ready(instance)
     }
 
-    /// How many kinds of work this relay suspects of ending engines.
+    /// Number of work digests that are suspected of ending engines.
     pub fn suspected_work(&self) -> usize {
         self.inner.suspicions.suspected()
     }
 
-    /// From now on every answer tells its client to go elsewhere.
+    /// Starts draining: the gateway is no longer ready, and responses ask clients to reconnect elsewhere.
     pub fn drain(&self) {
         self.inner.draining.set(true);
     }
 
-    /// Whether answers tell clients to go elsewhere.
+    /// Whether the gateway is draining.
     pub fn is_draining(&self) -> bool {
         self.inner.draining.get()
     }
 
-    /// The route for this host and path.
+    /// Finds the route for a host and path; requires a valid lease.
     pub fn choose_route(&self, host: &str, path: &str) -> Result<ChosenRoute, Refusal> {
         let view = self.inner.view.borrow();
         if !view.is_leased(self.now()) {
@@ -181,7 +181,7 @@
         Ok(ChosenRoute { table, index })
     }
 
-    /// Reads a request's body within the limits in force.
+    /// Reads a request's body, up to the size limit of the current routing document.
     pub async fn read_body(&self, body: Incoming) -> Result<Bytes, Refusal> {
         let table = self.inner.view.borrow().table();
         let default = self.inner.options.config.default_body_bytes;
@@ -193,7 +193,7 @@
         })
     }
 
-    /// Serves a request on its route.
+    /// Forwards a request on its route and returns the response.
     pub async fn serve_on(&self, chosen: ChosenRoute, request: ClientRequest, body: Incoming) -> Reply {
         self.inner.metrics.requests.inc();
         let body = match self.read_body(body).await {
@@ -206,14 +206,14 @@
         }
     }
 
-    /// A final answer of the gateway's own.
+    /// Logs and counts a refusal and builds its response.
     pub fn refuse(&self, request: &ClientRequest, refusal: Refusal) -> Reply {
         let not_run = refusal.status() == hyper::StatusCode::SERVICE_UNAVAILABLE;
         let counter = if not_run { &self.inner.metrics.refused } else { &self.inner.metrics.failed };
         counter.inc();
         let view = self.inner.view.borrow();
-        let is_unled = matches!(refusal, Refusal::NoLease);
-        let control = if is_unled { self.inner.control.search().summary() } else { String::new() };
+        let lacks_lease = matches!(refusal, Refusal::NoLease);
+        let control = if lacks_lease { self.inner.control.search().summary() } else { String::new() };
         spdlog::warn!("request refused", kv: {
             request = request.id.as_str(),
             reason = refusal.reason(),
@@ -224,20 +224,20 @@
             control = control.as_str()
         });
         let config = &self.inner.options.config;
-        let wait = match refusal {
+        let retry_after = match refusal {
             Refusal::NoLease => config.lease_retry_after,
-            Refusal::Suspected(left) => left,
+            Refusal::Suspected(remaining) => remaining,
             _ => config.retry_after,
         };
-        let mut reply = refusal.reply(wait);
+        let mut reply = refusal.reply(retry_after);
         if let Ok(id) = HeaderValue::from_str(&request.id) {
             reply.headers_mut().insert(self.names().request_id.clone(), id);
         }
         reply
     }
 
-    /// The moment at which a request on `route` is over.
-    pub(crate) fn limit_of(&self, route: &Route, request: &ClientRequest) -> Duration {
+    /// The request's deadline in monotonic time: the route's timeout, or the client's if that is shorter.
+    pub(crate) fn request_deadline(&self, route: &Route, request: &ClientRequest) -> Duration {
         let timeout = Duration::from_millis(route.timeout_ms);
         request.arrived_at + request.deadline.map_or(timeout, |deadline| deadline.min(timeout))
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,10 +1,15 @@
-//! Routed requests on a relay.
+//! The gateway of a relay: forwards client requests to engines.
 //!
-//! Host and path choose a route, the route a service, and the relay one of its engines. What a relay knows of routes and
-//! engines comes from the control group under a lease; without the lease it sends nothing on. `table` and `view` hold
-//! what is known, `follow` keeps it new (`follower` is whom it asks), `admission` checks keys, `forward` and `stream` send requests on, `lost_connections`
-//! finds out whether engines end under them, `suspicions` keeps work that ends engines away from more of them, `usage`
-//! counts what engines begin, and `results` reads batch jobs.
+//! Host and path select a route, the route a service, and the gateway picks one of the service's engines. Routes and
+//! engine states come from the control group under a lease; without a valid lease no request is forwarded.
+//!
+//! - `view` and `table` hold the replicated routes and engine states; `follow` updates them, from the control replica
+//!   that `follower` selects.
+//! - `admission` authenticates requests by their key.
+//! - `forward` handles buffered responses, `stream` handles event streams.
+//! - `lost_connections` detects engine processes that ended during a request; `suspicions` limits or rejects requests
+//!   whose work has ended engines before.
+//! - `usage` counts requests by tenant, and `results` reads results of batch jobs.
 
 pub mod admission;
 pub mod attempt;
--- a/crates/gateway/src/lost_connections.rs
+++ b/crates/gateway/src/lost_connections.rs
@@ -1,4 +1,4 @@
-//! Looks into connections that engines have lost under a request: an engine may have closed one, or may have ended.
+//! Checks after a lost connection whether the engine process has ended or has only closed the connection.
 
 use crate::gateway::Gateway;
 use crate::request::ClientRequest;
@@ -9,54 +9,54 @@
 use saddlerelay_upstream::EngineTarget;
 use std::cell::{OnceCell, RefCell};
 
-/// What a request asks for. Its digest is made only when something asks for it: on a calm day, never.
+/// The work that a request asks for. Its digest is computed on first use.
 pub(crate) struct RequestedWork {
     body: Bytes,
     digest: OnceCell<WorkDigest>,
-    /// The right to run it, once it is suspected; held until the request is over.
+    /// The exclusive right to run suspected work, held until the request ends.
     trial: RefCell<Option<RelayTrial<CompioRuntime>>>,
 }
 
 impl RequestedWork {
-    /// The work of a request with this body.
+    /// The work of a request with body `body`.
     pub fn new(body: Bytes) -> Self {
         Self { body, digest: OnceCell::new(), trial: RefCell::default() }
     }
 
-    /// Whether this request is the one try of the work that may run.
+    /// Whether this request holds the trial of its suspected work.
     pub fn has_trial(&self) -> bool {
         self.trial.borrow().as_ref().is_some_and(RelayTrial::holds)
     }
 
-    /// This request is the one try of the work that may run.
-    pub fn hold_trial(&self, trial: RelayTrial<CompioRuntime>) {
+    /// Stores the trial that this request acquired.
+    pub fn set_trial(&self, trial: RelayTrial<CompioRuntime>) {
         self.trial.replace(Some(trial));
     }
 
-    /// The digest of the work of `request`, always the same one.
+    /// The work digest of `request`; cached after the first call.
     pub fn digest(&self, request: &ClientRequest) -> WorkDigest {
         *self.digest.get_or_init(|| request.work_digest(&self.body))
     }
 }
 
 impl Gateway {
-    /// Finds out whether the engine at `target` has ended under a request, and says so.
-    pub(crate) async fn look_into_lost_connection(
+    /// Checks whether the engine at `target` has ended during a request, and reports the loss to the control group.
+    pub(crate) async fn check_lost_connection(
         &self,
         request: &ClientRequest,
         work: &RequestedWork,
         target: &EngineTarget,
     ) {
         let ended = self.inner.ended_checks.has_ended(target.address).await;
-        // One that was leaving has ended for a reason of its own.
+        // An engine that was not ready is assumed to have been shut down.
         let counts = ended && self.sends_to(&target.instance);
         if ended {
             self.inner.metrics.engines_ended.inc();
         }
         if counts {
-            self.note_engine_loss(work.digest(request), &target.instance);
+            self.record_engine_loss(work.digest(request), &target.instance);
         }
-        spdlog::warn!("connection lost under a request", kv: {
+        spdlog::warn!("engine connection lost during a request", kv: {
             request = request.id.as_str(),
             work = work.digest(request).shown().as_str(),
             instance = target.instance.name.as_str(),
@@ -65,8 +65,8 @@
             engines_ended = self.engines_ended(request, work)
         });
         if counts {
-            // What other relays have seen meanwhile comes with the group's answer, before another engine is tried or the
-            // client is told and comes again elsewhere.
+            // The control group's reply contains losses reported by other relays; they are applied before a retry here
+            // or by the client.
             self.inner.suspicions.await_known_to_group(&work.digest(request)).await;
         }
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -3,38 +3,38 @@
 use saddlerelay_telemetry::registry::{Counter, Histogram, MetricRegistry};
 use std::time::Duration;
 
-/// What a gateway has done since it started.
+/// Metrics of a gateway since it started.
 pub struct GatewayMetrics {
     registry: MetricRegistry,
-    /// Requests taken.
+    /// Requests received.
     pub requests: Counter,
-    /// Answers of engines passed on.
+    /// Engine responses forwarded to clients.
     pub answered: Counter,
-    /// Requests refused that have not run.
+    /// Requests refused with status 503, without execution.
     pub refused: Counter,
-    /// Requests that failed and may have run.
+    /// Requests that the gateway answered with any other error status; they may have executed.
     pub failed: Counter,
-    /// Attempts beyond a request's first.
+    /// Retries: attempts after a request's first, without hedges.
     pub retries: Counter,
-    /// Requests tried at a second engine because the first was slow.
+    /// Hedged requests.
     pub hedges: Counter,
-    /// Engines found to have ended under a request of this relay.
+    /// Engines that ended during a request of this relay.
     pub engines_ended: Counter,
-    /// Requests not sent on because engines have ended under their work.
+    /// Requests rejected because their work is suspected of ending engines.
     pub kept_from_engines: Counter,
-    /// Calls with an unknown key, or with none where one is needed.
+    /// Requests with an unknown or missing API key.
     pub keys_refused: Counter,
-    /// Requests of tenants that engines have begun.
+    /// Requests counted towards a tenant's usage.
     pub usage_counted: Counter,
-    /// Times that the lease ended.
+    /// Lease expirations.
     pub leases_lost: Counter,
-    /// Seconds without a lease, each told in the log with what the asked replicas answered.
-    pub searches_told: Counter,
-    /// Reads of results that a replica in the own zone answered.
+    /// Log lines about the search for the control group, one per second without a lease.
+    pub searches_logged: Counter,
+    /// Result reads served by a control replica in the relay's zone.
     pub results_read_nearby: Counter,
-    /// From a request's arrival to the end of its answer, in seconds.
+    /// Time from a request's arrival to the end of its buffered response, in seconds.
     pub request_seconds: Histogram,
-    /// From an attempt's start to the end of its answer, in seconds.
+    /// Time from the start of an attempt to the end of its response or its failure, in seconds.
     pub attempt_seconds: Histogram,
 }
 
@@ -54,7 +54,7 @@
         let keys_refused = counter("keys_refused", "Calls with an unknown key, or with none where one is needed");
         let usage_counted = counter("usage_counted", "Requests of tenants that engines have begun");
         let leases_lost = counter("leases_lost", "Times that the lease ended");
-        let searches_told = counter("control_searches_told", "Seconds without a lease, each told in the log");
+        let searches_logged = counter("control_searches_told", "Seconds without a lease, each told in the log");
         let results_read_nearby =
             counter("results_read_nearby", "Reads of results answered by a replica in the own zone");
         let mut histogram = |name: &str, help: &str| registry.seconds(name, help, 0.001, 15);
@@ -73,7 +73,7 @@
             keys_refused,
             usage_counted,
             leases_lost,
-            searches_told,
+            searches_logged,
             results_read_nearby,
             request_seconds,
             attempt_seconds,
@@ -82,12 +82,12 @@
 }
 
 impl GatewayMetrics {
-    /// Records an attempt's length.
-    pub fn observe_attempt(&self, length: Duration) {
-        self.attempt_seconds.observe(length.as_secs_f64());
+    /// Records an attempt's duration.
+    pub fn observe_attempt(&self, duration: Duration) {
+        self.attempt_seconds.observe(duration.as_secs_f64());
     }
 
-    /// The metrics as text.
+    /// Encodes the metrics in the text exposition format.
     pub fn encode(&self) -> String {
         self.registry.encode()
     }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,52 +1,52 @@
-//! The gateway's own final answers.
+//! Responses that the gateway generates itself.
 
 use hyper::StatusCode;
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use saddlerelay_http::body::{Reply, whole};
 use std::time::Duration;
 
-/// Why the gateway answers by itself.
+/// Why the gateway refused or failed a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No route serves the host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// No tenant has the key that the request carries, or it carries none.
+    /// The API key is unknown, or missing where one is required.
     UnknownKey,
-    /// The body is larger than the limits allow.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The request cannot be read.
+    /// The request could not be read or parsed.
     Malformed,
-    /// The relay may not act: it has not heard the control group lately.
+    /// The relay holds no valid lease, or has no routing document.
     NoLease,
-    /// No engine of the service may be given work, or none took the request.
+    /// No engine is ready, or none accepted the request.
     NoEngine,
-    /// The time ran out before any engine was given the request.
-    LateNotRun,
-    /// The time ran out; the request may have run.
-    Late,
-    /// The engine failed; the request may have run.
+    /// The deadline passed before the request was sent to an engine.
+    SendTimeout,
+    /// The deadline passed; the request may have executed.
+    Timeout,
+    /// The engine failed; the request may have executed.
     EngineFailed,
-    /// Engines have ended under the same work; it is sent to no other for so long.
+    /// The work is suspected of ending engines; it can be retried after this time.
     Suspected(Duration),
-    /// Engine after engine has ended under the same work; it is sent to no more.
+    /// The work is quarantined because it ended too many engines.
     Quarantined,
 }
 
 impl Refusal {
-    /// The status.
+    /// The HTTP status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::Malformed => StatusCode::BAD_REQUEST,
-            Self::NoLease | Self::NoEngine | Self::LateNotRun | Self::Suspected(_) => StatusCode::SERVICE_UNAVAILABLE,
-            Self::Late => StatusCode::GATEWAY_TIMEOUT,
+            Self::NoLease | Self::NoEngine | Self::SendTimeout | Self::Suspected(_) => StatusCode::SERVICE_UNAVAILABLE,
+            Self::Timeout => StatusCode::GATEWAY_TIMEOUT,
             Self::EngineFailed | Self::Quarantined => StatusCode::BAD_GATEWAY,
         }
     }
 
-    /// The reason as logs and bodies name it.
+    /// The reason, as written to the log and the response body.
     pub fn reason(self) -> &'static str {
         match self {
             Self::NoRoute => "no route",
@@ -55,15 +55,15 @@
             Self::Malformed => "malformed request",
             Self::NoLease => "no lease",
             Self::NoEngine => "no engine",
-            Self::LateNotRun => "time over before any engine was given it",
-            Self::Late => "time over",
+            Self::SendTimeout => "time over before any engine was given it",
+            Self::Timeout => "time over",
             Self::EngineFailed => "engine failed",
             Self::Suspected(_) => "not sent on for now: engines have ended under this work",
             Self::Quarantined => "not sent on: engines have ended under this work",
         }
     }
 
-    /// The answer; one that promises that the request has not run says when to come back.
+    /// Builds the response. A 503, which means that the request was not executed, carries `Retry-After`.
     pub fn reply(self, retry_after: Duration) -> Reply {
         let mut reply = whole(self.status(), "text/plain", self.reason());
         if self.status() == StatusCode::SERVICE_UNAVAILABLE {
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request as the gateway takes it.
+//! Client requests.
 
 use bytes::Bytes;
 use hyper::header::{
@@ -11,35 +11,35 @@
 use saddlerelay_upstream::{HeaderNames, Outgoing};
 use std::time::Duration;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const HOP_BY_HOP: [HeaderName; 6] = [CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE, EXPECT];
 
-/// Further ones without a constant of their own.
+/// Hop-by-hop headers that hyper defines no constant for.
 const HOP_BY_HOP_NAMES: [&str; 3] = ["keep-alive", "proxy-connection", "proxy-authorization"];
 
-/// A request, without its body.
+/// A request without its body.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Its identifier; empty if it has none.
+    /// The request ID; empty if the client sent none.
     pub id: String,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The host that it asks for.
+    /// The `Host` header.
     pub host: String,
     /// End-to-end headers.
     pub headers: HeaderMap,
-    /// How long the client will wait, if it says so.
+    /// The client's timeout from its deadline header.
     pub deadline: Option<Duration>,
-    /// When it arrived, by the relay's clock.
+    /// Arrival time, in the relay's monotonic time.
     pub arrived_at: Duration,
-    /// Who makes it, once its key has been checked.
+    /// The authenticated caller; `Anyone` until the key is checked.
     pub caller: Caller,
 }
 
 impl ClientRequest {
-    /// Takes a request's head.
+    /// Parses a request's head.
     pub fn new(head: Parts, names: &HeaderNames, arrived_at: Duration) -> Self {
         let text = |name: &HeaderName| head.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default();
         let id = text(&names.request_id).to_string();
@@ -57,14 +57,14 @@
         self.uri.path()
     }
 
-    /// What it asks for, whatever its identifier.
+    /// The digest of the work asked for; independent of the request ID.
     pub fn work_digest(&self, body: &[u8]) -> WorkDigest {
         let path = self.uri.path_and_query().map_or(self.path(), |path| path.as_str());
         let (caller, method, host) = (&self.caller, self.method.as_str(), self.host.as_str());
         WorkDigest::of(&Work { caller, method, host, path, body })
     }
 
-    /// The request as it goes on to an engine.
+    /// The request as forwarded to engines.
     pub fn outgoing(&self, body: Bytes) -> Outgoing {
         let mut headers = self.headers.clone();
         headers.remove(CONTENT_LENGTH);
@@ -72,7 +72,7 @@
     }
 }
 
-/// Removes the headers that concern one connection only, those that `Connection` names among them.
+/// Removes hop-by-hop headers, including those listed in `Connection`.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -89,7 +89,7 @@
     }
 }
 
-/// Requests name their target by path; one in absolute form is cut down to it.
+/// Reduces an absolute-form target to its path and query.
 fn path_and_query(uri: Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map(Uri::from).unwrap_or(uri)
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,7 +1,7 @@
-//! Streams of events: each goes on as it comes, and where the route allows it, a stream that breaks off goes on at
-//! another engine inside the same answer.
+//! Forwards event streams event by event. On resumable routes, an interrupted stream is resumed on another engine
+//! within the same response.
 
-use crate::attempt::{AttemptEnd, PossibleRuns};
+use crate::attempt::{AttemptOutcome, PossibleRuns};
 use crate::gateway::{ChosenRoute, Gateway};
 use crate::lost_connections::RequestedWork;
 use crate::refusal::Refusal;
@@ -20,16 +20,16 @@
 use saddlerelay_upstream::{Answer, EngineTarget, Failure, Outgoing, Reuse};
 use std::time::Duration;
 
-/// A stream on its way.
-struct Relayed {
+/// A stream that is being forwarded to a client.
+struct ForwardedStream {
     gateway: Gateway,
     chosen: ChosenRoute,
     request: ClientRequest,
     outgoing: Outgoing,
     work: RequestedWork,
     service: String,
-    limit: Duration,
-    /// The engines that it went to; the last one streams.
+    deadline: Duration,
+    /// Engines tried so far; the last one is streaming.
     tried: Vec<EngineTarget>,
     cutter: EventCutter,
     last_event: Option<u64>,
@@ -37,62 +37,62 @@
     ended: bool,
 }
 
-/// What stays the same while engines are asked to take a stream.
-struct StreamPassage<'a> {
+/// Parameters shared by the attempts to start a stream.
+struct StreamContext<'a> {
     request: &'a ClientRequest,
     work: &'a RequestedWork,
     chosen: &'a ChosenRoute,
     service: &'a str,
-    /// When the request is over.
-    limit: Duration,
+    /// Deadline in monotonic time.
+    deadline: Duration,
 }
 
-impl StreamPassage<'_> {
+impl StreamContext<'_> {
     fn suspect(&self) -> SuspectRequest<'_> {
-        SuspectRequest { request: self.request, work: self.work, limit: self.limit }
+        SuspectRequest { request: self.request, work: self.work, deadline: self.deadline }
     }
 }
 
-/// How an engine took a stream.
-enum Begun {
-    /// It answers with events.
+/// The result of starting a stream.
+enum StreamStart {
+    /// An engine responded with an event stream.
     Answer(Box<Answer>),
-    /// It has answered with something else.
+    /// An engine responded with something else, which was read to its end.
     Whole(Parts, Bytes),
-    /// No engine took it.
+    /// No engine accepted the request.
     Refused(Refusal),
 }
 
 impl Gateway {
-    /// Sends a request on whose answer is a stream.
+    /// Forwards a request whose response is an event stream.
     pub(crate) async fn forward_stream(&self, chosen: &ChosenRoute, request: ClientRequest, body: Bytes) -> Reply {
-        let limit = self.limit_of(chosen.route(), &request);
+        let deadline = self.request_deadline(chosen.route(), &request);
         let service = chosen.table.next_service(chosen.index).to_string();
         let work = RequestedWork::new(body.clone());
         let outgoing = request.outgoing(body);
         let mut tried = Vec::new();
         let possible_runs = PossibleRuns::default();
         let counted = CountedRuns::new(self, &request.caller, &possible_runs);
-        let left = limit.saturating_sub(self.now());
-        let passage = StreamPassage { request: &request, work: &work, chosen, service: &service, limit };
-        let begin = self.begin_stream(&passage, &outgoing, &mut tried, &possible_runs);
-        let answer = match timeout(&self.inner.runtime, left, begin).await {
-            Some(Begun::Answer(answer)) => {
-                // An engine sends the head of a stream with its first event.
+        let remaining = deadline.saturating_sub(self.now());
+        let context = StreamContext { request: &request, work: &work, chosen, service: &service, deadline };
+        let starting = self.start_stream(&context, &outgoing, &mut tried, &possible_runs);
+        let answer = match timeout(&self.inner.runtime, remaining, starting).await {
+            Some(StreamStart::Answer(answer)) => {
+                // Engines send the response head together with the first event.
                 counted.began_at(self.now());
                 answer
             }
-            Some(Begun::Whole(head, body)) => return self.answer(&request, chosen, head, body),
-            Some(Begun::Refused(refusal)) => return self.refuse(&request, refusal),
-            None if possible_runs.may_have_run() => return self.refuse(&request, Refusal::Late),
-            None => return self.refuse(&request, Refusal::LateNotRun),
+            Some(StreamStart::Whole(head, body)) => return self.answer(&request, chosen, head, body),
+            Some(StreamStart::Refused(refusal)) => return self.refuse(&request, refusal),
+            None if possible_runs.may_have_run() => return self.refuse(&request, Refusal::Timeout),
+            None => return self.refuse(&request, Refusal::SendTimeout),
         };
         drop(counted);
         let (mut head, stream) = answer.into_stream();
         remove_hop_by_hop(&mut head.headers);
         head.headers.remove(CONTENT_LENGTH);
-        self.tell_begun(&request, chosen, &head);
-        let relayed = Relayed {
+        self.log_stream_started(&request, chosen, &head);
+        let forwarded = ForwardedStream {
             gateway: self.clone(),
             chosen: chosen.clone(),
             cutter: EventCutter::new(self.names().weight_version.as_str()),
@@ -100,16 +100,16 @@
             outgoing,
             work,
             service,
-            limit,
+            deadline,
             tried,
             last_event: None,
             body: stream,
             ended: false,
         };
-        Reply::from_parts(head, LocalBody::Breakable(Box::pin(relayed.into_parts())))
+        Reply::from_parts(head, LocalBody::Breakable(Box::pin(forwarded.into_chunks())))
     }
 
-    fn tell_begun(&self, request: &ClientRequest, chosen: &ChosenRoute, head: &Parts) {
+    fn log_stream_started(&self, request: &ClientRequest, chosen: &ChosenRoute, head: &Parts) {
         self.inner.metrics.answered.inc();
         spdlog::info!("stream begun", kv: {
             request = request.id.as_str(),
@@ -120,51 +120,51 @@
         });
     }
 
-    /// Finds an engine that takes the stream. Only engines that have proved not to run it are passed over, unless the
-    /// route is resumable.
-    async fn begin_stream(
+    /// Tries engines until one starts the stream. After an attempt that may have executed, it tries another engine only
+    /// if the route is resumable.
+    async fn start_stream(
         &self,
-        passage: &StreamPassage<'_>,
+        context: &StreamContext<'_>,
         outgoing: &Outgoing,
         tried: &mut Vec<EngineTarget>,
         possible_runs: &PossibleRuns,
-    ) -> Begun {
-        let route = passage.chosen.route();
-        let most = route.max_attempts.max(1) as usize;
+    ) -> StreamStart {
+        let route = context.chosen.route();
+        let max_attempts = route.max_attempts.max(1) as usize;
         let mut last_failure = None;
-        while tried.len() < most {
+        while tried.len() < max_attempts {
             let may_have_run = possible_runs.may_have_run();
-            if let Err(refusal) = self.check_suspicion(&passage.suspect(), may_have_run).await {
-                return Begun::Refused(refusal);
+            if let Err(refusal) = self.check_suspicion(&context.suspect(), may_have_run).await {
+                return StreamStart::Refused(refusal);
             }
             let instances: Vec<InstanceId> = tried.iter().map(|target| target.instance.clone()).collect();
-            let Some(engine) = self.choose_engine(passage.service, &instances) else {
+            let Some(engine) = self.choose_engine(context.service, &instances) else {
                 break;
             };
             tried.push(engine.target.clone());
             let run = possible_runs.attempt();
             let instance = &engine.target.instance;
-            let may_send = || run.note_sending(self.may_send_work(&passage.suspect(), instance), self.now());
-            let time_left = || passage.limit.saturating_sub(self.now());
-            let began_at = self.now();
+            let may_send = || run.record_send(self.may_send_work(&context.suspect(), instance), self.now());
+            let time_left = || context.deadline.saturating_sub(self.now());
+            let started_at = self.now();
             let sent = self.inner.pool.send(&engine.target, outgoing, Reuse::Recent, time_left, may_send).await;
-            let reason = match self.take_beginning(sent).await {
-                Ok(begun) => {
+            let reason = match self.read_stream_start(sent).await {
+                Ok(started) => {
                     let now = self.now();
-                    self.inner.balance.answered(&engine.target.instance, now.saturating_sub(began_at), now);
-                    return begun;
+                    self.inner.balance.answered(&engine.target.instance, now.saturating_sub(started_at), now);
+                    return started;
                 }
-                Err(AttemptEnd::Answered(head, body)) => return Begun::Whole(head, body),
-                Err(AttemptEnd::NotExecuted(reason)) => {
-                    run.disprove();
+                Err(AttemptOutcome::Answered(head, body)) => return StreamStart::Whole(head, body),
+                Err(AttemptOutcome::NotExecuted(reason)) => {
+                    run.mark_not_executed();
                     reason
                 }
-                Err(AttemptEnd::Failed(reason, answer)) => {
+                Err(AttemptOutcome::Failed(reason, answer)) => {
                     last_failure = answer.or(last_failure);
                     reason
                 }
-                Err(AttemptEnd::ConnectionLost(reason)) => {
-                    self.look_into_lost_connection(passage.request, passage.work, &engine.target).await;
+                Err(AttemptOutcome::ConnectionLost(reason)) => {
+                    self.check_lost_connection(context.request, context.work, &engine.target).await;
                     reason
                 }
             };
@@ -178,18 +178,18 @@
             }
         }
         match last_failure {
-            Some((head, body)) => Begun::Whole(head, body),
-            None if possible_runs.may_have_run() => Begun::Refused(Refusal::EngineFailed),
-            None => Begun::Refused(Refusal::NoEngine),
+            Some((head, body)) => StreamStart::Whole(head, body),
+            None if possible_runs.may_have_run() => StreamStart::Refused(Refusal::EngineFailed),
+            None => StreamStart::Refused(Refusal::NoEngine),
         }
     }
 
-    /// Takes the beginning of a stream; an answer that is none is read whole.
-    async fn take_beginning(&self, sent: Result<Answer, Failure>) -> Result<Begun, AttemptEnd> {
+    /// Returns a stream whose head has arrived; reads any other response to its end and classifies it.
+    async fn read_stream_start(&self, sent: Result<Answer, Failure>) -> Result<StreamStart, AttemptOutcome> {
         let names = self.names();
         let whole = match sent {
             Ok(answer) if answer.head.status.is_success() && answer.head.headers.contains_key(&names.stamp) => {
-                return Ok(Begun::Answer(Box::new(answer)));
+                return Ok(StreamStart::Answer(Box::new(answer)));
             }
             Ok(answer) => {
                 let not_executed = answer.is_not_executed(names);
@@ -198,48 +198,48 @@
             }
             Err(failure) => Err(failure),
         };
-        Err(AttemptEnd::of(whole, names))
+        Err(AttemptOutcome::of(whole, names))
     }
 }
 
-impl Relayed {
-    fn into_parts(self) -> impl Stream<Item = Result<Bytes, BrokenOff>> {
-        futures::stream::unfold(self, |mut relayed| async move {
-            let part = relayed.next_part().await?;
-            Some((part, relayed))
+impl ForwardedStream {
+    fn into_chunks(self) -> impl Stream<Item = Result<Bytes, BrokenOff>> {
+        futures::stream::unfold(self, |mut stream| async move {
+            let chunk = stream.next_chunk().await?;
+            Some((chunk, stream))
         })
     }
 
-    /// Whole events only: a piece of one must not stand before another engine's.
-    async fn next_part(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    /// The next complete event. Partial events are not forwarded, because another engine may resume the stream.
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, BrokenOff>> {
         while !self.ended {
             if let Some(event) = self.cutter.next_event() {
                 self.last_event = event.id.or(self.last_event);
                 return Some(Ok(event.raw.into()));
             }
-            let left = self.limit.saturating_sub(self.gateway.now());
-            let received = timeout(&self.gateway.inner.runtime, left, self.body.next()).await;
+            let remaining = self.deadline.saturating_sub(self.gateway.now());
+            let received = timeout(&self.gateway.inner.runtime, remaining, self.body.next()).await;
             match received {
                 Some(Some(Ok(bytes))) => self.cutter.push(&bytes),
                 Some(None) if !self.cutter.is_mid_event() => {
-                    self.gateway.note_served(&self.request, &self.work);
-                    return self.end("stream ended", None);
+                    self.gateway.record_served(&self.request, &self.work);
+                    return self.finish("stream ended", None);
                 }
-                Some(broken) => {
-                    if matches!(broken, Some(Err(Failure::ConnectionLost(_)))) {
-                        self.look_into_lost_connection().await;
+                Some(interrupted) => {
+                    if matches!(interrupted, Some(Err(Failure::ConnectionLost(_)))) {
+                        self.check_lost_connection().await;
                     }
                     if !(self.may_resume() && self.resume().await) {
-                        return self.end("stream broke off", Some(Err(BrokenOff)));
+                        return self.finish("stream broke off", Some(Err(BrokenOff)));
                     }
                 }
-                None => return self.end("stream over its time", Some(Err(BrokenOff))),
+                None => return self.finish("stream deadline exceeded", Some(Err(BrokenOff))),
             }
         }
         None
     }
 
-    fn end(&mut self, event: &str, part: Option<Result<Bytes, BrokenOff>>) -> Option<Result<Bytes, BrokenOff>> {
+    fn finish(&mut self, event: &str, chunk: Option<Result<Bytes, BrokenOff>>) -> Option<Result<Bytes, BrokenOff>> {
         self.ended = true;
         spdlog::info!("{}", event, kv: {
             request = self.request.id.as_str(),
@@ -247,12 +247,12 @@
             engines = self.tried.len(),
             held_ms = self.gateway.now().saturating_sub(self.request.arrived_at).as_millis() as u64
         });
-        part
+        chunk
     }
 
-    async fn look_into_lost_connection(&self) {
+    async fn check_lost_connection(&self) {
         if let Some(target) = self.tried.last() {
-            self.gateway.look_into_lost_connection(&self.request, &self.work, target).await;
+            self.gateway.check_lost_connection(&self.request, &self.work, target).await;
         }
     }
 
@@ -267,15 +267,15 @@
         }
         let possible_runs = PossibleRuns::default();
         let gateway = self.gateway.clone();
-        let passage = StreamPassage {
+        let context = StreamContext {
             request: &self.request,
             work: &self.work,
             chosen: &self.chosen,
             service: &self.service,
-            limit: self.limit,
+            deadline: self.deadline,
         };
-        match gateway.begin_stream(&passage, &self.outgoing, &mut self.tried, &possible_runs).await {
-            Begun::Answer(answer) => {
+        match gateway.start_stream(&context, &self.outgoing, &mut self.tried, &possible_runs).await {
+            StreamStart::Answer(answer) => {
                 self.body = answer.into_stream().1;
                 self.cutter = EventCutter::new(gateway.names().weight_version.as_str());
                 true
--- a/crates/gateway/src/suspicions.rs
+++ b/crates/gateway/src/suspicions.rs
@@ -1,4 +1,4 @@
-//! Keeps requests from engines whose work has ended other engines.
+//! Limits and rejects requests whose work is suspected of ending engines.
 
 use crate::gateway::Gateway;
 use crate::lost_connections::RequestedWork;
@@ -10,66 +10,67 @@
 use saddlerelay_types::work::WorkDigest;
 use std::time::Duration;
 
-/// A request that may be suspected work, on its way to an engine.
+/// A request to be checked for suspected work.
 #[derive(Clone, Copy)]
 pub(crate) struct SuspectRequest<'a> {
     pub request: &'a ClientRequest,
     pub work: &'a RequestedWork,
-    /// When the request is over.
-    pub limit: Duration,
+    /// Deadline in monotonic time.
+    pub deadline: Duration,
 }
 
 impl Gateway {
-    /// How many engines have ended under a request's work, as far as this relay knows.
+    /// Number of engines known to have ended while they ran the request's work.
     pub(crate) fn engines_ended(&self, request: &ClientRequest, work: &RequestedWork) -> usize {
         self.inner.suspicions.engines_ended(|| work.digest(request))
     }
 
-    /// Whether the relay may send a request to `instance` at this moment, by what is known of both.
+    /// Whether the relay may send a request to `instance` now. Suspected work also needs a valid trial.
     pub(crate) fn may_send_work(&self, suspect: &SuspectRequest<'_>, instance: &InstanceId) -> bool {
         let work = suspect.work;
         let verdict = self.inner.suspicions.verdict(|| work.digest(suspect.request));
-        let alone = work.has_trial() || self.engines_ended(suspect.request, work) == 0;
-        verdict == Verdict::Send && alone && self.may_send(instance)
+        let may_run = work.has_trial() || self.engines_ended(suspect.request, work) == 0;
+        verdict == Verdict::Send && may_run && self.may_send(instance)
     }
 
-    /// Refuses a request whose work is not to be sent on now. `may_have_run` tells whether this try of it may have run.
+    /// Checks the request's work for suspicion and acquires a trial if needed. `may_have_run` says whether an earlier
+    /// attempt of the request may have executed.
     ///
-    /// Once an engine has ended under it, work runs at one engine at a time, at whatever relay. Two tries at two engines at
-    /// once would both end their engine before either shows what the work does.
+    /// Suspected work runs on one engine at a time across all relays, which hold a trial for it in turn. Concurrent
+    /// attempts would end several engines before the first result is known.
     pub(crate) async fn check_suspicion(
         &self,
         suspect: &SuspectRequest<'_>,
         may_have_run: bool,
     ) -> Result<(), Refusal> {
-        let SuspectRequest { request, work, limit } = *suspect;
+        let SuspectRequest { request, work, deadline } = *suspect;
         let digest = || work.digest(request);
         let mut pause = match self.inner.suspicions.verdict(digest) {
-            Verdict::Quarantine => return Err(self.keep_from_engines(suspect, Refusal::Quarantined)),
-            Verdict::Pause(left) => Some(left),
+            Verdict::Quarantine => return Err(self.reject_suspected_work(suspect, Refusal::Quarantined)),
+            Verdict::Pause(remaining) => Some(remaining),
             Verdict::Send if self.engines_ended(request, work) == 0 => return Ok(()),
             Verdict::Send => None,
         };
         if pause.is_none() && !work.has_trial() {
-            let left = limit.saturating_sub(self.now());
-            match self.inner.suspicions.begin_trial(work.digest(request), left).await {
-                Some(trial) => work.hold_trial(trial),
+            let remaining = deadline.saturating_sub(self.now());
+            match self.inner.suspicions.begin_trial(work.digest(request), remaining).await {
+                Some(trial) => work.set_trial(trial),
                 None => pause = Some(TRIAL_RETRY_AFTER),
             }
         }
         match pause {
             None => Ok(()),
-            Some(_) if may_have_run => Err(self.keep_from_engines(suspect, Refusal::EngineFailed)),
-            Some(left) => Err(self.keep_from_engines(suspect, Refusal::Suspected(left))),
+            Some(_) if may_have_run => Err(self.reject_suspected_work(suspect, Refusal::EngineFailed)),
+            Some(remaining) => Err(self.reject_suspected_work(suspect, Refusal::Suspected(remaining))),
         }
     }
 
-    /// Counts and tells a refusal for the sake of engines.
-    fn keep_from_engines(&self, suspect: &SuspectRequest<'_>, refusal: Refusal) -> Refusal {
+    /// Counts and logs a refusal of suspected work.
+    fn reject_suspected_work(&self, suspect: &SuspectRequest<'_>, refusal: Refusal) -> Refusal {
         let SuspectRequest { request, work, .. } = *suspect;
-        let pause = if let Refusal::Suspected(left) = refusal { left } else { Duration::ZERO };
+        let pause = if let Refusal::Suspected(remaining) = refusal { remaining } else { Duration::ZERO };
         self.inner.metrics.kept_from_engines.inc();
-        spdlog::warn!("suspected work not sent on", kv: {
+        spdlog::warn!("suspected work rejected", kv: {
             request = request.id.as_str(),
             work = work.digest(request).to_hexadecimal().as_str(),
             engines_ended = self.engines_ended(request, work),
@@ -79,13 +80,13 @@
         refusal
     }
 
-    /// An engine has ended under a request.
-    pub(crate) fn note_engine_loss(&self, work: WorkDigest, instance: &InstanceId) {
+    /// Reports that an engine ended during a request.
+    pub(crate) fn record_engine_loss(&self, work: WorkDigest, instance: &InstanceId) {
         self.inner.suspicions.note_loss(EngineLoss { work, instance: instance.clone() });
     }
 
-    /// An engine has served a request to its end.
-    pub(crate) fn note_served(&self, request: &ClientRequest, work: &RequestedWork) {
+    /// Reports that an engine completed a request.
+    pub(crate) fn record_served(&self, request: &ClientRequest, work: &RequestedWork) {
         self.inner.suspicions.note_served(|| work.digest(request));
     }
 }
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request.
+//! Matches requests to routes, and picks a service among a route's weighted targets.
 
 use crate::keys::KeyRing;
 use saddlerelay_types::routing::{Route, RoutingDocument};
@@ -7,27 +7,27 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Multiples of it fall evenly between whole numbers.
+/// Fractional parts of its multiples are evenly distributed.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// Versions are taken by this remainder, so that a fraction of their multiple is exact enough.
+/// Versions are reduced modulo this value to limit the rounding error of their multiples.
 const VERSION_CYCLE: u64 = 1 << 20;
 
-/// A routing document with its routes by host.
+/// A routing document with its routes indexed by host.
 pub struct RouteTable {
     document: RoutingDocument,
-    /// Indexes of each host's routes, longest prefix first.
+    /// Indexes of each host's routes, longest path prefix first.
     by_host: BTreeMap<String, Vec<usize>>,
-    /// For each route, the turns of its targets.
+    /// Weighted round-robin state of each route.
     turns: RefCell<Vec<WeightedTurns>>,
-    /// The tenants' keys; `None` where no keys are asked for.
+    /// The tenants' API keys; `None` if authentication is disabled.
     keys: Option<Rc<KeyRing>>,
     has_public_routes: bool,
 }
 
 impl RouteTable {
-    /// Indexes `document`. `offset` (0 to 1) says where in the turn of its targets each route begins, so that relays do
-    /// not all begin with the same one.
+    /// Indexes `document`. `offset` (0 to 1) is the start position in each route's weighted round-robin; it differs
+    /// between relays so that they do not all start with the same target.
     pub fn new(document: RoutingDocument, offset: f64) -> Self {
         let keys = document.tenants.as_deref().map(|tenants| Rc::new(KeyRing::new(tenants)));
         Self::with_keys(document, offset, keys)
@@ -46,52 +46,52 @@
         Self { document, by_host, turns: RefCell::new(turns), keys, has_public_routes }
     }
 
-    /// A table of the document that follows on another's. Routes whose targets stay as they are go on in their turns; the
-    /// others begin elsewhere each time, or with documents that change often one target would get every first request. Keys
-    /// that stay as they are need not be indexed anew.
-    pub fn following(document: RoutingDocument, before: Option<&Self>, offset: f64) -> Self {
-        let begins = (offset + (document.version % VERSION_CYCLE) as f64 * GOLDEN_RATIO).fract();
-        let Some(before) = before else {
-            return Self::new(document, begins);
+    /// Indexes a document that replaces that of `previous`. Routes with unchanged targets keep their round-robin state.
+    /// Other routes start at a position that varies with the version: with frequent updates, a fixed start would send
+    /// most requests to the same target. The index of unchanged keys is reused.
+    pub fn replacing(document: RoutingDocument, previous: Option<&Self>, offset: f64) -> Self {
+        let start = (offset + (document.version % VERSION_CYCLE) as f64 * GOLDEN_RATIO).fract();
+        let Some(previous) = previous else {
+            return Self::new(document, start);
         };
-        let table = if document.tenants == before.document.tenants {
-            Self::with_keys(document, begins, before.keys.clone())
+        let table = if document.tenants == previous.document.tenants {
+            Self::with_keys(document, start, previous.keys.clone())
         } else {
-            Self::new(document, begins)
+            Self::new(document, start)
         };
-        table.take_turns_over(before);
+        table.copy_turns_from(previous);
         table
     }
 
-    fn take_turns_over(&self, before: &Self) {
-        let held = before.turns.borrow();
-        let place = |route: &Route| (route.host.clone(), route.path_prefix.clone());
+    fn copy_turns_from(&self, previous: &Self) {
+        let previous_turns = previous.turns.borrow();
+        let location = |route: &Route| (route.host.clone(), route.path_prefix.clone());
         let indexes: BTreeMap<_, usize> =
-            before.document.routes.iter().enumerate().map(|(index, route)| (place(route), index)).collect();
+            previous.document.routes.iter().enumerate().map(|(index, route)| (location(route), index)).collect();
         for (turns, route) in self.turns.borrow_mut().iter_mut().zip(&self.document.routes) {
-            let index = indexes.get(&place(route)).copied();
-            if let Some(index) = index.filter(|index| before.document.routes[*index].targets == route.targets) {
-                turns.clone_from(&held[index]);
+            let index = indexes.get(&location(route)).copied();
+            if let Some(index) = index.filter(|index| previous.document.routes[*index].targets == route.targets) {
+                turns.clone_from(&previous_turns[index]);
             }
         }
     }
 
-    /// The document.
+    /// The routing document.
     pub fn document(&self) -> &RoutingDocument {
         &self.document
     }
 
-    /// The tenants' keys; `None` where no keys are asked for.
+    /// The tenants' API keys; `None` if authentication is disabled.
     pub fn keys(&self) -> Option<&KeyRing> {
         self.keys.as_deref()
     }
 
-    /// Whether some requests need no key although others do.
+    /// Whether any route is public.
     pub fn has_public_routes(&self) -> bool {
         self.has_public_routes
     }
 
-    /// The index of the route that serves this host and path.
+    /// The index of the route that matches this host and path.
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let routes = self.by_host.get(&host)?;
@@ -103,7 +103,7 @@
         &self.document.routes[index]
     }
 
-    /// The service whose turn it is: over time each target gets its weight's share, in even turns.
+    /// Picks the next service of a route by weighted round-robin.
     pub fn next_service(&self, index: usize) -> &str {
         let targets = &self.document.routes[index].targets;
         let next = self.turns.borrow_mut()[index].take(targets);
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -1,7 +1,7 @@
-//! Counts the requests that engines begin, by tenant and window of time, and hands the counts over to the control group.
+//! Counts started requests by tenant and time window, and reports the counts to the control group.
 //!
-//! Counts are handed over in numbered differences. One difference at a time is on its way: it is sent again, unchanged,
-//! until the group says that it is committed, so that it counts once whoever leads.
+//! Counts are reported as numbered differences, at most one in flight. A difference is resent unchanged until the
+//! control group acknowledges its commit, so that it counts exactly once across leader changes.
 
 use crate::attempt::PossibleRuns;
 use crate::gateway::Gateway;
@@ -12,28 +12,29 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Answers of the control group of which the one that was fastest tells the time of day.
-const ANSWERS_COMPARED: usize = 16;
+/// Number of recent replies considered; the one with the lowest delay determines the clock offset.
+const CLOCK_SAMPLES: usize = 16;
 
-/// The group's time of day, by the relay's steady clock. A jump of the relay's own time of day does not move it.
+/// Estimates the control group's wall-clock time from the relay's monotonic clock; unaffected by jumps of the local
+/// wall clock.
 #[derive(Debug, Default)]
 pub struct FollowedClock {
-    /// How far the group's time of day was ahead of the steady clock at each of the newest answers, in milliseconds.
+    /// Offsets of the group's wall clock from the monotonic clock in the newest replies, in milliseconds.
     offsets: VecDeque<i64>,
 }
 
 impl FollowedClock {
-    /// Takes the time that an answer told, which arrived at `now`.
+    /// Adds a sample: the group's time from a reply that arrived at `now`.
     pub fn hear(&mut self, group_unix_ms: u64, now: Duration) {
         let offset = i64::try_from(group_unix_ms).unwrap_or(i64::MAX).saturating_sub(milliseconds(now));
         self.offsets.push_back(offset);
-        if self.offsets.len() > ANSWERS_COMPARED {
+        if self.offsets.len() > CLOCK_SAMPLES {
             self.offsets.pop_front();
         }
     }
 
-    /// The time of day at `at`, in Unix milliseconds; `None` before the first answer. An answer that was held up on its way
-    /// tells too early a time, never too late a one.
+    /// The group's wall-clock time at `at`, in Unix milliseconds; `None` before the first reply. Uses the largest
+    /// offset, because a delayed reply only lowers its offset.
     pub fn unix_ms(&self, at: Duration) -> Option<u64> {
         let offset = self.offsets.iter().max()?;
         u64::try_from(milliseconds(at).saturating_add(*offset)).ok()
@@ -44,16 +45,16 @@
     i64::try_from(time.as_millis()).unwrap_or(i64::MAX)
 }
 
-/// Counts that are not known to be committed.
+/// Counts that are not yet acknowledged as committed.
 #[derive(Debug, Default)]
 pub struct UsageLedger {
     counted: BTreeMap<UsageWindow, TenantCounts>,
-    on_its_way: Option<UsageDifference>,
+    in_flight: Option<UsageDifference>,
     sequence: u64,
 }
 
 impl UsageLedger {
-    /// An engine has begun a request of `tenant` in `window`.
+    /// Counts a request of `tenant` that started in `window`.
     pub fn count(&mut self, tenant: &TenantId, window: UsageWindow) {
         let counts = self.counted.entry(window).or_default();
         match counts.get_mut(tenant) {
@@ -64,25 +65,25 @@
         }
     }
 
-    /// What to hand over now.
+    /// The difference to send with the next follow request; the unacknowledged one if there is one.
     pub fn difference(&mut self) -> Option<UsageDifference> {
-        if self.on_its_way.is_none() && !self.counted.is_empty() {
+        if self.in_flight.is_none() && !self.counted.is_empty() {
             self.sequence += 1;
             let counts = std::mem::take(&mut self.counted);
-            self.on_its_way = Some(UsageDifference { sequence: self.sequence, counts });
+            self.in_flight = Some(UsageDifference { sequence: self.sequence, counts });
         }
-        self.on_its_way.clone()
+        self.in_flight.clone()
     }
 
-    /// The group holds every difference up to this one.
+    /// Acknowledges all differences up to `sequence` as committed.
     pub fn taken(&mut self, sequence: u64) {
-        if self.on_its_way.as_ref().is_some_and(|difference| difference.sequence <= sequence) {
-            self.on_its_way = None;
+        if self.in_flight.as_ref().is_some_and(|difference| difference.sequence <= sequence) {
+            self.in_flight = None;
         }
     }
 }
 
-/// Counts a tenant's request when it ends, however it ends, unless it is proved that no engine has begun it.
+/// Counts a tenant's request on drop, unless no engine has started it.
 pub(crate) struct CountedRuns<'a> {
     gateway: &'a Gateway,
     caller: &'a Caller,
@@ -95,7 +96,7 @@
         Self { gateway, caller, runs, began_at: Cell::new(None) }
     }
 
-    /// Notes when an engine is known to have begun it; otherwise that is when it was sent.
+    /// Sets when an engine started the request; defaults to the time of the first send.
     pub fn began_at(&self, at: Duration) {
         self.began_at.set(Some(at));
     }
@@ -117,7 +118,7 @@
             return;
         };
         let Some(unix_ms) = inner.clock.borrow().unix_ms(began_at) else {
-            spdlog::warn!("request not counted", kv: { tenant = tenant.as_str(), reason = "the time is not known" });
+            spdlog::warn!("request not counted", kv: { tenant = tenant.as_str(), reason = "group time unknown" });
             return;
         };
         let window = UsageWindow::containing(unix_ms, length.as_millis() as u64);
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -1,4 +1,4 @@
-//! What a relay knows of routes and engines, and how long it may act on it.
+//! The relay's copy of routes and engine states, and the lease under which it may be used.
 
 use crate::table::RouteTable;
 use saddlerelay_types::gateway::FollowReply;
@@ -9,116 +9,117 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The view. Empty, and without a lease, until the control group has answered.
+/// The view; empty and without a lease until the first reply from the control group.
 #[derive(Default)]
 pub struct View {
     table: Option<Rc<RouteTable>>,
     instances: BTreeMap<InstanceId, InstanceRecord>,
     instance_revision: u64,
-    /// By the relay's own clock.
+    /// Lease expiry in monotonic time.
     leased_until: Duration,
-    /// How long the newest lease was.
+    /// Duration of the newest lease.
     newest_lease: Duration,
-    asked_at: Duration,
-    /// An update did not go on from the document that is held.
-    needs_whole_document: bool,
+    requested_at: Duration,
+    /// The last routing update could not be applied to the current document.
+    needs_full_document: bool,
 }
 
 impl View {
-    /// The routing version acted on.
+    /// The version of the current routing document.
     pub fn routing_version(&self) -> Option<u64> {
         self.table.as_ref().map(|table| table.document().version)
     }
 
-    /// The revision of the instance table acted on.
+    /// The revision of the current instance table.
     pub fn instance_revision(&self) -> u64 {
         self.instance_revision
     }
 
-    /// Whether the relay may act at `now`.
+    /// Whether the lease is valid at `now`.
     pub fn is_leased(&self, now: Duration) -> bool {
         now < self.leased_until
     }
 
-    /// Whether enough of the lease is left at `now` to wait for the replica that is asked, rather than to ask the leader.
+    /// Whether more than half of the lease remains at `now`, enough to retry a follower instead of the leader.
     pub fn may_wait(&self, now: Duration) -> bool {
         self.lease_left(now) > self.newest_lease / 2
     }
 
-    /// For how long the relay may act from `now` on.
+    /// Remaining lease time.
     pub fn lease_left(&self, now: Duration) -> Duration {
         self.leased_until.saturating_sub(now)
     }
 
-    /// How old the newest answer of the control group is.
+    /// Time since the request of the newest applied reply was sent.
     pub fn age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.asked_at)
+        now.saturating_sub(self.requested_at)
     }
 
-    /// The routes, if there are any yet.
+    /// The route table, if a routing document was received.
     pub fn table(&self) -> Option<Rc<RouteTable>> {
         self.table.clone()
     }
 
-    /// Takes an answer to a question asked at `asked_at`. A routing version never goes back, and a relay that cannot take
-    /// the newest document is not given a longer lease.
-    pub fn take(&mut self, reply: FollowReply, asked_at: Duration, offset: f64) {
-        self.needs_whole_document = !self.take_routing(reply.routing, offset);
-        if self.needs_whole_document {
+    /// Applies a reply to a request sent at `requested_at`. Older routing versions are ignored, and the lease is not
+    /// extended if the newest routing update cannot be applied.
+    pub fn take(&mut self, reply: FollowReply, requested_at: Duration, offset: f64) {
+        self.needs_full_document = !self.apply_routing(reply.routing, offset);
+        if self.needs_full_document {
             return;
         }
         let lease = Duration::from_millis(reply.lease_ms);
-        self.leased_until = self.leased_until.max(asked_at + lease);
+        self.leased_until = self.leased_until.max(requested_at + lease);
         self.newest_lease = lease;
-        self.asked_at = asked_at;
-        self.take_instances(reply.instances);
+        self.requested_at = requested_at;
+        self.apply_instances(reply.instances);
     }
 
-    fn take_instances(&mut self, news: InstanceNews) {
-        if news.whole {
+    fn apply_instances(&mut self, update: InstanceNews) {
+        if update.whole {
             self.instances.clear();
             self.instance_revision = 0;
         }
-        for record in news.records {
+        for record in update.records {
             match record.state {
                 InstanceState::Gone => self.instances.remove(&record.report.id),
                 _ => self.instances.insert(record.report.id.clone(), record),
             };
         }
-        self.instance_revision = self.instance_revision.max(news.revision);
+        self.instance_revision = self.instance_revision.max(update.revision);
     }
 
-    /// Takes a newer document; returns whether the relay holds the newest it was told of.
-    fn take_routing(&mut self, update: Option<EncodedRoutingUpdate>, offset: f64) -> bool {
-        let Some(update) = update.filter(|update| self.routing_version().is_none_or(|held| update.version > held))
+    /// Applies a newer routing document; returns `false` if an update could not be applied.
+    fn apply_routing(&mut self, update: Option<EncodedRoutingUpdate>, offset: f64) -> bool {
+        let Some(update) =
+            update.filter(|update| self.routing_version().is_none_or(|current| update.version > current))
         else {
             return true;
         };
-        let held = self.table.as_ref().map(|table| table.document());
-        let document = update.decode().and_then(|update| update.apply(held));
-        let taken = document.is_some();
+        let current = self.table.as_ref().map(|table| table.document());
+        let document = update.decode().and_then(|update| update.apply(current));
+        let applied = document.is_some();
         if let Some(document) = document {
-            self.table = Some(Rc::new(RouteTable::following(document, self.table.as_deref(), offset)));
+            self.table = Some(Rc::new(RouteTable::replacing(document, self.table.as_deref(), offset)));
         }
-        taken
+        applied
     }
 
-    /// The version on which an update may go on; `None` asks for a whole document.
+    /// The version that the next routing update may be based on; `None` requests a full document.
     pub fn update_base(&self) -> Option<u64> {
-        self.routing_version().filter(|_| !self.needs_whole_document)
+        self.routing_version().filter(|_| !self.needs_full_document)
     }
 
-    /// Whether `instance` may be given new work.
+    /// Whether `instance` is ready for new requests.
     pub fn is_ready(&self, instance: &InstanceId) -> bool {
         self.instances.get(instance).is_some_and(|record| record.state == InstanceState::Ready)
     }
 
-    /// Whether `instance` is known and not gone.
+    /// Whether `instance` is in the instance table.
     pub fn is_known(&self, instance: &InstanceId) -> bool {
         self.instances.contains_key(instance)
     }
 
-    /// The engines of `service` that may be given new work.
+    /// The engines of `service` that are ready for new requests.
     pub fn ready_engines<'a>(&'a self, service: &'a str) -> impl Iterator<Item = ReadyEngine> + 'a {
         let ready = self
             .instances
--- a/crates/gateway/tests/choice.rs
+++ b/crates/gateway/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which route, which target, which engine.
+//! Selection of routes, targets and engines, and leases of the view.
 
 use saddlerelay_gateway::table::RouteTable;
 use saddlerelay_gateway::view::View;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_table_finds_the_same_route_as_the_document() {
+fn table_and_document_find_the_same_route() {
     let routes =
         vec![route("a", "/", &[1]), route("a", "/x/", &[1]), route("a", "/x/y/", &[1]), route("b", "/x/", &[1])];
     let document = document(1, routes);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn over_any_stretch_each_target_is_close_to_its_share() {
+fn each_target_gets_its_share_after_any_number_of_requests() {
     for offset in [0.0, 0.3, 0.7, 0.99] {
         let table = RouteTable::new(document(1, vec![route("a", "/", &[90, 10, 0])]), offset);
         let mut counts = [0_u32; 3];
@@ -61,7 +61,7 @@
     }
 }
 
-/// Requests that each target of the first route gets when the document changes after each of 200.
+/// Requests that each target of the first route gets if the document changes after each of 200 requests.
 fn counts_over_changes(weights: impl Fn(u64) -> [u64; 2]) -> [u32; 2] {
     let mut counts = [0_u32; 2];
     let mut table = RouteTable::new(document(1, vec![route("a", "/", &weights(1))]), 0.97);
@@ -70,19 +70,19 @@
         counts[service[1..].parse::<usize>().expect("a number")] += 1;
         let other = Route { timeout_ms: version, ..route("a", "/other/", &[1]) };
         let document = document(version, vec![route("a", "/", &weights(version)), other]);
-        table = RouteTable::following(document, Some(&table), 0.97);
+        table = RouteTable::replacing(document, Some(&table), 0.97);
     }
     counts
 }
 
 #[test]
-fn a_route_that_stays_as_it_is_keeps_its_turn_when_others_change() {
+fn an_unchanged_route_keeps_its_round_robin_state_when_another_route_changes() {
     let counts = counts_over_changes(|_| [90, 10]);
     assert!((19..=21).contains(&counts[1]), "{counts:?}");
 }
 
 #[test]
-fn a_route_whose_weights_change_again_and_again_does_not_begin_with_the_same_target_each_time() {
+fn a_route_with_frequent_weight_changes_does_not_always_start_with_the_same_target() {
     let counts = counts_over_changes(|version| if version % 2 == 0 { [90, 10] } else { [180, 20] });
     assert!((15..=25).contains(&counts[1]), "{counts:?}");
 }
@@ -107,25 +107,25 @@
 }
 
 #[test]
-fn a_lease_counts_from_when_it_was_asked_for_and_versions_never_go_back() {
+fn a_lease_starts_at_the_request_time_and_older_routing_versions_are_ignored() {
     let mut view = View::default();
     let at = Duration::from_millis;
     assert!(!view.is_leased(at(0)));
     view.take(reply(Some(5), 1_000), at(100), 0.0);
     assert!(view.is_leased(at(1_099)) && !view.is_leased(at(1_100)));
-    // An older answer that comes late shortens nothing and changes nothing.
+    // A delayed reply with an older version changes neither lease nor routes.
     view.take(reply(Some(4), 1_000), at(50), 0.0);
     assert!(view.is_leased(at(1_099)));
     assert_eq!(view.routing_version(), Some(5));
 }
 
 #[test]
-fn an_update_to_another_document_than_the_one_held_renews_no_lease_and_is_asked_for_whole() {
+fn an_update_with_another_base_version_does_not_extend_the_lease_and_requests_a_full_document() {
     let mut view = View::default();
     let at = Duration::from_millis;
     view.take(reply(Some(5), 1_000), at(100), 0.0);
-    let on_another = Some(update(Some(&document(4, Vec::new())), 6));
-    view.take(FollowReply { routing: on_another, ..reply(None, 1_000) }, at(900), 0.0);
+    let with_other_base = Some(update(Some(&document(4, Vec::new())), 6));
+    view.take(FollowReply { routing: with_other_base, ..reply(None, 1_000) }, at(900), 0.0);
     assert!(!view.is_leased(at(1_100)));
     assert_eq!((view.routing_version(), view.update_base()), (Some(5), None));
     view.take(reply(Some(6), 1_000), at(1_000), 0.0);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn the_nearest_is_chosen_until_it_is_slower_or_fails() {
+fn the_engine_in_the_own_zone_is_preferred_until_it_is_slower_or_fails() {
     let balance = Balance::default();
     let engines = [engine("far", "south"), engine("near", "north")];
     let near = InstanceId::named("near");
@@ -152,7 +152,7 @@
     assert_eq!(chosen(&balance, &engines, std::slice::from_ref(&near), 0), "far");
     balance.answered(&near, Duration::from_millis(200), Duration::from_millis(10));
     assert_eq!(chosen(&balance, &engines, &[], 10), "far");
-    // What was measured long ago is forgotten: the engine is tried again.
+    // The old latency has decayed, so the engine is tried again.
     assert_eq!(chosen(&balance, &engines, &[], 60_000), "near");
     balance.failed(&near, Duration::from_millis(60_000));
     assert_eq!(chosen(&balance, &engines, &[], 60_100), "far");
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_failing_engine_is_left_alone_longer_each_time() {
+fn ejection_time_doubles_with_each_consecutive_failure_up_to_a_limit() {
     let balance = Balance::default();
     let engines = [engine("a", "north"), engine("b", "south")];
     let failing = InstanceId::named("a");
@@ -174,13 +174,13 @@
 }
 
 #[test]
-fn requests_in_flight_count_until_they_end() {
+fn requests_in_flight_count_towards_load_until_dropped() {
     let balance = Balance::default();
     let engines = [engine("a", "north"), engine("b", "north")];
     let now = Duration::ZERO;
-    let held: Vec<_> = (0..3).map(|_| balance.begin(&InstanceId::named("a"), now)).collect();
+    let in_flight: Vec<_> = (0..3).map(|_| balance.begin(&InstanceId::named("a"), now)).collect();
     assert_eq!(chosen(&balance, &engines, &[], 0), "b");
-    drop(held);
+    drop(in_flight);
     let _one = balance.begin(&InstanceId::named("b"), now);
     assert_eq!(chosen(&balance, &engines, &[], 0), "a");
 }
--- a/crates/gateway/tests/usage.rs
+++ b/crates/gateway/tests/usage.rs
@@ -1,4 +1,4 @@
-//! How a relay counts and hands its counts over.
+//! Usage counting and reporting, clock estimation, and lookup of API keys.
 
 use quickcheck::QuickCheck;
 use saddlerelay_gateway::keys::KeyRing;
@@ -10,14 +10,14 @@
 use std::time::Duration;
 
 #[test]
-fn a_difference_is_repeated_unchanged_until_it_is_taken() {
+fn a_difference_is_resent_unchanged_until_it_is_acknowledged() {
     let (tenant, window) = (TenantId::new("a"), UsageWindow(3));
     let mut ledger = UsageLedger::default();
     assert_eq!(ledger.difference(), None);
     ledger.count(&tenant, window);
     let first = ledger.difference().expect("something was counted");
     ledger.count(&tenant, window);
-    assert_eq!(ledger.difference().as_ref(), Some(&first), "it is not known to be taken");
+    assert_eq!(ledger.difference().as_ref(), Some(&first), "the first difference is not acknowledged yet");
     ledger.taken(0);
     assert_eq!(ledger.difference().as_ref(), Some(&first));
     ledger.taken(first.sequence);
@@ -27,13 +27,13 @@
     assert_eq!(ledger.difference(), None);
 }
 
-/// Whatever answers are lost, each request is in exactly one difference.
+/// Each request is in exactly one difference, whichever replies are lost.
 #[test]
-fn every_request_is_handed_over_once() {
+fn every_request_is_reported_exactly_once() {
     fn holds(steps: Vec<(u8, bool)>) -> bool {
         let tenant = TenantId::new("a");
         let mut ledger = UsageLedger::default();
-        let (mut counted, mut taken, mut newest) = (0, 0, 0);
+        let (mut counted, mut reported, mut newest) = (0, 0, 0);
         for (requests, answered) in steps.into_iter().chain([(0, true), (0, true)]) {
             for _ in 0..requests % 5 {
                 ledger.count(&tenant, UsageWindow(u64::from(requests)));
@@ -44,30 +44,30 @@
             };
             if difference.sequence > newest {
                 newest = difference.sequence;
-                taken += difference.counts.values().flat_map(|counts| counts.values()).sum::<u64>();
+                reported += difference.counts.values().flat_map(|counts| counts.values()).sum::<u64>();
             }
             if answered {
                 ledger.taken(newest);
             }
         }
-        counted == taken && ledger.difference().is_none()
+        counted == reported && ledger.difference().is_none()
     }
     QuickCheck::new().tests(400).quickcheck(holds as fn(Vec<(u8, bool)>) -> bool);
 }
 
 #[test]
-fn an_answer_that_was_held_up_does_not_move_the_clock() {
+fn a_delayed_reply_does_not_change_the_clock_estimate() {
     let at = Duration::from_millis;
     let mut clock = FollowedClock::default();
     assert_eq!(clock.unix_ms(at(5)), None);
     clock.hear(10_000, at(100));
-    // The relay stood still for 3 s before it read this one.
+    // The relay process was suspended for 3 s before it read this reply.
     clock.hear(10_400, at(3_500));
     assert_eq!(clock.unix_ms(at(4_000)), Some(13_900));
 }
 
 #[test]
-fn a_key_is_found_among_many_and_no_other_is() {
+fn only_configured_keys_are_found() {
     let key = |tenant: usize, number: usize| format!("key-{tenant}-{number}");
     let tenants: Vec<TenantAccess> = (0..500)
         .map(|tenant| TenantAccess {
--- a/crates/policies/src/least_loaded.rs
+++ b/crates/policies/src/least_loaded.rs
@@ -1,8 +1,8 @@
-//! The engine with the smallest share of its slots in use.
+//! Picks the engine with the lowest utilization.
 
 use crate::{Candidate, Policy, RoutingRequest};
 
-/// Chooses the least loaded; equal loads are decided at random.
+/// Picks the least loaded engine; ties are broken at random.
 pub struct LeastLoaded;
 
 impl Policy for LeastLoaded {
@@ -11,10 +11,10 @@
     }
 }
 
-/// The least loaded candidate, looking from a random place on.
+/// The index of the least loaded candidate. The search starts at a random index, which breaks ties at random.
 pub fn least_loaded(candidates: &[Candidate], random: u64) -> Option<usize> {
     let count = candidates.len();
-    let from = if count == 0 { 0 } else { (random % count as u64) as usize };
-    let places = (0..count).map(|offset| (from + offset) % count);
-    places.min_by(|left, right| candidates[*left].utilization().total_cmp(&candidates[*right].utilization()))
+    let start = if count == 0 { 0 } else { (random % count as u64) as usize };
+    let indexes = (0..count).map(|offset| (start + offset) % count);
+    indexes.min_by(|left, right| candidates[*left].utilization().total_cmp(&candidates[*right].utilization()))
 }
--- a/crates/policies/src/lib.rs
+++ b/crates/policies/src/lib.rs
@@ -1,4 +1,4 @@
-//! Which engine gets a request: one policy in each module, all behind [`Policy`].
+//! Load-balancing policies that pick an engine for a request. Each module implements one [`Policy`].
 
 pub mod least_loaded;
 pub mod prefix_affinity;
@@ -9,67 +9,68 @@
 use saddlerelay_types::identity::{EngineId, WeightVersion};
 use saddlerelay_types::request::Priority;
 
-/// Characters at the start of a prompt that count as its prefix.
+/// Length of a prompt's prefix for prefix affinity, in characters.
 pub const PREFIX_CHARACTERS: usize = 256;
 
-/// What a policy may know of an engine. Every candidate is able to take the request.
+/// An engine that can accept the request, as seen by a policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// The engine.
+    /// The engine's ID.
     pub id: EngineId,
-    /// How many sequences it runs at once.
+    /// Number of sequences that it runs concurrently.
     pub slots: u32,
-    /// Requests of this relay that it is running.
+    /// Requests of this relay in flight.
     pub in_flight: u32,
-    /// Its own report, which lags.
+    /// The engine's newest load report.
     pub reported: EngineLoad,
     /// Age of the report in milliseconds.
     pub report_age_milliseconds: u64,
-    /// Whether it is in the relay's own zone.
+    /// Whether it is in the relay's zone.
     pub same_zone: bool,
-    /// The version it has confirmed.
+    /// The weight version that it has confirmed.
     pub version: WeightVersion,
 }
 
 impl Candidate {
-    /// Sequences running and waiting, as best known: the relay's own count is never stale, a report may be.
+    /// Running and waiting sequences: the larger of the relay's own count and the report, which may be stale.
     pub fn load(&self) -> u32 {
         let reported = self.reported.running + self.reported.waiting;
         self.in_flight.max(reported)
     }
 
-    /// Load as a share of the slots.
+    /// Load divided by slots; above 1 if sequences are waiting.
     pub fn utilization(&self) -> f64 {
         f64::from(self.load()) / f64::from(self.slots.max(1))
     }
 }
 
-/// What a policy may know of a request.
+/// A request as seen by a policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingRequest<'a> {
     /// The prompt.
     pub prompt: &'a str,
-    /// The caller's class.
+    /// The priority class.
     pub priority: Priority,
-    /// How much the tenant counts staleness against trainer idle time, 0 to 100.
+    /// The tenant's weight of staleness relative to trainer idle time, 0 to 100.
     pub staleness_share_percent: u32,
 }
 
 impl RoutingRequest<'_> {
-    /// Hash of the prompt's prefix, the same on every relay.
+    /// Hash of the prompt's prefix; identical on all relays.
     pub fn prefix_hash(&self) -> u64 {
         let end = self.prompt.char_indices().nth(PREFIX_CHARACTERS).map_or(self.prompt.len(), |(index, _)| index);
         xxhash_rust::xxh3::xxh3_64(&self.prompt.as_bytes()[..end])
     }
 }
 
-/// Chooses an engine.
+/// A load-balancing policy.
 pub trait Policy {
-    /// The place in `candidates` of the engine to use, or `None` when there are none. `random` is a fresh random number.
+    /// Returns the index in `candidates` of the picked engine; `None` if there are none. `random` is a new random
+    /// number.
     fn choose(&self, request: &RoutingRequest<'_>, candidates: &[Candidate], random: u64) -> Option<usize>;
 }
 
-/// Policies by name, as settings and experiments give them.
+/// The name of a policy, as used in settings and experiments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyName {
     /// [`random::Random`].
@@ -83,10 +84,10 @@
 }
 
 impl PolicyName {
-    /// Every policy.
+    /// All policies.
     pub const ALL: [Self; 4] = [Self::Random, Self::RoundRobin, Self::LeastLoaded, Self::PrefixAffinity];
 
-    /// The name in settings.
+    /// The name as written in settings.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Random => "random",
@@ -96,12 +97,12 @@
         }
     }
 
-    /// The policy with this name.
+    /// Parses a name from settings.
     pub fn parse(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|policy| policy.as_str() == name)
     }
 
-    /// The policy itself.
+    /// Creates the policy.
     pub fn build(self) -> Box<dyn Policy> {
         match self {
             Self::Random => Box::new(random::Random),
--- a/crates/policies/src/prefix_affinity.rs
+++ b/crates/policies/src/prefix_affinity.rs
@@ -1,17 +1,17 @@
-//! Requests with the same prefix go to the same engine, unless it is loaded beyond its share.
+//! Sends requests with the same prompt prefix to the same engine, to reuse its KV cache, unless its load is too high.
 //!
-//! The preferred engine follows from the prefix alone by rendezvous hashing, so relays agree without telling each
-//! other, and cache events may be late or missing. The load bound keeps one popular prefix from filling one engine
-//! (consistent hashing with bounded loads; Mirrokni, Thorup and Zadimoghaddam, 2018).
+//! The preferred engine is selected by rendezvous hashing of the prefix, so relays agree without coordination or cache
+//! events. The load bound prevents that a popular prefix overloads one engine (consistent hashing with bounded loads;
+//! Mirrokni, Thorup and Zadimoghaddam, 2018).
 
 use crate::least_loaded::least_loaded;
 use crate::{Candidate, Policy, RoutingRequest};
 use saddlerelay_types::request::Priority;
 
-/// How far above the least utilization an engine may be and still be preferred for its cache.
+/// An engine is eligible for affinity if its utilization is less than this above the lowest one.
 const LOAD_SLACK: f64 = 0.15;
 
-/// Share of the tenant's weight on staleness from which rollouts keep to the newest version.
+/// Staleness share, in percent, from which a tenant's rollouts prefer engines with the newest weight version.
 const NEWEST_VERSION_SHARE_PERCENT: u32 = 50;
 
 /// The default policy.
@@ -19,31 +19,33 @@
 
 impl Policy for PrefixAffinity {
     fn choose(&self, request: &RoutingRequest<'_>, candidates: &[Candidate], random: u64) -> Option<usize> {
-        let allowed = allowed_places(request, candidates);
-        let chosen: Vec<Candidate> = allowed.iter().map(|place| candidates[*place].clone()).collect();
-        let least = chosen.iter().map(Candidate::utilization).fold(f64::INFINITY, f64::min);
+        let eligible = eligible_indexes(request, candidates);
+        let eligible_candidates: Vec<Candidate> = eligible.iter().map(|index| candidates[*index].clone()).collect();
+        let least = eligible_candidates.iter().map(Candidate::utilization).fold(f64::INFINITY, f64::min);
         let limit = least + LOAD_SLACK;
         let hash = request.prefix_hash();
-        let within_limit = (0..chosen.len()).filter(|place| chosen[*place].utilization() < limit);
-        let preferred = within_limit.max_by_key(|place| rendezvous_weight(hash, &chosen[*place]));
-        let place = preferred.or_else(|| least_loaded(&chosen, random))?;
-        Some(allowed[place])
+        let within_limit =
+            (0..eligible_candidates.len()).filter(|index| eligible_candidates[*index].utilization() < limit);
+        let preferred = within_limit.max_by_key(|index| rendezvous_weight(hash, &eligible_candidates[*index]));
+        let index = preferred.or_else(|| least_loaded(&eligible_candidates, random))?;
+        Some(eligible[index])
     }
 }
 
-/// Rollouts of a tenant that counts staleness keep to engines with the newest version while one has a free slot.
-fn allowed_places(request: &RoutingRequest<'_>, candidates: &[Candidate]) -> Vec<usize> {
+/// Indexes of the eligible candidates. Rollouts with a high staleness share use only engines with the newest weight
+/// version, while one of them has a free slot.
+fn eligible_indexes(request: &RoutingRequest<'_>, candidates: &[Candidate]) -> Vec<usize> {
     let all = || (0..candidates.len()).collect::<Vec<_>>();
-    let keeps_to_newest =
+    let prefers_newest =
         request.priority == Priority::Rollout && request.staleness_share_percent >= NEWEST_VERSION_SHARE_PERCENT;
-    if !keeps_to_newest {
+    if !prefers_newest {
         return all();
     }
     let newest = candidates.iter().map(|candidate| candidate.version).max();
-    let is_newest = |place: &usize| Some(candidates[*place].version) == newest;
-    let free = |place: &usize| candidates[*place].utilization() < 1.0;
-    let fresh: Vec<usize> = (0..candidates.len()).filter(is_newest).filter(free).collect();
-    if fresh.is_empty() { all() } else { fresh }
+    let is_newest = |index: &usize| Some(candidates[*index].version) == newest;
+    let free = |index: &usize| candidates[*index].utilization() < 1.0;
+    let newest_free: Vec<usize> = (0..candidates.len()).filter(is_newest).filter(free).collect();
+    if newest_free.is_empty() { all() } else { newest_free }
 }
 
 fn rendezvous_weight(prefix_hash: u64, candidate: &Candidate) -> u64 {
--- a/crates/policies/src/random.rs
+++ b/crates/policies/src/random.rs
@@ -1,8 +1,8 @@
-//! A random engine: the plainest baseline.
+//! Picks a random engine; a baseline for comparisons.
 
 use crate::{Candidate, Policy, RoutingRequest};
 
-/// Chooses at random.
+/// Picks engines at random.
 pub struct Random;
 
 impl Policy for Random {
--- a/crates/policies/src/round_robin.rs
+++ b/crates/policies/src/round_robin.rs
@@ -1,9 +1,9 @@
-//! One engine after another.
+//! Picks engines in round-robin order.
 
 use crate::{Candidate, Policy, RoutingRequest};
 use std::cell::Cell;
 
-/// Chooses in turn.
+/// Picks engines in turn.
 #[derive(Default)]
 pub struct RoundRobin {
     next: Cell<usize>,
--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: a limit on requests at once and a bounded queue for each tenant, most urgent first.
+//! Admission control: a concurrency limit and a bounded priority queue for each tenant.
 
 use futures::channel::oneshot;
 use saddlerelay_runtime::Runtime;
@@ -10,52 +10,53 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Assumed time of a request before any has ended.
+/// Service time assumed until the first request has ended.
 const FIRST_SERVICE_TIME: Duration = Duration::from_millis(500);
 
-/// Weight of the newest request in the mean service time.
+/// Weight of the newest request in the moving average of service times.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
-/// Why a request was not admitted. Nothing of it ran.
+/// Why a request was not admitted. It was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionRefusal {
-    /// The queue is full, or the wait would outlast the deadline; come back after this time.
+    /// The queue is full, or the expected wait exceeds the deadline. Carries the expected wait as retry delay.
     Overloaded(Duration),
-    /// The deadline passed in the queue.
+    /// The deadline passed while the request was queued.
     DeadlineExceeded,
 }
 
-/// A tenant's limits.
+/// Admission limits of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionLimits {
-    /// Most requests at once.
+    /// Maximum number of concurrent requests.
     pub max_in_flight: usize,
-    /// Most requests waiting.
+    /// Maximum number of queued requests.
     pub max_queued: usize,
 }
 
 #[derive(Default)]
-struct Gate {
+struct TenantQueue {
     in_flight: usize,
     waiting: BTreeMap<(Priority, u64), oneshot::Sender<()>>,
-    next_ticket: u64,
-    mean_service: Option<Duration>,
+    last_sequence: u64,
+    mean_service_time: Option<Duration>,
 }
 
-impl Gate {
+impl TenantQueue {
     fn expected_wait(&self, limits: AdmissionLimits) -> Duration {
-        let service = self.mean_service.unwrap_or(FIRST_SERVICE_TIME);
-        let ahead = self.waiting.len() as u32 + 1;
-        service * ahead / limits.max_in_flight.max(1) as u32
+        let service_time = self.mean_service_time.unwrap_or(FIRST_SERVICE_TIME);
+        let queue_position = self.waiting.len() as u32 + 1;
+        service_time * queue_position / limits.max_in_flight.max(1) as u32
     }
 
-    fn record_service(&mut self, service: Duration) {
-        let mean = self.mean_service.unwrap_or(service);
-        self.mean_service = Some(mean.mul_f64(1.0 - SERVICE_TIME_WEIGHT) + service.mul_f64(SERVICE_TIME_WEIGHT));
+    fn record_service_time(&mut self, service_time: Duration) {
+        let mean = self.mean_service_time.unwrap_or(service_time);
+        self.mean_service_time =
+            Some(mean.mul_f64(1.0 - SERVICE_TIME_WEIGHT) + service_time.mul_f64(SERVICE_TIME_WEIGHT));
     }
 
-    /// Passes a free place to the most urgent waiter that is still there.
-    fn wake_next(&mut self, limits: AdmissionLimits) {
+    /// Admits waiters in order of priority while there is capacity; skips cancelled ones.
+    fn admit_waiters(&mut self, limits: AdmissionLimits) {
         while self.in_flight < limits.max_in_flight {
             let Some((_, waiter)) = self.waiting.pop_first() else {
                 return;
@@ -67,23 +68,24 @@
     }
 }
 
-/// Every tenant's gate. Clones share the table.
+/// The admission queues of all tenants. Clones share state.
 #[derive(Clone, Default)]
 pub struct Admission {
-    gates: Rc<RefCell<BTreeMap<TenantId, Gate>>>,
+    queues: Rc<RefCell<BTreeMap<TenantId, TenantQueue>>>,
 }
 
-/// A place among the running requests, given back when dropped.
+/// An admitted request; releases its capacity on drop.
 pub struct Permit<P: Runtime> {
     admission: Admission,
     platform: P,
     tenant: TenantId,
     limits: AdmissionLimits,
-    since: Duration,
+    admitted_at: Duration,
 }
 
 impl Admission {
-    /// Waits for a place, for at most `deadline`. Refuses at once what cannot be served in time.
+    /// Waits up to `deadline` for admission. Fails immediately if the queue is full or the expected wait exceeds
+    /// `deadline`.
     pub async fn admit<P: Runtime>(
         &self,
         platform: &P,
@@ -92,60 +94,60 @@
         priority: Priority,
         deadline: Duration,
     ) -> Result<Permit<P>, AdmissionRefusal> {
-        if let Some(waiter) = self.enter(tenant, limits, priority, deadline)? {
+        if let Some(waiter) = self.admit_or_enqueue(tenant, limits, priority, deadline)? {
             match timeout(platform, deadline, waiter).await {
                 Some(Ok(())) => {}
                 _ => return Err(AdmissionRefusal::DeadlineExceeded),
             }
         }
-        let since = platform.monotonic();
-        Ok(Permit { admission: self.clone(), platform: platform.clone(), tenant: tenant.clone(), limits, since })
+        let admitted_at = platform.monotonic();
+        Ok(Permit { admission: self.clone(), platform: platform.clone(), tenant: tenant.clone(), limits, admitted_at })
     }
 
-    /// Takes a place at once, or a ticket in the queue.
-    fn enter(
+    /// Admits a request immediately (`None`), or queues it and returns a receiver for its admission.
+    fn admit_or_enqueue(
         &self,
         tenant: &TenantId,
         limits: AdmissionLimits,
         priority: Priority,
         deadline: Duration,
     ) -> Result<Option<oneshot::Receiver<()>>, AdmissionRefusal> {
-        let mut gates = self.gates.borrow_mut();
-        let gate = gates.entry(tenant.clone()).or_default();
-        if gate.in_flight < limits.max_in_flight && gate.waiting.is_empty() {
-            gate.in_flight += 1;
+        let mut queues = self.queues.borrow_mut();
+        let queue = queues.entry(tenant.clone()).or_default();
+        if queue.in_flight < limits.max_in_flight && queue.waiting.is_empty() {
+            queue.in_flight += 1;
             return Ok(None);
         }
-        gate.waiting.retain(|_, waiter| !waiter.is_canceled());
-        let wait = gate.expected_wait(limits);
-        if gate.waiting.len() >= limits.max_queued || wait > deadline {
+        queue.waiting.retain(|_, waiter| !waiter.is_canceled());
+        let wait = queue.expected_wait(limits);
+        if queue.waiting.len() >= limits.max_queued || wait > deadline {
             return Err(AdmissionRefusal::Overloaded(wait));
         }
-        let (waiter, ticket) = oneshot::channel();
-        gate.next_ticket += 1;
-        gate.waiting.insert((priority, gate.next_ticket), waiter);
-        Ok(Some(ticket))
+        let (waiter, admitted) = oneshot::channel();
+        queue.last_sequence += 1;
+        queue.waiting.insert((priority, queue.last_sequence), waiter);
+        Ok(Some(admitted))
     }
 
-    /// Requests running for all tenants.
+    /// Number of admitted requests of all tenants.
     pub fn in_flight(&self) -> usize {
-        self.gates.borrow().values().map(|gate| gate.in_flight).sum()
+        self.queues.borrow().values().map(|queue| queue.in_flight).sum()
     }
 
-    /// Requests waiting for all tenants.
+    /// Number of queued requests of all tenants.
     pub fn waiting(&self) -> usize {
-        self.gates.borrow().values().map(|gate| gate.waiting.len()).sum()
+        self.queues.borrow().values().map(|queue| queue.waiting.len()).sum()
     }
 }
 
 impl<P: Runtime> Drop for Permit<P> {
     fn drop(&mut self) {
-        let mut gates = self.admission.gates.borrow_mut();
-        let Some(gate) = gates.get_mut(&self.tenant) else {
+        let mut queues = self.admission.queues.borrow_mut();
+        let Some(queue) = queues.get_mut(&self.tenant) else {
             return;
         };
-        gate.in_flight -= 1;
-        gate.record_service(self.platform.monotonic().saturating_sub(self.since));
-        gate.wake_next(self.limits);
+        queue.in_flight -= 1;
+        queue.record_service_time(self.platform.monotonic().saturating_sub(self.admitted_at));
+        queue.admit_waiters(self.limits);
     }
 }
--- a/crates/relay/src/commands/callers.rs
+++ b/crates/relay/src/commands/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: admission, claim, generation, and an answer that says what is known of the execution.
+//! Callers' requests: admission, claim, generation, and a final status that says whether the request was executed.
 
 use crate::admission::{AdmissionLimits, AdmissionRefusal};
 use crate::dispatch::{DispatchFailure, GenerationWork, SHORT_RETRY};
@@ -15,27 +15,28 @@
 };
 use std::time::Duration;
 
-/// Pause before a running claim is looked at again.
+/// Polling interval while another arrival holds the claim.
 const CLAIM_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a claim's end is tried to be committed behind the caller's back once the group has taken the claim back, counted
-/// from the first try: a resend may still get the answer. Until then it is tried without a limit.
-const SETTLE_LIMIT: Duration = Duration::from_secs(60);
+/// How long the relay retries in the background to commit a claim's end after losing the incarnation that holds the
+/// claim, counted from the first attempt. While the incarnation is current, retries are unlimited.
+const CLAIM_END_RETRY_LIMIT: Duration = Duration::from_secs(60);
 
-/// When to come back after a refusal that passes quickly.
+/// Retry delay sent to callers after a transient failure, in milliseconds.
 const SHORT_RETRY_MILLISECONDS: u64 = SHORT_RETRY.as_millis() as u64;
 
-/// Where answer parts go.
+/// Sends the parts of an answer to the caller.
 pub type PartSender = mpsc::UnboundedSender<AnswerPart>;
 
-/// A claim that this arrival asked for.
+/// The claim of one arrival of a keyed request.
 #[derive(Clone)]
 struct Claim {
     request: ClaimRequest,
 }
 
 impl<P: Runtime, B: Backends> Relay<P, B> {
-    /// Serves a request. The last part is [`AnswerPart::End`] or [`AnswerPart::Failed`]; a stream without either is cut.
+    /// Serves a request. The last part is [`AnswerPart::End`] or [`AnswerPart::Failed`]; a stream without either was
+    /// interrupted.
     pub fn serve(&self, request: CallerRequest) -> mpsc::UnboundedReceiver<AnswerPart> {
         let (parts, answer) = mpsc::unbounded();
         let relay = self.clone();
@@ -55,18 +56,21 @@
                 AnswerPart::Failed(failure)
             }
         };
-        // A caller that is gone misses its answer; a keyed resend gets it.
+        // If the caller has disconnected, it can get the answer by resending a keyed request.
         let _ = parts.unbounded_send(last);
     }
 
     async fn run_request(&self, request: &CallerRequest, parts: &PartSender) -> Result<Generation, RequestFailure> {
-        let arrived = self.inner.platform.monotonic();
-        let deadline = arrived + Duration::from_millis(request.deadline_milliseconds);
+        let arrived_at = self.inner.platform.monotonic();
+        let deadline = arrived_at + Duration::from_millis(request.deadline_milliseconds);
         let parameters = self.check(request)?;
         let limits = AdmissionLimits { max_in_flight: parameters.max_in_flight, max_queued: parameters.max_queued };
-        let left = deadline.saturating_sub(arrived);
-        let admitted =
-            self.inner.admission.admit(&self.inner.platform, &request.tenant, limits, request.priority, left).await;
+        let remaining = deadline.saturating_sub(arrived_at);
+        let admitted = self
+            .inner
+            .admission
+            .admit(&self.inner.platform, &request.tenant, limits, request.priority, remaining)
+            .await;
         let _permit = admitted.map_err(|refusal| admission_failure(request, refusal))?;
         match &request.key {
             Some(key) => self.run_keyed(request, key, deadline, parts).await,
@@ -104,7 +108,7 @@
             priority: request.priority,
             repeatability: request.repeatability,
             incarnation,
-            begun: self.inner.platform.monotonic(),
+            started_at: self.inner.platform.monotonic(),
             deadline,
             attempts: self.inner.options.config.attempts,
             oldest_useful_version: WeightVersion(0),
@@ -133,14 +137,14 @@
         match self.acquire(&claim, deadline).await {
             Some(ClaimOutcome::Granted) => self.run_claimed(request, &claim, deadline, parts).await,
             Some(ClaimOutcome::Finished(ClaimResult::Answered(generation))) => {
-                send_whole(&generation, parts);
+                send_generation(&generation, parts);
                 Ok(generation)
             }
             Some(ClaimOutcome::Finished(ClaimResult::Failed(failure))) => Err(failure),
             Some(outcome) => Err(claim_failure(&outcome)),
             None => {
-                // The claim may be committed later: make sure that it then runs nowhere.
-                self.inner.platform.spawn(self.clone().seal_later(claim));
+                // The claim may still be committed; sealing it prevents that the request is executed under it.
+                self.inner.platform.spawn(self.clone().seal_in_background(claim));
                 let message = "the control group did not decide in time; resend with the same key";
                 Err(refusal(request, FailureCode::Undecided, message, SHORT_RETRY_MILLISECONDS))
             }
@@ -160,14 +164,15 @@
         Claim { request }
     }
 
-    /// Asks for the claim; while another arrival runs it, waits for that one's answer. `None` when undecided.
+    /// Acquires the claim; while another arrival runs it, polls until that one has ended or the deadline is near.
+    /// `None` if the control group did not decide in time.
     async fn acquire(&self, claim: &Claim, deadline: Duration) -> Option<ClaimOutcome> {
         loop {
-            let left = deadline.saturating_sub(self.inner.platform.monotonic());
-            let limit = left.min(self.inner.options.config.claim_limit);
+            let remaining = deadline.saturating_sub(self.inner.platform.monotonic());
+            let limit = remaining.min(self.inner.options.config.claim_limit);
             let command = ClaimCommand::Acquire(claim.request.clone());
             let outcome = self.commit_claim(command, limit).await?;
-            if outcome != ClaimOutcome::Running || left <= CLAIM_POLL_INTERVAL {
+            if outcome != ClaimOutcome::Running || remaining <= CLAIM_POLL_INTERVAL {
                 return Some(outcome);
             }
             self.inner.platform.sleep(CLAIM_POLL_INTERVAL).await;
@@ -185,7 +190,7 @@
         match self.dispatch(&work, Some(parts)).await {
             Ok(generation) => {
                 let result = ClaimResult::Answered(generation.clone());
-                self.settle(claim, result).await;
+                self.commit_result(claim, result).await;
                 Ok(generation)
             }
             Err(failure) if failure.outcome == ExecutionOutcome::NotExecuted => {
@@ -193,13 +198,14 @@
             }
             Err(failure) => {
                 let answer = dispatch_failure(failure.outcome, &failure);
-                self.abandon(request, claim, &answer).await;
+                self.end_failed_claim(request, claim, &answer).await;
                 Err(answer)
             }
         }
     }
 
-    /// `not_executed` is said only once a seal is committed under the key.
+    /// Seals the claim. Returns `NotExecuted` only if the seal is committed, which rules out a later execution under
+    /// the key.
     async fn prove_not_executed(&self, claim: &Claim, failure: &DispatchFailure) -> RequestFailure {
         let command = ClaimCommand::Seal(claim.request.clone());
         let sealed = self.commit_claim(command, self.inner.options.config.claim_limit).await;
@@ -208,23 +214,23 @@
             let retry = SHORT_RETRY_MILLISECONDS;
             return RequestFailure::new(ExecutionOutcome::NotExecuted, failure.code, message, retry);
         }
-        self.inner.platform.spawn(self.clone().seal_later(claim.clone()));
+        self.inner.platform.spawn(self.clone().seal_in_background(claim.clone()));
         let message = format!("{}; undecided, resend with the same key", failure.message);
         let retry = SHORT_RETRY_MILLISECONDS;
         RequestFailure::new(ExecutionOutcome::Unknown, FailureCode::Undecided, message, retry)
     }
 
-    /// Stores an answer before its end is given to the caller, so that a resend gets the same.
-    async fn settle(&self, claim: &Claim, result: ClaimResult) {
+    /// Commits the result before the caller receives the end of the answer, so that a resend gets the same result.
+    async fn commit_result(&self, claim: &Claim, result: ClaimResult) {
         let (key, arrival) = (claim.request.key.clone(), claim.request.arrival);
         let command = ClaimCommand::Finish { key, arrival, result };
         if self.commit_claim(command.clone(), self.inner.options.config.claim_limit).await.is_none() {
-            self.inner.platform.spawn(self.clone().end_later(command, claim.request.holder));
+            self.inner.platform.spawn(self.clone().end_claim_in_background(command, claim.request.holder));
         }
     }
 
-    /// Ends a claim whose request failed: a repeatable one may be granted again, another one keeps this answer.
-    async fn abandon(&self, request: &CallerRequest, claim: &Claim, answer: &RequestFailure) {
+    /// Ends the claim of a failed request: a repeatable request may be claimed again, any other keeps this failure.
+    async fn end_failed_claim(&self, request: &CallerRequest, claim: &Claim, answer: &RequestFailure) {
         let (key, arrival) = (claim.request.key.clone(), claim.request.arrival);
         let command = match request.repeatability {
             Repeatability::Repeatable => ClaimCommand::Abandon { key, arrival },
@@ -233,7 +239,7 @@
             }
         };
         if self.commit_claim(command.clone(), self.inner.options.config.claim_limit).await.is_none() {
-            self.inner.platform.spawn(self.clone().end_later(command, claim.request.holder));
+            self.inner.platform.spawn(self.clone().end_claim_in_background(command, claim.request.holder));
         }
     }
 
@@ -244,17 +250,17 @@
         }
     }
 
-    /// Ends a claim behind the caller's back.
-    async fn end_later(self, command: ClaimCommand, holder: Incarnation) {
+    /// Retries the end of a claim in the background.
+    async fn end_claim_in_background(self, command: ClaimCommand, holder: Incarnation) {
         let platform = &self.inner.platform;
-        let until = platform.monotonic() + SETTLE_LIMIT;
-        let is_of_use = || self.inner.incarnation.get() == holder || platform.monotonic() < until;
-        self.commit_until_decided(Command::Claim(command), is_of_use).await;
+        let retry_until = platform.monotonic() + CLAIM_END_RETRY_LIMIT;
+        let is_needed = || self.inner.incarnation.get() == holder || platform.monotonic() < retry_until;
+        self.commit_until_decided(Command::Claim(command), is_needed).await;
     }
 
-    async fn seal_later(self, claim: Claim) {
+    async fn seal_in_background(self, claim: Claim) {
         let holder = claim.request.holder;
-        self.end_later(ClaimCommand::Seal(claim.request), holder).await;
+        self.end_claim_in_background(ClaimCommand::Seal(claim.request), holder).await;
     }
 }
 
@@ -263,22 +269,23 @@
     BodyDigest::of(&bitcode::encode(&body))
 }
 
-fn send_whole(generation: &Generation, parts: &PartSender) {
+fn send_generation(generation: &Generation, parts: &PartSender) {
     let mut first = 0;
-    for (place, span) in generation.versions.iter().enumerate() {
+    for (index, span) in generation.versions.iter().enumerate() {
         let end = first + span.tokens as usize;
         let tokens = generation.tokens[first..end].to_vec();
-        // The text is not cut at versions: it goes with the first part.
-        let text = if place == 0 { generation.text.clone() } else { String::new() };
+        // The text is not divided by version, so the first part carries all of it.
+        let text = if index == 0 { generation.text.clone() } else { String::new() };
         let _ = parts.unbounded_send(AnswerPart::Tokens { tokens, text, version: span.version });
         first = end;
     }
 }
 
-/// A refusal before anything ran here. Under a key an earlier copy may be running elsewhere, so it proves nothing.
+/// A refusal before execution on this relay. For a keyed request the outcome is unknown, since an earlier copy may run
+/// on another relay.
 fn refusal(request: &CallerRequest, code: FailureCode, message: impl Into<String>, retry: u64) -> RequestFailure {
-    let keyed = request.key.is_some();
-    let outcome = if keyed { ExecutionOutcome::Unknown } else { ExecutionOutcome::NotExecuted };
+    let is_keyed = request.key.is_some();
+    let outcome = if is_keyed { ExecutionOutcome::Unknown } else { ExecutionOutcome::NotExecuted };
     RequestFailure::new(outcome, code, message, retry)
 }
 
--- a/crates/relay/src/commands/mod.rs
+++ b/crates/relay/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What a relay does for callers, trainers and samples.
+//! Requests of callers and trainers, and generation of samples.
 
 pub mod callers;
 pub mod samples;
--- a/crates/relay/src/commands/samples.rs
+++ b/crates/relay/src/commands/samples.rs
@@ -1,4 +1,4 @@
-//! Samples: asks the control group for work, generates, scores and completes.
+//! Samples: requests assignments from the control group, generates and scores them, and commits the results.
 
 use crate::dispatch::GenerationWork;
 use crate::relay::Relay;
@@ -11,22 +11,22 @@
 use saddlerelay_types::rollout::{SampleAssignment, SamplePayload};
 use std::time::Duration;
 
-/// Most time a sample may take before its relay gives it back.
-const SAMPLE_LIMIT: Duration = Duration::from_secs(600);
+/// Deadline for generating a sample, after which it is returned to the control group.
+const SAMPLE_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Time limit of one call to a scorer.
-const SCORE_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a call to the scorer.
+const SCORE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause before a scorer is asked again.
-const SCORE_PAUSE: Duration = Duration::from_millis(100);
+/// Pause between calls to the scorer for one sample; up to doubled by jitter.
+const SCORE_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Engines tried for one sample before it is given back.
+/// Maximum number of attempts to generate a sample before it is returned.
 const SAMPLE_ATTEMPTS: u32 = 8;
 
 /// Counts a sample as running until dropped.
-struct Running<P: Runtime, B: Backends>(Relay<P, B>);
+struct RunningSample<P: Runtime, B: Backends>(Relay<P, B>);
 
-impl<P: Runtime, B: Backends> Running<P, B> {
+impl<P: Runtime, B: Backends> RunningSample<P, B> {
     fn begin(relay: &Relay<P, B>) -> Self {
         let running = &relay.inner.samples_running;
         running.set(running.get() + 1);
@@ -34,65 +34,65 @@
     }
 }
 
-impl<P: Runtime, B: Backends> Drop for Running<P, B> {
+impl<P: Runtime, B: Backends> Drop for RunningSample<P, B> {
     fn drop(&mut self) {
         let running = &self.0.inner.samples_running;
         running.set(running.get() - 1);
     }
 }
 
-/// Asks for samples while there is room on engines, until the process ends.
+/// Requests samples whenever engines have free rollout slots, until the process ends.
 pub(crate) async fn run_samples<P: Runtime, B: Backends>(relay: Relay<P, B>) {
     let mut sequence = 0;
     loop {
         relay.inner.platform.sleep(relay.inner.options.config.rollout_interval).await;
-        let room = room_for_samples(&relay).min(most_to_ask_for(&relay));
-        if !relay.is_ready() || room == 0 {
+        let free_slots = free_sample_slots(&relay).min(max_assignments(&relay));
+        if !relay.is_ready() || free_slots == 0 {
             continue;
         }
         sequence += 1;
         let incarnation = relay.inner.incarnation.get();
-        let command = RolloutCommand::Assign { relay: incarnation, sequence, limit: room };
-        // A planned stop waits for the samples that the answer may bring.
-        relay.inner.asking_for_samples.set(true);
-        // A lost answer is asked for again: the same sequence brings the same samples.
-        let is_held = || relay.inner.incarnation.get() == incarnation;
-        let outcome = relay.commit_until_decided(Command::Rollout(command), is_held).await;
+        let command = RolloutCommand::Assign { relay: incarnation, sequence, limit: free_slots };
+        // A drain waits for this request, because its reply may assign samples.
+        relay.inner.assignment_in_flight.set(true);
+        // The request can be retried after a lost reply: the same sequence returns the same samples.
+        let is_current = || relay.inner.incarnation.get() == incarnation;
+        let outcome = relay.commit_until_decided(Command::Rollout(command), is_current).await;
         if let Some(CommandOutcome::Assigned(assignments)) = outcome {
             for assignment in assignments {
-                let running = Running::begin(&relay);
+                let running = RunningSample::begin(&relay);
                 relay.inner.platform.spawn(run_sample(running, assignment, incarnation));
             }
         }
-        relay.inner.asking_for_samples.set(false);
+        relay.inner.assignment_in_flight.set(false);
     }
 }
 
-/// A relay that the scorer does not answer asks for one sample at a time, to find out whether it does again.
-fn most_to_ask_for<P: Runtime, B: Backends>(relay: &Relay<P, B>) -> u32 {
-    let is_out_of_reach = relay.inner.scorer.is_out_of_reach(relay.inner.platform.monotonic());
-    if is_out_of_reach { 1_u32.saturating_sub(relay.inner.samples_running.get()) } else { u32::MAX }
+/// Limits the relay to one sample at a time while the scorer is unreachable, to probe whether it is back.
+fn max_assignments<P: Runtime, B: Backends>(relay: &Relay<P, B>) -> u32 {
+    let is_unreachable = relay.inner.scorer.is_unreachable(relay.inner.platform.monotonic());
+    if is_unreachable { 1_u32.saturating_sub(relay.inner.samples_running.get()) } else { u32::MAX }
 }
 
-fn room_for_samples<P: Runtime, B: Backends>(relay: &Relay<P, B>) -> u32 {
+fn free_sample_slots<P: Runtime, B: Backends>(relay: &Relay<P, B>) -> u32 {
     let tenants: Vec<(TenantId, ModelName)> = {
         let view = relay.inner.view.borrow();
         view.tenants().map(|(id, tenant)| (id.clone(), tenant.model.clone())).collect()
     };
-    let mut room: Vec<(ModelName, u32)> = Vec::new();
+    let mut free_slots: Vec<(ModelName, u32)> = Vec::new();
     for (tenant, model) in tenants {
         let free = relay.free_rollout_slots(&tenant, &model);
-        match room.iter_mut().find(|(known, _)| *known == model) {
-            Some((_, most)) => *most = free.max(*most),
-            None => room.push((model, free)),
+        match free_slots.iter_mut().find(|(other, _)| *other == model) {
+            Some((_, largest)) => *largest = free.max(*largest),
+            None => free_slots.push((model, free)),
         }
     }
-    let total: u32 = room.iter().map(|(_, free)| free).sum();
+    let total: u32 = free_slots.iter().map(|(_, free)| free).sum();
     total.min(relay.inner.options.config.rollout_batch)
 }
 
 async fn run_sample<P: Runtime, B: Backends>(
-    running: Running<P, B>,
+    running: RunningSample<P, B>,
     assignment: SampleAssignment,
     incarnation: Incarnation,
 ) {
@@ -118,7 +118,7 @@
     Some((generation, reward_milli))
 }
 
-/// Pause before a sample is given back that is not sent on because engines have ended under its prompt.
+/// Pause before a sample whose prompt is suspected of ending engines is returned.
 const SUSPECTED_PAUSE: Duration = Duration::from_secs(1);
 
 async fn generate<P: Runtime, B: Backends>(
@@ -138,8 +138,8 @@
         priority: Priority::Rollout,
         repeatability: Repeatability::Repeatable,
         incarnation,
-        begun: relay.inner.platform.monotonic(),
-        deadline: relay.inner.platform.monotonic() + SAMPLE_LIMIT,
+        started_at: relay.inner.platform.monotonic(),
+        deadline: relay.inner.platform.monotonic() + SAMPLE_TIMEOUT,
         attempts: SAMPLE_ATTEMPTS,
         oldest_useful_version: assignment.oldest_useful_version,
     };
@@ -147,13 +147,13 @@
     if let Err(failure) = &outcome
         && failure.code == FailureCode::EnginesEnded
     {
-        // The sample is handed out again as soon as it is given back.
+        // A returned sample is assigned again immediately.
         relay.inner.platform.sleep(SUSPECTED_PAUSE).await;
     }
     outcome.ok()
 }
 
-/// Asks the scorer until it answers, or is out of this relay's reach, or the relay loses its incarnation.
+/// Calls the scorer until it succeeds. `None` if it is unreachable or the relay has lost its incarnation.
 async fn score<P: Runtime, B: Backends>(
     relay: &Relay<P, B>,
     prompt: &str,
@@ -162,25 +162,25 @@
 ) -> Option<i64> {
     while relay.inner.incarnation.get() == incarnation {
         let call = relay.inner.backends.score(prompt, generation);
-        if let Some(Ok(reward)) = timeout(&relay.inner.platform, SCORE_LIMIT, call).await {
-            relay.inner.scorer.answered();
+        if let Some(Ok(reward)) = timeout(&relay.inner.platform, SCORE_TIMEOUT, call).await {
+            relay.inner.scorer.record_success();
             return Some(reward);
         }
-        relay.inner.scorer.failed(relay.inner.platform.monotonic());
-        if relay.inner.scorer.is_out_of_reach(relay.inner.platform.monotonic()) {
-            spdlog::warn!("sample given back, the scorer does not answer", kv: {
+        relay.inner.scorer.record_failure(relay.inner.platform.monotonic());
+        if relay.inner.scorer.is_unreachable(relay.inner.platform.monotonic()) {
+            spdlog::warn!("sample returned because the scorer is unreachable", kv: {
                 prompt_bytes = prompt.len(), tokens = generation.tokens.len()
             });
             return None;
         }
-        let pause = SCORE_PAUSE + relay.inner.platform.jitter(SCORE_PAUSE);
+        let pause = SCORE_RETRY_PAUSE + relay.inner.platform.jitter(SCORE_RETRY_PAUSE);
         relay.inner.platform.sleep(pause).await;
     }
     None
 }
 
-/// Commits a sample's end, unless the relay loses its incarnation and with it the sample.
+/// Commits a sample's end; stops if the relay loses its incarnation, and with it the sample.
 async fn commit<P: Runtime, B: Backends>(relay: &Relay<P, B>, command: RolloutCommand, incarnation: Incarnation) {
-    let is_held = || relay.inner.incarnation.get() == incarnation;
-    relay.commit_until_decided(Command::Rollout(command), is_held).await;
+    let is_current = || relay.inner.incarnation.get() == incarnation;
+    relay.commit_until_decided(Command::Rollout(command), is_current).await;
 }
--- a/crates/relay/src/commands/trainers.rs
+++ b/crates/relay/src/commands/trainers.rs
@@ -1,4 +1,4 @@
-//! Trainers' calls: decided by the control group, passed on by any relay.
+//! Trainer calls, which any relay forwards to the control group.
 
 use crate::relay::Relay;
 use saddlerelay_control_client::ControlError;
@@ -9,15 +9,15 @@
 use saddlerelay_types::rollout::{DeliveryBatch, StepRequest, TrainerState};
 use std::time::Duration;
 
-/// Time limit of a trainer's call to the control group.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a call to the control group.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a trainer's call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrainerError {
-    /// Refused; a resend brings the same.
+    /// Rejected by the control group; a retry has the same result.
     Refused(TrainerRefusal),
-    /// No decision in time; resend the same call.
+    /// Not decided before the timeout; retry the same call.
     Unavailable,
 }
 
@@ -28,12 +28,12 @@
 }
 
 impl<P: Runtime, B: Backends> Relay<P, B> {
-    /// A trainer starts.
+    /// Registers a trainer incarnation.
     pub async fn open_trainer(&self, tenant: TenantId, incarnation: Incarnation) -> Result<TrainerState, TrainerError> {
         self.trainer_command(RolloutCommand::OpenTrainer { tenant, incarnation }).await
     }
 
-    /// A trainer asks for a step's samples.
+    /// Requests the samples of a training step.
     pub async fn open_step(
         &self,
         tenant: TenantId,
@@ -43,7 +43,7 @@
         self.trainer_command(RolloutCommand::OpenStep { tenant, incarnation, request }).await
     }
 
-    /// A trainer publishes a version and says what it has received.
+    /// Publishes a weight version and acknowledges the samples up to `cursor`.
     pub async fn publish(
         &self,
         tenant: TenantId,
@@ -55,14 +55,14 @@
     }
 
     async fn trainer_command(&self, command: RolloutCommand) -> Result<TrainerState, TrainerError> {
-        match self.inner.control.execute(Command::Rollout(command), CALL_LIMIT).await? {
+        match self.inner.control.execute(Command::Rollout(command), CALL_TIMEOUT).await? {
             CommandOutcome::Trainer(state) => Ok(state),
             CommandOutcome::Refused(refusal) => Err(TrainerError::Refused(refusal)),
             _ => Err(TrainerError::Unavailable),
         }
     }
 
-    /// A trainer fetches the samples after its cursor, waiting a little when there are none.
+    /// Fetches samples after `cursor`; long-polls for up to `fetch_wait` if there are none.
     pub async fn fetch(
         &self,
         tenant: TenantId,
@@ -70,17 +70,17 @@
         cursor: Position,
         limit: u32,
     ) -> Result<DeliveryBatch, TrainerError> {
-        let until = self.inner.platform.monotonic() + self.inner.options.config.fetch_wait;
+        let wait_until = self.inner.platform.monotonic() + self.inner.options.config.fetch_wait;
         loop {
             let command = RolloutCommand::Fetch { tenant: tenant.clone(), incarnation, cursor, limit };
-            let outcome = self.inner.control.execute(Command::Rollout(command), CALL_LIMIT).await?;
+            let outcome = self.inner.control.execute(Command::Rollout(command), CALL_TIMEOUT).await?;
             let batch = match outcome {
                 CommandOutcome::Delivery(batch) => batch,
                 CommandOutcome::Refused(refusal) => return Err(TrainerError::Refused(refusal)),
                 _ => return Err(TrainerError::Unavailable),
             };
-            let give_up = self.inner.stopping.get() || self.inner.platform.monotonic() >= until;
-            if !batch.samples.is_empty() || give_up {
+            let stop_waiting = self.inner.stopping.get() || self.inner.platform.monotonic() >= wait_until;
+            if !batch.samples.is_empty() || stop_waiting {
                 return Ok(batch);
             }
         }
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -1,39 +1,39 @@
-//! Limits of a relay.
+//! Relay limits and timeouts.
 
 use saddlerelay_control_client::suspicions::LAST_TRIAL_PAUSE;
 use std::time::Duration;
 
-/// Timing and sizes.
+/// Limits and timeouts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayConfig {
-    /// Pause before the next renewal after one that failed. Otherwise the control group sets the pace.
+    /// Pause after a failed lease renewal. Successful ones are long polls, paced by the control group.
     pub renew_interval: Duration,
-    /// Time limit of one renewal.
+    /// Timeout of a lease renewal.
     pub renew_limit: Duration,
-    /// Pause between requests for samples.
+    /// Pause between assignment requests for samples.
     pub rollout_interval: Duration,
-    /// Most samples asked for at once.
+    /// Maximum number of samples per assignment request.
     pub rollout_batch: u32,
-    /// Time limit of a connection to an engine.
+    /// Timeout for connecting to an engine.
     pub connect_limit: Duration,
-    /// Longest silence of an engine between two chunks, or before it admits.
+    /// Timeout for an engine's response to a request, and for each chunk of its stream.
     pub chunk_limit: Duration,
-    /// How long a request waits for any engine to become able to take it.
+    /// Maximum wait for an engine that can accept a request.
     pub engine_wait: Duration,
-    /// How long a sample waits, after it was begun, for an engine with newer weights than the oldest its trainer can
-    /// use.
+    /// How long after its start a sample waits for an engine with newer weights than the oldest version that its
+    /// trainer can use.
     pub newer_weights_wait: Duration,
-    /// Time limit of a claim's commit.
+    /// Timeout for committing a claim.
     pub claim_limit: Duration,
-    /// Most engines tried for one caller's request.
+    /// Maximum number of attempts for a caller's request.
     pub attempts: u32,
-    /// Requests to one engine at once, as a percentage of its slots, above which it gets no more.
+    /// Limit of this relay's concurrent requests to an engine, in percent of the engine's slots.
     pub engine_in_flight_percent: u32,
-    /// How long a fetch waits for samples.
+    /// Maximum long-poll time of a trainer's fetch.
     pub fetch_wait: Duration,
-    /// How long a planned stop waits for requests in progress.
+    /// Maximum time that a drain waits for requests and samples in progress.
     pub drain_limit: Duration,
-    /// How long work under which engines have ended is kept from the one that would quarantine it.
+    /// Delay before the last trial of suspected work, whose failure quarantines it.
     pub last_trial_pause: Duration,
 }
 
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Runs one generation on engines: chooses, connects, streams, and resumes elsewhere when an engine fails.
+//! Runs generations on engines: picks an engine, streams its output, and resumes on another engine after a failure.
 
 use crate::relay::Relay;
 use crate::view::View;
@@ -19,68 +19,68 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Pause before looking for an able engine again.
+/// Polling interval while no engine is available.
 const ENGINE_WAIT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Share of staleness when a tenant weighs neither measure.
+/// Staleness share of a tenant whose weights are both zero, in percent.
 const EVEN_SHARE_PERCENT: u32 = 50;
 
-/// When callers are told to come back after a failure that may pass.
+/// Retry delay sent to callers after a transient failure.
 pub(crate) const SHORT_RETRY: Duration = Duration::from_millis(500);
 
-/// The path by which generations are told apart from routed requests, as work.
+/// Path component of work digests of generations; distinguishes them from requests forwarded by the gateway.
 const GENERATION_PATH: &str = "generation";
 
-/// One generation to run.
+/// A generation to run.
 #[derive(Clone, Debug)]
 pub struct GenerationWork {
-    /// The tenant.
+    /// The tenant that it runs for.
     pub tenant: TenantId,
     /// The model.
     pub model: ModelName,
     /// The prompt.
     pub prompt: String,
-    /// Most tokens in the answer.
+    /// Maximum number of generated tokens.
     pub max_tokens: u32,
     /// Sampling seed.
     pub seed: u64,
-    /// The caller's class.
+    /// The priority class.
     pub priority: Priority,
-    /// Whether it may run again.
+    /// Whether it may be executed more than once.
     pub repeatability: Repeatability,
-    /// The relay incarnation under which it was begun.
+    /// The relay incarnation that started it; it is not sent to engines under another one.
     pub incarnation: Incarnation,
-    /// When it was begun, on the relay's clock.
-    pub begun: Duration,
-    /// When to give up, on the relay's clock.
+    /// Start time, in the relay's monotonic time.
+    pub started_at: Duration,
+    /// Deadline, in the relay's monotonic time.
     pub deadline: Duration,
-    /// Most engines to try.
+    /// Maximum number of attempts.
     pub attempts: u32,
-    /// The oldest version that its trainer could still use when it was handed out; zero for callers.
+    /// For samples, the oldest weight version that the trainer could use at assignment; zero for callers' requests.
     pub oldest_useful_version: WeightVersion,
 }
 
-/// Why a generation did not become whole.
+/// Why a generation failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DispatchFailure {
-    /// What is known of the execution on engines.
+    /// Whether engines executed the request.
     pub outcome: ExecutionOutcome,
-    /// Why.
+    /// Machine-readable reason.
     pub code: FailureCode,
-    /// Why, for people.
+    /// Human-readable reason.
     pub message: String,
-    /// When to come back; zero when a resend cannot help.
+    /// Retry delay; zero if a retry is pointless.
     pub retry_after: Duration,
 }
 
-/// How one attempt ended short of a whole answer.
+/// Why an attempt failed.
 enum AttemptFailure {
-    /// The engine did not admit the request.
+    /// The engine did not receive or did not admit the request.
     NotExecuted(String),
-    /// The engine may be running it, or was.
+    /// The engine may have executed the request, or may still be executing it.
     MayHaveRun(String),
-    /// The whole generation is given up.
-    GivenUp(FailureCode, String),
+    /// The generation fails without further attempts.
+    Aborted(FailureCode, String),
 }
 
 /// A generation in progress.
@@ -91,12 +91,12 @@
     may_have_run: bool,
     tried: BTreeSet<EngineId>,
     work_digest: OnceCell<WorkDigest>,
-    /// The right to run it, once it is suspected.
+    /// The exclusive right to run suspected work.
     trial: Option<RelayTrial<P>>,
 }
 
 impl<P: Runtime> Progress<'_, P> {
-    /// What the generation asks for, whatever its seed: what crashes an engine is the prompt.
+    /// The digest of the generation's work. Excludes the seed: a crash is attributed to the prompt.
     fn work_digest(&self) -> WorkDigest {
         let work = self.work;
         *self.work_digest.get_or_init(|| {
@@ -107,7 +107,7 @@
 }
 
 impl<P: Runtime, B: Backends> Relay<P, B> {
-    /// Runs `work` until its answer is whole or it is given up. Tokens go to `parts` as they come.
+    /// Runs `work` to completion or failure. Tokens are sent to `parts` as they arrive.
     pub(crate) async fn dispatch(
         &self,
         work: &GenerationWork,
@@ -143,11 +143,11 @@
             };
             match self.attempt(progress, &engine).await {
                 Ok(()) => return Ok(()),
-                Err(AttemptFailure::GivenUp(code, message)) => return Err(progress.failure(code, message)),
+                Err(AttemptFailure::Aborted(code, message)) => return Err(progress.failure(code, message)),
                 Err(AttemptFailure::NotExecuted(message)) => last_message = message,
                 Err(AttemptFailure::MayHaveRun(message)) => {
                     progress.may_have_run = true;
-                    self.look_into_failure(progress, &engine).await;
+                    self.check_engine_ended(progress, &engine).await;
                     if work.repeatability == Repeatability::NotRepeatable {
                         return Err(progress.failure(FailureCode::EngineFailed, message));
                     }
@@ -159,21 +159,21 @@
         Err(progress.failure(FailureCode::EngineFailed, last_message))
     }
 
-    /// Refuses work that is not to be sent on now.
+    /// Checks the work for suspicion and acquires a trial if needed. Fails if the work must not run now.
     async fn check_suspicion(&self, progress: &mut Progress<'_, P>) -> Result<(), DispatchFailure> {
         let suspicions = &self.inner.suspicions;
         let is_suspected = suspicions.engines_ended(|| progress.work_digest()) > 0;
         let retry_after = match suspicions.verdict(|| progress.work_digest()) {
             Verdict::Send if !is_suspected || progress.trial.as_ref().is_some_and(RelayTrial::holds) => return Ok(()),
             Verdict::Send => {
-                let left = progress.work.deadline.saturating_sub(self.inner.platform.monotonic());
-                progress.trial = suspicions.begin_trial(progress.work_digest(), left).await;
+                let remaining = progress.work.deadline.saturating_sub(self.inner.platform.monotonic());
+                progress.trial = suspicions.begin_trial(progress.work_digest(), remaining).await;
                 if progress.trial.is_some() {
                     return Ok(());
                 }
                 TRIAL_RETRY_AFTER
             }
-            Verdict::Pause(left) => left,
+            Verdict::Pause(remaining) => remaining,
             Verdict::Quarantine => Duration::ZERO,
         };
         self.count(|counters| counters.kept_from_engines += 1);
@@ -181,10 +181,10 @@
         Err(DispatchFailure { retry_after, ..progress.failure(FailureCode::EnginesEnded, message) })
     }
 
-    /// Finds out whether an engine has ended under the generation, and has the group take it as evidence.
-    async fn look_into_failure(&self, progress: &Progress<'_, P>, engine: &EngineDescription) {
-        let Some(incarnation) = self.inner.view.borrow().able_incarnation(&engine.id) else {
-            // One that is leaving has ended for a reason of its own.
+    /// Checks whether the engine process ended during the generation, and reports the loss to the control group.
+    async fn check_engine_ended(&self, progress: &Progress<'_, P>, engine: &EngineDescription) {
+        let Some(incarnation) = self.inner.view.borrow().ready_incarnation(&engine.id) else {
+            // An engine that is not available is assumed to have been shut down.
             return;
         };
         if !self.inner.backends.has_ended(engine).await {
@@ -193,11 +193,11 @@
         self.count(|counters| counters.engines_ended += 1);
         let work = progress.work_digest();
         let instance = InstanceId::named(format!("{}/{}", engine.id, incarnation));
-        spdlog::warn!("engine ended under a generation", kv: {
+        spdlog::warn!("engine ended during a generation", kv: {
             work = work.shown().as_str(), instance = instance.name.as_str()
         });
         self.inner.suspicions.note_loss(EngineLoss { work, instance });
-        // What other relays have seen meanwhile comes with the group's answer, before another engine is tried.
+        // The control group's reply contains losses reported by other relays; they are applied before the next attempt.
         self.inner.suspicions.await_known_to_group(&work).await;
     }
 
@@ -210,18 +210,18 @@
         allowed
     }
 
-    /// The engine to try next, waiting a little when none is able.
+    /// Picks the engine for the next attempt; waits a limited time for one to become available.
     async fn wait_for_engine(&self, progress: &Progress<'_, P>) -> Option<EngineDescription> {
         let config = &self.inner.options.config;
-        let rollout = progress.work.priority == Priority::Rollout;
-        let patience = if rollout { config.engine_wait + config.newer_weights_wait } else { config.engine_wait };
-        let give_up = (self.inner.platform.monotonic() + patience).min(progress.work.deadline);
+        let is_rollout = progress.work.priority == Priority::Rollout;
+        let max_wait = if is_rollout { config.engine_wait + config.newer_weights_wait } else { config.engine_wait };
+        let wait_until = (self.inner.platform.monotonic() + max_wait).min(progress.work.deadline);
         loop {
             if let Some(engine) = self.choose_engine(progress) {
                 return Some(engine);
             }
-            let stale = !self.may_act_as(progress.work.incarnation);
-            if stale || self.inner.platform.monotonic() >= give_up {
+            let lease_lost = !self.is_leased_as(progress.work.incarnation);
+            if lease_lost || self.inner.platform.monotonic() >= wait_until {
                 return None;
             }
             self.inner.platform.sleep(ENGINE_WAIT_INTERVAL).await;
@@ -239,8 +239,8 @@
             priority: work.priority,
             staleness_share_percent: self.staleness_share_percent(&work.tenant),
         };
-        let place = self.inner.policy.choose(&request, &choices, self.inner.platform.random())?;
-        Some(pool[place].0.clone())
+        let index = self.inner.policy.choose(&request, &choices, self.inner.platform.random())?;
+        Some(pool[index].0.clone())
     }
 
     fn staleness_share_percent(&self, tenant: &TenantId) -> u32 {
@@ -250,31 +250,31 @@
         (staleness * 100).checked_div(staleness + idle).unwrap_or(EVEN_SHARE_PERCENT)
     }
 
-    /// Engines that can take the work now.
+    /// Engines that can accept the work now.
     fn candidates(&self, work: &GenerationWork) -> Vec<(EngineDescription, Candidate)> {
         let now = self.inner.platform.monotonic();
         let view = self.inner.view.borrow();
         let rollout = work.priority == Priority::Rollout;
-        let oldest = if rollout { self.oldest_to_start_on(&view, work, now) } else { WeightVersion(0) };
+        let oldest = if rollout { self.oldest_start_version(&view, work, now) } else { WeightVersion(0) };
         let share = view.tenant(&work.tenant).map_or(100, |tenant| tenant.rollout_share_percent);
         let relay_count = view.relay_count();
         let limit_percent = self.inner.options.config.engine_in_flight_percent;
         let mut candidates = Vec::new();
-        for (engine, version) in view.able_engines(&work.model) {
+        for (engine, version) in view.ready_engines(&work.model) {
             let description = &engine.description;
-            let seen = self.inner.registry.get(&description.id);
-            let full = seen.in_flight * 100 >= description.slots * limit_percent;
-            let rollouts_full = rollout && seen.rollouts >= rollout_slots(description.slots, share, relay_count);
-            let unable = version < oldest || self.inner.registry.is_ejected(&description.id, now);
-            if full || rollouts_full || unable {
+            let engine_use = self.inner.registry.get(&description.id);
+            let is_full = engine_use.in_flight * 100 >= description.slots * limit_percent;
+            let rollouts_full = rollout && engine_use.rollouts >= rollout_slots(description.slots, share, relay_count);
+            let unsuitable = version < oldest || self.inner.registry.is_ejected(&description.id, now);
+            if is_full || rollouts_full || unsuitable {
                 continue;
             }
             let candidate = Candidate {
                 id: description.id.clone(),
                 slots: description.slots,
-                in_flight: seen.in_flight,
-                reported: seen.reported,
-                report_age_milliseconds: now.saturating_sub(seen.reported_at).as_millis() as u64,
+                in_flight: engine_use.in_flight,
+                reported: engine_use.reported,
+                report_age_milliseconds: now.saturating_sub(engine_use.reported_at).as_millis() as u64,
                 same_zone: description.zone == self.inner.options.zone,
                 version,
             };
@@ -283,14 +283,14 @@
         candidates
     }
 
-    /// The oldest version on which a sample is started. One that is started on the oldest version its trainer can use
-    /// is thrown away at the next publication unless it ends before; so it waits, for a while after a publication, for
-    /// an engine that has taken newer weights.
-    fn oldest_to_start_on(&self, view: &View, work: &GenerationWork, now: Duration) -> WeightVersion {
+    /// The oldest weight version that a sample may start on. A sample on the oldest version that its trainer can use is
+    /// discarded at the next publication. For `newer_weights_wait` after its start, a sample therefore waits for an
+    /// engine with newer weights.
+    fn oldest_start_version(&self, view: &View, work: &GenerationWork, now: Duration) -> WeightVersion {
         let useful = view.oldest_useful_version(&work.tenant).max(work.oldest_useful_version);
         let bound = view.tenant(&work.tenant).map_or(0, |tenant| tenant.staleness_bound);
-        let patient = now < work.begun + self.inner.options.config.newer_weights_wait;
-        if bound > 0 && useful > WeightVersion(0) && patient { useful.next() } else { useful }
+        let may_wait = now < work.started_at + self.inner.options.config.newer_weights_wait;
+        if bound > 0 && useful > WeightVersion(0) && may_wait { useful.next() } else { useful }
     }
 
     async fn attempt(&self, progress: &mut Progress<'_, P>, engine: &EngineDescription) -> Result<(), AttemptFailure> {
@@ -298,12 +298,12 @@
         let rollout = work.priority == Priority::Rollout;
         let _in_flight = self.inner.registry.begin(&engine.id, rollout);
         let connection = self.connect(engine).await?;
-        // From here to the send there is no wait: a relay that was frozen while connecting notices it.
-        if !self.may_act_as(work.incarnation) {
+        // There is no await between this check and the send, so a lease that expired while connecting is noticed.
+        if !self.is_leased_as(work.incarnation) {
             let message = "the relay lost its lease before the request was sent".to_string();
-            return Err(AttemptFailure::GivenUp(FailureCode::NotReady, message));
+            return Err(AttemptFailure::Aborted(FailureCode::NotReady, message));
         }
-        if !self.inner.view.borrow().is_able(&engine.id) {
+        if !self.inner.view.borrow().is_ready(&engine.id) {
             return Err(AttemptFailure::NotExecuted("the engine is leaving".to_string()));
         }
         if progress.trial.as_ref().is_some_and(|trial| !trial.holds()) {
@@ -311,15 +311,15 @@
         }
         let request = self.engine_request(progress);
         let attempt_id = request.attempt_id;
-        let left = work.deadline.saturating_sub(self.inner.platform.monotonic());
-        let limit = left.min(self.inner.options.config.chunk_limit);
+        let remaining = work.deadline.saturating_sub(self.inner.platform.monotonic());
+        let limit = remaining.min(self.inner.options.config.chunk_limit);
         let stream = match timeout(&self.inner.platform, limit, connection.generate(request)).await {
             Some(Ok(stream)) => stream,
             Some(Err(error)) => return Err(self.engine_failed(engine, error)),
             None => return Err(self.engine_failed(engine, BackendError::Unknown("no answer in time".to_string()))),
         };
         progress.may_have_run = true;
-        self.follow_stream(progress, engine, attempt_id, stream).await
+        self.read_stream(progress, engine, attempt_id, stream).await
     }
 
     async fn connect(&self, engine: &EngineDescription) -> Result<B::Connection, AttemptFailure> {
@@ -350,9 +350,9 @@
         }
     }
 
-    /// Takes chunks in order until the explicit end. Chunks of another attempt or already taken are dropped; a gap ends
-    /// the attempt.
-    async fn follow_stream(
+    /// Reads chunks in order up to the one with a finish reason. Duplicates and chunks of other attempts are ignored; a
+    /// gap fails the attempt.
+    async fn read_stream(
         &self,
         progress: &mut Progress<'_, P>,
         engine: &EngineDescription,
@@ -370,7 +370,7 @@
                 return Err(self.engine_failed(engine, error));
             }
             next_sequence += 1;
-            self.take_chunk(progress, engine, &chunk)?;
+            self.apply_chunk(progress, engine, &chunk)?;
             if let Some(finish) = chunk.finish {
                 self.inner.registry.record_success(&engine.id);
                 progress.generation.finish = finish;
@@ -385,8 +385,8 @@
         engine: &EngineDescription,
         stream: &mut mpsc::UnboundedReceiver<StreamEvent>,
     ) -> Result<EngineChunk, AttemptFailure> {
-        let left = work.deadline.saturating_sub(self.inner.platform.monotonic());
-        let limit = left.min(self.inner.options.config.chunk_limit);
+        let remaining = work.deadline.saturating_sub(self.inner.platform.monotonic());
+        let limit = remaining.min(self.inner.options.config.chunk_limit);
         let event = timeout(&self.inner.platform, limit, stream.next()).await;
         match event {
             Some(Some(Ok(chunk))) => Ok(chunk),
@@ -395,9 +395,9 @@
                 let error = BackendError::Unknown("the stream broke off".to_string());
                 Err(self.engine_failed(engine, error))
             }
-            None if limit == left => {
+            None if limit == remaining => {
                 let message = "the deadline passed while the request ran".to_string();
-                Err(AttemptFailure::GivenUp(FailureCode::DeadlineExceeded, message))
+                Err(AttemptFailure::Aborted(FailureCode::DeadlineExceeded, message))
             }
             None => {
                 let error = BackendError::Unknown("the engine fell silent".to_string());
@@ -406,7 +406,7 @@
         }
     }
 
-    fn take_chunk(
+    fn apply_chunk(
         &self,
         progress: &mut Progress<'_, P>,
         engine: &EngineDescription,
@@ -418,11 +418,11 @@
         progress.generation.extend(&chunk.tokens, &chunk.text, chunk.version);
         if progress.work.priority == Priority::Rollout && self.is_stale(progress) {
             let message = "the sample is too old to be delivered".to_string();
-            return Err(AttemptFailure::GivenUp(FailureCode::DeadlineExceeded, message));
+            return Err(AttemptFailure::Aborted(FailureCode::DeadlineExceeded, message));
         }
         if let Some(parts) = progress.parts {
             let (tokens, text) = (chunk.tokens.clone(), chunk.text.clone());
-            // A caller that is gone is noticed where the answer is given.
+            // A disconnected caller does not stop the generation.
             let _ = parts.unbounded_send(AnswerPart::Tokens { tokens, text, version: chunk.version });
         }
         Ok(())
@@ -434,14 +434,14 @@
         oldest.is_some_and(|oldest| oldest < oldest_useful)
     }
 
-    /// Samples that this relay may run at once on the engines of `model`, less those it runs.
+    /// Number of additional samples that this relay may run on the engines of `model`.
     pub(crate) fn free_rollout_slots(&self, tenant: &TenantId, model: &ModelName) -> u32 {
         let view = self.inner.view.borrow();
         let share = view.tenant(tenant).map_or(0, |tenant| tenant.rollout_share_percent);
         let oldest = view.oldest_useful_version(tenant);
         let relay_count = view.relay_count();
-        let able = view.able_engines(model).filter(|(_, version)| *version >= oldest);
-        let free = able.map(|(engine, _)| {
+        let ready = view.ready_engines(model).filter(|(_, version)| *version >= oldest);
+        let free = ready.map(|(engine, _)| {
             let allowed = rollout_slots(engine.description.slots, share, relay_count);
             allowed.saturating_sub(self.inner.registry.get(&engine.description.id).rollouts)
         });
@@ -449,7 +449,7 @@
     }
 }
 
-/// One relay's part of the slots that rollouts may fill.
+/// One relay's share of the slots of an engine that rollouts may use, rounded up.
 fn rollout_slots(slots: u32, share_percent: u32, relay_count: u32) -> u32 {
     (slots * share_percent).div_ceil(100 * relay_count)
 }
--- a/crates/relay/src/grants.rs
+++ b/crates/relay/src/grants.rs
@@ -1,5 +1,5 @@
-//! Commits about what the control group grants this relay: a claim, or a sample. While the relay lives nobody else can end
-//! what it holds, and others wait for it; so such commits are tried until they are decided.
+//! Commits commands about claims and samples granted to this relay. Until the relay is fenced, only it can end them;
+//! these commits are therefore retried until they are decided.
 
 use crate::relay::Relay;
 use saddlerelay_control_client::ControlError;
@@ -8,26 +8,26 @@
 use saddlerelay_types::protocol::{Command, CommandOutcome};
 use std::time::Duration;
 
-/// Time limit of one commit.
-const COMMIT_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of one commit attempt.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause after a refusal, doubled at random: the leader's queue of proposals was full. Without it a relay would ask again
-/// after each round trip, which is what fills the queue.
-const REFUSED_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after the leader rejected a proposal because its queue was full; up to doubled by jitter. Avoids that
+/// immediate retries keep the queue full.
+const REJECTED_PAUSE: Duration = Duration::from_millis(100);
 
 impl<P: Runtime, B: Backends> Relay<P, B> {
-    /// Commits `command` again and again until it is decided; `None` once `is_of_use` no longer holds.
+    /// Retries `command` until it is decided, or returns `None` once `is_needed` returns false.
     pub(crate) async fn commit_until_decided(
         &self,
         command: Command,
-        is_of_use: impl Fn() -> bool,
+        is_needed: impl Fn() -> bool,
     ) -> Option<CommandOutcome> {
         let platform = &self.inner.platform;
-        let began_at = platform.monotonic();
+        let started_at = platform.monotonic();
         let mut failures: u32 = 0;
         let mut decided = None;
-        while decided.is_none() && is_of_use() {
-            match self.inner.control.execute(command.clone(), COMMIT_LIMIT).await {
+        while decided.is_none() && is_needed() {
+            match self.inner.control.execute(command.clone(), COMMIT_TIMEOUT).await {
                 Ok(outcome) => decided = Some(outcome),
                 Err(error) => {
                     failures += 1;
@@ -36,19 +36,19 @@
             }
         }
         if failures > 0 {
-            let took_ms = platform.monotonic().saturating_sub(began_at).as_millis() as u64;
-            spdlog::warn!("commit about a granted right was late", kv: {
+            let took_ms = platform.monotonic().saturating_sub(started_at).as_millis() as u64;
+            spdlog::warn!("commit of a claim or sample delayed by retries", kv: {
                 failures = failures, took_ms = took_ms, decided = decided.is_some()
             });
         }
         decided
     }
 
-    /// A call that nobody answered has taken its whole time; a refusal comes at once.
+    /// Pauses after a rejection, which arrives immediately; other failures have already waited for the timeout.
     async fn pause_after(&self, error: &ControlError) {
         if matches!(error, ControlError::Refused(_)) {
             let platform = &self.inner.platform;
-            platform.sleep(REFUSED_PAUSE + platform.jitter(REFUSED_PAUSE)).await;
+            platform.sleep(REJECTED_PAUSE + platform.jitter(REJECTED_PAUSE)).await;
         }
     }
 }
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -1,4 +1,4 @@
-//! Renews the configuration lease and stores each new configuration before it is acted on.
+//! Renews the configuration lease. Each new configuration is stored on disk before it is used.
 
 use crate::relay::Relay;
 use bitcode::{Decode, Encode};
@@ -10,12 +10,12 @@
 use std::io;
 use std::time::Duration;
 
-/// Pause between renewals that each bring something new.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(10);
+/// Pause after a successful renewal.
+const RENEWED_PAUSE: Duration = Duration::from_millis(10);
 
 const CONFIGURATION_FILE: &str = "configuration";
 
-/// The newest configuration acted on, as stored.
+/// The file format of the newest configuration.
 #[derive(Clone, Debug, Encode, Decode)]
 struct StoredConfiguration {
     revision: Revision,
@@ -23,7 +23,7 @@
 }
 
 impl<P: Runtime, B: Backends> Relay<P, B> {
-    /// Reads the stored configuration: the relay never acts on an older one.
+    /// Loads the stored configuration, so that the relay does not use an older one after a restart.
     pub(crate) async fn load_configuration(&self) -> io::Result<()> {
         let Some(bytes) = self.inner.platform.disk().read(CONFIGURATION_FILE).await? else {
             return Ok(());
@@ -36,23 +36,23 @@
     }
 
     /// Renews the lease until the process ends.
-    pub(crate) async fn keep_lease(self) {
+    pub(crate) async fn run_lease_renewal(self) {
         let config = self.inner.options.config.clone();
         loop {
             let sent_at = self.inner.platform.monotonic();
-            let renewal = self.renewal();
+            let renewal = self.renewal_request();
             let incarnation = renewal.relay.incarnation;
             let renewed = match self.inner.control.renew(renewal, config.renew_limit).await {
-                Ok(reply) => self.take_renewal(reply, sent_at, incarnation).await,
+                Ok(reply) => self.apply_renewal(reply, sent_at, incarnation).await,
                 Err(_) => false,
             };
-            // The control group sets the pace: it answers at once when there is something new, and later when not.
-            let pause = if renewed { SHORTEST_PAUSE } else { config.renew_interval };
+            // Renewals are long polls: the control group replies immediately if there are changes, and later otherwise.
+            let pause = if renewed { RENEWED_PAUSE } else { config.renew_interval };
             self.inner.platform.sleep(pause).await;
         }
     }
 
-    fn renewal(&self) -> RenewRequest {
+    fn renewal_request(&self) -> RenewRequest {
         let view = self.inner.view.borrow();
         RenewRequest {
             relay: self.description(),
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Acts on an answer from now on; `false` when it cannot.
-    async fn take_renewal(&self, mut reply: RenewReply, sent_at: Duration, incarnation: Incarnation) -> bool {
+    /// Applies a reply; returns `false` if the relay was fenced or the configuration could not be stored.
+    async fn apply_renewal(&self, mut reply: RenewReply, sent_at: Duration, incarnation: Incarnation) -> bool {
         if let Some(list) = reply.suspicions.take() {
             self.inner.suspicions.take(list);
         }
         if reply.fenced {
-            self.start_anew(incarnation);
+            self.start_new_incarnation(incarnation);
             return false;
         }
         let stored = self.store_configuration(&reply.configuration).await;
@@ -79,10 +79,11 @@
         stored
     }
 
-    /// Stores and adopts a configuration. `false` when it would go back or the disk refuses: the lease then runs out.
+    /// Stores and applies a configuration update. Returns `false` if it is older than the current revision or the write
+    /// failed; the lease is not extended then.
     async fn store_configuration(&self, update: &ConfigurationUpdate) -> bool {
-        let known = self.inner.view.borrow().revision();
-        if update.revision == known && !update.whole {
+        let current = self.inner.view.borrow().revision();
+        if update.revision == current && !update.whole {
             return true;
         }
         let Some(objects) = self.inner.view.borrow().updated_objects(update) else {
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,8 +1,10 @@
-//! A relay: serves callers and trainers from engines, under a configuration lease from the control group.
+//! A relay: serves callers' and trainers' requests under a configuration lease from the control group.
 //!
-//! `commands` serve callers, trainers and samples; `queries` read the relay's view. The rest are the parts they share:
-//! the leased `view`, `admission`, the engine `registry`, the `retry` budget, `dispatch`, and commits about what is
-//! granted, `grants`, and the `scorer_watch`.
+//! - `commands` handle callers, trainers and samples; `queries` read the relay's view.
+//! - `lease` renews the configuration lease and `view` holds the leased configuration and engine list.
+//! - `admission` limits and queues requests by tenant; `dispatch` runs generations on engines.
+//! - `registry` tracks each engine's load and failures; `retry` is the retry budget.
+//! - `grants` commits the end of granted claims and samples; `scorer_watch` tracks whether the scorer is reachable.
 
 pub mod admission;
 pub mod commands;
--- a/crates/relay/src/queries/mod.rs
+++ b/crates/relay/src/queries/mod.rs
@@ -1,4 +1,4 @@
-//! Reads of the relay's view.
+//! Read access to the relay's view.
 
 use crate::relay::Relay;
 use saddlerelay_runtime::Runtime;
@@ -7,7 +7,7 @@
 use saddlerelay_types::identity::{ModelName, Revision, TenantId};
 
 impl<P: Runtime, B: Backends> Relay<P, B> {
-    /// The models that tenants are served by.
+    /// The models of all tenants, sorted and without duplicates.
     pub fn models(&self) -> Vec<ModelName> {
         let view = self.inner.view.borrow();
         let mut models: Vec<ModelName> = view.tenants().map(|(_, tenant)| tenant.model.clone()).collect();
@@ -21,7 +21,7 @@
         self.inner.view.borrow().tenant(tenant).cloned()
     }
 
-    /// The configuration revision acted on.
+    /// The revision of the current configuration.
     pub fn revision(&self) -> Revision {
         self.inner.view.borrow().revision()
     }
--- a/crates/relay/src/registry.rs
+++ b/crates/relay/src/registry.rs
@@ -1,4 +1,4 @@
-//! What this relay itself has seen of each engine: requests in flight, reported load, failures.
+//! Requests in flight, reported load and consecutive_failures of each engine, as observed by this relay.
 
 use saddlerelay_types::engine::EngineLoad;
 use saddlerelay_types::identity::EngineId;
@@ -7,32 +7,32 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Failures in a row after which an engine is ejected.
+/// Number of consecutive consecutive_failures that ejects an engine.
 const EJECTION_FAILURES: u32 = 3;
 
-/// First ejection; each further one in a row doubles it.
-const EJECTION_BASE: Duration = Duration::from_millis(1000);
+/// Duration of the first ejection; doubles with each consecutive one.
+const FIRST_EJECTION: Duration = Duration::from_millis(1000);
 
-/// Longest ejection.
-const EJECTION_LIMIT: Duration = Duration::from_secs(30);
+/// Maximum ejection time.
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 
-/// One engine as seen from here.
+/// Load and health of one engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineUse {
-    /// Requests of this relay that it runs, samples included.
+    /// Requests of this relay in flight, including samples.
     pub in_flight: u32,
-    /// Samples among them.
+    /// Samples of this relay in flight.
     pub rollouts: u32,
-    /// Its newest report.
+    /// The newest load report.
     pub reported: EngineLoad,
-    /// When the report came.
+    /// Arrival time of that report.
     pub reported_at: Duration,
-    failures: u32,
-    ejections: u32,
+    consecutive_failures: u32,
+    consecutive_ejections: u32,
     ejected_until: Duration,
 }
 
-/// Every engine. Clones share the table.
+/// The engines' load and health. Clones share state.
 #[derive(Clone, Default)]
 pub struct Registry {
     engines: Rc<RefCell<BTreeMap<EngineId, EngineUse>>>,
@@ -46,52 +46,52 @@
 }
 
 impl Registry {
-    /// One engine.
+    /// Load and health of `engine`; default values if nothing is recorded.
     pub fn get(&self, engine: &EngineId) -> EngineUse {
         self.engines.borrow().get(engine).copied().unwrap_or_default()
     }
 
-    /// Whether the engine is ejected for its failures. Once the time is over, one request at a time tries it again.
+    /// Whether the engine is ejected. After the ejection time, one request at a time probes it until one succeeds.
     pub fn is_ejected(&self, engine: &EngineId, now: Duration) -> bool {
-        let seen = self.get(engine);
-        let on_trial = seen.failures >= EJECTION_FAILURES && seen.in_flight > 0;
-        now < seen.ejected_until || on_trial
+        let engine_use = self.get(engine);
+        let is_probed = engine_use.consecutive_failures >= EJECTION_FAILURES && engine_use.in_flight > 0;
+        now < engine_use.ejected_until || is_probed
     }
 
-    /// Counts a request to `engine` until the answer is dropped.
+    /// Counts a request to `engine` as in flight until the returned guard is dropped.
     pub fn begin(&self, engine: &EngineId, rollout: bool) -> InFlight {
         let mut engines = self.engines.borrow_mut();
-        let seen = engines.entry(engine.clone()).or_default();
-        seen.in_flight += 1;
-        seen.rollouts += u32::from(rollout);
+        let engine_use = engines.entry(engine.clone()).or_default();
+        engine_use.in_flight += 1;
+        engine_use.rollouts += u32::from(rollout);
         InFlight { registry: self.clone(), engine: engine.clone(), rollout }
     }
 
-    /// Records a report.
+    /// Records a load report.
     pub fn record_load(&self, engine: &EngineId, load: EngineLoad, now: Duration) {
         let mut engines = self.engines.borrow_mut();
-        let seen = engines.entry(engine.clone()).or_default();
-        seen.reported = load;
-        seen.reported_at = now;
+        let engine_use = engines.entry(engine.clone()).or_default();
+        engine_use.reported = load;
+        engine_use.reported_at = now;
     }
 
-    /// Records that the engine answered.
+    /// Records a success; resets the failure and ejection counts.
     pub fn record_success(&self, engine: &EngineId) {
         let mut engines = self.engines.borrow_mut();
-        let seen = engines.entry(engine.clone()).or_default();
-        seen.failures = 0;
-        seen.ejections = 0;
+        let engine_use = engines.entry(engine.clone()).or_default();
+        engine_use.consecutive_failures = 0;
+        engine_use.consecutive_ejections = 0;
     }
 
-    /// Records a failure; enough in a row eject the engine.
+    /// Records a failure; ejects the engine after enough consecutive ones.
     pub fn record_failure(&self, engine: &EngineId, now: Duration) {
         let mut engines = self.engines.borrow_mut();
-        let seen = engines.entry(engine.clone()).or_default();
-        seen.failures += 1;
-        if seen.failures >= EJECTION_FAILURES {
-            let length = EJECTION_BASE * 2u32.pow(seen.ejections.min(5));
-            seen.ejected_until = now + length.min(EJECTION_LIMIT);
-            seen.ejections += 1;
+        let engine_use = engines.entry(engine.clone()).or_default();
+        engine_use.consecutive_failures += 1;
+        if engine_use.consecutive_failures >= EJECTION_FAILURES {
+            let duration = FIRST_EJECTION * 2u32.pow(engine_use.consecutive_ejections.min(5));
+            engine_use.ejected_until = now + duration.min(MAX_EJECTION);
+            engine_use.consecutive_ejections += 1;
         }
     }
 }
@@ -99,9 +99,9 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         let mut engines = self.registry.engines.borrow_mut();
-        if let Some(seen) = engines.get_mut(&self.engine) {
-            seen.in_flight -= 1;
-            seen.rollouts -= u32::from(self.rollout);
+        if let Some(engine_use) = engines.get_mut(&self.engine) {
+            engine_use.in_flight -= 1;
+            engine_use.rollouts -= u32::from(self.rollout);
         }
     }
 }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay process and what its parts share.
+//! The relay's entry points and shared state.
 
 use crate::admission::Admission;
 use crate::commands::samples;
@@ -20,48 +20,48 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause between looks at whether a stopping relay is done.
+/// Polling interval while a relay drains.
 const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a relay is started.
+/// Start-up options.
 #[derive(Clone, Debug)]
 pub struct RelayOptions {
-    /// Its name, unique in the deployment.
+    /// The relay's name, unique in the deployment.
     pub name: String,
-    /// Its zone.
+    /// The relay's zone.
     pub zone: Zone,
-    /// Where callers reach it.
+    /// The address that it serves callers on.
     pub address: SocketAddr,
-    /// The control replicas.
+    /// Addresses of the control replicas.
     pub control: Vec<SocketAddr>,
     /// The deployment's shared secret.
     pub secret: String,
-    /// Which engine gets a request.
+    /// The policy that picks engines.
     pub policy: PolicyName,
-    /// Limits.
+    /// Limits and timeouts.
     pub config: RelayConfig,
 }
 
-/// What a relay has done, for metrics.
+/// Event counters, exported as metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RelayCounters {
-    /// Requests taken.
+    /// Requests received.
     pub requests: u64,
-    /// Whole answers given.
+    /// Requests answered completely.
     pub answered: u64,
     /// Requests refused or failed.
     pub failed: u64,
-    /// Attempts beyond a request's first.
+    /// Retries of requests and samples.
     pub retries: u64,
-    /// Samples finished.
+    /// Samples completed.
     pub samples: u64,
     /// Tokens received from engines.
     pub tokens: u64,
-    /// Engines found to have ended under a request or sample.
+    /// Engines that ended during a request or sample.
     pub engines_ended: u64,
-    /// Requests and samples not sent on because engines have ended under their work.
+    /// Requests and samples rejected because their work is suspected of ending engines.
     pub kept_from_engines: u64,
-    /// Times the relay had to start anew under another incarnation.
+    /// Times that the relay was fenced and continued under a new incarnation.
     pub fenced: u64,
 }
 
@@ -80,12 +80,12 @@
     pub stopping: Cell<bool>,
     pub samples_running: Cell<u32>,
     pub scorer: ScorerWatch,
-    /// A question for samples is under way; its answer may bring some.
-    pub asking_for_samples: Cell<bool>,
+    /// An assignment request is in flight, which may return samples.
+    pub assignment_in_flight: Cell<bool>,
     pub counters: RefCell<RelayCounters>,
 }
 
-/// A relay. Clones are the same relay.
+/// A relay. Clones share state.
 pub struct Relay<P: Runtime, B: Backends> {
     pub(crate) inner: Rc<Inner<P, B>>,
 }
@@ -97,7 +97,7 @@
 }
 
 impl<P: Runtime, B: Backends> Relay<P, B> {
-    /// Loads the stored configuration and starts the relay's tasks. It admits nothing before its first lease.
+    /// Loads the stored configuration and spawns the relay's tasks. Requests are rejected until the first lease.
     pub async fn start(platform: P, backends: B, options: RelayOptions) -> io::Result<Self> {
         let control = ControlClient::new(platform.clone(), &options.control, &options.secret);
         let pause = options.config.last_trial_pause;
@@ -114,7 +114,7 @@
             stopping: Cell::new(false),
             samples_running: Cell::new(0),
             scorer: ScorerWatch::default(),
-            asking_for_samples: Cell::new(false),
+            assignment_in_flight: Cell::new(false),
             counters: RefCell::default(),
             backends,
             options,
@@ -122,17 +122,17 @@
         };
         let relay = Self { inner: Rc::new(inner) };
         relay.load_configuration().await?;
-        platform.spawn(relay.clone().keep_lease());
+        platform.spawn(relay.clone().run_lease_renewal());
         platform.spawn(samples::run_samples(relay.clone()));
         Ok(relay)
     }
 
-    /// A client of the control group.
+    /// The client of the control group.
     pub fn control(&self) -> &ControlClient<P> {
         &self.inner.control
     }
 
-    /// What the relay has done.
+    /// A snapshot of the counters.
     pub fn counters(&self) -> RelayCounters {
         self.inner.counters.borrow().clone()
     }
@@ -150,20 +150,20 @@
         }
     }
 
-    /// Whether the relay may act as `incarnation` now: it holds the lease and was not declared lost.
-    pub(crate) fn may_act_as(&self, incarnation: Incarnation) -> bool {
+    /// Whether `incarnation` is current and its lease is valid.
+    pub(crate) fn is_leased_as(&self, incarnation: Incarnation) -> bool {
         let now = self.inner.platform.monotonic();
         self.inner.incarnation.get() == incarnation && self.inner.view.borrow().is_leased(now)
     }
 
-    /// Whether the relay takes new requests.
+    /// Whether the relay accepts new requests.
     pub fn is_ready(&self) -> bool {
-        !self.inner.stopping.get() && self.may_act_as(self.inner.incarnation.get())
+        !self.inner.stopping.get() && self.is_leased_as(self.inner.incarnation.get())
     }
 
-    /// Continues under a new incarnation after `lost` was declared lost. Work begun under it goes nowhere.
-    pub(crate) fn start_anew(&self, lost: Incarnation) {
-        if self.inner.incarnation.get() != lost {
+    /// Starts a new incarnation after `fenced` was fenced. Work of the old incarnation is not sent to engines any more.
+    pub(crate) fn start_new_incarnation(&self, fenced: Incarnation) {
+        if self.inner.incarnation.get() != fenced {
             return;
         }
         self.inner.incarnation.set(Incarnation(self.inner.platform.random()));
@@ -171,13 +171,13 @@
         self.count(|counters| counters.fenced += 1);
     }
 
-    /// A planned stop: takes nothing new and waits until everything in progress has ended, or the limit passes.
-    /// Returns whether everything ended.
+    /// Drains the relay: rejects new requests and waits, up to `drain_limit`, for requests and samples in progress.
+    /// Returns whether all of them ended in time.
     pub async fn drain(&self) -> bool {
         self.inner.stopping.set(true);
         let deadline = self.inner.platform.monotonic() + self.inner.options.config.drain_limit;
         while self.inner.platform.monotonic() < deadline {
-            if self.in_progress() == 0 && !self.inner.asking_for_samples.get() {
+            if self.in_progress() == 0 && !self.inner.assignment_in_flight.get() {
                 return true;
             }
             self.inner.platform.sleep(DRAIN_INTERVAL).await;
@@ -185,7 +185,7 @@
         false
     }
 
-    /// Requests and samples in progress.
+    /// Number of requests and samples in progress, including queued requests.
     pub fn in_progress(&self) -> usize {
         let callers = self.inner.admission.in_flight() + self.inner.admission.waiting();
         callers + self.inner.samples_running.get() as usize
