--- a/crates/relay/src/retry.rs
+++ b/crates/relay/src/retry.rs
@@ -1,42 +1,42 @@
-//! A budget for retries, so that a failing back end is not asked ever more often.
+//! Retry budget: a token bucket that limits retries to failing engines.
 
 use std::time::Duration;
 
-/// Retries earned by each request.
-const EARNED_BY_REQUEST: f64 = 0.2;
+/// Tokens added for each request.
+const TOKENS_PER_REQUEST: f64 = 0.2;
 
-/// Retries earned by each second, so that a quiet relay can retry too.
-const EARNED_BY_SECOND: f64 = 10.0;
+/// Tokens added per second, so that a relay with few requests can retry too.
+const TOKENS_PER_SECOND: f64 = 10.0;
 
-/// Most retries saved up.
-const MOST_SAVED: f64 = 100.0;
+/// Maximum number of tokens.
+const MAX_TOKENS: f64 = 100.0;
 
-/// The budget.
+/// The retry budget.
 #[derive(Debug)]
 pub struct RetryBudget {
-    saved: f64,
-    earned_until: Duration,
+    tokens: f64,
+    refilled_at: Duration,
 }
 
 impl RetryBudget {
-    /// A budget with a few retries to begin with.
+    /// Creates a budget with the tokens of one second.
     pub fn new(now: Duration) -> Self {
-        Self { saved: EARNED_BY_SECOND, earned_until: now }
+        Self { tokens: TOKENS_PER_SECOND, refilled_at: now }
     }
 
-    /// Earns what a new request brings.
+    /// Adds the tokens for a new request.
     pub fn record_request(&mut self) {
-        self.saved = (self.saved + EARNED_BY_REQUEST).min(MOST_SAVED);
+        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Whether a retry may be made; takes it from the budget.
+    /// Takes a token for a retry; returns `false` if there is none.
     pub fn take(&mut self, now: Duration) -> bool {
-        let elapsed = now.saturating_sub(self.earned_until);
-        self.earned_until = now;
-        self.saved = (self.saved + elapsed.as_secs_f64() * EARNED_BY_SECOND).min(MOST_SAVED);
-        let allowed = self.saved >= 1.0;
+        let elapsed = now.saturating_sub(self.refilled_at);
+        self.refilled_at = now;
+        self.tokens = (self.tokens + elapsed.as_secs_f64() * TOKENS_PER_SECOND).min(MAX_TOKENS);
+        let allowed = self.tokens >= 1.0;
         if allowed {
-            self.saved -= 1.0;
+            self.tokens -= 1.0;
         }
         allowed
     }
--- a/crates/relay/src/scorer_watch.rs
+++ b/crates/relay/src/scorer_watch.rs
@@ -1,35 +1,35 @@
-//! Whether the scorer answers this relay. Two zones may lose each other while both reach the rest: a relay in one of them
-//! keeps its lease, and with it every sample that it cannot have scored, for as long as that lasts.
+//! Tracks whether the scorer is reachable from this relay. In a network partition the relay may lose the scorer but
+//! keep its lease, and would hold its samples without being able to complete them.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-/// A relay whose calls have all failed for so long gives its samples back. Longer than a scorer takes to start again: its
-/// return finds the samples scored soonest where they are, and a sample that is given back runs anew.
-const OUT_OF_REACH_AFTER: Duration = Duration::from_secs(20);
+/// Time without a successful call after which the scorer counts as unreachable and the relay returns its samples.
+/// Longer than a restart of the scorer, because a returned sample is generated again.
+const UNREACHABLE_AFTER: Duration = Duration::from_secs(20);
 
-/// What the newest calls to the scorer have come to.
+/// Outcome of the newest calls to the scorer.
 #[derive(Debug, Default)]
 pub(crate) struct ScorerWatch {
-    /// When the first call failed after which none was answered.
-    silent_since: Cell<Option<Duration>>,
+    /// Time of the first failure since the last success.
+    failing_since: Cell<Option<Duration>>,
 }
 
 impl ScorerWatch {
-    /// The scorer has answered.
-    pub fn answered(&self) {
-        self.silent_since.set(None);
+    /// Records a successful call.
+    pub fn record_success(&self) {
+        self.failing_since.set(None);
     }
 
-    /// A call has failed at `now`.
-    pub fn failed(&self, now: Duration) {
-        if self.silent_since.get().is_none() {
-            self.silent_since.set(Some(now));
+    /// Records a failed call.
+    pub fn record_failure(&self, now: Duration) {
+        if self.failing_since.get().is_none() {
+            self.failing_since.set(Some(now));
         }
     }
 
-    /// Whether others should have this relay's samples. It goes on trying with one at a time.
-    pub fn is_out_of_reach(&self, now: Duration) -> bool {
-        self.silent_since.get().is_some_and(|since| now >= since + OUT_OF_REACH_AFTER)
+    /// Whether the scorer counts as unreachable. The relay then runs one sample at a time to probe it.
+    pub fn is_unreachable(&self, now: Duration) -> bool {
+        self.failing_since.get().is_some_and(|since| now >= since + UNREACHABLE_AFTER)
     }
 }
--- a/crates/relay/src/view.rs
+++ b/crates/relay/src/view.rs
@@ -1,4 +1,4 @@
-//! What a relay knows of the deployment, and the lease under which it may act on it.
+//! The relay's copy of configuration, engine list and target versions, and the lease under which it may be used.
 
 use saddlerelay_types::configuration::{
     ConfigurationUpdate, ObjectName, ObjectState, ObjectValue, Template, TenantParameters,
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The view.
+/// The view; without a lease until the first renewal.
 #[derive(Debug, Default)]
 pub struct View {
     revision: Revision,
@@ -29,24 +29,24 @@
         self.revision
     }
 
-    /// The engine-list revision.
+    /// The revision of the engine list.
     pub fn engine_revision(&self) -> u64 {
         self.engine_revision
     }
 
-    /// The targets, in the order in which the control group gives them.
+    /// The target weight version of each model, ordered by model as in the control group's replies.
     pub fn targets(&self) -> Vec<ModelTarget> {
         let target =
             |(model, version): (&ModelName, &WeightVersion)| ModelTarget { model: model.clone(), version: *version };
         self.targets.iter().map(target).collect()
     }
 
-    /// Whether the relay may act on this view.
+    /// Whether the lease is valid at `now`.
     pub fn is_leased(&self, now: Duration) -> bool {
         now < self.lease_until
     }
 
-    /// Ends the lease at once and forgets engines and targets, as a new incarnation must.
+    /// Ends the lease and requests the full engine list with the next renewal.
     pub fn end_lease(&mut self) {
         self.lease_until = Duration::ZERO;
         self.engine_revision = 0;
@@ -57,13 +57,13 @@
         self.tenants.get(id)
     }
 
-    /// Every tenant.
+    /// All tenants.
     pub fn tenants(&self) -> impl Iterator<Item = (&TenantId, &TenantParameters)> {
         self.tenants.iter()
     }
 
-    /// Engines of `model` that may get new work, with the version each has confirmed.
-    pub fn able_engines(&self, model: &ModelName) -> impl Iterator<Item = (&EngineRecord, WeightVersion)> {
+    /// Available engines of `model` with the weight version that each has confirmed.
+    pub fn ready_engines(&self, model: &ModelName) -> impl Iterator<Item = (&EngineRecord, WeightVersion)> {
         self.engines.values().filter_map(move |engine| match engine.weights {
             WeightState::Confirmed(version)
                 if engine.availability == EngineAvailability::Available && engine.description.model == *model =>
@@ -74,19 +74,19 @@
         })
     }
 
-    /// Whether this engine may still get new work.
-    pub fn is_able(&self, id: &EngineId) -> bool {
+    /// Whether an engine is available and has a confirmed weight version.
+    pub fn is_ready(&self, id: &EngineId) -> bool {
         self.engines.get(id).is_some_and(|engine| {
             engine.availability == EngineAvailability::Available && matches!(engine.weights, WeightState::Confirmed(_))
         })
     }
 
-    /// This start of an engine that may get new work.
-    pub fn able_incarnation(&self, id: &EngineId) -> Option<u64> {
-        self.engines.get(id).filter(|_| self.is_able(id)).map(|engine| engine.incarnation)
+    /// The incarnation of an engine if it is ready.
+    pub fn ready_incarnation(&self, id: &EngineId) -> Option<u64> {
+        self.engines.get(id).filter(|_| self.is_ready(id)).map(|engine| engine.incarnation)
     }
 
-    /// The oldest version that the tenant's trainer can still use, as far as this relay knows.
+    /// The oldest weight version that the tenant's trainer can use: the target version minus the staleness bound.
     pub fn oldest_useful_version(&self, tenant: &TenantId) -> WeightVersion {
         let Some(parameters) = self.tenants.get(tenant) else {
             return WeightVersion(0);
@@ -95,12 +95,12 @@
         WeightVersion(target.0.saturating_sub(parameters.staleness_bound))
     }
 
-    /// Relays that share the engines, this one included.
+    /// Number of relays that share the engines, including this one.
     pub fn relay_count(&self) -> u32 {
         self.relay_count.max(1)
     }
 
-    /// The configuration with `update` applied, to be stored before it is acted on. `None` when it would go back.
+    /// The configuration with `update` applied. `None` if the update is older than the current revision.
     pub fn updated_objects(&self, update: &ConfigurationUpdate) -> Option<BTreeMap<ObjectName, ObjectState>> {
         if update.revision < self.revision {
             return None;
@@ -115,14 +115,14 @@
         Some(objects)
     }
 
-    /// Acts on a stored configuration from now on.
+    /// Replaces the configuration; it must have been stored before.
     pub fn set_configuration(&mut self, revision: Revision, objects: BTreeMap<ObjectName, ObjectState>) {
         self.revision = revision;
         self.tenants = resolve_tenants(&objects);
         self.objects = objects;
     }
 
-    /// Takes the rest of a renewal and its lease.
+    /// Applies a renewal's engine list and targets, and extends the lease from `sent_at`.
     pub fn renew(&mut self, reply: RenewReply, sent_at: Duration) {
         if reply.engine_revision >= self.engine_revision {
             self.engine_revision = reply.engine_revision;
--- a/crates/upstream/src/answer.rs
+++ b/crates/upstream/src/answer.rs
@@ -1,4 +1,4 @@
-//! What came back from an engine.
+//! Responses from engines, and failures to get one.
 
 use crate::connection::Connection;
 use crate::names::HeaderNames;
@@ -11,21 +11,21 @@
 use std::fmt;
 use std::time::Duration;
 
-/// How long an idle connection is kept when the engine does not say.
-const DEFAULT_IDLE: Duration = Duration::from_millis(2_500);
+/// Idle timeout of a connection if the engine sends no `Keep-Alive` timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Part of the engine's own idle time that is left unused, so that a request does not cross its close.
-const IDLE_MARGIN: Duration = Duration::from_millis(300);
+/// Margin below the engine's keep-alive timeout, against races with its close.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Why a call brought no answer.
+/// Why a call failed without a complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// No byte of the request reached the engine.
     NotSent(String),
-    /// The request may have run.
+    /// The request may have executed.
     MayHaveRun(String),
-    /// The connection ended before the answer was whole: the engine has closed it, or has ended itself. The request may
-    /// have run.
+    /// The connection closed before the response was complete: the engine closed it, or its process ended. The request
+    /// may have executed.
     ConnectionLost(String),
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// An engine's answer whose body is still to come.
+/// An engine's response whose body is not read yet.
 pub struct Answer {
     /// Status and headers.
     pub head: Parts,
@@ -48,7 +48,7 @@
 }
 
 impl Answer {
-    /// Takes an answer if it belongs to the request with this identifier.
+    /// Verifies that a response belongs to the request with this ID.
     pub fn check(
         response: Response<Incoming>,
         connection: Connection,
@@ -56,59 +56,60 @@
         request_id: &str,
     ) -> Result<Self, Failure> {
         let (head, body) = response.into_parts();
-        let echo = head.headers.get(&names.request_id);
-        let echoed = echo.is_some_and(|value| value.as_bytes() == request_id.as_bytes());
-        // A refusal may lack the identifier; on a connection that carried nothing before, it can be no other request's.
-        let refusal = head.status == StatusCode::MISDIRECTED_REQUEST || head.headers.contains_key(&names.not_executed);
-        let own_refusal = echo.is_none() && refusal && !connection.is_used();
-        if !echoed && !own_refusal {
-            return Err(Failure::MayHaveRun("the answer is another request's".to_string()));
+        let echoed_id = head.headers.get(&names.request_id);
+        let is_echoed = echoed_id.is_some_and(|value| value.as_bytes() == request_id.as_bytes());
+        // A rejection may lack the request ID; on a fresh connection it can only belong to this request.
+        let rejection =
+            head.status == StatusCode::MISDIRECTED_REQUEST || head.headers.contains_key(&names.not_executed);
+        let own_rejection = echoed_id.is_none() && rejection && !connection.is_used();
+        if !is_echoed && !own_rejection {
+            return Err(Failure::MayHaveRun("response carries another request ID".to_string()));
         }
         Ok(Self { head, body, connection })
     }
 
-    /// Whether the engine says that it did not run the request.
+    /// Whether the engine reported that it did not execute the request.
     pub fn is_not_executed(&self, names: &HeaderNames) -> bool {
         self.head.status == StatusCode::MISDIRECTED_REQUEST || self.head.headers.contains_key(&names.not_executed)
     }
 
-    /// Reads the whole body, of at most `limit` bytes. With it comes the connection, if it can be used again.
+    /// Reads the body, at most `limit` bytes. Also returns the connection if it can be reused.
     pub async fn read_whole(self, limit: usize) -> Result<(Parts, Bytes, Option<Connection>), Failure> {
         let Self { head, body, connection } = self;
         let collected = Limited::new(body, limit).collect().await;
-        let body = collected.map_err(|error| broken_off(error.as_ref()))?.to_bytes();
-        let reusable = reusable(connection, idle_time(&head.headers)).await;
+        let body = collected.map_err(|error| interrupted(error.as_ref()))?.to_bytes();
+        let reusable = reusable(connection, idle_timeout(&head.headers)).await;
         Ok((head, body, reusable))
     }
 
-    /// The body as it comes. The connection closes when it is dropped.
+    /// Returns the body as a stream. Dropping the stream closes the connection.
     pub fn into_stream(self) -> (Parts, AnswerStream) {
-        let idle = idle_time(&self.head.headers);
+        let idle = idle_timeout(&self.head.headers);
         (self.head, AnswerStream { body: self.body, connection: self.connection, idle })
     }
 }
 
-/// The failure of an answer that ended before it was whole, or that was larger than the limit.
-fn broken_off(error: &(dyn std::error::Error + 'static)) -> Failure {
-    let reason = format!("the answer broke off: {error}");
+/// The failure of a response that was interrupted or exceeded the size limit.
+fn interrupted(error: &(dyn std::error::Error + 'static)) -> Failure {
+    let reason = format!("response interrupted: {error}");
     match error.downcast_ref::<hyper::Error>() {
         Some(_) => Failure::ConnectionLost(reason),
         None => Failure::MayHaveRun(reason),
     }
 }
 
-/// The connection after a whole answer, if it can be used again.
+/// Returns the connection after a complete response, if it can be reused.
 async fn reusable(mut connection: Connection, idle: Option<Duration>) -> Option<Connection> {
     let idle = idle?;
     if !connection.is_ready().await {
         return None;
     }
-    connection.rest(idle);
+    connection.mark_idle(idle);
     Some(connection)
 }
 
-/// How long the engine keeps the connection open after this answer; `None` when it closes it.
-fn idle_time(headers: &HeaderMap) -> Option<Duration> {
+/// How long the connection may stay idle after this response; `None` if the engine closes it.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let closes = headers.get_all(CONNECTION).iter().any(|value| {
         let value = value.to_str().unwrap_or_default();
         value.split(',').any(|token| token.trim().eq_ignore_ascii_case("close"))
@@ -116,8 +117,8 @@
     if closes {
         return None;
     }
-    let told = headers.get("keep-alive").and_then(|value| value.to_str().ok()).and_then(keep_alive_timeout);
-    told.map_or(Some(DEFAULT_IDLE), |told| told.checked_sub(IDLE_MARGIN))
+    let advertised = headers.get("keep-alive").and_then(|value| value.to_str().ok()).and_then(keep_alive_timeout);
+    advertised.map_or(Some(DEFAULT_IDLE_TIMEOUT), |advertised| advertised.checked_sub(KEEP_ALIVE_MARGIN))
 }
 
 fn keep_alive_timeout(value: &str) -> Option<Duration> {
@@ -126,7 +127,7 @@
     Some(Duration::from_secs(seconds.trim().parse().ok()?))
 }
 
-/// A body as it comes.
+/// A response body read as a stream.
 pub struct AnswerStream {
     body: Incoming,
     connection: Connection,
@@ -134,13 +135,13 @@
 }
 
 impl AnswerStream {
-    /// The connection, if it can be used again; asked only after the whole end.
+    /// Returns the connection if it can be reused. Call only after `next` returned `None`.
     pub async fn finish(self) -> Option<Connection> {
         drop(self.body);
         reusable(self.connection, self.idle).await
     }
 
-    /// The next bytes; `None` at the whole end, an error when the answer broke off.
+    /// The next bytes; `None` at the end of a complete response, an error if it was interrupted.
     pub async fn next(&mut self) -> Option<Result<Bytes, Failure>> {
         loop {
             match self.body.frame().await? {
@@ -149,7 +150,7 @@
                         return Some(Ok(bytes));
                     }
                 }
-                Err(error) => return Some(Err(broken_off(&error))),
+                Err(error) => return Some(Err(interrupted(&error))),
             }
         }
     }
--- a/crates/upstream/src/balance.rs
+++ b/crates/upstream/src/balance.rs
@@ -1,4 +1,4 @@
-//! Chooses an engine by what this process has seen of each: requests in flight, latency, failures.
+//! Picks an engine by in-flight requests, latency and failures as observed by this process.
 
 use crate::pool::EngineTarget;
 use saddlerelay_types::instance::InstanceId;
@@ -7,74 +7,74 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Weight of the newest latency in the mean.
+/// Weight of the newest sample in the moving average of latencies.
 const LATENCY_WEIGHT: f64 = 0.3;
 
-/// Latency assumed of an engine that has not answered yet.
+/// Latency assumed for an engine without samples.
 const UNKNOWN_LATENCY: Duration = Duration::from_millis(20);
 
-/// What an engine in another zone costs beside its latency, in seconds.
+/// Score penalty of an engine in another zone, in seconds.
 const OTHER_ZONE_COST: f64 = 0.003;
 
-/// How long a failing engine is left alone at first; doubles with each failure in a row.
+/// Ejection time after the first failure; doubles with each consecutive failure.
 const FIRST_EJECTION: Duration = Duration::from_millis(400);
 
-/// Most doublings of an ejection.
+/// Maximum number of doublings of the ejection time.
 const EJECTION_DOUBLINGS: u32 = 4;
 
-/// An old latency is forgotten by half in this time, so that an engine that was slow is tried again.
+/// Half-life of a latency sample; lets an engine that was slow be tried again.
 const LATENCY_HALF_LIFE: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct EngineStats {
     in_flight: u32,
-    /// Smoothed latency in seconds.
+    /// Moving average of latencies, in seconds.
     latency: f64,
     measured_at: Duration,
-    failures_in_row: u32,
+    consecutive_failures: u32,
     ejected_until: Duration,
 }
 
-impl Seen {
+impl EngineStats {
     fn new(now: Duration) -> Self {
         Self {
             in_flight: 0,
             latency: UNKNOWN_LATENCY.as_secs_f64(),
             measured_at: now,
-            failures_in_row: 0,
+            consecutive_failures: 0,
             ejected_until: Duration::ZERO,
         }
     }
 
-    /// The smoothed latency, drawn towards the unknown as it ages.
+    /// The average latency in seconds, decaying towards `UNKNOWN_LATENCY` with its age.
     fn expected_latency(&self, now: Duration) -> f64 {
         let unknown = UNKNOWN_LATENCY.as_secs_f64();
         let age = now.saturating_sub(self.measured_at).as_secs_f64();
-        let kept = 0.5_f64.powf(age / LATENCY_HALF_LIFE.as_secs_f64());
-        unknown + (self.latency - unknown) * kept
+        let decay = 0.5_f64.powf(age / LATENCY_HALF_LIFE.as_secs_f64());
+        unknown + (self.latency - unknown) * decay
     }
 }
 
-/// An engine that may be given new work.
+/// An engine that is ready for new requests.
 #[derive(Clone, Debug)]
 pub struct ReadyEngine {
-    /// Where and who it is.
+    /// Its instance and address.
     pub target: EngineTarget,
-    /// Where it stands.
+    /// Its zone.
     pub zone: String,
-    /// Requests it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// It no longer reports itself.
+    /// It has stopped sending reports; other engines are preferred.
     pub silent: bool,
 }
 
-/// What this process has seen of each engine. Clones share it.
+/// Load and health of each engine as observed by this process. Clones share state.
 #[derive(Clone, Default)]
 pub struct Balance {
-    seen: Rc<RefCell<BTreeMap<InstanceId, Seen>>>,
+    stats: Rc<RefCell<BTreeMap<InstanceId, EngineStats>>>,
 }
 
-/// A request in flight at an engine; counts until dropped.
+/// Counts a request as in flight at an engine until dropped.
 pub struct InFlight {
     balance: Balance,
     instance: InstanceId,
@@ -82,14 +82,14 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        if let Some(seen) = self.balance.seen.borrow_mut().get_mut(&self.instance) {
-            seen.in_flight = seen.in_flight.saturating_sub(1);
+        if let Some(stats) = self.balance.stats.borrow_mut().get_mut(&self.instance) {
+            stats.in_flight = stats.in_flight.saturating_sub(1);
         }
     }
 }
 
 impl Balance {
-    /// The engine to send a request to, leaving out `tried` ones while there are others.
+    /// Picks an engine for a request; engines in `tried` are picked only if there is no other.
     pub fn choose(
         &self,
         engines: impl Iterator<Item = ReadyEngine>,
@@ -97,70 +97,70 @@
         tried: &[InstanceId],
         now: Duration,
     ) -> Option<ReadyEngine> {
-        let seen = self.seen.borrow();
+        let stats = self.stats.borrow();
         let rank = |engine: &ReadyEngine| {
-            let known = seen.get(&engine.target.instance);
-            let ejected = known.is_some_and(|seen| now < seen.ejected_until);
+            let engine_stats = stats.get(&engine.target.instance);
+            let ejected = engine_stats.is_some_and(|stats| now < stats.ejected_until);
             let penalty = u32::from(tried.contains(&engine.target.instance)) * 4
                 + u32::from(ejected) * 2
                 + u32::from(engine.silent);
-            let fresh = Seen::new(now);
-            let known = known.unwrap_or(&fresh);
-            let waiting = 1.0 + f64::from(known.in_flight) / f64::from(engine.slots.max(1)).max(1.0);
-            let distance = if engine.zone == own_zone { 0.0 } else { OTHER_ZONE_COST };
-            (penalty, known.expected_latency(now) * waiting + distance)
+            let unseen = EngineStats::new(now);
+            let engine_stats = engine_stats.unwrap_or(&unseen);
+            let load_factor = 1.0 + f64::from(engine_stats.in_flight) / f64::from(engine.slots.max(1)).max(1.0);
+            let zone_cost = if engine.zone == own_zone { 0.0 } else { OTHER_ZONE_COST };
+            (penalty, engine_stats.expected_latency(now) * load_factor + zone_cost)
         };
         let ranked = engines.map(|engine| (rank(&engine), engine));
         let least = ranked.min_by(|(left, _), (right, _)| left.0.cmp(&right.0).then(left.1.total_cmp(&right.1)));
         least.map(|(_, engine)| engine)
     }
 
-    /// Requests in flight from this process.
+    /// Number of requests of this process in flight at an engine.
     pub fn in_flight(&self, instance: &InstanceId) -> u32 {
-        self.seen.borrow().get(instance).map_or(0, |seen| seen.in_flight)
+        self.stats.borrow().get(instance).map_or(0, |stats| stats.in_flight)
     }
 
-    /// Counts a request as in flight.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn begin(&self, instance: &InstanceId, now: Duration) -> InFlight {
-        let mut seen = self.seen.borrow_mut();
-        seen.entry(instance.clone()).or_insert_with(|| Seen::new(now)).in_flight += 1;
+        let mut stats = self.stats.borrow_mut();
+        stats.entry(instance.clone()).or_insert_with(|| EngineStats::new(now)).in_flight += 1;
         InFlight { balance: self.clone(), instance: instance.clone() }
     }
 
-    /// An answer came after `latency`.
+    /// Records a response after `latency`; ends any ejection.
     pub fn answered(&self, instance: &InstanceId, latency: Duration, now: Duration) {
         self.measure(instance, latency, now);
-        if let Some(seen) = self.seen.borrow_mut().get_mut(instance) {
-            seen.failures_in_row = 0;
-            seen.ejected_until = Duration::ZERO;
+        if let Some(stats) = self.stats.borrow_mut().get_mut(instance) {
+            stats.consecutive_failures = 0;
+            stats.ejected_until = Duration::ZERO;
         }
     }
 
-    /// No answer has come for `latency`, and it is no longer waited for.
-    pub fn outlasted(&self, instance: &InstanceId, latency: Duration, now: Duration) {
+    /// Records an attempt that was cancelled after `latency` without a response, as a failure.
+    pub fn cancelled(&self, instance: &InstanceId, latency: Duration, now: Duration) {
         self.measure(instance, latency, now);
         self.failed(instance, now);
     }
 
     fn measure(&self, instance: &InstanceId, latency: Duration, now: Duration) {
-        let mut seen = self.seen.borrow_mut();
-        let seen = seen.entry(instance.clone()).or_insert_with(|| Seen::new(now));
-        let before = seen.expected_latency(now);
-        seen.latency = before + (latency.as_secs_f64() - before) * LATENCY_WEIGHT;
-        seen.measured_at = now;
+        let mut stats = self.stats.borrow_mut();
+        let stats = stats.entry(instance.clone()).or_insert_with(|| EngineStats::new(now));
+        let previous = stats.expected_latency(now);
+        stats.latency = previous + (latency.as_secs_f64() - previous) * LATENCY_WEIGHT;
+        stats.measured_at = now;
     }
 
-    /// The engine failed: it is left alone for a while, longer with each failure in a row.
+    /// Records a failure and ejects the engine, longer with each consecutive failure.
     pub fn failed(&self, instance: &InstanceId, now: Duration) {
-        let mut seen = self.seen.borrow_mut();
-        let seen = seen.entry(instance.clone()).or_insert_with(|| Seen::new(now));
-        let doublings = seen.failures_in_row.min(EJECTION_DOUBLINGS);
-        seen.failures_in_row += 1;
-        seen.ejected_until = now + FIRST_EJECTION * 2_u32.pow(doublings);
+        let mut stats = self.stats.borrow_mut();
+        let stats = stats.entry(instance.clone()).or_insert_with(|| EngineStats::new(now));
+        let doublings = stats.consecutive_failures.min(EJECTION_DOUBLINGS);
+        stats.consecutive_failures += 1;
+        stats.ejected_until = now + FIRST_EJECTION * 2_u32.pow(doublings);
     }
 
-    /// Forgets engines that `keep` does not want.
+    /// Drops engines for which `keep` returns false and no request is in flight.
     pub fn retain(&self, keep: impl Fn(&InstanceId) -> bool) {
-        self.seen.borrow_mut().retain(|instance, seen| seen.in_flight > 0 || keep(instance));
+        self.stats.borrow_mut().retain(|instance, stats| stats.in_flight > 0 || keep(instance));
     }
 }
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -1,44 +1,44 @@
-//! Events of a stream, read from its bytes as they come.
+//! Incremental parser for server-sent events.
 
-/// One event.
+/// A server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// Its number in the stream, if it has one.
+    /// The numeric `id` field, if present.
     pub id: Option<u64>,
-    /// Its data; several lines are parted by line feeds.
+    /// The `data` fields, joined by line feeds.
     pub data: Vec<u8>,
-    /// The value of a leading line with the name that the reader looks for.
+    /// The value of the additional field that the parser was created for.
     pub noted: Option<String>,
-    /// The event as it came, with the empty line that ends it.
+    /// The raw bytes of the event, including the empty line at its end.
     pub raw: Vec<u8>,
 }
 
-/// Cuts a stream of bytes into events.
+/// Splits a byte stream into events.
 pub struct EventCutter {
     received: Vec<u8>,
-    /// How many of `received` are known to hold no end of an event.
+    /// Number of bytes of `received` already searched for the end of an event.
     searched: usize,
-    /// The name of the line to note, in lower case and with its colon.
-    noted_line: String,
+    /// Name of the additional field to extract, in lower case, with its colon.
+    extra_field: String,
 }
 
 impl EventCutter {
-    /// A cutter that notes the value of lines named `noted_name`.
-    pub fn new(noted_name: &str) -> Self {
-        Self { received: Vec::new(), searched: 0, noted_line: format!("{}:", noted_name.to_ascii_lowercase()) }
+    /// A parser that also extracts the field `field_name`.
+    pub fn new(field_name: &str) -> Self {
+        Self { received: Vec::new(), searched: 0, extra_field: format!("{}:", field_name.to_ascii_lowercase()) }
     }
 
-    /// Takes the next bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.received.extend_from_slice(bytes);
     }
 
-    /// Whether bytes of an unfinished event are left.
+    /// Whether the buffer contains an incomplete event.
     pub fn is_mid_event(&self) -> bool {
         !self.received.is_empty()
     }
 
-    /// The next whole event.
+    /// The next complete event, if the buffer contains one.
     pub fn next_event(&mut self) -> Option<Event> {
         let from = self.searched.saturating_sub(3);
         let Some(end) = end_of_event(&self.received[from..]).map(|end| from + end) else {
@@ -63,7 +63,7 @@
                 event.data.extend_from_slice(value);
             } else if let Some(value) = field(line, b"id:") {
                 event.id = std::str::from_utf8(value).ok().and_then(|value| value.trim().parse().ok());
-            } else if let Some(value) = field(line, self.noted_line.as_bytes()) {
+            } else if let Some(value) = field(line, self.extra_field.as_bytes()) {
                 event.noted = Some(String::from_utf8_lossy(value).trim().to_string());
             }
         }
@@ -72,18 +72,18 @@
     }
 }
 
-/// The value of a line that begins with `name`, less one leading space.
+/// The value of a line that starts with `name`, without one leading space.
 fn field<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let value = line.strip_prefix(name)?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
 }
 
-/// The index after the first empty line.
+/// The index after the first empty line, which ends an event.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
-    let plain = bytes.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
+    let with_line_feeds = bytes.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
     let with_returns = bytes.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4);
-    match (plain, with_returns) {
-        (Some(plain), Some(with_returns)) => Some(plain.min(with_returns)),
-        (plain, with_returns) => plain.or(with_returns),
+    match (with_line_feeds, with_returns) {
+        (Some(with_line_feeds), Some(with_returns)) => Some(with_line_feeds.min(with_returns)),
+        (with_line_feeds, with_returns) => with_line_feeds.or(with_returns),
     }
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,9 +1,10 @@
-//! Calls engines with opaque requests: method, path, headers and body go on as they came.
+//! HTTP/1.1 client for engines. Method, path, headers and body of a request are opaque; only the
+//! headers for the addressed instance and the deadline are added.
 //!
-//! A connection carries one request at a time. Whether a request may have run is told by how far it got: a failed
-//! connect, or an engine that says so, proves that it has not; everything after the first byte proves nothing.
+//! A connection carries one request at a time. A request is known not to have executed if the connect failed, no byte
+//! was sent, or the engine reported so. Any other failure leaves it open whether it executed.
 //!
-//! `turns` shares requests out among the services of a route, `balance` among the engines of a service.
+//! `turns` balances requests across the services of a route, `balance` across the engines of a service.
 
 pub mod answer;
 pub mod balance;
--- a/crates/upstream/src/names.rs
+++ b/crates/upstream/src/names.rs
@@ -2,40 +2,40 @@
 
 use hyper::header::HeaderName;
 
-/// Header names. The default ones are the product's own.
+/// Header names; configurable, with `saddlerelay-` defaults.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// The request's identifier; an engine's answer carries it back.
+    /// The request ID; engines echo it in the response.
     pub request_id: HeaderName,
-    /// How long the sender will wait, in milliseconds.
+    /// The sender's remaining timeout, in milliseconds.
     pub deadline: HeaderName,
-    /// The instance that a request is meant for; any other answers 421.
+    /// The instance that a request is addressed to; any other responds with 421.
     pub expect_instance: HeaderName,
-    /// The weight version that a request is meant for; an engine that holds another answers 421.
+    /// The weight version that a request requires; an engine with another version responds with 421.
     pub expect_version: HeaderName,
-    /// An answer with it says that the engine did not run the request.
+    /// Present in a response if the engine did not execute the request.
     pub not_executed: HeaderName,
-    /// The signature of the engine that made an answer.
+    /// Identifies the engine that produced a response; a successful response without it is rejected.
     pub stamp: HeaderName,
-    /// The engine's load: running, waiting, slots.
+    /// The engine's load: running requests, waiting requests, slots.
     pub load: HeaderName,
-    /// The weight version that makes the events which follow.
+    /// The weight version that generates the events that follow.
     pub weight_version: HeaderName,
     /// The model that a request asks for.
     pub model: HeaderName,
-    /// Tokens of the prompt, and most to be generated, parted by a comma.
+    /// Prompt tokens and maximum generated tokens, separated by a comma.
     pub token_count: HeaderName,
-    /// The sender's guess at the tokens to be generated.
+    /// The sender's estimate of the number of generated tokens.
     pub length_hint: HeaderName,
-    /// How urgent a request is at its engine, 0 first.
+    /// Scheduling priority at the engine; 0 is the highest.
     pub priority: HeaderName,
-    /// How long a read may be held open, in milliseconds.
+    /// Maximum long-poll wait of a read, in milliseconds.
     pub wait: HeaderName,
-    /// The event after which a stream goes on.
+    /// ID of the last received event, after which a stream resumes.
     pub last_event: HeaderName,
-    /// The key by which a caller is known; engines never see it.
+    /// The caller's API key; not forwarded to engines.
     pub key: HeaderName,
-    /// The tenant of a request, as its key tells; set for engines, whatever the caller says.
+    /// The tenant that the API key belongs to; set on forwarded requests, replacing any value from the caller.
     pub tenant: HeaderName,
 }
 
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections by engine instance, and calls over them.
+//! Connection pool to engine instances, and calls over it.
 
 use crate::answer::{Answer, Failure};
 use crate::connection::Connection;
@@ -15,52 +15,52 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Idle connections kept to one instance.
-const IDLE_KEPT: usize = 32;
+/// Maximum number of idle connections per instance.
+const MAX_IDLE_CONNECTIONS: usize = 32;
 
-/// Largest answer to a call of saddlerelay's own.
-const CALL_ANSWER_BYTES: usize = 1 << 20;
+/// Maximum size of a response to `Pool::call`, in bytes.
+const MAX_CALL_RESPONSE_BYTES: usize = 1 << 20;
 
-/// A connection used so recently is hardly being closed.
-const SHORT_REST: Duration = Duration::from_millis(200);
+/// Idle time up to which `Reuse::Recent` accepts a connection: the engine is unlikely to be closing it.
+const RECENT_IDLE_TIME: Duration = Duration::from_millis(200);
 
-/// An instance to call.
+/// An engine instance and its address.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EngineTarget {
-    /// The instance; any other at the address refuses the call.
+    /// The instance; another instance at the address rejects the request.
     pub instance: InstanceId,
-    /// Where it serves.
+    /// The address that it listens on.
     pub address: SocketAddr,
 }
 
-/// A request to send on.
+/// A request to forward.
 #[derive(Clone, Debug)]
 pub struct Outgoing {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// End-to-end headers, the host among them.
+    /// End-to-end headers, including `Host`.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// The request's identifier, which the answer must carry back.
+    /// The request ID, which the response must echo.
     pub request_id: String,
 }
 
-/// Which idle connections a request may take. One that the engine closes at that moment leaves it open whether the
-/// request ran.
+/// Which idle connections a request may reuse. If the engine closes a reused connection at the same time, it is unknown
+/// whether the request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// Any.
+    /// Any open connection.
     Any,
-    /// Only those used a moment ago.
+    /// Only connections used within `RECENT_IDLE_TIME`.
     Recent,
-    /// None.
+    /// No reuse: always opens a new connection.
     None,
 }
 
-/// Connections to engines. Clones share them.
+/// Connections to engines. Clones share the pool.
 #[derive(Clone)]
 pub struct Pool {
     names: Rc<HeaderNames>,
@@ -69,27 +69,27 @@
 }
 
 impl Pool {
-    /// An empty pool whose connects take at most `connect_limit`.
+    /// An empty pool with a connect timeout of `connect_limit`.
     pub fn new(names: Rc<HeaderNames>, connect_limit: Duration) -> Self {
         Self { names, idle: Rc::default(), connect_limit }
     }
 
-    /// The header names in use.
+    /// The configured header names.
     pub fn names(&self) -> &HeaderNames {
         &self.names
     }
 
-    /// Drops the idle connections to instances that `keep` does not want.
+    /// Closes the idle connections to instances for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&InstanceId) -> bool) {
         self.idle.borrow_mut().retain(|target, _| keep(&target.instance));
     }
 
-    /// Gives a connection back.
+    /// Returns a connection to the pool.
     pub fn put_back(&self, target: &EngineTarget, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(target.clone()).or_default();
         connections.retain(Connection::is_open);
-        if connections.len() < IDLE_KEPT {
+        if connections.len() < MAX_IDLE_CONNECTIONS {
             connections.push(connection);
         }
     }
@@ -98,15 +98,15 @@
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(target)?;
         while let Some(connection) = connections.pop() {
-            let suits = reuse == Reuse::Any || connection.rest_time() < SHORT_REST;
-            if connection.is_open() && suits {
+            let may_reuse = reuse == Reuse::Any || connection.idle_time() < RECENT_IDLE_TIME;
+            if connection.is_open() && may_reuse {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// A connection to `target`: an idle one if there is one and `reuse` allows it.
+    /// Returns an idle connection to `target` that `reuse` allows, or opens a new one.
     async fn connect(&self, target: &EngineTarget, reuse: Reuse) -> Result<Connection, Failure> {
         if reuse != Reuse::None
             && let Some(connection) = self.take(target, reuse)
@@ -116,9 +116,9 @@
         Connection::open(target.address, self.connect_limit).await
     }
 
-    /// Sends `request` to `target` and returns its answer's head. `time_left` is asked when the connection stands, and
-    /// `may_send` immediately before the first byte: a process may have been frozen meanwhile. A used connection that
-    /// turns out closed before the request began is replaced by a fresh one.
+    /// Sends `request` to `target` and returns the response once its head has arrived. `time_left` is evaluated once
+    /// the connection is established, and `may_send` immediately before the first byte, since the process may have been
+    /// suspended while it connected. A reused connection found closed before the first byte is replaced by a new one.
     pub async fn send(
         &self,
         target: &EngineTarget,
@@ -131,7 +131,7 @@
             let mut connection = self.connect(target, reuse).await?;
             let message = self.message(target, request, time_left())?;
             if !may_send() {
-                return Err(Failure::NotSent("the right to act has ended".to_string()));
+                return Err(Failure::NotSent("permission to send expired".to_string()));
             }
             match connection.send(message).await {
                 Ok(response) => return Answer::check(response, connection, &self.names, &request.request_id),
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Makes a call of saddlerelay's own to `target` and returns the whole answer, within `limit`.
+    /// Makes a control call, which is not forwarded for a client, and returns the complete response within `limit`.
     pub async fn call(
         &self,
         target: &EngineTarget,
@@ -153,15 +153,15 @@
             let mut connection = self.connect(target, Reuse::Recent).await?;
             let message = self.message(target, request, limit)?;
             if !may_send() {
-                return Err(Failure::NotSent("the right to act has ended".to_string()));
+                return Err(Failure::NotSent("permission to send expired".to_string()));
             }
             let (head, body) = connection.send(message).await?.into_parts();
-            let body = Limited::new(body, CALL_ANSWER_BYTES).collect().await;
-            let body = body.map_err(|error| Failure::MayHaveRun(format!("the answer broke off: {error}")))?;
+            let body = Limited::new(body, MAX_CALL_RESPONSE_BYTES).collect().await;
+            let body = body.map_err(|error| Failure::MayHaveRun(format!("response interrupted: {error}")))?;
             Ok((head, body.to_bytes()))
         };
-        let ended = compio::time::timeout(limit, exchange).await;
-        ended.unwrap_or_else(|_| Err(Failure::MayHaveRun("no answer in time".to_string())))
+        let result = compio::time::timeout(limit, exchange).await;
+        result.unwrap_or_else(|_| Err(Failure::MayHaveRun("response timed out".to_string())))
     }
 
     fn message(
@@ -171,7 +171,7 @@
         time_left: Duration,
     ) -> Result<Request<Full<Bytes>>, Failure> {
         if time_left.is_zero() {
-            return Err(Failure::NotSent("no time is left".to_string()));
+            return Err(Failure::NotSent("deadline already exceeded".to_string()));
         }
         let invalid = |error: &dyn std::fmt::Display| Failure::NotSent(error.to_string());
         let instance = HeaderValue::from_str(&target.instance.name).map_err(|error| invalid(&error))?;
--- a/crates/upstream/src/turns.rs
+++ b/crates/upstream/src/turns.rs
@@ -1,39 +1,39 @@
-//! Turns of a route's targets, so that each gets the share that its weight says.
+//! Smooth weighted round-robin across a route's targets.
 
 use saddlerelay_types::routing::WeightedTarget;
 
-/// Turns of which an offset chooses one to begin with: as many as weights in percent need to come round.
-const ROUND: f64 = 100.0;
+/// Number of start positions: the length of a full cycle for weights in percent.
+const CYCLE_LENGTH: f64 = 100.0;
 
-/// What each target of one route is owed.
+/// Weighted round-robin state of one route's targets.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WeightedTurns {
-    debts: Vec<f64>,
+    credits: Vec<f64>,
 }
 
 impl WeightedTurns {
-    /// Turns of `targets` as after so many of a round as `offset` (0 to 1) says. Whoever begins at an offset drawn evenly
-    /// begins with each target as often as its weight says.
+    /// State for `targets`, advanced by the fraction `offset` (0 to 1) of a cycle. With uniformly distributed offsets,
+    /// the first picks are distributed by weight.
     pub fn new(targets: &[WeightedTarget], offset: f64) -> Self {
-        let mut turns = Self { debts: vec![0.0; targets.len()] };
+        let mut turns = Self { credits: vec![0.0; targets.len()] };
         if targets.len() > 1 {
-            for _ in 0..(offset * ROUND) as u32 {
+            for _ in 0..(offset * CYCLE_LENGTH) as u32 {
                 turns.take(targets);
             }
         }
         turns
     }
 
-    /// Gives the next turn to the target that is owed most, and returns its index. `targets` are those it was made for.
+    /// Picks the target with the largest credit and returns its index. `targets` must be those passed to `new`.
     pub fn take(&mut self, targets: &[WeightedTarget]) -> usize {
         let total: f64 = targets.iter().map(|target| target.weight as f64).sum();
-        for (debt, target) in self.debts.iter_mut().zip(targets) {
-            *debt += target.weight as f64 / total;
+        for (credit, target) in self.credits.iter_mut().zip(targets) {
+            *credit += target.weight as f64 / total;
         }
-        let debts = &self.debts;
-        let largest = (0..debts.len()).max_by(|left, right| debts[*left].total_cmp(&debts[*right])).unwrap_or(0);
-        if let Some(debt) = self.debts.get_mut(largest) {
-            *debt -= 1.0;
+        let credits = &self.credits;
+        let largest = (0..credits.len()).max_by(|left, right| credits[*left].total_cmp(&credits[*right])).unwrap_or(0);
+        if let Some(credit) = self.credits.get_mut(largest) {
+            *credit -= 1.0;
         }
         largest
     }
