--- a/crates/layouts/src/commands.rs
+++ b/crates/layouts/src/commands.rs
@@ -1,20 +1,21 @@
-//! Commands on the log.
+//! Encoding of log commands.
 
 use crate::FeatureLevel;
 use crate::level_one::convert::commands_to_one;
 use crate::level_one::protocol as one;
 use saddlerelay_types::protocol::{Command, LogCommand};
 
-/// A command as it stands on the log.
+/// A decoded log command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Committed {
-    /// Of level one.
+    /// A command of level one.
     One(one::LogCommand),
-    /// Of today.
+    /// A command of the current types.
     Today(LogCommand),
 }
 
-/// The entries that do together what `command` does, the last of which has its outcome; `None` if the level has no words for it.
+/// Encodes `command` as one or more log entries; the outcome of the last one is that of the command. `None` if the
+/// level cannot express it.
 pub fn encode(time: u64, command: Command, level: FeatureLevel) -> Option<Vec<Vec<u8>>> {
     match level {
         FeatureLevel::One => {
@@ -25,7 +26,7 @@
     }
 }
 
-/// Reads an entry; `None` if it cannot be read.
+/// Decodes a log entry; `None` if it is malformed.
 pub fn decode(bytes: &[u8], level: FeatureLevel) -> Option<Committed> {
     match level {
         FeatureLevel::One => bitcode::decode(bytes).ok().map(Committed::One),
--- a/crates/layouts/src/level_one/convert/commands.rs
+++ b/crates/layouts/src/level_one/convert/commands.rs
@@ -1,4 +1,4 @@
-//! Commands on the log.
+//! Conversion of log commands.
 
 use crate::level_one::gateway as one;
 use crate::level_one::protocol as one_protocol;
@@ -6,7 +6,7 @@
 use saddlerelay_types::gateway::{GatewayCommand, OrderSubject};
 use saddlerelay_types::protocol::Command;
 
-/// The commands of level one that do together what `command` does today.
+/// Converts `command` to level one commands that together have the same effect.
 fn gateway_commands_to_one(command: GatewayCommand) -> Option<Vec<one::GatewayCommand>> {
     use one::GatewayCommand as One;
     Some(match command {
@@ -48,7 +48,7 @@
     })
 }
 
-/// The commands of level one that do together what `command` does today.
+/// Converts `command` to level one commands that together have the same effect; `None` if level one cannot express it.
 pub fn commands_to_one(command: Command) -> Option<Vec<one_protocol::Command>> {
     use one_protocol::Command as One;
     Some(match command {
--- a/crates/layouts/src/level_one/convert/control.rs
+++ b/crates/layouts/src/level_one/convert/control.rs
@@ -1,4 +1,4 @@
-//! Whole requests to a control replica, and its answers.
+//! Conversion of requests to control replicas and of their replies.
 
 use super::commands::commands_to_one;
 use super::messages::{reply_from_one, reply_to_one, request_from_one, request_to_one};
@@ -7,7 +7,7 @@
 use saddlerelay_types::gateway::GatewayOutcome;
 use saddlerelay_types::protocol::{Command, CommandOutcome, ControlReply, ControlRequest, RenewReply, RenewRequest};
 
-/// A command that a caller asks for. None asks so for what is about routing, instances or jobs.
+/// Converts a command of an `Execute` request; `None` for gateway commands, which are not requested by `Execute`.
 fn executed_from_one(command: one_protocol::Command) -> Option<Command> {
     use one_protocol::Command as One;
     Some(match command {
@@ -65,7 +65,8 @@
     })
 }
 
-/// Today's request; `None` for a relay's question, which is answered apart, and for what cannot be asked so.
+/// Converts a request from level one; `None` for a follow request, which is handled separately, and for an `Execute`
+/// of a gateway command.
 pub fn control_request_from_one(request: one_protocol::ControlRequest) -> Option<ControlRequest> {
     use one_protocol::ControlRequest as One;
     Some(match request {
@@ -84,7 +85,8 @@
     })
 }
 
-/// A request of level one; a relay's question is asked apart.
+/// Converts a request to level one; `None` for a follow request, which is handled separately, or if level one cannot
+/// express it.
 pub fn control_request_to_one(request: ControlRequest) -> Option<one_protocol::ControlRequest> {
     use one_protocol::ControlRequest as One;
     Some(match request {
@@ -102,7 +104,7 @@
     })
 }
 
-/// Today's answer; `None` for that to a relay's question.
+/// Converts a reply from level one; `None` for a follow reply.
 pub fn control_reply_from_one(reply: one_protocol::ControlReply) -> Option<ControlReply> {
     use one_protocol::ControlReply as One;
     Some(match reply {
@@ -126,7 +128,7 @@
     })
 }
 
-/// An answer of level one.
+/// Converts a reply to level one; `None` if level one cannot express it.
 pub fn control_reply_to_one(reply: ControlReply) -> Option<one_protocol::ControlReply> {
     use one_protocol::ControlReply as One;
     Some(match reply {
--- a/crates/layouts/src/level_one/convert/instances.rs
+++ b/crates/layouts/src/level_one/convert/instances.rs
@@ -1,4 +1,4 @@
-//! Engine instances and batch jobs: level one knows neither starts nor owners.
+//! Conversion of engine instances and batch jobs; level one has neither start times nor owners.
 
 use crate::level_one::gateway as one;
 use saddlerelay_types::instance::{InstanceId, InstanceRecord, InstanceReport};
@@ -11,7 +11,7 @@
 }
 
 impl From<&InstanceId> for one::InstanceId {
-    /// The start is left out.
+    /// Drops the start time.
     fn from(id: &InstanceId) -> Self {
         Self(id.name.clone())
     }
@@ -48,7 +48,7 @@
 }
 
 impl one::InstanceRecord {
-    /// The record, with what level one says apart of its silence.
+    /// Converts the record, with the silent flag that level one sends separately.
     pub fn with_silence(self, silent: bool) -> InstanceRecord {
         InstanceRecord { report: self.report.into(), state: self.state, silent, revision: self.revision }
     }
@@ -77,7 +77,7 @@
 }
 
 impl one::JobSubmission {
-    /// The job, unless it has an owner.
+    /// Converts the job; `None` if it has an owner.
     pub fn of(job: JobSubmission) -> Option<Self> {
         job.owner.is_none().then_some(Self {
             id: job.id,
--- a/crates/layouts/src/level_one/convert/messages.rs
+++ b/crates/layouts/src/level_one/convert/messages.rs
@@ -1,16 +1,16 @@
-//! Requests about routing, instances and jobs, and their answers. A relay's question and its answer are in `follow`.
+//! Conversion of gateway requests and replies. Follow requests and replies are converted in `follow`.
 
 use crate::level_one::gateway as one;
 use crate::level_one::routing as one_routing;
 use saddlerelay_types::gateway::{GatewayReply, GatewayRequest};
 use saddlerelay_types::tenancy::Caller;
 
-/// A caller whom level one cannot name is nobody there.
+/// Whether level one can express the caller.
 fn is_anyone(caller: &Caller) -> bool {
     *caller == Caller::Anyone
 }
 
-/// Today's request; `None` for a relay's question, which is answered apart.
+/// Converts a request from level one; `None` for a follow request, which is handled separately.
 pub fn request_from_one(request: one::GatewayRequest) -> Option<GatewayRequest> {
     use one::GatewayRequest as One;
     let caller = Caller::Anyone;
@@ -35,7 +35,8 @@
     })
 }
 
-/// A request of level one; a relay's question is asked apart.
+/// Converts a request to level one; `None` for a follow request, which is handled separately, or if level one cannot
+/// express it.
 pub fn request_to_one(request: GatewayRequest) -> Option<one::GatewayRequest> {
     use one::GatewayRequest as One;
     Some(match request {
@@ -74,7 +75,7 @@
     })
 }
 
-/// Today's answer; `None` for that to a relay's question.
+/// Converts a reply from level one; `None` for a follow reply.
 pub fn reply_from_one(reply: one::GatewayReply) -> Option<GatewayReply> {
     use one::GatewayReply as One;
     Some(match reply {
@@ -92,11 +93,11 @@
     })
 }
 
-/// An answer of level one.
+/// Converts a reply to level one; `None` if level one cannot express it.
 pub fn reply_to_one(reply: GatewayReply) -> Option<one::GatewayReply> {
     use one::GatewayReply as One;
     Some(match reply {
-        // Level one reports whole each time: none of those is missing.
+        // Level one senders always send full reports, so no report is missing.
         GatewayReply::Done | GatewayReply::ReportsMissing(_) => One::Done,
         GatewayReply::InvalidRouting(error) => One::InvalidRouting(one_routing::RoutingError::of(error)?),
         GatewayReply::Routing(source) => One::Routing(source),
--- a/crates/layouts/src/level_one/convert/mod.rs
+++ b/crates/layouts/src/level_one/convert/mod.rs
@@ -1,5 +1,5 @@
-//! Between layouts of level one and today's types. What comes from level one always has a meaning today; the other way round
-//! `None` says that level one has no words for it.
+//! Conversions between level one types and the current types. Conversions to level one return `None` if it cannot
+//! express the value.
 
 mod commands;
 mod control;
--- a/crates/layouts/src/level_one/convert/routing.rs
+++ b/crates/layouts/src/level_one/convert/routing.rs
@@ -1,4 +1,4 @@
-//! Routing documents, what is wrong with them, and what turns one into a newer one.
+//! Conversion of routing documents, their validation errors and updates.
 
 use crate::level_one::routing as one_routing;
 use saddlerelay_types::routing::{Route, RoutingDocument, RoutingError, Service};
@@ -24,7 +24,7 @@
 }
 
 impl one_routing::Route {
-    /// The route, unless it is public: where no keys are asked for, that says nothing and level one has no word for it.
+    /// Converts the route; `None` if it is public, which level one cannot express.
     pub fn of(route: Route) -> Option<Self> {
         (!route.public).then_some(Self {
             name: route.name,
@@ -55,7 +55,7 @@
 }
 
 impl one_routing::Service {
-    /// The service, unless it has limits of scaling.
+    /// Converts the service; `None` if it has scaling limits.
     pub fn of(service: Service) -> Option<Self> {
         service.scaling.is_none().then_some(Self {
             name: service.name,
@@ -80,8 +80,8 @@
 }
 
 impl one_routing::RoutingDocument {
-    /// The document, unless it lists tenants or says of a route or service what level one has no words for: whoever took it
-    /// for whole would serve callers that it shuts out.
+    /// Converts the document; `None` if it lists tenants or a route or service cannot be expressed. Dropping the
+    /// tenants would admit callers that the document excludes.
     pub fn of(document: RoutingDocument) -> Option<Self> {
         if document.tenants.is_some() {
             return None;
@@ -109,7 +109,7 @@
 }
 
 impl one_routing::RoutingError {
-    /// The error, unless it is about tenants.
+    /// Converts the error; `None` if it concerns tenants.
     pub fn of(error: RoutingError) -> Option<Self> {
         match error {
             RoutingError::UnknownService(service) => Some(Self::UnknownService(service)),
@@ -122,7 +122,7 @@
     }
 }
 
-/// An update of level one as today's; `None` if it cannot be read.
+/// Converts an encoded update from level one; `None` if it is malformed.
 pub fn update_from_one(update: &EncodedRoutingUpdate) -> Option<EncodedRoutingUpdate> {
     let update: one_routing::RoutingUpdate = bitcode::decode(update.bytes()).ok()?;
     Some(EncodedRoutingUpdate::encode(&RoutingUpdate {
@@ -132,14 +132,14 @@
         removed: update.removed,
         services: update.services.into_iter().map(Into::into).collect(),
         limits: update.limits,
-        tenants: TenantUpdate::Unlisted,
+        tenants: TenantUpdate::NoTenants,
     }))
 }
 
-/// Today's update as one of level one; `None` if that has no words for it.
+/// Converts an encoded update to level one; `None` if it is malformed or level one cannot express it.
 pub fn update_to_one(update: &EncodedRoutingUpdate) -> Option<EncodedRoutingUpdate> {
     let update = update.decode()?;
-    if update.tenants != TenantUpdate::Unlisted {
+    if update.tenants != TenantUpdate::NoTenants {
         return None;
     }
     let update = one_routing::RoutingUpdate {
--- a/crates/layouts/src/level_one/follow.rs
+++ b/crates/layouts/src/level_one/follow.rs
@@ -1,15 +1,15 @@
-//! A relay's questions to a leader that speaks level one.
+//! A relay's follow requests to a leader that runs at level one.
 //!
-//! Level one names silent instances apart from their records, all of them in each answer; today each record says whether its
-//! instance is silent. What was answered last is kept here to tell which records a new answer changes.
+//! Level one sends the full list of silent instances, separate from the records, in each reply; the current level has
+//! a flag in each record. The last reply is kept to determine which records a new reply changes.
 
 use crate::level_one::convert::update_from_one;
 use crate::level_one::gateway::{FollowReply, FollowRequest, InstanceId, InstanceRecord};
-use saddlerelay_types::gateway as today;
+use saddlerelay_types::gateway as current;
 use saddlerelay_types::instance::{InstanceNews, InstanceState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the relay was answered last.
+/// State from the last reply.
 #[derive(Debug, Default)]
 pub struct FollowMemory {
     revision: u64,
@@ -18,32 +18,32 @@
 }
 
 impl FollowMemory {
-    /// The relay's question in the words of level one. If it holds something else than it was answered last, it is told
-    /// everything anew.
-    pub fn question(&self, follow: &today::FollowRequest) -> FollowRequest {
-        let goes_on = self.revision > 0 && follow.instance_revision == self.revision;
+    /// Converts the relay's request to level one. Requests the full state if the relay's revision is not that of
+    /// the last reply.
+    pub fn question(&self, follow: &current::FollowRequest) -> FollowRequest {
+        let is_incremental = self.revision > 0 && follow.instance_revision == self.revision;
         FollowRequest {
             relay: follow.relay.clone(),
             zone: follow.zone.clone(),
             routing_version: follow.routing_version,
-            instance_revision: if goes_on { self.revision } else { 0 },
-            silent: if goes_on { self.silent.iter().cloned().collect() } else { Vec::new() },
+            instance_revision: if is_incremental { self.revision } else { 0 },
+            silent: if is_incremental { self.silent.iter().cloned().collect() } else { Vec::new() },
         }
     }
 
-    /// The answer to `asked`; `None` if its routing cannot be read.
-    pub fn take(&mut self, asked: &FollowRequest, reply: FollowReply) -> Option<today::FollowReply> {
+    /// Converts the reply to `request`; `None` if its routing update is malformed.
+    pub fn take(&mut self, request: &FollowRequest, reply: FollowReply) -> Option<current::FollowReply> {
         let routing = match &reply.routing {
             Some(update) => Some(update_from_one(update)?),
             None => None,
         };
-        let whole = asked.instance_revision == 0;
+        let whole = request.instance_revision == 0;
         if whole {
             self.records.clear();
         }
-        let before = if whole { BTreeSet::new() } else { std::mem::take(&mut self.silent) };
+        let previously_silent = if whole { BTreeSet::new() } else { std::mem::take(&mut self.silent) };
         self.silent = reply.silent.into_iter().collect();
-        let mut changed: BTreeSet<InstanceId> = before.symmetric_difference(&self.silent).cloned().collect();
+        let mut changed: BTreeSet<InstanceId> = previously_silent.symmetric_difference(&self.silent).cloned().collect();
         let mut records = Vec::new();
         for record in reply.instances {
             let id = record.report.id.clone();
@@ -55,10 +55,11 @@
                 changed.insert(id);
             }
         }
-        let held = changed.iter().filter_map(|id| self.records.get(id));
-        records.extend(held.map(|record| record.clone().with_silence(self.silent.contains(&record.report.id))));
+        let changed_records = changed.iter().filter_map(|id| self.records.get(id));
+        records
+            .extend(changed_records.map(|record| record.clone().with_silence(self.silent.contains(&record.report.id))));
         self.revision = reply.instance_revision;
-        Some(today::FollowReply {
+        Some(current::FollowReply {
             lease_ms: reply.lease_ms,
             routing,
             instances: InstanceNews { revision: reply.instance_revision, whole, records },
--- a/crates/layouts/src/level_one/gateway.rs
+++ b/crates/layouts/src/level_one/gateway.rs
@@ -1,4 +1,4 @@
-//! Messages and commands about routing, engine instances, jobs and orders, of level one.
+//! Level one messages and commands for routing, engine instances, jobs and orders.
 
 use crate::level_one::routing::{RoutingDocument, RoutingError};
 use bitcode::{Decode, Encode};
@@ -9,39 +9,39 @@
 use saddlerelay_types::routing_update::EncodedRoutingUpdate;
 use std::net::SocketAddr;
 
-/// An engine instance's name: it tells no start.
+/// An engine instance's name, without a start time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct InstanceId(pub String);
 
-/// What an engine says of itself.
+/// Status reported by an engine instance.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct InstanceReport {
     /// The instance.
     pub id: InstanceId,
     /// Its service.
     pub service: String,
-    /// Where it listens.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// Streams that it runs at a time.
+    /// Maximum concurrent requests.
     pub slots: u32,
-    /// Whether it leaves.
+    /// Whether it is draining.
     pub leaving: bool,
-    /// What it has loaded.
+    /// Loaded models.
     pub models: Vec<LoadedModel>,
-    /// Rises with each report.
+    /// Increases with each report.
     pub sequence: u64,
 }
 
-/// An instance as the group knows it.
+/// An instance as recorded by the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct InstanceRecord {
-    /// What it said.
+    /// The newest report.
     pub report: InstanceReport,
     /// Its state.
     pub state: InstanceState,
-    /// The revision of its last change.
+    /// Revision of the instance table at the record's last change.
     pub revision: u64,
 }
 
@@ -50,23 +50,23 @@
 pub struct JobSubmission {
     /// Its identifier.
     pub id: JobId,
-    /// Host of its items.
+    /// `Host` of its items' requests.
     pub host: String,
     /// Path of its route.
     pub path: String,
     /// The model.
     pub model: Option<String>,
-    /// The step.
+    /// The trainer's step.
     pub step: u64,
-    /// Lowest version that may make its items.
+    /// The oldest weight version that may generate its items.
     pub minimum_version: u64,
-    /// Groups that are enough.
+    /// Number of complete groups that the trainer waits for.
     pub wanted_groups: u32,
     /// Its items.
     pub items: Vec<JobItem>,
 }
 
-/// A request about these matters.
+/// A request to the control group's leader.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[allow(missing_docs)]
 pub enum GatewayRequest {
@@ -87,41 +87,41 @@
     ReadRetirement(String),
 }
 
-/// A relay's question for what it lacks; only the leader answers it.
+/// A relay's poll for newer state; only the leader answers it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct FollowRequest {
     /// The relay.
     pub relay: String,
     /// Its zone.
     pub zone: String,
-    /// The document that it holds.
+    /// Version of the routing document in use; `None` before the first.
     pub routing_version: Option<u64>,
-    /// The instances' revision that it holds.
+    /// Revision of the instance table in use.
     pub instance_revision: u64,
-    /// The instances that it takes for silent.
+    /// Instances that the relay has marked as silent.
     pub silent: Vec<InstanceId>,
 }
 
-/// What the relay lacks.
+/// State that is newer than the relay's.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct FollowReply {
-    /// How long the relay may act on it, from its question on.
+    /// Lease length in milliseconds, counted by the relay from when it sent the request.
     pub lease_ms: u64,
-    /// What leads to the newest document.
+    /// Update to the newest routing document; `None` if the relay's is current.
     pub routing: Option<EncodedRoutingUpdate>,
-    /// The instances' revision.
+    /// Revision of the instance table.
     pub instance_revision: u64,
-    /// Instances that have changed.
+    /// Changed instances.
     pub instances: Vec<InstanceRecord>,
-    /// Every instance that is silent.
+    /// All instances whose reports have stopped.
     pub silent: Vec<InstanceId>,
-    /// Where the group's replicas listen.
+    /// Addresses of the control group's replicas.
     pub replicas: Vec<SocketAddr>,
-    /// The one for the relay's reads.
+    /// A replica in the relay's zone, for its reads.
     pub nearest_replica: Option<SocketAddr>,
 }
 
-/// An answer about these matters.
+/// A reply to a [`GatewayRequest`].
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[allow(missing_docs)]
 pub enum GatewayReply {
@@ -138,7 +138,7 @@
     Unavailable,
 }
 
-/// A command about these matters.
+/// A command on the control group's log.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[allow(missing_docs)]
 pub enum GatewayCommand {
@@ -162,16 +162,16 @@
     RegisterStore(StoreRecord),
     RetireStore(String),
     StoreRetired(String),
-    /// A replica becomes the holder of orders and draws a fence.
+    /// Makes a replica the holder of the right to issue orders and issues a fencing token.
     TakeOrders(ReplicaId),
-    /// A holder is about to give orders to these instances.
+    /// Records that the holder is about to issue orders to these instances.
     NoteOrders {
         holder: ReplicaId,
         instances: Vec<InstanceId>,
     },
 }
 
-/// A command's outcome.
+/// Result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 #[allow(missing_docs)]
 pub enum GatewayOutcome {
--- a/crates/layouts/src/level_one/mod.rs
+++ b/crates/layouts/src/level_one/mod.rs
@@ -1,4 +1,4 @@
-//! Layouts of level one, as released. Types that are still the same are used as they are.
+//! Types of level one, as released. Types that have not changed since are shared with the current level.
 
 pub mod convert;
 pub mod follow;
--- a/crates/layouts/src/level_one/protocol.rs
+++ b/crates/layouts/src/level_one/protocol.rs
@@ -1,4 +1,4 @@
-//! Messages and commands of level one.
+//! Level one messages and commands.
 
 use crate::level_one::gateway::{GatewayCommand, GatewayOutcome, GatewayReply, GatewayRequest};
 use bitcode::{Decode, Encode};
@@ -24,7 +24,7 @@
     Gateway(GatewayRequest),
 }
 
-/// A control replica's answer.
+/// A control replica's reply.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[allow(missing_docs)]
 pub enum ControlReply {
@@ -43,43 +43,43 @@
 pub struct RenewRequest {
     /// The relay.
     pub relay: RelayDescription,
-    /// The configuration revision that it acts on.
+    /// The configuration revision in use.
     pub configuration: Revision,
-    /// The engine-list revision that it acts on.
+    /// The engine-list revision in use.
     pub engines: u64,
-    /// The targets that it acts on.
+    /// The weight version targets in use.
     pub targets: Vec<ModelTarget>,
 }
 
-/// The answer to a lease renewal.
+/// The reply to a lease renewal.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct RenewReply {
-    /// Whether the relay must start anew.
+    /// Whether the relay's incarnation was declared lost; the relay must restart under a new one.
     pub fenced: bool,
-    /// Length of the lease.
+    /// Lease length in milliseconds.
     pub lease_milliseconds: u64,
-    /// Configuration that the relay lacks.
+    /// Configuration newer than the relay's.
     pub configuration: ConfigurationUpdate,
-    /// The engine-list revision reached.
+    /// The current engine-list revision.
     pub engine_revision: u64,
-    /// Engines that have changed.
+    /// Engines changed since the relay's engine-list revision.
     pub engines: Vec<EngineRecord>,
     /// The newest version that each model should serve.
     pub targets: Vec<ModelTarget>,
-    /// Relays that hold leases.
+    /// Number of relays with a valid lease.
     pub relay_count: u32,
 }
 
-/// A command with the leader's clock, as it stands on the log.
+/// A log entry: a command with the leader's wall clock.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct LogCommand {
     /// Unix milliseconds at the leader.
     pub time: u64,
-    /// What to do.
+    /// The command.
     pub command: Command,
 }
 
-/// What the group commits.
+/// A command that the control group commits to its log.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[allow(missing_docs)]
 pub enum Command {
@@ -90,7 +90,7 @@
     Gateway(GatewayCommand),
 }
 
-/// A command's outcome.
+/// Result of applying a command.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 #[allow(missing_docs)]
 pub enum CommandOutcome {
--- a/crates/layouts/src/level_one/routing.rs
+++ b/crates/layouts/src/level_one/routing.rs
@@ -1,8 +1,8 @@
-//! Routing documents of level one: no tenants, no public routes, no limits of scaling.
+//! Level one routing documents, which have no tenants, public routes or scaling limits.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::routing::{BatchTerms, ModelHosting, RequestLimits, RouteKind, WeightedTarget};
-use saddlerelay_types::routing_update::RoutePlace;
+use saddlerelay_types::routing_update::RouteKey;
 
 /// A routing document.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -24,25 +24,25 @@
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// Host that it serves.
+    /// The `Host` it serves, without a port.
     pub host: String,
-    /// Beginning of the paths that it serves.
+    /// Path prefix that it serves.
     pub path_prefix: String,
-    /// What kind of requests it carries.
+    /// Execution guarantee for its requests.
     pub kind: RouteKind,
-    /// When a request is given up, in milliseconds.
+    /// Request timeout in milliseconds.
     pub timeout_ms: u64,
-    /// When an answer should be there, in milliseconds.
+    /// Latency objective in milliseconds.
     pub objective_ms: u64,
-    /// Rank, 0 the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Services that share its requests.
+    /// The services that share its requests, by weight.
     pub targets: Vec<WeightedTarget>,
-    /// Most engines that a request is sent to.
+    /// Maximum number of engines that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether a broken stream may go on at another engine.
+    /// Whether an interrupted stream may be resumed at another engine.
     pub resumable: bool,
-    /// Terms of batch jobs.
+    /// Settings for batch jobs.
     pub batch: BatchTerms,
 }
 
@@ -51,40 +51,40 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Path of its health check.
+    /// Path of the engines' health check.
     pub health_path: String,
-    /// Most connections to one of its engines.
+    /// Maximum connections to one engine.
     pub max_connections: u32,
-    /// The models that it serves.
+    /// Set if the engines host models.
     pub hosting: Option<ModelHosting>,
 }
 
-/// Why a document is refused.
+/// Why a routing document is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum RoutingError {
     /// A route names a service that is not listed.
     UnknownService(String),
-    /// Two routes have one place.
+    /// Two routes have the same host and path prefix.
     SamePlace(String),
     /// The weights of a route add up to 0.
     NoWeight(String),
     /// The timeout of a route is 0.
     NoTimeout(String),
-    /// A prefix does not begin and end with a slash.
+    /// A path prefix does not begin and end with a slash.
     BadPrefix(String),
 }
 
-/// What turns one document into a newer one.
+/// An update from one document to a newer one.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct RoutingUpdate {
-    /// The document that it changes; `None` if it is whole.
+    /// The version that the update applies to; `None` if it is a full update.
     pub base: Option<u64>,
-    /// The version that it leads to.
+    /// The version after the update is applied.
     pub version: u64,
-    /// Routes that are new or have changed.
+    /// New or changed routes.
     pub changed: Vec<Route>,
-    /// Routes that are no more.
-    pub removed: Vec<RoutePlace>,
+    /// Removed routes.
+    pub removed: Vec<RouteKey>,
     /// All services.
     pub services: Vec<Service>,
     /// Limits for clients.
--- a/crates/layouts/src/lib.rs
+++ b/crates/layouts/src/lib.rs
@@ -1,8 +1,8 @@
-//! How messages between processes and commands on the log are written at each [`FeatureLevel`].
+//! Encoding of messages between processes and of log commands at each [`FeatureLevel`].
 //!
-//! The newest level is written from the types themselves. Those of an older level that have changed since stand here as they were
-//! released, and never change again; they are turned into today's types, and back as far as the older level has words. Nothing
-//! is decided here: whoever sends learns that a level has no words for a message and does without, or does it otherwise.
+//! The newest level encodes the current types directly. Types of an older level that have changed since are kept here
+//! as released and must not change. They are converted to the current types, and back where the older level can
+//! express the value. If it cannot, encoding returns `None`, and the sender decides how to proceed.
 
 pub mod commands;
 pub mod level_one;
--- a/crates/layouts/src/messages.rs
+++ b/crates/layouts/src/messages.rs
@@ -1,4 +1,5 @@
-//! Messages between a replica and those who ask it. Messages of the replication protocol inside them are written by that crate.
+//! Encoding of requests to control replicas and of their replies. Embedded messages of the replication protocol are
+//! encoded by the replication crate.
 
 use crate::FeatureLevel;
 use crate::level_one::convert;
@@ -10,16 +11,16 @@
 use saddlerelay_types::gateway::GatewayReply;
 use saddlerelay_types::protocol::{ControlReply, ControlRequest};
 
-/// A request as it came.
+/// A decoded request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
-    /// One that is answered at any level.
+    /// A request whose reply can be encoded at any level.
     Today(ControlRequest),
-    /// A relay's question of level one, whose answer has another content than today's.
+    /// A relay's follow request of level one, whose reply has different content.
     FollowOne(FollowRequestOne),
 }
 
-/// Writes a request; `None` if the level has no words for it.
+/// Encodes a request; `None` if the level cannot express it.
 pub fn encode_request(request: &ControlRequest, level: FeatureLevel) -> Option<Vec<u8>> {
     match level {
         FeatureLevel::One => Some(bitcode::encode(&convert::control_request_to_one(request.clone())?)),
@@ -27,7 +28,7 @@
     }
 }
 
-/// Reads a request; `None` if it cannot be read, or asked for so.
+/// Decodes a request; `None` if it is malformed or not a valid request at this level.
 pub fn decode_request(bytes: &[u8], level: FeatureLevel) -> Option<Request> {
     match level {
         FeatureLevel::One => match bitcode::decode(bytes).ok()? {
@@ -38,7 +39,7 @@
     }
 }
 
-/// Writes an answer; `None` if the level has no words for it.
+/// Encodes a reply; `None` if the level cannot express it.
 pub fn encode_reply(reply: ControlReply, level: FeatureLevel) -> Option<Vec<u8>> {
     match level {
         FeatureLevel::One => Some(bitcode::encode(&convert::control_reply_to_one(reply)?)),
@@ -46,7 +47,7 @@
     }
 }
 
-/// Reads an answer, but for that to a relay's question of level one.
+/// Decodes a reply; `None` if it is malformed, or a follow reply of level one, see [`decode_follow_one`].
 pub fn decode_reply(bytes: &[u8], level: FeatureLevel) -> Option<ControlReply> {
     match level {
         FeatureLevel::One => convert::control_reply_from_one(bitcode::decode(bytes).ok()?),
@@ -54,16 +55,16 @@
     }
 }
 
-/// Writes a relay's question of level one.
-pub fn encode_follow_one(question: FollowRequestOne) -> Vec<u8> {
-    bitcode::encode(&one::ControlRequest::Gateway(GatewayRequestOne::Follow(question)))
+/// Encodes a relay's follow request of level one.
+pub fn encode_follow_one(request: FollowRequestOne) -> Vec<u8> {
+    bitcode::encode(&one::ControlRequest::Gateway(GatewayRequestOne::Follow(request)))
 }
 
-/// Reads the answer to a relay's question of level one; `None` if it cannot be read.
-pub fn decode_follow_one(bytes: &[u8], asked: &FollowRequestOne, memory: &mut FollowMemory) -> Option<ControlReply> {
+/// Decodes the reply to a relay's follow request of level one; `None` if it is malformed.
+pub fn decode_follow_one(bytes: &[u8], request: &FollowRequestOne, memory: &mut FollowMemory) -> Option<ControlReply> {
     match bitcode::decode(bytes).ok()? {
         one::ControlReply::Gateway(GatewayReplyOne::Followed(reply)) => {
-            memory.take(asked, reply).map(|reply| ControlReply::Gateway(GatewayReply::Followed(reply)))
+            memory.take(request, reply).map(|reply| ControlReply::Gateway(GatewayReply::Followed(reply)))
         }
         other => convert::control_reply_from_one(other),
     }
--- a/crates/layouts/tests/follow.rs
+++ b/crates/layouts/tests/follow.rs
@@ -1,4 +1,4 @@
-//! A relay of this build that a leader of level one answers.
+//! A relay of this build that polls a leader at level one.
 
 use saddlerelay_layouts::level_one::follow::FollowMemory;
 use saddlerelay_layouts::level_one::gateway::{FollowReply, InstanceId, InstanceRecord, InstanceReport};
@@ -46,58 +46,58 @@
     }
 }
 
-/// Asks at `revision`, and takes the answer.
-fn ask(memory: &mut FollowMemory, revision: u64, answer: FollowReply) -> InstanceNews {
-    let question = memory.question(&follow(revision));
-    memory.take(&question, answer).expect("an answer without routing").instances
+/// Sends a request at `revision` and converts the reply.
+fn poll(memory: &mut FollowMemory, revision: u64, reply: FollowReply) -> InstanceNews {
+    let request = memory.question(&follow(revision));
+    memory.take(&request, reply).expect("a reply without routing").instances
 }
 
-/// Names in the news, each with whether it is silent.
-fn told(news: &InstanceNews) -> Vec<(&str, bool)> {
-    news.records.iter().map(|record| (record.report.id.name.as_str(), record.silent)).collect()
+/// Names and silent flags of the records.
+fn silent_flags(changes: &InstanceNews) -> Vec<(&str, bool)> {
+    changes.records.iter().map(|record| (record.report.id.name.as_str(), record.silent)).collect()
 }
 
 #[test]
-fn silence_that_is_named_apart_becomes_a_change_of_the_record() {
+fn changes_of_the_silent_list_become_record_changes() {
     let mut memory = FollowMemory::default();
     let both = vec![record("a", InstanceState::Ready, 1), record("b", InstanceState::Ready, 2)];
-    let first = ask(&mut memory, 0, reply(2, both, &["b"]));
+    let first = poll(&mut memory, 0, reply(2, both, &["b"]));
     assert!(first.whole);
-    assert_eq!(told(&first), [("a", false), ("b", true)]);
-    let flipped = ask(&mut memory, 2, reply(2, Vec::new(), &["a"]));
-    assert!(!flipped.whole);
-    assert_eq!(told(&flipped), [("a", true), ("b", false)]);
-    let nothing = ask(&mut memory, 2, reply(2, Vec::new(), &["a"]));
+    assert_eq!(silent_flags(&first), [("a", false), ("b", true)]);
+    let swapped = poll(&mut memory, 2, reply(2, Vec::new(), &["a"]));
+    assert!(!swapped.whole);
+    assert_eq!(silent_flags(&swapped), [("a", true), ("b", false)]);
+    let nothing = poll(&mut memory, 2, reply(2, Vec::new(), &["a"]));
     assert!(!nothing.whole && nothing.records.is_empty());
 }
 
-/// Otherwise the leader, which sees a relay that lacks news, would answer again and again at once.
+/// Otherwise the leader would see outdated state in each request and reply immediately, in a busy loop.
 #[test]
-fn the_question_names_what_the_relay_was_told_of_silence() {
+fn the_request_lists_the_instances_last_reported_silent() {
     let mut memory = FollowMemory::default();
-    ask(&mut memory, 0, reply(3, vec![record("a", InstanceState::Ready, 3)], &["a"]));
-    let question = memory.question(&follow(3));
-    assert_eq!((question.instance_revision, question.silent), (3, vec![InstanceId("a".to_string())]));
+    poll(&mut memory, 0, reply(3, vec![record("a", InstanceState::Ready, 3)], &["a"]));
+    let request = memory.question(&follow(3));
+    assert_eq!((request.instance_revision, request.silent), (3, vec![InstanceId("a".to_string())]));
 }
 
 #[test]
-fn an_instance_that_is_gone_is_told_once_and_forgotten() {
+fn a_gone_instance_is_reported_once_and_removed() {
     let mut memory = FollowMemory::default();
-    ask(&mut memory, 0, reply(1, vec![record("a", InstanceState::Ready, 1)], &[]));
-    let gone = ask(&mut memory, 1, reply(2, vec![record("a", InstanceState::Gone, 2)], &[]));
+    poll(&mut memory, 0, reply(1, vec![record("a", InstanceState::Ready, 1)], &[]));
+    let gone = poll(&mut memory, 1, reply(2, vec![record("a", InstanceState::Gone, 2)], &[]));
     assert_eq!(gone.records.len(), 1);
     assert_eq!(gone.records[0].state, InstanceState::Gone);
-    assert!(ask(&mut memory, 2, reply(2, Vec::new(), &["a"])).records.is_empty());
+    assert!(poll(&mut memory, 2, reply(2, Vec::new(), &["a"])).records.is_empty());
 }
 
-/// It was answered by another replica meanwhile, or did not take the last answer.
+/// Another replica may have replied meanwhile, or the relay may not have applied the last reply.
 #[test]
-fn a_relay_that_holds_something_else_is_told_everything_anew() {
+fn a_relay_at_another_revision_receives_the_full_state() {
     let mut memory = FollowMemory::default();
-    ask(&mut memory, 0, reply(5, vec![record("a", InstanceState::Ready, 5)], &["a"]));
-    let question = memory.question(&follow(4));
-    assert_eq!((question.instance_revision, question.silent.len()), (0, 0));
-    let news = ask(&mut memory, 4, reply(6, vec![record("b", InstanceState::Ready, 6)], &[]));
-    assert!(news.whole);
-    assert_eq!(told(&news), [("b", false)]);
+    poll(&mut memory, 0, reply(5, vec![record("a", InstanceState::Ready, 5)], &["a"]));
+    let request = memory.question(&follow(4));
+    assert_eq!((request.instance_revision, request.silent.len()), (0, 0));
+    let changes = poll(&mut memory, 4, reply(6, vec![record("b", InstanceState::Ready, 6)], &[]));
+    assert!(changes.whole);
+    assert_eq!(silent_flags(&changes), [("b", false)]);
 }
--- a/crates/rpc/src/call.rs
+++ b/crates/rpc/src/call.rs
@@ -1,19 +1,19 @@
-//! What a call is: a message that can be written at the level of its connection, and what comes of it.
+//! Types of a call: the message, its response and errors.
 
 use saddlerelay_types::feature_level::FeatureLevel;
 
-/// Which level connections speak.
+/// How the feature level of a connection is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Speech {
-    /// The newest that the peer knows.
+    /// Negotiated: the newest level that both sides support.
     Negotiated,
-    /// This one.
+    /// Always this level.
     Fixed(FeatureLevel),
 }
 
-/// A request that can be written for a connection.
+/// A request that can be encoded at the level of its connection.
 pub trait Message {
-    /// How it is written at `level`; `None` if that level has no words for it.
+    /// Encodes the request at `level`; `None` if the level cannot express it.
     fn encode(&self, level: FeatureLevel) -> Option<Vec<u8>>;
 }
 
@@ -23,22 +23,22 @@
     }
 }
 
-/// What the peer answered.
+/// A peer's response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The level at which it is written.
+    /// The feature level of its encoding.
     pub level: FeatureLevel,
     /// The encoded message.
     pub body: Vec<u8>,
 }
 
-/// Why a call brought no answer.
+/// Why a call returned no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// The connection's level has no words for the request; it was not sent.
+    /// The connection's feature level cannot express the request; it was not sent.
     Unspeakable,
-    /// No connection; the request was not sent.
+    /// There was no connection; the request was not sent.
     NotSent,
-    /// The connection was lost or the time ran out after the request may have been sent.
+    /// The call timed out or the connection was lost, and the request may have been sent.
     Unknown,
 }
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -1,8 +1,10 @@
-//! The calling side: one task for each peer owns the connection to it.
+//! The client side: one connection to each peer, served by its own task.
 //!
-//! The level that a connection speaks is fixed by the caller, or found out: the newest is tried first. A peer that knows it says
-//! so at once, or keeps silent if it knows of no welcome; one that does not know it closes the connection, and the next older
-//! level is tried. Nothing is sent before, so a refused connection leaves no request that may have run.
+//! The feature level of a connection is fixed by the caller or negotiated, newest level first. A peer that supports
+//! the level sends a [`Welcome`], or nothing if its build predates it; a peer that does not support the level closes
+//! the connection, and the next older level is tried. During negotiation, requests are sent only after the level is
+//! accepted, so that a rejected connection leaves no request with an unknown outcome. At a fixed level, or at the level
+//! that the peer accepted last, they are sent immediately.
 
 pub use crate::call::{Answer, CallError, Message, Speech};
 use crate::frame::{Envelope, Hello, WELCOME_ID, Welcome};
@@ -19,34 +21,34 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The longest that a call waits for a connection.
+/// Longest time that a call waits for a connection.
 pub const CONNECT_LIMIT: Duration = Duration::from_millis(300);
 
-/// The longest that a connection attempt may take. It outlives the call that began it: where connections take longer to open
-/// than calls wait, the next call finds one. The first resend of a lost first packet, after 1 s, still counts.
-const ATTEMPT_LIMIT: Duration = Duration::from_millis(1_500);
+/// Timeout of a connection attempt. An attempt continues after the call that started it has timed out, so that a later
+/// call can use the connection. Allows for one SYN retransmission after 1 s.
+const CONNECT_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Shortest time between two attempts while one is under way: one that is stuck, because its first packet was lost or the peer's
-/// machine was down, holds up those that come later by no more than this.
-const ATTEMPT_SPACING: Duration = Duration::from_millis(250);
+/// Minimum time between the starts of two concurrent connection attempts. A stuck attempt, for example after a lost
+/// SYN, delays later calls by at most this.
+const CONNECT_ATTEMPT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A connection that the peer has not closed for so long after the caller's greeting is served: some round trips between
-/// zones. A peer that is slower to refuse than this leaves its first requests without an answer.
-const ACCEPTED_AFTER: Duration = Duration::from_millis(100);
+/// Time after which a connection that the peer has not closed is assumed to be accepted; longer than a round trip
+/// between zones. If the peer rejects it later, the requests sent until then fail with an unknown outcome.
+const ASSUME_ACCEPTED_AFTER: Duration = Duration::from_millis(100);
 
 type Pending = Rc<RefCell<BTreeMap<u64, oneshot::Sender<Vec<u8>>>>>;
 
-struct Link {
+struct Connection {
     generation: u64,
     level: FeatureLevel,
-    /// The peer serves the connection, as far as can be known.
-    is_open: Cell<bool>,
-    /// The newest level that the peer says it knows.
+    /// Whether the peer has accepted the connection, or is assumed to have.
+    is_accepted: Cell<bool>,
+    /// The newest level that the peer supports, from its [`Welcome`].
     newest_of_peer: Cell<Option<FeatureLevel>>,
     outgoing: mpsc::UnboundedSender<Vec<u8>>,
     pending: Pending,
-    /// When the peer was last heard on this link.
-    heard_at: Rc<Cell<Duration>>,
+    /// When the last frame from the peer was received.
+    last_received_at: Rc<Cell<Duration>>,
 }
 
 struct Inner<P> {
@@ -55,21 +57,21 @@
     secret: String,
     next_id: Cell<u64>,
     next_generation: Cell<u64>,
-    link: RefCell<Option<Link>>,
-    /// Connection attempts under way.
+    connection: RefCell<Option<Connection>>,
+    /// Number of connection attempts in progress.
     attempts: Cell<u32>,
-    /// When the newest began.
-    attempt_began_at: Cell<Duration>,
-    /// A link has opened or ended, or an attempt has failed.
-    link_changed: Signal,
+    /// When the newest attempt started.
+    attempt_started_at: Cell<Duration>,
+    /// Notified when a connection is accepted or closed and when an attempt ends.
+    connection_changed: Signal,
     speech: Cell<Speech>,
-    /// The level that the peer served last.
-    accepted: Cell<Option<FeatureLevel>>,
-    /// Connections that the peer closed before its first answer.
-    closed_unanswered: RefCell<RepeatedEvent>,
+    /// The level that the peer accepted last; `None` after a connection closed before any frame was received.
+    last_accepted_level: Cell<Option<FeatureLevel>>,
+    /// Connections closed before any frame was received.
+    closed_before_first_frame: RefCell<RepeatedEvent>,
 }
 
-/// Calls one peer. Clones share the connection.
+/// A client of one peer. Clones share the connection.
 pub struct Client<P> {
     inner: Rc<Inner<P>>,
 }
@@ -81,7 +83,7 @@
 }
 
 impl<P: Runtime> Client<P> {
-    /// A client that connects on its first call.
+    /// Creates a client that connects on its first call.
     pub fn new(platform: P, address: SocketAddr, secret: &str) -> Self {
         let inner = Inner {
             platform,
@@ -89,13 +91,13 @@
             secret: secret.to_string(),
             next_id: Cell::new(1),
             next_generation: Cell::new(1),
-            link: RefCell::new(None),
+            connection: RefCell::new(None),
             attempts: Cell::new(0),
-            attempt_began_at: Cell::default(),
-            link_changed: Signal::default(),
+            attempt_started_at: Cell::default(),
+            connection_changed: Signal::default(),
             speech: Cell::new(Speech::Negotiated),
-            accepted: Cell::default(),
-            closed_unanswered: RefCell::default(),
+            last_accepted_level: Cell::default(),
+            closed_before_first_frame: RefCell::default(),
         };
         Self { inner: Rc::new(inner) }
     }
@@ -105,113 +107,115 @@
         self.inner.address
     }
 
-    /// Has connections speak so from now on. What is under way on a connection of another level is given up.
+    /// Sets how the feature level of connections is chosen. A connection at another level than a fixed one is
+    /// closed, and its calls in flight fail with [`CallError::Unknown`].
     pub fn speak(&self, speech: Speech) {
         self.inner.speech.set(speech);
-        let mut link = self.inner.link.borrow_mut();
+        let mut connection = self.inner.connection.borrow_mut();
         if let Speech::Fixed(level) = speech
-            && link.as_ref().is_some_and(|link| link.level != level)
+            && connection.as_ref().is_some_and(|connection| connection.level != level)
         {
-            *link = None;
+            *connection = None;
         }
     }
 
-    /// The newest level that the peer is known to understand, while there is a connection to it.
+    /// The newest level that the peer is known to support; `None` without an accepted connection.
     pub fn newest_of_peer(&self) -> Option<FeatureLevel> {
-        let link = self.inner.link.borrow();
-        let link = link.as_ref().filter(|link| link.is_open.get())?;
-        Some(link.newest_of_peer.get().unwrap_or(link.level))
+        let connection = self.inner.connection.borrow();
+        let connection = connection.as_ref().filter(|connection| connection.is_accepted.get())?;
+        Some(connection.newest_of_peer.get().unwrap_or(connection.level))
     }
 
-    /// Sends `message` and waits for the answer for at most `limit`.
+    /// Sends `message` and waits at most `limit` for the response.
     pub async fn call(&self, message: impl Message, limit: Duration) -> Result<Answer, CallError> {
         let started_at = self.inner.platform.monotonic();
         let exchange = self.exchange(message);
-        let answer = timeout(&self.inner.platform, limit, exchange).await;
-        if answer.is_none() {
-            self.drop_link_if_silent(started_at);
+        let response = timeout(&self.inner.platform, limit, exchange).await;
+        if response.is_none() {
+            self.close_connection_if_idle_since(started_at);
         }
-        answer.unwrap_or(Err(CallError::Unknown))
+        response.unwrap_or(Err(CallError::Unknown))
     }
 
     async fn exchange(&self, message: impl Message) -> Result<Answer, CallError> {
-        self.drop_outdated_link();
-        if !self.has_open_link() {
-            self.await_link().await?;
+        self.close_outdated_connection();
+        if !self.has_accepted_connection() {
+            self.wait_for_connection().await?;
         }
         let id = self.inner.next_id.replace(self.inner.next_id.get() + 1);
-        let (answer_sender, answer) = oneshot::channel();
+        let (response_sender, response) = oneshot::channel();
         let level = {
-            let link = self.inner.link.borrow();
-            let link = link.as_ref().ok_or(CallError::NotSent)?;
-            let body = message.encode(link.level).ok_or(CallError::Unspeakable)?;
-            link.pending.borrow_mut().insert(id, answer_sender);
+            let connection = self.inner.connection.borrow();
+            let connection = connection.as_ref().ok_or(CallError::NotSent)?;
+            let body = message.encode(connection.level).ok_or(CallError::Unspeakable)?;
+            connection.pending.borrow_mut().insert(id, response_sender);
             let frame = bitcode::encode(&Envelope { id, body });
-            link.outgoing.unbounded_send(frame).map_err(|_| CallError::NotSent)?;
-            link.level
+            connection.outgoing.unbounded_send(frame).map_err(|_| CallError::NotSent)?;
+            connection.level
         };
-        let body = answer.await.map_err(|_| CallError::Unknown)?;
+        let body = response.await.map_err(|_| CallError::Unknown)?;
         Ok(Answer { level, body })
     }
 
-    fn has_open_link(&self) -> bool {
-        self.inner.link.borrow().as_ref().is_some_and(|link| link.is_open.get())
+    fn has_accepted_connection(&self) -> bool {
+        self.inner.connection.borrow().as_ref().is_some_and(|connection| connection.is_accepted.get())
     }
 
-    /// A peer that was taken for older than it is, is spoken to in its newest level once nothing is under way.
-    fn drop_outdated_link(&self) {
-        let mut link = self.inner.link.borrow_mut();
-        let is_outdated = link.as_ref().is_some_and(|link| {
-            let knows_more = link.newest_of_peer.get().is_some_and(|newest| newest > link.level);
-            knows_more && link.pending.borrow().is_empty()
+    /// Closes an idle connection whose negotiated level is older than the newest level that the peer supports, so
+    /// that the next call negotiates again.
+    fn close_outdated_connection(&self) {
+        let mut connection = self.inner.connection.borrow_mut();
+        let is_outdated = connection.as_ref().is_some_and(|connection| {
+            let supports_newer = connection.newest_of_peer.get().is_some_and(|newest| newest > connection.level);
+            supports_newer && connection.pending.borrow().is_empty()
         });
         if is_outdated && self.inner.speech.get() == Speech::Negotiated {
-            *link = None;
+            *connection = None;
         }
     }
 
-    async fn await_link(&self) -> Result<(), CallError> {
-        self.begin_attempt();
-        timeout(&self.inner.platform, CONNECT_LIMIT, self.link_or_failure()).await;
-        if self.has_open_link() { Ok(()) } else { Err(CallError::NotSent) }
+    async fn wait_for_connection(&self) -> Result<(), CallError> {
+        self.start_attempt();
+        timeout(&self.inner.platform, CONNECT_LIMIT, self.accepted_or_no_attempts()).await;
+        if self.has_accepted_connection() { Ok(()) } else { Err(CallError::NotSent) }
     }
 
-    /// Returns when there is an open link, or when no attempt is under way any more.
-    async fn link_or_failure(&self) {
-        while !self.has_open_link() && self.inner.attempts.get() > 0 {
-            let seen = self.inner.link_changed.count();
-            self.inner.link_changed.changed(seen).await;
+    /// Waits until a connection is accepted or no attempt is in progress.
+    async fn accepted_or_no_attempts(&self) {
+        while !self.has_accepted_connection() && self.inner.attempts.get() > 0 {
+            let observed_count = self.inner.connection_changed.count();
+            self.inner.connection_changed.changed(observed_count).await;
         }
     }
 
-    fn begin_attempt(&self) {
+    fn start_attempt(&self) {
         let now = self.inner.platform.monotonic();
-        let is_young = now < self.inner.attempt_began_at.get() + ATTEMPT_SPACING;
-        if self.inner.attempts.get() > 0 && is_young {
+        let is_recent = now < self.inner.attempt_started_at.get() + CONNECT_ATTEMPT_INTERVAL;
+        if self.inner.attempts.get() > 0 && is_recent {
             return;
         }
-        self.inner.attempt_began_at.set(now);
+        self.inner.attempt_started_at.set(now);
         self.inner.attempts.set(self.inner.attempts.get() + 1);
         let client = self.clone();
         self.inner.platform.spawn(async move {
-            client.attempt().await;
+            client.connect_at_supported_level().await;
             client.inner.attempts.set(client.inner.attempts.get() - 1);
-            client.inner.link_changed.notify();
+            client.inner.connection_changed.notify();
         });
     }
 
-    async fn attempt(&self) {
+    async fn connect_at_supported_level(&self) {
         let platform = &self.inner.platform;
         for level in self.levels_to_try() {
-            let connection = timeout(platform, ATTEMPT_LIMIT, platform.connect(self.inner.address)).await;
-            let Some(Ok((sender, receiver))) = connection else {
+            let halves = timeout(platform, CONNECT_ATTEMPT_TIMEOUT, platform.connect(self.inner.address)).await;
+            let Some(Ok((sender, receiver))) = halves else {
                 return;
             };
-            let Some(generation) = self.take_connection(sender, receiver, level) else {
+            let Some(generation) = self.install_connection(sender, receiver, level) else {
                 return;
             };
-            if self.is_accepted(generation).await {
-                self.inner.accepted.set(Some(level));
+            if self.wait_until_accepted(generation).await {
+                self.inner.last_accepted_level.set(Some(level));
                 return;
             }
         }
@@ -224,113 +228,116 @@
         }
     }
 
-    /// Waits until the peer serves the link, or has closed it.
-    async fn is_accepted(&self, generation: u64) -> bool {
+    /// Waits until the peer accepts or closes the connection; returns whether it was accepted.
+    async fn wait_until_accepted(&self, generation: u64) -> bool {
         let platform = &self.inner.platform;
-        let is_open = || self.with_link(generation, |link| link.is_open.get());
-        let until = platform.monotonic() + ACCEPTED_AFTER;
-        while is_open() == Some(false) {
-            let left = until.saturating_sub(platform.monotonic());
-            if left.is_zero() {
-                self.open(generation);
+        let is_accepted = || self.with_connection(generation, |connection| connection.is_accepted.get());
+        let deadline = platform.monotonic() + ASSUME_ACCEPTED_AFTER;
+        while is_accepted() == Some(false) {
+            let remaining = deadline.saturating_sub(platform.monotonic());
+            if remaining.is_zero() {
+                self.mark_accepted(generation);
                 break;
             }
-            let seen = self.inner.link_changed.count();
-            timeout(platform, left, self.inner.link_changed.changed(seen)).await;
+            let observed_count = self.inner.connection_changed.count();
+            timeout(platform, remaining, self.inner.connection_changed.changed(observed_count)).await;
         }
-        is_open().is_some()
+        is_accepted().is_some()
     }
 
-    fn with_link<T>(&self, generation: u64, read: impl FnOnce(&Link) -> T) -> Option<T> {
-        let link = self.inner.link.borrow();
-        link.as_ref().filter(|link| link.generation == generation).map(read)
+    fn with_connection<T>(&self, generation: u64, read: impl FnOnce(&Connection) -> T) -> Option<T> {
+        let connection = self.inner.connection.borrow();
+        connection.as_ref().filter(|connection| connection.generation == generation).map(read)
     }
 
-    fn open(&self, generation: u64) {
-        self.with_link(generation, |link| link.is_open.set(true));
-        self.inner.link_changed.notify();
+    fn mark_accepted(&self, generation: u64) {
+        self.with_connection(generation, |connection| connection.is_accepted.set(true));
+        self.inner.connection_changed.notify();
     }
 
-    /// Makes a connection the link, unless there is one: returns its generation. The newest attempt may be the first to succeed.
-    fn take_connection(&self, sender: P::Sender, receiver: P::Receiver, level: FeatureLevel) -> Option<u64> {
+    /// Installs a new connection and returns its generation; `None` if a concurrent attempt has already installed
+    /// one.
+    fn install_connection(&self, sender: P::Sender, receiver: P::Receiver, level: FeatureLevel) -> Option<u64> {
         let platform = &self.inner.platform;
-        if self.inner.link.borrow().is_some() {
+        if self.inner.connection.borrow().is_some() {
             return None;
         }
         let (outgoing, queue) = mpsc::unbounded();
         let pending: Pending = Rc::default();
         let generation = self.inner.next_generation.replace(self.inner.next_generation.get() + 1);
-        let heard_at = Rc::new(Cell::new(platform.monotonic()));
-        let is_known = self.inner.speech.get() != Speech::Negotiated || self.inner.accepted.get() == Some(level);
-        let link = Link {
+        let last_received_at = Rc::new(Cell::new(platform.monotonic()));
+        let is_accepted =
+            self.inner.speech.get() != Speech::Negotiated || self.inner.last_accepted_level.get() == Some(level);
+        let connection = Connection {
             generation,
             level,
-            is_open: Cell::new(is_known),
+            is_accepted: Cell::new(is_accepted),
             newest_of_peer: Cell::default(),
             outgoing,
             pending: pending.clone(),
-            heard_at: heard_at.clone(),
+            last_received_at: last_received_at.clone(),
         };
-        *self.inner.link.borrow_mut() = Some(link);
-        if is_known {
-            self.inner.link_changed.notify();
+        *self.inner.connection.borrow_mut() = Some(connection);
+        if is_accepted {
+            self.inner.connection_changed.notify();
         }
         let client = self.clone();
         platform.spawn(async move {
             let write = write_frames(sender, queue, Hello::new(level, &client.inner.secret));
-            let heard = Cell::new(false);
-            let read = read_answers(receiver, pending.clone(), |envelope| {
-                heard_at.set(client.inner.platform.monotonic());
+            let has_received = Cell::new(false);
+            let read = read_responses(receiver, pending.clone(), |envelope| {
+                last_received_at.set(client.inner.platform.monotonic());
                 if envelope.id == WELCOME_ID {
-                    client.take_welcome(generation, &envelope.body);
+                    client.handle_welcome(generation, &envelope.body);
                 }
-                if !heard.replace(true) {
-                    client.open(generation);
+                if !has_received.replace(true) {
+                    client.mark_accepted(generation);
                 }
             });
             future::select(std::pin::pin!(write), std::pin::pin!(read)).await;
-            if !heard.get() {
-                client.inner.accepted.set(None);
-                client.tell_closed_unanswered(level);
+            if !has_received.get() {
+                client.inner.last_accepted_level.set(None);
+                client.log_closed_before_first_frame(level);
             }
-            client.drop_link(generation);
+            client.close_connection(generation);
             pending.borrow_mut().clear();
         });
         Some(generation)
     }
 
-    fn take_welcome(&self, generation: u64, body: &[u8]) {
+    fn handle_welcome(&self, generation: u64, body: &[u8]) {
         let welcome = bitcode::decode::<Welcome>(body).ok();
         let newest = welcome.and_then(|welcome| FeatureLevel::newest_within(welcome.newest_protocol));
-        self.with_link(generation, |link| link.newest_of_peer.set(newest));
+        self.with_connection(generation, |connection| connection.newest_of_peer.set(newest));
     }
 
-    /// A peer that does not know the level closes so; one that stops at this moment does, too.
-    fn tell_closed_unanswered(&self, level: FeatureLevel) {
+    /// The peer may not support the level, may have rejected the secret or may have stopped; a call that timed out may
+    /// also have closed the connection.
+    fn log_closed_before_first_frame(&self, level: FeatureLevel) {
         let now = self.inner.platform.monotonic();
-        if let Some(connections) = self.inner.closed_unanswered.borrow_mut().count(now) {
-            spdlog::warn!("connection closed unanswered", kv: {
+        if let Some(connections) = self.inner.closed_before_first_frame.borrow_mut().count(now) {
+            spdlog::warn!("connection closed before any frame was received", kv: {
                 peer = self.inner.address.to_string().as_str(), protocol = level.protocol(), connections = connections
             });
         }
     }
 
-    /// A link on which nothing has come since a call began that got no answer is given up: after a cut, it may take far
-    /// longer to come back than a new one takes to open.
-    fn drop_link_if_silent(&self, since: Duration) {
-        let mut link = self.inner.link.borrow_mut();
-        if link.as_ref().is_some_and(|link| link.heard_at.get() <= since) {
-            *link = None;
+    /// Closes the connection if nothing was received on it since a call that timed out started: after a network
+    /// partition, a new connection recovers sooner than TCP retransmission.
+    fn close_connection_if_idle_since(&self, since: Duration) {
+        let mut connection = self.inner.connection.borrow_mut();
+        if connection.as_ref().is_some_and(|connection| connection.last_received_at.get() <= since) {
+            *connection = None;
         }
     }
 
-    fn drop_link(&self, generation: u64) {
-        let mut link = self.inner.link.borrow_mut();
-        if link.as_ref().is_some_and(|link| link.generation == generation) {
-            *link = None;
+    fn close_connection(&self, generation: u64) {
+        let mut connection = self.inner.connection.borrow_mut();
+        if connection.as_ref().is_some_and(|connection| connection.generation == generation) {
+            *connection = None;
         }
-        drop(link);
-        self.inner.link_changed.notify();
+        drop(connection);
+        self.inner.connection_changed.notify();
     }
 }
 
@@ -345,16 +352,16 @@
     }
 }
 
-async fn read_answers(mut receiver: impl FrameReceiver, pending: Pending, heard: impl Fn(&Envelope)) {
+async fn read_responses(mut receiver: impl FrameReceiver, pending: Pending, on_envelope: impl Fn(&Envelope)) {
     while let Ok(Some(frame)) = receiver.receive().await {
         let Ok(envelope) = bitcode::decode::<Envelope>(&frame) else {
             return;
         };
-        heard(&envelope);
-        let waiting = pending.borrow_mut().remove(&envelope.id);
-        if let Some(waiting) = waiting {
-            // The caller may have given up: its answer is dropped.
-            let _ = waiting.send(envelope.body);
+        on_envelope(&envelope);
+        let call = pending.borrow_mut().remove(&envelope.id);
+        if let Some(call) = call {
+            // Fails if the call has timed out; the response is then discarded.
+            let _ = call.send(envelope.body);
         }
     }
 }
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,7 +1,8 @@
-//! Requests and answers between saddlerelay's own processes.
+//! Request/response protocol between saddlerelay processes.
 //!
-//! Each connection opens with a [`frame::Hello`] and then carries [`frame::Envelope`]s. Several requests may be under way
-//! on one connection; answers come in any order. A frame that cannot be read closes its connection and nothing else.
+//! The client opens each connection with a [`frame::Hello`], after which both sides send [`frame::Envelope`]s.
+//! Requests are multiplexed on a connection, and responses may arrive in any order. A malformed frame closes its
+//! connection only.
 
 mod call;
 pub mod client;
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -1,4 +1,4 @@
-//! The answering side: one task for each connection.
+//! The server side: one task for each connection.
 
 use crate::frame::{Envelope, Hello, MAGIC, Welcome};
 use futures::channel::mpsc;
@@ -13,75 +13,75 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a stranger may stay connected without a greeting.
-const HELLO_LIMIT: Duration = Duration::from_secs(5);
+/// Time limit for the client's [`Hello`].
+const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause after a failed accept, for example when file descriptors ran out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed accept, for example when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Answers requests.
+/// Handles requests.
 pub trait Handler: 'static {
-    /// The answer to `body`, which is written at `level` as the answer is to be, or `None` to close the connection.
+    /// Returns the response to the request `body`, or `None` to close the connection. Both are encoded at `level`.
     fn handle(self: Rc<Self>, level: FeatureLevel, body: Vec<u8>) -> impl Future<Output = Option<Vec<u8>>> + 'static;
 }
 
 /// Accepts connections until the process ends.
 pub async fn serve<P: Runtime, H: Handler>(platform: P, mut listener: P::Listener, secret: String, handler: Rc<H>) {
-    let entrance = Rc::new(Entrance { secret, refused: RefCell::default() });
+    let validator = Rc::new(HandshakeValidator { secret, rejected: RefCell::default() });
     loop {
         match listener.accept().await {
             Ok((sender, receiver)) => {
                 let connection =
-                    serve_connection(platform.clone(), sender, receiver, entrance.clone(), handler.clone());
+                    serve_connection(platform.clone(), sender, receiver, validator.clone(), handler.clone());
                 platform.spawn(connection);
             }
-            Err(_) => platform.sleep(ACCEPT_PAUSE).await,
+            Err(_) => platform.sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// Why a connection is closed at its greeting.
+/// Why a client's handshake is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Refusal {
-    Unreadable,
-    OtherProtocol(u32),
-    OtherSecret,
+enum HandshakeError {
+    Malformed,
+    UnsupportedVersion(u32),
+    WrongSecret,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for HandshakeError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreadable => write!(formatter, "no greeting of this protocol"),
-            Self::OtherProtocol(version) => write!(formatter, "version {version} of the protocol"),
-            Self::OtherSecret => write!(formatter, "another shared secret"),
+            Self::Malformed => write!(formatter, "malformed handshake"),
+            Self::UnsupportedVersion(version) => write!(formatter, "unsupported protocol version {version}"),
+            Self::WrongSecret => write!(formatter, "wrong shared secret"),
         }
     }
 }
 
-/// Decides whose connections are served.
-struct Entrance {
+/// Validates handshakes and logs rejected ones.
+struct HandshakeValidator {
     secret: String,
-    refused: RefCell<RepeatedEvent>,
+    rejected: RefCell<RepeatedEvent>,
 }
 
-impl Entrance {
-    /// The level that a connection speaks.
-    fn check(&self, frame: &[u8]) -> Result<FeatureLevel, Refusal> {
-        let hello = bitcode::decode::<Hello>(frame).map_err(|_| Refusal::Unreadable)?;
+impl HandshakeValidator {
+    /// Checks a client's [`Hello`] and returns the feature level of the connection.
+    fn check(&self, frame: &[u8]) -> Result<FeatureLevel, HandshakeError> {
+        let hello = bitcode::decode::<Hello>(frame).map_err(|_| HandshakeError::Malformed)?;
         if hello.magic != MAGIC {
-            return Err(Refusal::Unreadable);
+            return Err(HandshakeError::Malformed);
         }
         if hello.secret != self.secret {
-            return Err(Refusal::OtherSecret);
+            return Err(HandshakeError::WrongSecret);
         }
-        FeatureLevel::of_protocol(hello.version).ok_or(Refusal::OtherProtocol(hello.version))
+        FeatureLevel::of_protocol(hello.version).ok_or(HandshakeError::UnsupportedVersion(hello.version))
     }
 
-    fn tell_refused(&self, refusal: Refusal, now: Duration) {
-        if let Some(connections) = self.refused.borrow_mut().count(now) {
-            spdlog::warn!("connection refused", kv: {
-                reason = refusal.to_string().as_str(),
-                newest_spoken_here = FeatureLevel::NEWEST.protocol(),
+    fn log_rejected(&self, error: HandshakeError, now: Duration) {
+        if let Some(connections) = self.rejected.borrow_mut().count(now) {
+            spdlog::warn!("incoming connection rejected during handshake", kv: {
+                reason = error.to_string().as_str(),
+                newest_supported_protocol = FeatureLevel::NEWEST.protocol(),
                 connections = connections
             });
         }
@@ -92,25 +92,25 @@
     platform: P,
     sender: impl FrameSender,
     mut receiver: impl FrameReceiver,
-    entrance: Rc<Entrance>,
+    validator: Rc<HandshakeValidator>,
     handler: Rc<H>,
 ) {
-    let greeting = timeout(&platform, HELLO_LIMIT, receiver.receive()).await;
-    let Some(Ok(Some(frame))) = greeting else {
+    let hello = timeout(&platform, HELLO_TIMEOUT, receiver.receive()).await;
+    let Some(Ok(Some(frame))) = hello else {
         return;
     };
-    let level = match entrance.check(&frame) {
+    let level = match validator.check(&frame) {
         Ok(level) => level,
-        Err(refusal) => {
-            entrance.tell_refused(refusal, platform.monotonic());
+        Err(error) => {
+            validator.log_rejected(error, platform.monotonic());
             return;
         }
     };
-    let (answers, queue) = mpsc::unbounded();
-    // Nobody else holds the queue yet: it takes the frame.
-    let _ = answers.unbounded_send(Welcome::new().frame());
-    let read = read_requests(&platform, receiver, level, answers, handler);
-    let write = write_answers(sender, queue);
+    let (responses, queue) = mpsc::unbounded();
+    // Cannot fail, as the receiver still exists.
+    let _ = responses.unbounded_send(Welcome::new().frame());
+    let read = read_requests(&platform, receiver, level, responses, handler);
+    let write = write_responses(sender, queue);
     future::select(std::pin::pin!(read), std::pin::pin!(write)).await;
 }
 
@@ -118,28 +118,28 @@
     platform: &P,
     mut receiver: impl FrameReceiver,
     level: FeatureLevel,
-    answers: mpsc::UnboundedSender<Vec<u8>>,
+    responses: mpsc::UnboundedSender<Vec<u8>>,
     handler: Rc<H>,
 ) {
     while let Ok(Some(frame)) = receiver.receive().await {
         let Ok(envelope) = bitcode::decode::<Envelope>(&frame) else {
             return;
         };
-        let answers = answers.clone();
-        let answer = handler.clone().handle(level, envelope.body);
+        let responses = responses.clone();
+        let response = handler.clone().handle(level, envelope.body);
         platform.spawn(async move {
-            match answer.await {
+            match response.await {
                 Some(body) => {
-                    // A closed queue means that the connection is gone.
-                    let _ = answers.unbounded_send(bitcode::encode(&Envelope { id: envelope.id, body }));
+                    // Fails if the connection is closed; the response is then discarded.
+                    let _ = responses.unbounded_send(bitcode::encode(&Envelope { id: envelope.id, body }));
                 }
-                None => answers.close_channel(),
+                None => responses.close_channel(),
             }
         });
     }
 }
 
-async fn write_answers(mut sender: impl FrameSender, mut queue: mpsc::UnboundedReceiver<Vec<u8>>) {
+async fn write_responses(mut sender: impl FrameSender, mut queue: mpsc::UnboundedReceiver<Vec<u8>>) {
     while let Some(frame) = queue.next().await {
         if sender.send(frame).await.is_err() {
             return;
--- a/crates/runtime-compio/src/clock.rs
+++ b/crates/runtime-compio/src/clock.rs
@@ -1,27 +1,26 @@
-//! A clock for leases and ages that also counts time for which the machine was suspended.
+//! A monotonic clock for leases and ages that includes the time for which the machine was suspended.
 //!
-//! The operating system's steady clock (`CLOCK_MONOTONIC`, behind `std::time::Instant`) stands still while a machine is
-//! suspended, and a lease counted by it would outlive its time. `CLOCK_BOOTTIME` goes on, and unlike the time of day nobody
-//! sets it.
+//! `CLOCK_MONOTONIC`, which `std::time::Instant` uses, stops while the machine is suspended, so that a lease measured
+//! by it would expire too late. `CLOCK_BOOTTIME` keeps running and, unlike the wall clock, cannot be set.
 
 use nix::time::{ClockId, clock_gettime};
 use std::cell::Cell;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Time since the machine was started, the time for which it was suspended included.
+/// Time since boot, including time for which the machine was suspended.
 pub fn boot_time() -> Duration {
     let read = clock_gettime(ClockId::CLOCK_BOOTTIME);
     read.expect("Linux has had this clock since version 2.6.39").into()
 }
 
-/// Time since the Unix epoch by the wall clock.
+/// Wall-clock time since the Unix epoch.
 pub fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// The clock: time since its start. It never goes back.
+/// Monotonic time since the clock was created.
 pub struct Clock {
-    read: Box<dyn Fn() -> Duration>,
+    source: Box<dyn Fn() -> Duration>,
     started_at: Duration,
     latest: Cell<Duration>,
 }
@@ -33,20 +32,20 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that reads [`boot_time`].
     pub fn new() -> Self {
-        Self::reading(boot_time)
+        Self::with_source(boot_time)
     }
 
-    /// A clock that starts now and goes by what `read` returns.
-    pub fn reading(read: impl Fn() -> Duration + 'static) -> Self {
-        let started_at = read();
-        Self { read: Box::new(read), started_at, latest: Cell::new(Duration::ZERO) }
+    /// Creates a clock that uses `source` as its time source.
+    pub fn with_source(source: impl Fn() -> Duration + 'static) -> Self {
+        let started_at = source();
+        Self { source: Box::new(source), started_at, latest: Cell::new(Duration::ZERO) }
     }
 
-    /// Time since the start.
+    /// Time since the clock was created; never decreases, even if the time source does.
     pub fn monotonic(&self) -> Duration {
-        let elapsed = (self.read)().saturating_sub(self.started_at);
+        let elapsed = (self.source)().saturating_sub(self.started_at);
         self.latest.set(self.latest.get().max(elapsed));
         self.latest.get()
     }
--- a/crates/runtime-compio/src/connection.rs
+++ b/crates/runtime-compio/src/connection.rs
@@ -1,4 +1,4 @@
-//! Frames over TCP: a length of four bytes, little end first, and then the frame.
+//! Frames over TCP, each preceded by its length as a 4-byte little-endian integer.
 
 use compio::BufResult;
 use compio::io::{AsyncRead, AsyncWriteExt};
@@ -9,46 +9,47 @@
 use std::rc::Rc;
 
 const LENGTH_BYTES: usize = 4;
-/// A peer that acknowledges nothing for so long is given up, in milliseconds. A cut link tells nobody.
-const PEER_SILENCE_MS: u32 = 1_500;
+/// `TCP_USER_TIMEOUT` in milliseconds: a connection is closed if sent data stays unacknowledged for this long, for
+/// example during a network partition.
+const TCP_USER_TIMEOUT_MS: u32 = 1_500;
 
 const READ_BYTES: usize = 64 * 1024;
 
-/// Counts what a process exchanges with its peers.
+/// Shared counters of a process's traffic with its peers.
 pub type TrafficCounter = Rc<Cell<Traffic>>;
 
-/// Sends frames.
+/// Sending half of a TCP connection.
 pub struct TcpFrameSender {
     stream: TcpStream,
     traffic: TrafficCounter,
 }
 
-/// Receives frames.
+/// Receiving half of a TCP connection.
 pub struct TcpFrameReceiver {
     stream: TcpStream,
-    /// Bytes received that do not make a whole frame yet.
+    /// Receive buffer.
     received: Vec<u8>,
-    /// How many of `received` belong to frames already given out.
-    taken: usize,
+    /// Number of bytes at the start of `received` that belong to frames already returned.
+    consumed: usize,
     scratch: Vec<u8>,
     traffic: TrafficCounter,
 }
 
-/// Accepts connections.
+/// Accepts TCP connections.
 pub struct TcpFrameListener {
     listener: TcpListener,
     traffic: TrafficCounter,
 }
 
-/// The two halves of `stream`, whose frames `traffic` counts.
+/// Splits `stream` into two halves, counting their frames in `traffic`.
 pub fn split(stream: TcpStream, traffic: &TrafficCounter) -> io::Result<(TcpFrameSender, TcpFrameReceiver)> {
     stream.set_nodelay(true)?;
-    rustix::net::sockopt::set_tcp_user_timeout(&stream, PEER_SILENCE_MS)?;
+    rustix::net::sockopt::set_tcp_user_timeout(&stream, TCP_USER_TIMEOUT_MS)?;
     let (read, write) = stream.into_split();
     let receiver = TcpFrameReceiver {
         stream: read,
         received: Vec::new(),
-        taken: 0,
+        consumed: 0,
         scratch: Vec::with_capacity(READ_BYTES),
         traffic: traffic.clone(),
     };
@@ -62,7 +63,7 @@
 }
 
 impl TcpFrameListener {
-    /// Accepts from `listener`.
+    /// Wraps `listener`.
     pub fn new(listener: TcpListener, traffic: TrafficCounter) -> Self {
         Self { listener, traffic }
     }
@@ -81,7 +82,7 @@
 impl FrameSender for TcpFrameSender {
     async fn send(&mut self, frame: Vec<u8>) -> io::Result<()> {
         if frame.len() > MAX_FRAME_BYTES {
-            return Err(io::Error::new(io::ErrorKind::InvalidInput, "the frame is too large"));
+            return Err(io::Error::new(io::ErrorKind::InvalidInput, "frame exceeds the maximum size"));
         }
         let mut bytes = Vec::with_capacity(LENGTH_BYTES + frame.len());
         bytes.extend_from_slice(&(frame.len() as u32).to_le_bytes());
@@ -96,21 +97,21 @@
 }
 
 impl TcpFrameReceiver {
-    /// A whole frame among the bytes received.
+    /// Takes the next complete frame from the receive buffer; `None` if it is incomplete.
     fn take_frame(&mut self) -> io::Result<Option<Vec<u8>>> {
-        let unread = &self.received[self.taken..];
+        let unread = &self.received[self.consumed..];
         let Some(header) = unread.get(..LENGTH_BYTES) else {
             return Ok(None);
         };
         let length = u32::from_le_bytes(header.try_into().expect("four bytes")) as usize;
         if length > MAX_FRAME_BYTES {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "the frame is too large"));
+            return Err(io::Error::new(io::ErrorKind::InvalidData, "frame exceeds the maximum size"));
         }
         let Some(frame) = unread.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
             return Ok(None);
         };
         let frame = frame.to_vec();
-        self.taken += LENGTH_BYTES + length;
+        self.consumed += LENGTH_BYTES + length;
         count(&self.traffic, |traffic| {
             traffic.received_bytes += (LENGTH_BYTES + length) as u64;
             traffic.received_frames += 1;
@@ -125,8 +126,8 @@
             if let Some(frame) = self.take_frame()? {
                 return Ok(Some(frame));
             }
-            self.received.drain(..self.taken);
-            self.taken = 0;
+            self.received.drain(..self.consumed);
+            self.consumed = 0;
             let mut scratch = std::mem::take(&mut self.scratch);
             scratch.clear();
             let BufResult(count, scratch) = self.stream.read(scratch).await;
--- a/crates/runtime-compio/src/disk.rs
+++ b/crates/runtime-compio/src/disk.rs
@@ -1,4 +1,4 @@
-//! Files in one data folder.
+//! Files in a data folder.
 
 use compio::BufResult;
 use compio::fs::{File, OpenOptions};
@@ -15,7 +15,7 @@
     length: u64,
 }
 
-/// The folder. Clones share open files.
+/// A data folder. Clones share open files.
 #[derive(Clone)]
 pub struct FolderDisk {
     folder: Rc<PathBuf>,
@@ -23,23 +23,23 @@
 }
 
 impl FolderDisk {
-    /// Files under `folder`, which must exist.
+    /// Uses `folder`, which must exist.
     pub fn new(folder: PathBuf) -> Self {
         Self { folder: Rc::new(folder), appenders: Rc::default() }
     }
 
     async fn open_appender(&self, name: &str) -> io::Result<Appender> {
         let path = self.folder.join(name);
-        let new = !path.exists();
+        let is_new = !path.exists();
         let file = OpenOptions::new().write(true).create(true).open(path).await?;
-        if new {
+        if is_new {
             self.sync_names().await?;
         }
         let length = file.metadata().await?.len();
         Ok(Appender { file, length })
     }
 
-    /// Syncs a file that this process has not appended to.
+    /// Syncs a file that is not open for appending; succeeds if it does not exist.
     async fn sync_unopened(&self, name: &str) -> io::Result<()> {
         match OpenOptions::new().write(true).open(self.folder.join(name)).await {
             Ok(file) => file.sync_data().await,
@@ -56,8 +56,8 @@
         };
         let mut bytes = Vec::with_capacity(length);
         while bytes.len() < length {
-            let room = Vec::with_capacity(length - bytes.len());
-            let BufResult(count, read) = file.read_at(room, offset + bytes.len() as u64).await;
+            let buffer = Vec::with_capacity(length - bytes.len());
+            let BufResult(count, read) = file.read_at(buffer, offset + bytes.len() as u64).await;
             if count? == 0 {
                 break;
             }
@@ -94,7 +94,7 @@
         let BufResult(written, _) = new_file.write_all_at(bytes, 0).await;
         written?;
         new_file.sync_all().await?;
-        // Other files are appended to meanwhile.
+        // Locked only now, so that appends to other files proceed while the new content is written.
         let mut appenders = self.appenders.lock().await;
         appenders.remove(name);
         compio::fs::rename(&temporary, self.folder.join(name)).await?;
@@ -106,8 +106,8 @@
     }
 }
 
-/// Has an error name its file: it may be all that the process's last line tells.
-fn in_file<T>(file: &str, result: io::Result<T>) -> io::Result<T> {
+/// Adds the file's name to an error.
+fn with_file_name<T>(file: &str, result: io::Result<T>) -> io::Result<T> {
     result.map_err(|error| io::Error::new(error.kind(), format!("file `{file}`: {error}")))
 }
 
@@ -116,35 +116,35 @@
         match compio::fs::read(self.folder.join(file)).await {
             Ok(bytes) => Ok(Some(bytes)),
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
-            Err(error) => in_file(file, Err(error)),
+            Err(error) => with_file_name(file, Err(error)),
         }
     }
 
     async fn read_range(&self, file: &str, offset: u64, length: usize) -> io::Result<Vec<u8>> {
-        in_file(file, self.read_part(file, offset, length).await)
+        with_file_name(file, self.read_part(file, offset, length).await)
     }
 
     async fn append(&self, file: &str, bytes: Vec<u8>) -> io::Result<()> {
-        in_file(file, self.append_to(file, bytes).await)
+        with_file_name(file, self.append_to(file, bytes).await)
     }
 
     async fn sync(&self, file: &str) -> io::Result<()> {
-        in_file(file, self.sync_content(file).await)
+        with_file_name(file, self.sync_content(file).await)
     }
 
     async fn sync_folder(&self) -> io::Result<()> {
-        in_file(".", self.sync_names().await)
+        with_file_name(".", self.sync_names().await)
     }
 
     async fn replace(&self, file: &str, bytes: Vec<u8>) -> io::Result<()> {
-        in_file(file, self.replace_whole(file, bytes).await)
+        with_file_name(file, self.replace_whole(file, bytes).await)
     }
 
     async fn remove(&self, file: &str) -> io::Result<()> {
         self.appenders.lock().await.remove(file);
         match compio::fs::remove_file(self.folder.join(file)).await {
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
-            other => in_file(file, other),
+            other => with_file_name(file, other),
         }
     }
 }
--- a/crates/runtime-compio/src/lib.rs
+++ b/crates/runtime-compio/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform seam on a real machine, by compio.
+//! [`Runtime`] on a real machine, based on compio.
 
 pub mod clock;
 pub mod connection;
@@ -18,7 +18,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// This machine. Clones share the clock, the random numbers and the data folder.
+/// The environment of a process on this machine. Clones share the clock, random number generator, data folder and
+/// traffic counters.
 #[derive(Clone)]
 pub struct CompioRuntime {
     clock: Rc<Clock>,
@@ -28,7 +29,7 @@
 }
 
 impl CompioRuntime {
-    /// A platform whose files live under `data_folder`, which must exist.
+    /// Creates a runtime whose files are stored in `data_folder`, which must exist.
     pub fn new(data_folder: PathBuf) -> Self {
         Self {
             clock: Rc::new(Clock::new()),
@@ -40,7 +41,7 @@
 }
 
 impl CompioRuntime {
-    /// A platform for a process that keeps no files.
+    /// Creates a runtime for a process without files.
     pub fn without_files() -> Self {
         Self::new(PathBuf::new())
     }
--- a/crates/runtime-compio/src/listening.rs
+++ b/crates/runtime-compio/src/listening.rs
@@ -1,4 +1,4 @@
-//! Finds out whether a process still listens at its address.
+//! Detects whether a process still listens at its address.
 
 use compio::net::TcpStream;
 use std::cell::RefCell;
@@ -7,67 +7,69 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Longest time to find out: some round trips between regions.
-const LIMIT: Duration = Duration::from_millis(100);
+/// Connect timeout of a check; longer than a round trip between regions.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long an answer is good for everyone who asks about the same address: an engine that is overloaded resets many
-/// connections, and must not be asked again for each.
-const ANSWER_KEPT: Duration = Duration::from_millis(500);
+/// How long a result is cached, so that an overloaded engine that resets many connections is not checked for each of
+/// them.
+const RESULT_TTL: Duration = Duration::from_millis(500);
 
-/// Pause between looks at whether another one's question has been answered.
-const ANSWER_POLL: Duration = Duration::from_millis(2);
+/// Poll interval while another caller's check of the same address is in progress.
+const RESULT_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Addresses whose answers are kept; all are dropped when there are more.
-const ANSWERS_KEPT: usize = 4_096;
+/// Maximum number of cached results; the cache is cleared when it is full.
+const MAX_CACHED_RESULTS: usize = 4_096;
 
-/// Whether the process that listened at `address` has ended, as its machine says by refusing a connection. One that cannot
-/// be reached is not believed to have.
+/// Whether the process that listened at `address` has ended, as indicated by a refused connection; `false` if the
+/// machine is unreachable.
 pub async fn has_ended(address: SocketAddr) -> bool {
-    match compio::time::timeout(LIMIT, TcpStream::connect(address)).await {
+    match compio::time::timeout(CHECK_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
         Ok(Ok(_)) | Err(_) => false,
     }
 }
 
-/// Asks about each address once in a while, however many want to know.
+/// Cache of checks, shared by concurrent callers.
 #[derive(Default)]
 pub struct EndedChecks {
-    answers: RefCell<BTreeMap<SocketAddr, Answer>>,
+    checks: RefCell<BTreeMap<SocketAddr, Check>>,
 }
 
-/// What is known of an address: when it was asked about, and the answer, unless it is still to come.
+/// A check of one address; `ended` is `None` while it is in progress.
 #[derive(Clone, Copy)]
-struct Answer {
-    asked_at: Instant,
+struct Check {
+    started_at: Instant,
     ended: Option<bool>,
 }
 
 impl EndedChecks {
-    /// Whether the process that listened at `address` has ended, by an answer that may be some hundred milliseconds old.
+    /// Whether the process that listened at `address` has ended, from a result that may be up to `RESULT_TTL`
+    /// old.
     pub async fn has_ended(&self, address: SocketAddr) -> bool {
         loop {
-            let known = self.answers.borrow().get(&address).copied();
-            match known.filter(|answer| answer.asked_at.elapsed() < ANSWER_KEPT) {
-                Some(Answer { ended: Some(ended), .. }) => return ended,
-                // Whoever asked may have been dropped: a question is open for as long as an answer takes at most.
-                Some(answer) if answer.asked_at.elapsed() < LIMIT + ANSWER_POLL => {
-                    compio::time::sleep(ANSWER_POLL).await;
+            let cached = self.checks.borrow().get(&address).copied();
+            match cached.filter(|check| check.started_at.elapsed() < RESULT_TTL) {
+                Some(Check { ended: Some(ended), .. }) => return ended,
+                // The caller that started the check may have been dropped, so the wait for its result
+                // is limited.
+                Some(check) if check.started_at.elapsed() < CHECK_TIMEOUT + RESULT_POLL_INTERVAL => {
+                    compio::time::sleep(RESULT_POLL_INTERVAL).await;
                 }
                 Some(_) | None => break,
             }
         }
-        let asked_at = Instant::now();
-        self.note(address, Answer { asked_at, ended: None });
+        let started_at = Instant::now();
+        self.store(address, Check { started_at, ended: None });
         let ended = has_ended(address).await;
-        self.note(address, Answer { asked_at, ended: Some(ended) });
+        self.store(address, Check { started_at, ended: Some(ended) });
         ended
     }
 
-    fn note(&self, address: SocketAddr, answer: Answer) {
-        let mut answers = self.answers.borrow_mut();
-        if answers.len() >= ANSWERS_KEPT {
-            answers.clear();
+    fn store(&self, address: SocketAddr, check: Check) {
+        let mut checks = self.checks.borrow_mut();
+        if checks.len() >= MAX_CACHED_RESULTS {
+            checks.clear();
         }
-        answers.insert(address, answer);
+        checks.insert(address, check);
     }
 }
--- a/crates/runtime-compio/tests/disk.rs
+++ b/crates/runtime-compio/tests/disk.rs
@@ -1,10 +1,10 @@
-//! Files of a real folder: what is missing reads as nothing, and errors name the file.
+//! Files in a real folder: missing files, appends, atomic replacement and error messages.
 
 use saddlerelay_runtime::Disk;
 use saddlerelay_runtime_compio::disk::FolderDisk;
 use std::path::PathBuf;
 
-/// A folder of its own for each test, removed at its end.
+/// A temporary folder for one test, removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -29,7 +29,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // What is left lies in the machine's temporary folder.
+        // A failure leaves files in the temporary folder only.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
@@ -38,9 +38,9 @@
     compio::runtime::Runtime::new().expect("a runtime").block_on(test)
 }
 
-/// A segment that is missing is told as missing, by its number, not as an error of the machine.
+/// Callers report a missing segment themselves, so it must not be an I/O error.
 #[test]
-fn a_file_that_does_not_exist_reads_as_nothing() {
+fn missing_files_are_not_errors() {
     let folder = Folder::new("missing");
     run(async {
         let disk = folder.disk();
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn another_process_appends_behind_what_it_found_and_synced() {
+fn a_later_process_appends_after_existing_data() {
     let folder = Folder::new("append");
     run(async {
         folder.disk().append("wal", vec![1, 2]).await.expect("there is room");
@@ -67,12 +67,12 @@
 }
 
 #[test]
-fn a_replaced_file_is_appended_to_and_leaves_no_other() {
+fn appends_after_replace_go_to_the_new_file_and_no_temporary_file_remains() {
     let folder = Folder::new("replace");
     run(async {
         let disk = folder.disk();
         disk.append("wal", vec![1, 2]).await.expect("there is room");
-        // A process that lost power before it renamed has left this.
+        // Left by a process that crashed before the rename.
         std::fs::write(folder.0.join("wal.new"), [9; 100]).expect("there is room");
         disk.replace("wal", vec![7]).await.expect("there is room");
         disk.append("wal", vec![8]).await.expect("there is room");
@@ -81,18 +81,18 @@
     assert_eq!(folder.names(), ["wal"]);
 }
 
-/// The line that a process ends with names the file.
+/// Errors must contain the file name, as they may be the last line that a process logs.
 #[test]
-fn errors_name_the_file() {
+fn errors_contain_the_file_name() {
     let folder = Folder::new("errors");
     std::fs::create_dir(folder.0.join("snapshot")).expect("a folder in place of a file");
     run(async {
         let disk = folder.disk();
-        let told = |error: std::io::Error| error.to_string();
-        assert!(disk.read("snapshot").await.map_err(told).expect_err("a folder").contains("`snapshot`"));
-        assert!(disk.append("snapshot", vec![1]).await.map_err(told).expect_err("a folder").contains("`snapshot`"));
-        assert!(disk.sync("snapshot").await.map_err(told).expect_err("a folder").contains("`snapshot`"));
-        assert!(disk.replace("snapshot", vec![1]).await.map_err(told).expect_err("a folder").contains("`snapshot`"));
-        assert!(disk.remove("snapshot").await.map_err(told).expect_err("a folder").contains("`snapshot`"));
+        let message = |error: std::io::Error| error.to_string();
+        assert!(disk.read("snapshot").await.map_err(message).expect_err("a folder").contains("`snapshot`"));
+        assert!(disk.append("snapshot", vec![1]).await.map_err(message).expect_err("a folder").contains("`snapshot`"));
+        assert!(disk.sync("snapshot").await.map_err(message).expect_err("a folder").contains("`snapshot`"));
+        assert!(disk.replace("snapshot", vec![1]).await.map_err(message).expect_err("a folder").contains("`snapshot`"));
+        assert!(disk.remove("snapshot").await.map_err(message).expect_err("a folder").contains("`snapshot`"));
     });
 }
--- a/crates/runtime-compio/tests/frames.rs
+++ b/crates/runtime-compio/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Frames over real connections: whole ones arrive in order; malformed and oversized ones end their connection only.
+//! Frames over TCP connections: frames arrive complete and in order; malformed and oversized frames close only their
+//! own connection.
 
 use compio::BufResult;
 use compio::io::{AsyncReadExt, AsyncWriteExt};
@@ -33,21 +34,21 @@
 }
 
 #[test]
-fn frames_of_any_size_arrive_whole_and_in_order() {
+fn frames_of_any_size_arrive_complete_and_in_order() {
     block_on(async {
         let (mut listener, address) = listen().await;
         let sizes = [0, 1, 5, 100, 65_536, 65_537, 3_000_000, 2];
         let sending = async {
             let (mut sender, _receiver) = platform().connect(address).await.expect("a connection");
-            for (place, size) in sizes.into_iter().enumerate() {
-                sender.send(vec![place as u8; size]).await.expect("a frame was sent");
+            for (index, size) in sizes.into_iter().enumerate() {
+                sender.send(vec![index as u8; size]).await.expect("a frame was sent");
             }
         };
         let receiving = async {
             let (_sender, mut receiver) = listener.accept().await.expect("a connection");
-            for (place, size) in sizes.into_iter().enumerate() {
+            for (index, size) in sizes.into_iter().enumerate() {
                 let frame = receiver.receive().await.expect("a frame").expect("not the end");
-                assert_eq!(frame, vec![place as u8; size]);
+                assert_eq!(frame, vec![index as u8; size]);
             }
             assert_eq!(receiver.receive().await.expect("an orderly end"), None);
         };
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn a_frame_that_claims_to_be_too_large_is_an_error_before_any_memory_is_taken_for_it() {
+fn an_oversized_frame_length_is_rejected() {
     block_on(async {
         let (mut listener, address) = listen().await;
         let length = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes().to_vec();
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn a_frame_that_breaks_off_is_not_given_out() {
+fn a_truncated_frame_is_not_returned() {
     block_on(async {
         let (mut listener, address) = listen().await;
         let mut bytes = 10u32.to_le_bytes().to_vec();
@@ -78,9 +79,9 @@
     });
 }
 
-/// A stranger on the internal port is hung up on, and the next peer is served as if nothing had been.
+/// Clients with an invalid handshake are disconnected, and other clients are still served.
 #[test]
-fn a_stranger_is_hung_up_on_and_peers_are_still_served() {
+fn clients_with_an_invalid_handshake_are_disconnected_and_others_are_served() {
     struct Echo;
     impl saddlerelay_rpc::server::Handler for Echo {
         async fn handle(self: std::rc::Rc<Self>, _level: FeatureLevel, body: Vec<u8>) -> Option<Vec<u8>> {
@@ -91,28 +92,28 @@
         let (listener, address) = listen().await;
         let server = saddlerelay_rpc::server::serve(platform(), listener, "secret".into(), Echo.into());
         compio::runtime::spawn(server).detach();
-        let greeting = saddlerelay_rpc::frame::Hello::new(FeatureLevel::NEWEST, "another secret");
-        let wrong_secret = bitcode::encode(&greeting);
+        let hello = saddlerelay_rpc::frame::Hello::new(FeatureLevel::NEWEST, "another secret");
+        let wrong_secret = bitcode::encode(&hello);
         let unknown_version = bitcode::encode(&saddlerelay_rpc::frame::Hello {
             version: FeatureLevel::NEWEST.protocol() + 1,
             secret: "secret".to_string(),
-            ..greeting
+            ..hello
         });
-        for stranger in
+        for invalid_hello in
             [b"GET / HTTP/1.1\r\n\r\n".to_vec(), framed(b"nonsense"), framed(&wrong_secret), framed(&unknown_version)]
         {
-            let mut stream = send_raw(address, [stranger, vec![0; 64]].concat()).await;
+            let mut stream = send_raw(address, [invalid_hello, vec![0; 64]].concat()).await;
             let BufResult(answer, bytes) = stream.read_to_end(Vec::new()).await;
-            // Hung up on, in order or by a reset, and not one byte of an answer.
+            // The server closes or resets the connection without sending anything.
             assert!(answer.is_err() || bytes.is_empty());
         }
         let client = saddlerelay_rpc::client::Client::new(platform(), address, "secret");
         let limit = std::time::Duration::from_secs(10);
-        let say = |words: &'static [u8]| client.call(move |_| Some(words.to_vec()), limit);
-        let echoed = |words: &[u8]| Ok(Answer { level: FeatureLevel::NEWEST, body: words.to_vec() });
-        assert_eq!(say(b"hello").await, echoed(b"hello"));
-        assert!(say(b"malformed").await.is_err());
-        assert_eq!(say(b"again").await, echoed(b"again"));
+        let call = |body: &'static [u8]| client.call(move |_| Some(body.to_vec()), limit);
+        let expected = |body: &[u8]| Ok(Answer { level: FeatureLevel::NEWEST, body: body.to_vec() });
+        assert_eq!(call(b"hello").await, expected(b"hello"));
+        assert!(call(b"malformed").await.is_err());
+        assert_eq!(call(b"again").await, expected(b"again"));
     });
 }
 
--- a/crates/runtime-compio/tests/listening.rs
+++ b/crates/runtime-compio/tests/listening.rs
@@ -1,11 +1,11 @@
-//! Whether a process has ended is asked once for everyone who wants to know.
+//! Concurrent checks of one address share one connection.
 
 use futures::future::join_all;
 use saddlerelay_runtime_compio::listening::EndedChecks;
 use std::net::TcpListener;
 
 #[test]
-fn many_questions_about_one_address_are_one_connection() {
+fn concurrent_checks_of_one_address_open_one_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.set_nonblocking(true).expect("a socket");
     let address = listener.local_addr().expect("an address");
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn an_address_where_nobody_listens_has_ended() {
+fn an_address_without_a_listener_has_ended() {
     let address = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("an address");
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let checks = EndedChecks::default();
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,6 +1,7 @@
-//! The seam between node code and the machine: clock, sleep, spawn, connections, disk, randomness, back ends.
+//! Abstraction of the environment that a node runs in: clock, timers, tasks, connections, disk, randomness and
+//! backends.
 //!
-//! Node code is generic over [`Runtime`] and runs unchanged on real machines and in the simulator.
+//! Node code is generic over [`Runtime`], so that the same code runs on real machines and in the simulator.
 #![allow(async_fn_in_trait)]
 
 pub mod backend;
@@ -14,51 +15,52 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Largest frame accepted from a peer, in bytes.
+/// Maximum frame size in bytes.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// Sends whole frames on one connection.
+/// Sending half of a framed connection.
 pub trait FrameSender: 'static {
     /// Sends `frame`; an error means that the connection is unusable.
     async fn send(&mut self, frame: Vec<u8>) -> io::Result<()>;
 }
 
-/// Receives whole frames from one connection.
+/// Receiving half of a framed connection.
 pub trait FrameReceiver: 'static {
-    /// The next frame, or `None` when the peer closed the connection.
+    /// Receives the next frame; `None` if the peer closed the connection.
     async fn receive(&mut self) -> io::Result<Option<Vec<u8>>>;
 }
 
-/// Accepts connections.
+/// Accepts framed connections.
 pub trait FrameListener: 'static {
     /// The sending half of an accepted connection.
     type Sender: FrameSender;
     /// The receiving half of an accepted connection.
     type Receiver: FrameReceiver;
-    /// The next connection.
+    /// Accepts the next connection.
     async fn accept(&mut self) -> io::Result<(Self::Sender, Self::Receiver)>;
 }
 
-/// Files in the process's data folder. Nothing lasts before a `sync` or `replace` has returned.
+/// Files in the process's data folder. Writes are durable only after `sync` or `replace` has returned.
 pub trait Disk: Clone + 'static {
-    /// The whole file, or `None` when it does not exist.
+    /// Reads the whole file; `None` if it does not exist.
     async fn read(&self, file: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Up to `length` bytes of the file from `offset` on; fewer at its end, and none of a file that does not exist.
+    /// Reads up to `length` bytes from `offset`; fewer at the end of the file, and none if the file does not
+    /// exist.
     async fn read_range(&self, file: &str, offset: u64, length: usize) -> io::Result<Vec<u8>>;
-    /// Appends to the file, creating it if need be.
+    /// Appends to the file, creating it if it does not exist.
     async fn append(&self, file: &str, bytes: Vec<u8>) -> io::Result<()>;
-    /// Makes what was appended last, also what an earlier process appended. A file that does not exist is no error.
+    /// Makes all appended data durable, including data appended by an earlier process. Succeeds if the file does
+    /// not exist.
     async fn sync(&self, file: &str) -> io::Result<()>;
-    /// Makes the names of all files last as they are now, also those that an earlier process made, renamed or removed.
+    /// Makes the directory entries durable, including files created, renamed or removed by an earlier process.
     async fn sync_folder(&self) -> io::Result<()>;
-    /// Replaces the file with `bytes`, wholly or not at all, and makes it last.
+    /// Replaces the file's content atomically and durably.
     async fn replace(&self, file: &str, bytes: Vec<u8>) -> io::Result<()>;
-    /// Removes the file, if there is one. It may be back after a crash.
+    /// Removes the file if it exists. The removal is not durable: the file may reappear after a crash.
     async fn remove(&self, file: &str) -> io::Result<()>;
 }
 
-/// What a process has exchanged with saddlerelay's own processes since it started. Bytes are those of frames, without
-/// the network's own headers.
+/// Traffic with other saddlerelay processes since this process started. Bytes include frames but no network headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Bytes sent.
@@ -71,26 +73,26 @@
     pub received_frames: u64,
 }
 
-/// A machine as a process sees it.
+/// The environment of a process.
 pub trait Runtime: Clone + 'static {
-    /// Sending half of a connection made here.
+    /// Sending half of an outgoing connection.
     type Sender: FrameSender;
-    /// Receiving half of a connection made here.
+    /// Receiving half of an outgoing connection.
     type Receiver: FrameReceiver;
-    /// Listener.
+    /// Listener for incoming connections.
     type Listener: FrameListener;
-    /// Disk.
+    /// Storage of the process.
     type Disk: Disk;
 
-    /// Time since an arbitrary start; never goes back, may stand still with the machine.
+    /// Monotonic time since an arbitrary start. It may stop while the machine is suspended.
     fn monotonic(&self) -> Duration;
-    /// Unix milliseconds; may be wrong by the machine's clock error.
+    /// Wall clock in Unix milliseconds; subject to clock error.
     fn unix_milliseconds(&self) -> u64;
-    /// Waits.
+    /// Waits for `duration`.
     fn sleep(&self, duration: Duration) -> impl Future<Output = ()> + 'static;
-    /// Runs a task until it ends or the process does.
+    /// Spawns a detached task.
     fn spawn(&self, task: impl Future<Output = ()> + 'static);
-    /// A random number.
+    /// A uniformly distributed random number.
     fn random(&self) -> u64;
     /// Connects to a peer.
     async fn connect(&self, address: SocketAddr) -> io::Result<(Self::Sender, Self::Receiver)>;
@@ -99,7 +101,7 @@
     /// The process's disk.
     fn disk(&self) -> Self::Disk;
 
-    /// What has been exchanged with peers so far, where the platform counts it.
+    /// Traffic with peers so far; zero on platforms that do not count it.
     fn traffic(&self) -> Traffic {
         Traffic::default()
     }
--- a/crates/runtime/src/repeated_event.rs
+++ b/crates/runtime/src/repeated_event.rs
@@ -1,24 +1,24 @@
-//! One log line for many events of a kind that follow each other closely.
+//! Rate limiting of log lines for repeated events.
 
 use std::time::Duration;
 
-/// Pause between two lines.
-const TOLD_EVERY: Duration = Duration::from_secs(1);
+/// Minimum time between two log lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Events of one kind since the last line.
+/// Counts events of one kind since the last log line.
 #[derive(Debug, Default)]
 pub struct RepeatedEvent {
     events: u64,
-    told_at: Option<Duration>,
+    last_logged_at: Option<Duration>,
 }
 
 impl RepeatedEvent {
-    /// Counts an event; returns how many there were since the last line if one is due.
+    /// Counts an event. If a log line is due, returns the number of events since the previous line.
     pub fn count(&mut self, now: Duration) -> Option<u64> {
         self.events += 1;
-        let is_due = self.told_at.is_none_or(|at| now >= at + TOLD_EVERY);
+        let is_due = self.last_logged_at.is_none_or(|logged_at| now >= logged_at + LOG_INTERVAL);
         is_due.then(|| {
-            self.told_at = Some(now);
+            self.last_logged_at = Some(now);
             std::mem::take(&mut self.events)
         })
     }
--- a/crates/runtime/src/signal.rs
+++ b/crates/runtime/src/signal.rs
@@ -1,4 +1,4 @@
-//! Wakes tasks that wait for a condition.
+//! Notification of tasks that wait for a condition to change.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-/// Counts notifications; waiters compare the count with the one they saw last.
+/// Counts notifications; a waiter passes the count it last observed and waits for another one.
 #[derive(Default)]
 pub struct Signal {
     count: Cell<u64>,
@@ -14,10 +14,10 @@
     waiting: RefCell<BTreeMap<u64, Waker>>,
 }
 
-/// Waits for the next notification. A wait that is given up leaves nothing behind.
+/// Future of [`Signal::changed`]. Dropping it deregisters the waiter.
 pub struct Changed<'a> {
     signal: &'a Signal,
-    seen: u64,
+    observed_count: u64,
     waiter: u64,
 }
 
@@ -27,7 +27,7 @@
         self.count.get()
     }
 
-    /// Tasks that wait now.
+    /// The number of waiting tasks.
     pub fn waiting(&self) -> usize {
         self.waiting.borrow().len()
     }
@@ -39,10 +39,10 @@
         waiting.into_values().for_each(Waker::wake);
     }
 
-    /// Waits until the count differs from `seen`.
-    pub fn changed(&self, seen: u64) -> Changed<'_> {
+    /// Waits until the count differs from `observed_count`.
+    pub fn changed(&self, observed_count: u64) -> Changed<'_> {
         let waiter = self.next_waiter.replace(self.next_waiter.get() + 1);
-        Changed { signal: self, seen, waiter }
+        Changed { signal: self, observed_count, waiter }
     }
 }
 
@@ -50,7 +50,7 @@
     type Output = ();
 
     fn poll(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        if self.signal.count.get() != self.seen {
+        if self.signal.count.get() != self.observed_count {
             return Poll::Ready(());
         }
         self.signal.waiting.borrow_mut().insert(self.waiter, context.waker().clone());
--- a/crates/runtime/src/steps.rs
+++ b/crates/runtime/src/steps.rs
@@ -1,20 +1,20 @@
-//! Counts looks at members of the deployment (engines, relays, replicas), so that tests can show that the cost of an event
-//! does not grow with the fleet. One addition to a number of this thread for each look.
+//! Thread-local count of visits to members of the deployment (engines, relays, replicas), with which tests check that
+//! the cost of an event does not grow with the number of members.
 
 use std::cell::Cell;
 
 thread_local! {
-    static LOOKS: Cell<u64> = const { Cell::new(0) };
+    static VISITS: Cell<u64> = const { Cell::new(0) };
 }
 
-/// Counts a look at one member.
+/// Counts a visit to one member.
 pub fn look() {
-    LOOKS.with(|looks| looks.set(looks.get() + 1));
+    VISITS.with(|visits| visits.set(visits.get() + 1));
 }
 
-/// Looks that `work` takes, and what it returns.
+/// Runs `work`; returns the number of visits it made and its result.
 pub fn looks_of<T>(work: impl FnOnce() -> T) -> (u64, T) {
-    let before = LOOKS.with(Cell::get);
+    let before = VISITS.with(Cell::get);
     let outcome = work();
-    (LOOKS.with(Cell::get) - before, outcome)
+    (VISITS.with(Cell::get) - before, outcome)
 }
--- a/crates/runtime/src/timeout.rs
+++ b/crates/runtime/src/timeout.rs
@@ -1,4 +1,4 @@
-//! Bounds the time of a future on any platform.
+//! Timeouts for futures on any [`Runtime`].
 
 use crate::Runtime;
 use futures::future::{Either, select};
@@ -6,7 +6,7 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Runs `future` for at most `limit`; `None` when the time ran out, and the future is dropped.
+/// Runs `future` for at most `limit`; on timeout drops it and returns `None`.
 pub async fn timeout<P: Runtime, F: Future>(platform: &P, limit: Duration, future: F) -> Option<F::Output> {
     let timer = pin!(platform.sleep(limit));
     match select(pin!(future), timer).await {
--- a/crates/runtime/tests/signal.rs
+++ b/crates/runtime/tests/signal.rs
@@ -1,4 +1,4 @@
-//! A signal wakes its waiters, and a wait that is given up leaves nothing behind.
+//! Notification and deregistration of waiters.
 
 use futures::FutureExt;
 use saddlerelay_runtime::signal::Signal;
@@ -7,17 +7,17 @@
 fn a_waiter_is_woken_by_the_next_notification_only() {
     let signal = Signal::default();
     signal.notify();
-    let seen = signal.count();
-    let mut wait = signal.changed(seen);
+    let observed_count = signal.count();
+    let mut wait = signal.changed(observed_count);
     assert_eq!((&mut wait).now_or_never(), None);
     signal.notify();
     assert_eq!((&mut wait).now_or_never(), Some(()));
-    assert_eq!(signal.changed(seen).now_or_never(), Some(()), "a notification before the wait counts");
+    assert_eq!(signal.changed(observed_count).now_or_never(), Some(()), "a notification before the wait counts");
 }
 
-/// Waits with a time limit are given up over and over while nothing happens: they must not pile up.
+/// Guards against a leak of wakers by waits that time out.
 #[test]
-fn given_up_waits_leave_nothing_behind() {
+fn dropped_waits_are_deregistered() {
     let signal = Signal::default();
     for _ in 0..1_000 {
         assert_eq!(signal.changed(0).now_or_never(), None);
--- a/crates/types/src/claim.rs
+++ b/crates/types/src/claim.rs
@@ -1,63 +1,64 @@
-//! Claims: the committed right to run a keyed request once.
+//! Claims: the committed right to run a request once per idempotency key.
 
 use crate::identity::{BodyDigest, CallerId, IdempotencyKey, Incarnation, TenantId};
 use crate::request::{Generation, Repeatability, RequestFailure};
 use bitcode::{Decode, Encode};
 
-/// Names a claim.
+/// Identifies a claim.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ClaimKey {
     /// The tenant.
     pub tenant: TenantId,
     /// The caller.
     pub caller: CallerId,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: IdempotencyKey,
 }
 
-/// Asks for the right to run a request.
+/// A request for the right to run a keyed request.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ClaimRequest {
-    /// The claim's name.
+    /// The claim's key.
     pub key: ClaimKey,
-    /// Digest of the request.
+    /// Digest of the request body.
     pub digest: BodyDigest,
-    /// Unix milliseconds from which the key is refused.
+    /// Expiry of the key, in Unix milliseconds.
     pub expires_at: u64,
-    /// The relay incarnation that would run it.
+    /// Incarnation of the relay that would run the request.
     pub holder: Incarnation,
-    /// Drawn for each arrival at a relay, so that a resent claim command is told from a resent request.
+    /// Generated for each arrival of a request at a relay; distinguishes a resent claim command from a resent
+    /// request.
     pub arrival: u64,
-    /// Whether the request may run again after its holder is lost.
+    /// Whether the request may be run again after its holder is lost.
     pub repeatability: Repeatability,
 }
 
 /// How a claimed request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ClaimResult {
-    /// It ran whole.
+    /// The request completed.
     Answered(Generation),
-    /// It failed, perhaps partway.
+    /// The request failed, possibly partway.
     Failed(RequestFailure),
 }
 
-/// What a claim request brings.
+/// Result of a claim command.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ClaimOutcome {
-    /// The asker may run the request, once.
+    /// The requester may run the request once.
     Granted,
-    /// Another arrival is running it.
+    /// Another arrival holds the claim and is running the request.
     Running,
-    /// It ended; this is its answer.
+    /// The request has ended with this result.
     Finished(ClaimResult),
-    /// Its holder was lost while it may have run.
+    /// The holder was lost, and the request may have run.
     Lost,
-    /// It was sealed: it has not run and never will.
+    /// The key is sealed: the request has not run and cannot run.
     Sealed,
-    /// The key is bound to another request.
+    /// The key was used with another request body.
     DigestMismatch,
-    /// The key's expiry has passed, or lies too far ahead.
+    /// The key's expiry has passed or is too far in the future.
     KeyExpired,
-    /// The asking relay's incarnation was declared lost, or never joined.
+    /// The relay's incarnation was declared lost or has not joined.
     HolderFenced,
 }
--- a/crates/types/src/configuration.rs
+++ b/crates/types/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Templates, tenants and the typed parameters operators set.
+//! Templates, tenants and their typed parameters, as set by operators.
 
 use crate::identity::{IdempotencyKey, ModelName, Revision, TemplateId, TenantId, WeightVersion};
 use crate::request::Priority;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Every parameter a tenant can have.
+/// A tenant's parameters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ParameterName {
@@ -17,21 +17,21 @@
     Adapter,
     /// Integer: the weight version to serve; zero for the newest published.
     WeightVersion,
-    /// Integer, versions: how far behind the published version a delivered sample may be.
+    /// Integer: how many versions a delivered sample may be behind the published one.
     StalenessBound,
     /// Text, `interactive` or `batch`: the class of the tenant's callers.
     CallerClass,
-    /// Integer, requests: the most a relay runs at once for the tenant.
+    /// Integer: maximum requests in flight for the tenant at one relay.
     MaxInFlight,
-    /// Integer, requests: the most a relay keeps waiting for the tenant.
+    /// Integer: maximum requests queued for the tenant at one relay.
     MaxQueued,
-    /// Integer, percent: the share of an engine's slots that rollouts may fill.
+    /// Integer: percentage of an engine's slots that rollouts may use.
     RolloutSharePercent,
-    /// Integer, 0 to 100: how much trainer idle time counts against staleness.
+    /// Integer, 0 to 100: weight of trainer idle time relative to staleness.
     IdleWeight,
-    /// Integer, 0 to 100: how much staleness counts against trainer idle time.
+    /// Integer, 0 to 100: weight of staleness relative to trainer idle time.
     StalenessWeight,
-    /// Text: SHA-256 of the callers' secret in hexadecimal; empty for none.
+    /// Text: SHA-256 of the callers' secret, hexadecimal; empty for none.
     CallerSecretDigest,
 }
 
@@ -39,9 +39,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum ParameterValue {
-    /// A whole number.
+    /// An integer.
     Integer(i64),
-    /// A text.
+    /// A string.
     Text(String),
 }
 
@@ -58,20 +58,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "type")]
 pub enum ParameterRule {
-    /// A whole number in a closed range.
+    /// An integer within an inclusive range.
     Integer {
         /// Lowest value.
         minimum: i64,
         /// Highest value.
         maximum: i64,
-        /// Value when the tenant gives none.
+        /// Value if the tenant sets none.
         default: i64,
     },
-    /// A text, from a list unless the list is empty.
+    /// A string, one of a list unless the list is empty.
     Text {
-        /// The allowed values; empty for any.
+        /// The allowed values; empty if any value is allowed.
         allowed: Vec<String>,
-        /// Value when the tenant gives none.
+        /// Value if the tenant sets none.
         default: String,
     },
 }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Why `value` is not allowed, or `None` when it is.
+    /// The reason why `value` is not allowed, or `None` if it is.
     pub fn refusal(&self, value: &ParameterValue) -> Option<String> {
         match (self, value) {
             (Self::Integer { minimum, maximum, .. }, ParameterValue::Integer(number)) => {
@@ -119,7 +119,7 @@
         Self::CallerSecretDigest,
     ];
 
-    /// The widest rule a template may give; also the rule when the template gives none.
+    /// The most permissive rule that a template may set; also the default rule.
     pub fn widest_rule(self) -> ParameterRule {
         let integer = |(minimum, maximum): (i64, i64), default| ParameterRule::Integer { minimum, maximum, default };
         let text = |allowed: &[&str], default: &str| ParameterRule::Text {
@@ -140,11 +140,11 @@
     }
 }
 
-/// A set of rules that tenants fill in.
+/// A set of parameter rules for tenants.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
-    /// The rules; a parameter without one follows its widest rule.
+    /// The rules; a parameter that is not listed has its widest rule.
     pub parameters: BTreeMap<ParameterName, ParameterRule>,
 }
 
@@ -152,49 +152,49 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// The template it fills in.
+    /// The template whose rules apply.
     pub template: TemplateId,
     /// Values that differ from the template's defaults.
     pub values: BTreeMap<ParameterName, ParameterValue>,
 }
 
-/// A value or rule that cannot be accepted.
+/// An invalid value or rule.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct ParameterError {
-    /// The tenant that would be broken, when a template change breaks it.
+    /// The tenant whose values a template change would make invalid.
     pub tenant: Option<TenantId>,
     /// The parameter.
     pub parameter: ParameterName,
-    /// Why.
+    /// The reason, for people.
     pub reason: String,
 }
 
 impl Template {
-    /// The rule in force for `name`.
+    /// The effective rule for `name`.
     pub fn rule(&self, name: ParameterName) -> ParameterRule {
         self.parameters.get(&name).cloned().unwrap_or_else(|| name.widest_rule())
     }
 
-    /// Every reason why this template cannot be accepted.
+    /// All validation errors of this template.
     pub fn errors(&self) -> Vec<ParameterError> {
         let rules = self.parameters.iter();
         rules.filter_map(|(name, rule)| template_rule_error(*name, rule)).collect()
     }
 
-    /// Every reason why `tenant` cannot be accepted under this template.
+    /// All validation errors of `tenant` under this template.
     pub fn tenant_errors(&self, tenant: &Tenant) -> Vec<ParameterError> {
-        let refused = |(name, value): (&ParameterName, &ParameterValue)| {
+        let value_error = |(name, value): (&ParameterName, &ParameterValue)| {
             let reason = self.rule(*name).refusal(value)?;
             Some(ParameterError { tenant: None, parameter: *name, reason })
         };
-        tenant.values.iter().filter_map(refused).collect()
+        tenant.values.iter().filter_map(value_error).collect()
     }
 }
 
 fn template_rule_error(parameter: ParameterName, rule: &ParameterRule) -> Option<ParameterError> {
     let widest = parameter.widest_rule();
-    let own_default = rule.default_value();
-    let limits_refusal = match rule {
+    let default_value = rule.default_value();
+    let limits_error = match rule {
         ParameterRule::Integer { minimum, maximum, .. } => {
             [minimum, maximum].into_iter().find_map(|limit| widest.refusal(&ParameterValue::Integer(*limit)))
         }
@@ -203,41 +203,41 @@
             values.find_map(|value| widest.refusal(&ParameterValue::Text(value.clone())))
         }
     };
-    let reason = limits_refusal.or_else(|| widest.refusal(&own_default)).or_else(|| rule.refusal(&own_default))?;
+    let reason = limits_error.or_else(|| widest.refusal(&default_value)).or_else(|| rule.refusal(&default_value))?;
     Some(ParameterError { tenant: None, parameter, reason })
 }
 
-/// A tenant's parameters with every default filled in.
+/// A tenant's effective parameters, defaults included.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantParameters {
     /// The model that serves the tenant.
     pub model: ModelName,
-    /// The weight version to serve, or `None` for the newest published.
+    /// The weight version to serve; `None` for the newest published one.
     pub pinned_version: Option<WeightVersion>,
-    /// Versions a delivered sample may be behind the published one.
+    /// How many versions a delivered sample may be behind the published one.
     pub staleness_bound: u64,
     /// The class of the tenant's callers.
     pub caller_class: Priority,
-    /// The most requests a relay runs at once for the tenant.
+    /// Maximum requests in flight for the tenant at one relay.
     pub max_in_flight: usize,
-    /// The most requests a relay keeps waiting for the tenant.
+    /// Maximum requests queued for the tenant at one relay.
     pub max_queued: usize,
-    /// The percentage of an engine's slots that rollouts may fill.
+    /// Percentage of an engine's slots that rollouts may use.
     pub rollout_share_percent: u32,
-    /// How much trainer idle time counts, 0 to 100.
+    /// Weight of trainer idle time, 0 to 100.
     pub idle_weight: u32,
-    /// How much staleness counts, 0 to 100.
+    /// Weight of staleness, 0 to 100.
     pub staleness_weight: u32,
     /// SHA-256 of the callers' secret in hexadecimal, if one is set.
     pub caller_secret_digest: Option<String>,
 }
 
 impl TenantParameters {
-    /// Fills in `tenant` under `template`.
+    /// Resolves the tenant's values and the template's defaults.
     pub fn resolve(template: &Template, tenant: &Tenant) -> Self {
         let value = |name: ParameterName| {
-            let own = tenant.values.get(&name).cloned();
-            own.unwrap_or_else(|| template.rule(name).default_value())
+            let tenant_value = tenant.values.get(&name).cloned();
+            tenant_value.unwrap_or_else(|| template.rule(name).default_value())
         };
         let integer = |name| match value(name) {
             ParameterValue::Integer(number) => number.max(0) as u64,
@@ -265,7 +265,7 @@
     }
 }
 
-/// Names a configuration object.
+/// Identifies a configuration object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObjectName {
@@ -285,55 +285,55 @@
     Tenant(Tenant),
 }
 
-/// An object at a revision; `value` is absent once the object is deleted.
+/// An object at a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct ObjectState {
     /// The object's name.
     pub name: ObjectName,
-    /// The configuration revision that wrote it.
+    /// The configuration revision of the last write.
     pub revision: Revision,
-    /// Its content.
+    /// The content; `None` if the object is deleted.
     pub value: Option<ObjectValue>,
 }
 
-/// An operator's change.
+/// A configuration change by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationChange {
     /// The object to write.
     pub name: ObjectName,
-    /// Its new content; absent to delete it.
+    /// The new content; `None` to delete the object.
     pub value: Option<ObjectValue>,
-    /// The revision the operator saw; zero when the object must not exist; absent for any.
+    /// Expected revision for optimistic concurrency; zero if the object must not exist; `None` to skip the check.
     pub expected: Option<Revision>,
-    /// Under which a resend gets its first answer.
+    /// A resend with the same key gets the first response.
     pub idempotency_key: Option<IdempotencyKey>,
 }
 
-/// What became of a change.
+/// Result of a configuration change.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigurationOutcome {
     /// Committed at this revision.
     Accepted(Revision),
-    /// Another change came first; this is the object now.
+    /// The object has another revision than expected; this is its current state.
     RevisionMismatch(ObjectState),
-    /// Values out of range.
+    /// Values or rules are invalid.
     Invalid(Vec<ParameterError>),
-    /// The object or the template it names does not exist.
+    /// The object, or the template that it refers to, does not exist.
     NotFound(ObjectName),
     /// Tenants still use the template.
     InUse(Vec<TenantId>),
-    /// The idempotency key was used with another change.
+    /// The idempotency key was already used with another change.
     KeyReused,
 }
 
-/// Configuration as sent to a relay.
+/// Configuration changes sent to a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationUpdate {
-    /// The revision reached by applying this update.
+    /// The revision after the update is applied.
     pub revision: Revision,
-    /// Whether objects not named here are gone.
+    /// Whether this is the full configuration, so that objects not listed are deleted.
     pub whole: bool,
-    /// The objects that changed, or all of them when `whole`.
+    /// The changed objects, or all objects if `whole`.
     pub objects: Vec<ObjectState>,
 }
--- a/crates/types/src/credentials.rs
+++ b/crates/types/src/credentials.rs
@@ -1,26 +1,26 @@
-//! Secrets of callers. Only their digests are kept where a comparison is all that is needed.
+//! Digests of callers' secrets, stored in place of the secrets.
 
 use crate::hexadecimal::digest_as_text;
 use bitcode::{Decode, Encode};
 use sha2::{Digest as _, Sha256};
 
-/// Bytes of a SHA-256 digest.
+/// Length of a SHA-256 digest.
 const DIGEST_BYTES: usize = 32;
 
-/// Bytes of a digest that logs show: enough to tell keys apart, too few to be one.
-const SHOWN_BYTES: usize = 4;
+/// Length of the digest prefix shown in logs, enough to distinguish keys.
+const LOGGED_PREFIX_BYTES: usize = 4;
 
 /// SHA-256 of a caller's secret; hexadecimal in JSON.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct SecretDigest([u8; DIGEST_BYTES]);
 
 impl SecretDigest {
-    /// Digests a secret.
+    /// Computes the digest of a secret.
     pub fn of(secret: &[u8]) -> Self {
         Self(Sha256::digest(secret).into())
     }
 
-    /// Whether it is that of `secret`. The time that this takes does not tell where they differ.
+    /// Whether this is the digest of `secret`. The digests are compared in constant time.
     pub fn matches(&self, secret: &[u8]) -> bool {
         let other = Self::of(secret);
         let difference = self.0.iter().zip(&other.0).fold(0, |difference, (left, right)| difference | (left ^ right));
@@ -28,4 +28,4 @@
     }
 }
 
-digest_as_text!(SecretDigest, SHOWN_BYTES, "a SHA-256 digest");
+digest_as_text!(SecretDigest, LOGGED_PREFIX_BYTES, "a SHA-256 digest");
--- a/crates/types/src/feature_level.rs
+++ b/crates/types/src/feature_level.rs
@@ -1,30 +1,30 @@
-//! What all processes of a deployment understand, so that builds can replace each other one process at a time.
+//! Feature levels, which let builds be upgraded and rolled back one process at a time.
 //!
-//! A level names one way of writing files, log entries and messages, and what their commands do to the state. A build writes
-//! the newest level that it knows and reads every level listed here. A group is at the level that all its members know; one
-//! log entry raises it, and each replica goes to the new level at that entry.
+//! A level fixes the encoding of files, log entries and messages, and the effect of commands on the state. A build
+//! reads every level listed here. A control group runs at a level that all its members support; a log entry raises it,
+//! and each replica switches to the new level when it applies that entry.
 //!
-//! A change of any layout takes a new level here: layouts of a level that has been released never change.
+//! Each change of an encoding needs a new level: encodings of a released level never change.
 
 use std::fmt;
 
-/// One way of writing and understanding.
+/// A version of the encodings and of the effects of commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FeatureLevel {
-    /// Routing, instances, jobs and orders.
+    /// Routing, engine instances, batch jobs and orders.
     One,
-    /// Besides: tenants, usage, starts of engines, suspected work, questions to replicas that do not lead.
+    /// Adds tenants, usage counts, engine start times, suspected requests and reads at followers.
     Two,
 }
 
 impl FeatureLevel {
-    /// Every level that this build reads, the oldest first.
+    /// Every level that this build supports, oldest first.
     pub const ALL: [Self; 2] = [Self::One, Self::Two];
 
-    /// The newest one.
+    /// The newest supported level.
     pub const NEWEST: Self = Self::Two;
 
-    /// The number of the protocol between processes, in the first frame of each connection.
+    /// Protocol version, sent in the first frame of each connection between processes.
     pub const fn protocol(self) -> u32 {
         match self {
             Self::One => 1,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The number of the format that files of this level alone are in.
+    /// Format version of files written at this level.
     pub const fn file_format(self) -> u32 {
         match self {
             Self::One => 4,
@@ -40,22 +40,22 @@
         }
     }
 
-    /// The level of a protocol, if this build speaks it.
+    /// The level of a protocol version, if this build supports it.
     pub fn of_protocol(protocol: u32) -> Option<Self> {
         Self::ALL.into_iter().find(|level| level.protocol() == protocol)
     }
 
-    /// The newest level whose protocol is no newer than `protocol`.
+    /// The newest supported level whose protocol version is at most `protocol`.
     pub fn newest_within(protocol: u32) -> Option<Self> {
         Self::ALL.into_iter().rev().find(|level| level.protocol() <= protocol)
     }
 
-    /// The level of a format of files, if this build reads it.
+    /// The level of a file format version, if this build supports it.
     pub fn of_file_format(format: u32) -> Option<Self> {
         Self::ALL.into_iter().find(|level| level.file_format() == format)
     }
 
-    /// Its number, as logs show it.
+    /// The level's number, as shown in logs.
     pub const fn number(self) -> u32 {
         match self {
             Self::One => 1,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The level of a number.
+    /// The level with this number, if this build supports it.
     pub fn of_number(number: u32) -> Option<Self> {
         Self::ALL.into_iter().find(|level| level.number() == number)
     }
--- a/crates/types/src/gateway.rs
+++ b/crates/types/src/gateway.rs
@@ -1,5 +1,4 @@
-//! Messages about routed requests, engine instances, named weight versions and batch jobs, between saddlerelay's own
-//! processes and on the control group's log.
+//! Messages and log commands for request routing, engine instances, published weight versions and batch jobs.
 
 use crate::identity::{Fence, Incarnation, ReplicaId};
 use crate::instance::{GatheredReports, InstanceId, InstanceNews, InstanceReport, LoadedModel};
@@ -17,337 +16,340 @@
 /// A request to the control group's leader.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum GatewayRequest {
-    /// A relay asks for what it lacks, and thereby renews its lease.
+    /// A relay polls for state newer than its own; each poll renews its lease.
     Follow(FollowRequest),
-    /// An engine instance reports itself.
+    /// A status report sent by one engine instance.
     ReportInstance(InstanceReport),
-    /// Engine instances have reported themselves at one machine.
+    /// A batch of instance reports collected by one machine.
     ReportInstances(GatheredReports),
-    /// A replica that answers relays asks how far the log is committed, and tells what relays have told it.
+    /// A follower that serves relays requests the leader's commit index and forwards the clock readings and usage
+    /// counts that relays have sent to it.
     Confirm(RelayWords),
-    /// An engine instance says goodbye.
+    /// An engine instance deregisters.
     RemoveInstance(InstanceId),
-    /// An operator's whole routing document.
+    /// Replaces the routing document.
     PutRouting(RoutingDocument),
-    /// The newest routing document as it was sent.
+    /// Reads the source of the newest routing document.
     ReadRouting,
-    /// A trainer names a model's new weight version.
+    /// A trainer publishes a new weight version of a model.
     NameVersion(LoadedModel),
-    /// Hands a batch job in.
+    /// Submits a batch job.
     SubmitJob(JobSubmission),
-    /// Reads results from a position on.
+    /// Reads results starting at a position.
     ReadResults {
         /// The job.
         job: JobId,
         /// The first position wanted, from 0.
         after: u64,
-        /// How long to wait for one, in milliseconds.
+        /// The longest time to wait for a result, in milliseconds.
         wait_ms: u64,
-        /// Who asks.
+        /// The caller, checked against the job's owner.
         caller: Caller,
     },
-    /// Asks the leader how far the log is committed: a replica that has applied it that far answers as the leader would.
+    /// Requests the leader's commit index, at which a replica can serve a linearizable read once it has applied
+    /// the log up to it.
     ReadPosition,
-    /// Reads results at any replica that has applied the log up to a position that the leader told.
+    /// Reads results at a replica once it has applied the log up to the given index.
     ReadResultsAt {
-        /// The position in the log.
+        /// The log index, as returned for [`GatewayRequest::ReadPosition`].
         position: u64,
         /// The job.
         job: JobId,
         /// The first result wanted, from 0.
         after: u64,
-        /// How long to wait for one, in milliseconds.
+        /// The longest time to wait for a result, in milliseconds.
         wait_ms: u64,
-        /// Who asks.
+        /// The caller, checked against the job's owner.
         caller: Caller,
     },
-    /// Reads the body of an item that is not listed yet.
+    /// Reads the request body of an item that has no listed result yet.
     ReadBody {
         /// The job.
         job: JobId,
         /// The item.
         item: ItemId,
-        /// Who asks.
+        /// The caller, checked against the job's owner.
         caller: Caller,
     },
-    /// Ends a job: nothing of it runs any more.
+    /// Cancels a job; its items are no longer run.
     EndJob {
         /// The job.
         job: JobId,
-        /// Who asks.
+        /// The caller, checked against the job's owner.
         caller: Caller,
     },
-    /// A machine that keeps data introduces itself.
+    /// Registers a machine that stores the control group's data.
     RegisterStore(StoreRecord),
-    /// Asks for a store machine to be emptied.
+    /// Starts draining the storage machine of this name.
     RetireStore(String),
-    /// How far that is.
+    /// Reads the drain status of the storage machine of this name.
     ReadRetirement(String),
-    /// What is done towards the platform.
+    /// Reads the status of the leader's duties towards the platform.
     ReadDuties,
-    /// A relay has seen engines end under work, or suspected work served.
+    /// A relay reports engine processes that ended while running a request, or suspected requests that completed.
     TakeEvidence(WorkEvidence),
-    /// A relay wants to run suspected work.
+    /// Requests the exclusive right to run a suspected request.
     BeginTrial(TrialRequest),
-    /// It still runs it. The answer is [`GatewayReply::TrialsLost`].
+    /// Renews rights to run suspected requests; answered with [`GatewayReply::TrialsLost`].
     RenewTrials(Vec<HeldTrial>),
-    /// It has run it.
+    /// Releases the right to run a suspected request.
     EndTrial {
-        /// The work.
+        /// Digest of the suspected request.
         work: WorkDigest,
-        /// The try.
+        /// The attempt that holds the right.
         id: TrialId,
     },
-    /// The work under which engines have ended.
+    /// Reads the list of suspected requests.
     ReadSuspicions,
-    /// An operator wants work to be sent to engines again.
+    /// An operator clears the suspicion against a request.
     ReleaseWork(WorkDigest),
 }
 
-/// What a relay holds already.
+/// A relay's poll: the versions of the state that it holds.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct FollowRequest {
-    /// The relay, for logs.
+    /// The relay's name, used in logs.
     pub relay: String,
-    /// Where it stands.
+    /// The relay's zone.
     pub zone: String,
-    /// The routing version it acts on; `None` for none.
+    /// Version of the routing document in use; `None` before the first.
     pub routing_version: Option<u64>,
-    /// The revision of the instance table it acts on.
+    /// Revision of the instance table in use.
     pub instance_revision: u64,
-    /// It was sent to this replica by the leader, and takes an answer of one that does not lead.
+    /// Whether a follower may answer, because the leader has redirected the relay to it.
     pub at_follower: bool,
-    /// This start of the relay.
+    /// Incarnation of the relay process.
     pub incarnation: Incarnation,
-    /// The relay's time of day when it asked, in Unix milliseconds.
+    /// The relay's wall clock when it sent the request, in Unix milliseconds.
     pub unix_ms: u64,
-    /// Requests that engines have begun since the relay last handed counts over; `None` for none.
+    /// Usage counted since the last difference that the relay sent; `None` if nothing was counted.
     pub usage: Option<UsageDifference>,
-    /// The revision of the list of suspected work that it acts on.
+    /// Revision of the list of suspected requests in use.
     pub suspicion_revision: u64,
 }
 
-/// What relays have told a replica that does not lead, and what the leader has to know.
+/// Data from relays that a follower forwards to the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct RelayWords {
-    /// Their times of day.
+    /// Wall clocks of the relays.
     pub clocks: Vec<RelayClock>,
-    /// Requests that engines have begun.
+    /// Usage counted by the relays.
     pub usage: Vec<RelayUsage>,
 }
 
-/// A relay's time of day.
+/// A relay's wall clock.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RelayClock {
     /// The relay.
     pub relay: String,
-    /// Its time of day when the words were handed on, in Unix milliseconds.
+    /// The relay's wall clock when the follower forwarded it, in Unix milliseconds.
     pub unix_ms: u64,
 }
 
-/// What a relay lacks.
+/// State that is newer than the relay's.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct FollowReply {
-    /// How long the relay may act on this, in milliseconds from when it sent the request.
+    /// Lease length in milliseconds, counted by the relay from when it sent the request.
     pub lease_ms: u64,
-    /// What makes a newer routing document of the one that the relay holds.
+    /// The update from the relay's routing document to the newest one; `None` if the relay's is current.
     pub routing: Option<EncodedRoutingUpdate>,
-    /// What the relay lacks of the engines that it is told of.
+    /// Changes to the engine instances visible to the relay.
     pub instances: InstanceNews,
-    /// The replica that the relay is to ask from now on, while it answers; `None` for the leader.
+    /// The follower that the relay should poll from now on, as long as it responds; `None` for the leader.
     pub follower: Option<SocketAddr>,
-    /// How long the relay is to wait before it asks another replica when none leads, in milliseconds: with many relays,
-    /// longer.
+    /// Delay before the relay polls another replica while there is no leader, in milliseconds; grows with the
+    /// number of relays.
     pub retry_pause_ms: u32,
-    /// Where the control group's replicas listen for peers.
+    /// Addresses of the control group's replicas.
     pub replicas: Vec<SocketAddr>,
-    /// One of them in the relay's zone.
+    /// A replica in the relay's zone, if there is one.
     pub nearest_replica: Option<SocketAddr>,
-    /// The time of day that most machines agree on, in Unix milliseconds, when the answer was made; `None` if the leader
-    /// does not know it yet.
+    /// Wall-clock time agreed on by most machines when the reply was created, in Unix milliseconds; `None` if the
+    /// leader has not determined it yet.
     pub group_unix_ms: Option<u64>,
-    /// The newest difference of this start of the relay whose counts are committed; 0 for none.
+    /// Sequence number of the newest committed usage difference of this relay incarnation; 0 if there is none.
     pub usage_taken: u64,
-    /// The list of suspected work, if it is another one than the relay's.
+    /// The list of suspected requests, if its revision differs from the relay's.
     pub suspicions: Option<SuspicionList>,
 }
 
-/// An answer of the control group's leader.
+/// A reply of the control group.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum GatewayReply {
-    /// Of following.
+    /// The reply to [`GatewayRequest::Follow`].
     Followed(FollowReply),
-    /// It is done and will last.
+    /// The request was carried out and its effect is durable.
     Done,
-    /// The reports are taken, but nothing is known of these instances, of which only heartbeats came: whoever sent them is to
-    /// send their reports whole.
+    /// The reports were accepted, but these instances sent only heartbeats and have no recorded report; the sender
+    /// must send their full reports.
     ReportsMissing(Vec<InstanceId>),
     /// The routing document is not valid.
     InvalidRouting(RoutingError),
     /// The routing document's source; `None` before the first.
     Routing(Option<Vec<u8>>),
-    /// How far the log is committed.
+    /// The commit index.
     Position(u64),
-    /// The same, for a replica that answers relays.
+    /// The reply to [`GatewayRequest::Confirm`].
     Confirmed {
-        /// How far the log is committed.
+        /// The commit index.
         position: u64,
-        /// The time of day that most machines agree on, in Unix milliseconds; `None` if the leader does not know it yet.
+        /// Wall-clock time agreed on by most machines, in Unix milliseconds; `None` if the leader has not
+        /// determined it yet.
         group_unix_ms: Option<u64>,
-        /// Relays that the leader has heard of lately, also through replicas.
+        /// Number of relays that polled recently, at the leader or at a follower.
         relays: u32,
     },
-    /// A part of a job's results.
+    /// A page of a job's results.
     Results(ResultPage),
     /// An item's body.
     Body(Vec<u8>),
-    /// There is no such thing.
+    /// The named object does not exist.
     NotFound,
-    /// Too few machines would be left.
+    /// The drain is rejected because too few storage machines would remain.
     TooFew,
-    /// A machine is being emptied, or has been.
+    /// Drain status of a storage machine.
     Retirement {
-        /// Whether it may be taken away.
+        /// Whether the drain is complete and the machine may be removed.
         completed: bool,
     },
-    /// What is done towards the platform.
+    /// The status of the leader's duties towards the platform.
     Duties(DutyOverview),
-    /// The work under which engines have ended.
+    /// The list of suspected requests.
     Suspicions(SuspicionList),
-    /// Whether suspected work may be run.
+    /// The result of a request for the right to run a suspected request.
     Trial(TrialAnswer),
-    /// Of the rights that were to be renewed, those that are not held any more.
+    /// The rights that could not be renewed because they are no longer held.
     TrialsLost(Vec<HeldTrial>),
-    /// Nothing was done, and nothing will be; try again later.
+    /// The request was not carried out and will not be; retry later.
     Unavailable,
 }
 
-/// What the group does towards the platform.
+/// Status of the leader's duties towards the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct DutyOverview {
-    /// The replica that leads, and does it.
+    /// The leader, which carries out the duties.
     pub leader: ReplicaId,
-    /// The replica that gave the newest order.
+    /// The replica that issued the newest order.
     pub holder: Option<ReplicaId>,
-    /// The newest window whose report the platform has taken.
+    /// The newest usage window whose report the platform has accepted.
     pub newest_reported: Option<UsageWindow>,
-    /// Windows whose counts are fixed and not yet reported.
+    /// Closed usage windows that are not yet reported.
     pub unreported: Vec<UsageWindow>,
-    /// Requests that came after the counts of their window were fixed.
+    /// Requests left uncounted because their counts arrived after their usage window was closed.
     pub uncounted: u64,
-    /// How many engines are wanted, by place.
+    /// Desired and available engines by service and zone.
     pub engines: Vec<EngineStanding>,
 }
 
-/// A place's engines.
+/// Desired and available engines of a service in a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct EngineStanding {
-    /// The place.
+    /// The service and zone.
     pub place: EnginePlace,
-    /// How many are wanted.
+    /// Desired number of engines.
     pub wanted: u32,
-    /// How many report themselves and may be given work.
+    /// Number of engines that send reports and accept work.
     pub present: u32,
 }
 
-/// What the control group commits of all this.
+/// Commands that the control group commits to its log.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum GatewayCommand {
-    /// Take a routing document if its version is higher than the one held.
+    /// Replaces the routing document if the new version is higher.
     PutRouting(RoutingDocument),
-    /// Take instances' reports.
+    /// Records reports of instances.
     ReportInstances(Vec<InstanceReport>),
-    /// The reports of instances have ceased, or have come again.
+    /// Records that reports of instances have stopped or resumed.
     NoteSilence {
-        /// Those whose reports have ceased.
+        /// Instances whose reports have stopped.
         silent: Vec<InstanceId>,
-        /// Those that are heard again.
+        /// Instances whose reports have resumed.
         heard: Vec<InstanceId>,
     },
-    /// An instance is gone.
+    /// Removes an instance.
     RemoveInstance(InstanceId),
-    /// Note a model's version.
+    /// Records a published weight version of a model.
     NameVersion(LoadedModel),
-    /// Keep a job.
+    /// Stores a job.
     SubmitJob {
         /// The job.
         job: JobSubmission,
-        /// How long it stays readable, in milliseconds; an open job stays longer.
+        /// Retention in milliseconds; an unfinished job is kept longer.
         keep_ms: u64,
     },
-    /// Keep parts of texts of items that still run.
+    /// Stores partial texts of running items.
     KeepTexts {
         /// The job.
         job: JobId,
-        /// The parts.
+        /// The partial texts.
         parts: Vec<TextPart>,
     },
-    /// List results at the next positions.
+    /// Appends results to the job's result list.
     ListResults {
         /// The job.
         job: JobId,
-        /// The outcomes; those of items already listed are dropped.
+        /// Outcomes of items; an outcome of an item that is already listed is ignored.
         outcomes: Vec<ItemOutcome>,
     },
-    /// End a job.
+    /// Cancels a job.
     EndJob(JobId),
-    /// A machine that keeps data introduces itself.
+    /// Registers a machine that stores the control group's data.
     RegisterStore(StoreRecord),
-    /// Empty a machine.
+    /// Starts draining a storage machine.
     RetireStore(String),
-    /// A machine has been emptied.
+    /// Records that a storage machine is drained.
     StoreRetired(String),
-    /// Orders are about to be given.
+    /// Records the holder of the right to issue orders, before the orders are sent.
     NoteOrders {
-        /// By whom.
+        /// The replica that issues the orders.
         holder: ReplicaId,
-        /// About these.
+        /// The subjects of the orders.
         subjects: Vec<OrderSubject>,
     },
-    /// Add what relays have counted.
+    /// Adds usage counted by relays.
     AddUsage(Vec<RelayUsage>),
-    /// The counts of windows up to this one change no more.
+    /// Closes all usage windows up to and including this one.
     FixUsage(UsageWindow),
-    /// The platform has taken the report of a window.
+    /// Records that the platform accepted the report of a usage window.
     UsageReported(UsageWindow),
-    /// Engines are wanted in these numbers.
+    /// Sets the desired numbers of engines.
     WantEngines(Vec<WantedEngines>),
-    /// Take what has been seen of work under which engines end.
+    /// Records evidence for or against suspected requests.
     TakeEvidence(WorkEvidence),
-    /// Give a try the right to run suspected work.
+    /// Grants an attempt the exclusive right to run a suspected request.
     BeginTrial(TrialRequest),
-    /// The holders of these rights still run the work.
+    /// Renews rights to run suspected requests.
     RenewTrials(Vec<HeldTrial>),
-    /// End these rights, unless they have been renewed since: their holders have not been heard for a lease.
+    /// Expires rights whose lease has run out, unless they were renewed meanwhile.
     ExpireTrials(Vec<TrialStanding>),
-    /// The try is over.
+    /// Releases the right to run a suspected request.
     EndTrial {
-        /// The work.
+        /// Digest of the suspected request.
         work: WorkDigest,
-        /// The try.
+        /// The attempt that holds the right.
         id: TrialId,
     },
-    /// Forget what was seen of such work long ago.
+    /// Removes expired suspicions; an expired quarantine is lowered to a suspicion.
     ExpireSuspicions,
-    /// Forget what is known of this work.
+    /// Clears the suspicion against a request.
     ReleaseWork(WorkDigest),
 }
 
-/// A try of suspected work that wants to be the only one.
+/// A request for the exclusive right to run a suspected request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TrialRequest {
-    /// The work.
+    /// Digest of the suspected request.
     pub work: WorkDigest,
-    /// The try.
+    /// The attempt that holds the right.
     pub id: TrialId,
-    /// How long it may take, in milliseconds.
+    /// The longest time that the attempt may take, in milliseconds.
     pub limit_ms: u64,
 }
 
-/// What orders are about. Only one replica at a time gives orders about a subject.
+/// Subject of orders. Only one replica at a time may issue orders for a subject.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub enum OrderSubject {
-    /// The engine of this name, whichever of its starts: an order may reach a later one than it was given for.
+    /// The engine of this name, in any incarnation, as an order may reach a later incarnation than intended.
     Engine(String),
     /// The usage reports of all windows.
     UsageReports,
@@ -356,7 +358,7 @@
 }
 
 impl OrderSubject {
-    /// The engine that an instance is a start of.
+    /// The subject for an instance's engine.
     pub fn engine(instance: &InstanceId) -> Self {
         Self::Engine(instance.name.clone())
     }
@@ -371,46 +373,46 @@
     pub zone: String,
 }
 
-/// How many engines are wanted in a place.
+/// Desired number of engines of a service in a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct WantedEngines {
-    /// The place.
+    /// The service and zone.
     pub place: EnginePlace,
-    /// How many.
+    /// The desired number.
     pub count: u32,
 }
 
-/// A machine that keeps the group's data.
+/// A machine that stores the control group's data.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct StoreRecord {
-    /// Its name.
+    /// The machine's name.
     pub name: String,
-    /// Its replica.
+    /// The replica on the machine.
     pub replica: ReplicaId,
-    /// Where the replica listens.
+    /// Address of the replica.
     pub address: SocketAddr,
-    /// Where the machine stands.
+    /// The machine's zone.
     pub zone: String,
 }
 
-/// What such a command brings.
+/// Result of applying a [`GatewayCommand`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum GatewayOutcome {
-    /// It holds now.
+    /// The command was applied.
     Done,
-    /// There is no such thing.
+    /// The named object does not exist.
     NotFound,
-    /// The rest of these items' texts does not follow what is held; they are not listed.
+    /// Results of these items (by index) were not listed, as their texts start beyond the end of the stored text.
     TextMissing(Vec<u32>),
-    /// Whether suspected work may be run.
+    /// The result of a request for the right to run a suspected request.
     Trial(TrialAnswer),
-    /// Of the rights that were to be renewed, those that are not held any more.
+    /// The rights that could not be renewed because they are no longer held.
     TrialsLost(Vec<HeldTrial>),
-    /// The right to give the orders that were noted.
+    /// The right to issue the recorded orders.
     Orders {
-        /// The fence for them.
+        /// The fencing token for the orders.
         fence: Fence,
-        /// Whether another replica gave orders before.
+        /// Whether another replica issued orders before.
         taken_over: bool,
     },
 }
--- a/crates/types/src/hexadecimal.rs
+++ b/crates/types/src/hexadecimal.rs
@@ -1,11 +1,11 @@
-//! Digests that are read and written in hexadecimal.
+//! Hexadecimal encoding of digests.
 
-/// Bytes in hexadecimal.
+/// Encodes bytes as lower-case hexadecimal.
 pub(crate) fn write(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Reads as many bytes as are wanted in hexadecimal; `None` if the text is anything else.
+/// Decodes exactly `BYTES` bytes; `None` if the text has another length or other characters.
 pub(crate) fn read<const BYTES: usize>(text: &str) -> Option<[u8; BYTES]> {
     if text.len() != 2 * BYTES || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
@@ -17,12 +17,12 @@
     Some(bytes)
 }
 
-/// Gives a digest, a tuple of one array of bytes, its text: in hexadecimal in JSON, its first `$shown` bytes in logs.
-/// `$called` names it in an error.
+/// Implements the text forms of a digest type that wraps a byte array: full hexadecimal in JSON, the first
+/// `$prefix_bytes` bytes in `Debug` and logs. `$description` names the type in deserialization errors.
 macro_rules! digest_as_text {
-    ($name:ident, $shown:expr, $called:literal) => {
+    ($name:ident, $prefix_bytes:expr, $description:literal) => {
         impl $name {
-            /// Reads a digest in hexadecimal; `None` if it is none.
+            /// Parses a digest in hexadecimal; `None` if it is malformed.
             pub fn from_hexadecimal(text: &str) -> Option<Self> {
                 crate::hexadecimal::read(text).map(Self)
             }
@@ -32,9 +32,9 @@
                 crate::hexadecimal::write(&self.0)
             }
 
-            /// Its beginning, for logs.
+            /// The first bytes in hexadecimal, for logs.
             pub fn shown(&self) -> String {
-                crate::hexadecimal::write(&self.0[..$shown])
+                crate::hexadecimal::write(&self.0[..$prefix_bytes])
             }
         }
 
@@ -53,7 +53,7 @@
         impl<'de> serde::Deserialize<'de> for $name {
             fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
                 let text = String::deserialize(deserializer)?;
-                let expected = concat!("is not ", $called, " in hexadecimal");
+                let expected = concat!("is not ", $description, " in hexadecimal");
                 Self::from_hexadecimal(&text).ok_or_else(|| <D::Error as serde::de::Error>::custom(expected))
             }
         }
--- a/crates/types/src/identity.rs
+++ b/crates/types/src/identity.rs
@@ -1,4 +1,4 @@
-//! Identifiers. Each is a distinct type, so that one cannot be passed for another.
+//! Identifier types.
 
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
@@ -57,11 +57,11 @@
 }
 
 text_identifier!(
-    /// A tenant: one team's settings, callers, trainer and model.
+    /// A tenant: a team with its settings, callers, trainer and model.
     TenantId
 );
 text_identifier!(
-    /// A template that tenants fill in.
+    /// A configuration template for tenants.
     TemplateId
 );
 text_identifier!(
@@ -73,15 +73,15 @@
     Zone
 );
 text_identifier!(
-    /// A model's name as callers ask for it.
+    /// A model's name, as used in requests.
     ModelName
 );
 text_identifier!(
-    /// A caller inside a tenant, for example one application.
+    /// A caller within a tenant, for example an application.
     CallerId
 );
 text_identifier!(
-    /// The key a caller repeats on every resend of one request.
+    /// A key that a caller repeats on each resend of a request.
     IdempotencyKey
 );
 
@@ -94,40 +94,40 @@
     Revision
 );
 number_identifier!(
-    /// One start of a relay process: drawn at random when the process starts.
+    /// One start of a process; random for a relay, increasing for a trainer.
     Incarnation
 );
 number_identifier!(
-    /// The number of an attempt at one sample; a later attempt fences every earlier one.
+    /// Number of an attempt at a sample; a later attempt fences all earlier ones.
     Attempt
 );
 number_identifier!(
-    /// A sample's place in a trainer's delivery order; the first is 1.
+    /// A sample's position in a trainer's delivery order, starting at 1.
     Position
 );
 number_identifier!(
-    /// Counts the times that undelivered positions were withdrawn; older answers are void.
+    /// Increases each time undelivered positions are withdrawn, which invalidates batches of earlier epochs.
     DeliveryEpoch
 );
 number_identifier!(
-    /// A trainer's step.
+    /// Number of a training step.
     StepNumber
 );
 number_identifier!(
-    /// A control replica, drawn at random when its disk is first written.
+    /// A control replica; random, generated when its disk is initialized.
     ReplicaId
 );
 number_identifier!(
-    /// The order in which control's engine orders were issued; engines refuse a lower one.
+    /// A fencing token for engine orders; engines reject lower ones.
     Fence
 );
 
-/// SHA-256 of a request body, to tell a resend from another request under the same key.
+/// SHA-256 of a request body, used to detect reuse of an idempotency key with another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct BodyDigest(pub [u8; 32]);
 
 impl BodyDigest {
-    /// Digests `body`.
+    /// Computes the digest of `body`.
     pub fn of(body: &[u8]) -> Self {
         Self(Sha256::digest(body).into())
     }
--- a/crates/types/src/instance.rs
+++ b/crates/types/src/instance.rs
@@ -1,41 +1,40 @@
-//! Engine instances as they report themselves: each start of an engine is a new instance, also one under the name of an
-//! earlier start.
+//! Engine instances and their reports. Each start of an engine is a new instance, even under the same name.
 
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// One start of an engine. What is known of an instance, is under way at it or is kept for it holds for this start alone.
+/// Identifies one start of an engine. State recorded for an instance applies to this start only.
 ///
-/// In order, the starts under one name stand together, the newest last.
+/// Identifiers sort by name and then by start time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize)]
 pub struct InstanceId {
-    /// The name under which it is called; another start may have it too.
+    /// The engine's name, shared by all its starts.
     #[serde(rename = "id")]
     pub name: String,
-    /// When it started, in Unix milliseconds; `None` where engines do not tell, and take a new name with each start.
+    /// Start time in Unix milliseconds; `None` for engines that report none and use a new name for each start.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_at_ms: Option<u64>,
 }
 
 impl InstanceId {
-    /// An instance that does not tell when it started.
+    /// An instance without a start time.
     pub fn named(name: impl Into<String>) -> Self {
         Self { name: name.into(), started_at_ms: None }
     }
 
-    /// The start of an engine at a time in Unix milliseconds.
+    /// An instance started at `at_ms`, in Unix milliseconds.
     pub fn started(name: impl Into<String>, at_ms: u64) -> Self {
         Self { name: name.into(), started_at_ms: Some(at_ms) }
     }
 
-    /// Every start under a name, from the oldest to the newest.
+    /// All instances of a name, from the oldest to the newest.
     pub fn all_starts(name: &str) -> RangeInclusive<Self> {
         Self::named(name)..=Self::started(name, u64::MAX)
     }
 
-    /// The starts under this name from this one on, the newest last.
+    /// This instance and all later ones of the same name.
     pub fn starts_from_here(&self) -> RangeInclusive<Self> {
         self.clone()..=Self::started(&*self.name, u64::MAX)
     }
@@ -50,7 +49,7 @@
     pub version: u64,
 }
 
-/// What an instance says of itself.
+/// Status reported by an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct InstanceReport {
     /// The instance.
@@ -58,69 +57,69 @@
     pub id: InstanceId,
     /// The service it belongs to.
     pub service: String,
-    /// Where it serves.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The zone it runs in.
     pub zone: String,
-    /// Requests it runs at once.
+    /// Maximum concurrent requests.
     pub slots: u32,
-    /// It takes no new work.
+    /// Whether it is draining and accepts no new work.
     pub leaving: bool,
-    /// What it has loaded.
+    /// Loaded models.
     pub models: Vec<LoadedModel>,
-    /// Rises with each report of one start, so that a late one can be known.
+    /// Increases with each report of an instance; used to discard reports that arrive out of order.
     pub sequence: u64,
 }
 
-/// That an instance is still there and has nothing new to say.
+/// A heartbeat: the instance is alive and its report is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct InstanceHeartbeat {
     /// The instance.
     pub id: InstanceId,
-    /// That of its report.
+    /// Sequence number of the unchanged report.
     pub sequence: u64,
 }
 
-/// Reports that one machine has gathered.
+/// Reports collected by one machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct GatheredReports {
-    /// Those that say something that this machine has not handed over yet.
+    /// Reports with changes that the machine has not forwarded yet.
     pub news: Vec<InstanceReport>,
-    /// The others.
+    /// Instances whose reports are unchanged.
     pub heartbeats: Vec<InstanceHeartbeat>,
 }
 
-/// Whether an instance may be given work. States only go forward.
+/// Whether an instance may receive work. Transitions go only from an earlier variant to a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode, Serialize, Deserialize)]
 pub enum InstanceState {
-    /// It may.
+    /// Accepts work.
     Ready,
-    /// It finishes what it has.
+    /// Draining: it finishes the work in flight.
     Leaving,
-    /// It has said goodbye, or its name or its address belongs to a newer instance.
+    /// Deregistered, or replaced by a newer instance with its name or address.
     Gone,
 }
 
-/// An instance as the control group knows it.
+/// An instance as recorded by the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct InstanceRecord {
-    /// Its newest committed report.
+    /// The newest committed report.
     pub report: InstanceReport,
-    /// Whether it may be given work.
+    /// Whether it may receive work.
     pub state: InstanceState,
-    /// It is ready, but its reports have ceased: it is given work only where no other can have it.
+    /// Whether its reports have stopped; it then receives work only if no other instance is available.
     pub silent: bool,
-    /// The table's revision at its last change.
+    /// Revision of the instance table at the record's last change.
     pub revision: u64,
 }
 
-/// What a relay lacks of the engines that it is told of.
+/// Changes to the instance table visible to a relay.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct InstanceNews {
     /// The instance table's revision.
     pub revision: u64,
-    /// The records are all that the relay is told of: it forgets the others.
+    /// Whether `records` is the full table, which replaces the relay's.
     pub whole: bool,
-    /// Instances, changed ones unless `whole`.
+    /// The changed instances, or all of them if `whole`.
     pub records: Vec<InstanceRecord>,
 }
--- a/crates/types/src/job.rs
+++ b/crates/types/src/job.rs
@@ -1,92 +1,93 @@
-//! Batch jobs: many streams that are handed in at once, run later, and read by position.
+//! Batch jobs: many generation requests submitted together, run asynchronously, with results read by position.
 
 use crate::identity::TenantId;
 use crate::work::WorkDigest;
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// A batch job, named by whoever hands it in.
+/// Identifier of a batch job, chosen by the submitter.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize)]
 pub struct JobId(pub String);
 
-/// An item of a batch job.
+/// Identifier of an item of a batch job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize)]
 pub struct ItemId(pub String);
 
-/// A batch job as it is handed in.
+/// A batch job as submitted.
 #[derive(Clone, Debug, PartialEq, Encode, Decode, Serialize, Deserialize)]
 pub struct JobSubmission {
     /// The job.
     pub id: JobId,
-    /// The host that it was sent to; its items are sent with it.
+    /// The `Host` of the submission, also used for the items' requests.
     pub host: String,
-    /// The path that it was sent to; chooses the route.
+    /// The path of the submission, which selects the route.
     pub path: String,
-    /// The tenant by whose key it was handed in; only that one may use it.
+    /// The tenant whose key the submission carried; only this tenant may access the job.
     #[serde(skip)]
     pub owner: Option<TenantId>,
-    /// The model that its items ask for.
+    /// The model that the items request.
     pub model: Option<String>,
     /// The trainer's step, from 0.
     pub step: u64,
-    /// The oldest weight version that may make its text.
+    /// The oldest weight version that may generate its items.
     pub minimum_version: u64,
-    /// Whole groups that the trainer waits for.
+    /// Number of complete groups that the trainer waits for.
     pub wanted_groups: u32,
     /// The items.
     pub items: Vec<JobItem>,
 }
 
-/// One item: a request that an engine answers with a stream of events.
+/// One request of a job, answered by an engine with a stream of events.
 #[derive(Clone, Debug, PartialEq, Encode, Decode, Serialize, Deserialize)]
 pub struct JobItem {
-    /// The item; the same one may come again in a later job.
+    /// The item's identifier; a later job may contain the same item.
     pub id: ItemId,
-    /// The path at the engine.
+    /// The request path at the engine.
     pub path: String,
-    /// Its headers, as handed in.
+    /// The headers as submitted.
     pub headers: Vec<(String, String)>,
-    /// Its body; base64 in JSON.
+    /// The request body; base64 in JSON.
     #[serde(with = "crate::base64_bytes")]
     pub body: Vec<u8>,
-    /// Tokens of the prompt and at most generated, together.
+    /// Prompt tokens plus the maximum of generated tokens.
     pub tokens: u64,
-    /// Items of a group share their prompt and are wanted together.
+    /// The item's group; items of a group share a prompt and are needed together.
     pub group: String,
-    /// Who is asked to score its whole text; without one it is listed as soon as the text is whole.
+    /// The request that scores the completed text; without one the item's result is listed once the text is
+    /// complete.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub scorer: Option<ScoringRequest>,
 }
 
-/// The request that has an item's whole text scored. It goes by the route of its own host and path, and may be repeated.
+/// A request to score an item's completed text. It is routed by its own host and path and may be retried.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct ScoringRequest {
     /// The request's own identifier.
     pub id: String,
-    /// The host that it is sent with.
+    /// The request's `Host`.
     pub host: String,
-    /// The path at the scoring engine.
+    /// The request path at the scoring engine.
     pub path: String,
-    /// Its body; base64 in JSON.
+    /// The request body; base64 in JSON.
     #[serde(with = "crate::base64_bytes")]
     pub body: Vec<u8>,
 }
 
 impl JobItem {
-    /// What the item asks for, as a part of a job that `owner` handed in for `host`.
+    /// Digest of the item's request, in a job that `owner` submitted for `host`.
     pub fn work_digest(&self, owner: Option<&TenantId>, host: &str) -> WorkDigest {
         WorkDigest::of_posted(owner, host, &self.path, &self.body)
     }
 }
 
-/// Why a job cannot be taken.
+/// Why a job is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobError {
-    /// An item's scorer has no identifier.
+    /// The identifier of an item's scorer is empty or not printable ASCII without spaces.
     ScorerWithoutId(ItemId),
-    /// An item's scorer has no host.
+    /// The host of an item's scorer is empty or not printable ASCII without spaces.
     ScorerWithoutHost(ItemId),
-    /// The path of an item's scorer does not begin with a slash, or cannot stand in a request.
+    /// The path of an item's scorer does not begin with a slash, or is not printable ASCII without spaces.
     ScorerPath(ItemId),
 }
 
@@ -103,28 +104,28 @@
 }
 
 impl JobSubmission {
-    /// What is wrong with the job, or `None`.
+    /// The first validation error, or `None` if the job is valid.
     pub fn error(&self) -> Option<JobError> {
         self.items.iter().find_map(|item| item.scorer.as_ref()?.error(&item.id))
     }
 }
 
 impl ScoringRequest {
-    /// What the request asks for, on behalf of the owner of a job.
+    /// Digest of the scoring request, sent on behalf of the job's owner.
     pub fn work_digest(&self, owner: Option<&TenantId>) -> WorkDigest {
         WorkDigest::of_posted(owner, &self.host, &self.path, &self.body)
     }
 
     fn error(&self, item: &ItemId) -> Option<JobError> {
-        let fits_a_header = |text: &str| !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_graphic());
-        if !fits_a_header(&self.id) {
+        let is_visible_ascii = |text: &str| !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_graphic());
+        if !is_visible_ascii(&self.id) {
             return Some(JobError::ScorerWithoutId(item.clone()));
         }
-        if !fits_a_header(&self.host) {
+        if !is_visible_ascii(&self.host) {
             return Some(JobError::ScorerWithoutHost(item.clone()));
         }
-        let path_fits = self.path.starts_with('/') && fits_a_header(&self.path);
-        (!path_fits).then(|| JobError::ScorerPath(item.clone()))
+        let is_valid_path = self.path.starts_with('/') && is_visible_ascii(&self.path);
+        (!is_valid_path).then(|| JobError::ScorerPath(item.clone()))
     }
 }
 
@@ -132,76 +133,76 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemEnd {
-    /// Its text is whole.
+    /// The text is complete.
     Completed,
-    /// It was given up.
+    /// The item was aborted.
     Aborted,
 }
 
-/// An item's result; it keeps its position.
+/// An item's result. Its position in the result list never changes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct ItemResult {
     /// The item's index in the job.
     pub item: u32,
     /// How it ended.
     pub end: ItemEnd,
-    /// The data of its events, parted by line feeds; base64 in JSON.
+    /// Event data separated by line feeds; base64 in JSON.
     #[serde(with = "crate::base64_bytes")]
     pub text: Vec<u8>,
-    /// The weight versions that made an event of the text, ascending.
+    /// Weight versions that generated events of the text, ascending.
     pub versions: Vec<u64>,
-    /// The stamp of its scorer's answer, where the item names a scorer.
+    /// The stamp from the scorer's response, if the item has a scorer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub score: Option<String>,
 }
 
-/// A piece of an item's text, which goes after what is held already.
+/// A chunk of an item's text, appended to the stored text.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct TextPart {
     /// The item's index in the job.
     pub item: u32,
-    /// How many bytes of the text go before it; anything held beyond them is replaced.
+    /// Byte offset of the chunk; stored text beyond it is replaced.
     pub offset: u64,
     /// The bytes.
     pub data: Vec<u8>,
-    /// Events that the text holds with them.
+    /// Number of events in the text including this chunk.
     pub events: u32,
-    /// The last of those events.
+    /// Identifier of the last event.
     pub last_event: Option<u64>,
-    /// The weight versions that made them all, ascending.
+    /// Weight versions that generated these events, ascending.
     pub versions: Vec<u64>,
-    /// The text is whole with them.
+    /// Whether the text is complete with this chunk.
     pub whole: bool,
 }
 
-/// How an item has ended, with the rest of its text.
+/// How an item ended, with the rest of its text.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct ItemOutcome {
     /// How it ended.
     pub end: ItemEnd,
     /// The rest of its text.
     pub rest: TextPart,
-    /// The stamp of its scorer's answer, where the item names a scorer.
+    /// The stamp from the scorer's response, if the item has a scorer.
     pub score: Option<String>,
 }
 
 /// The text of an item that has not ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct PartialText {
-    /// The data of its events, parted by line feeds.
+    /// Event data separated by line feeds.
     pub data: Vec<u8>,
-    /// Its events.
+    /// Number of events.
     pub events: u32,
-    /// The last of them.
+    /// Identifier of the last event.
     pub last_event: Option<u64>,
-    /// The weight versions that made them, ascending.
+    /// Weight versions that generated the events, ascending.
     pub versions: Vec<u64>,
-    /// Nothing is missing; only its score is.
+    /// Whether the text is complete and only its score is missing.
     pub whole: bool,
 }
 
 impl PartialText {
-    /// Adds a part; `false` if it does not follow what is held.
+    /// Appends a chunk; returns `false`, changing nothing, if it starts beyond the end of the stored text.
     pub fn add(&mut self, part: &TextPart) -> bool {
         let Ok(offset) = usize::try_from(part.offset) else {
             return false;
@@ -219,12 +220,12 @@
     }
 }
 
-/// A part of a job's results.
+/// A page of a job's results.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct ResultPage {
-    /// Items of the job.
+    /// Number of items in the job.
     pub total: u64,
-    /// The position after the last result given.
+    /// The position after the last result in this page.
     pub next: u64,
     /// Results with their items' identifiers.
     pub results: Vec<(ItemId, ItemResult)>,
--- a/crates/types/src/membership.rs
+++ b/crates/types/src/membership.rs
@@ -1,4 +1,4 @@
-//! Relays and engines as the control group records them.
+//! Relays and engines as recorded by the control group.
 
 use crate::engine::{EngineDescription, WeightState};
 use crate::identity::{EngineId, Incarnation, Revision, Zone};
@@ -6,75 +6,75 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Whether an engine may get new work.
+/// Whether an engine may receive new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineAvailability {
-    /// Registered and answering.
+    /// Registered and responding.
     Available,
-    /// Does not answer control.
+    /// Does not respond to the control group.
     Unreachable,
-    /// On its way out; stays so until it registers with a new incarnation.
+    /// Draining, until it registers with a new incarnation.
     Leaving,
 }
 
-/// An engine as recorded.
+/// The record of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct EngineRecord {
-    /// Where it is.
+    /// Its registered description.
     pub description: EngineDescription,
-    /// The process start that reported last; zero before the first report.
+    /// Incarnation of the last report; zero before the first report.
     pub incarnation: u64,
-    /// Whether it may get new work.
+    /// Whether it may receive new work.
     pub availability: EngineAvailability,
-    /// The weights it confirmed last.
+    /// The weights it reported last.
     pub weights: WeightState,
-    /// The record's own revision: rises with each change.
+    /// Revision of the record, which increases with each change.
     pub revision: u64,
 }
 
-/// Where a relay is.
+/// A relay process.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct RelayDescription {
     /// The relay's name from its settings.
     pub name: String,
-    /// This start of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
     /// Its zone.
     pub zone: Zone,
-    /// Its caller-facing address.
+    /// Address at which it accepts callers.
     pub address: SocketAddr,
 }
 
-/// A relay as operators see it.
+/// A relay's status for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct RelayView {
-    /// Where it is.
+    /// Its address, zone and name.
     pub description: RelayDescription,
-    /// The configuration revision it said it acts on.
+    /// The configuration revision that it last reported as in use.
     pub revision: Revision,
     /// Milliseconds since its last lease renewal.
     pub renewed_milliseconds_ago: u64,
 }
 
-/// What the platform's list says of a machine; may lag.
+/// An entry of the platform's machine list; may be stale.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct PlatformMachine {
     /// The engine on the machine.
     pub engine: EngineDescription,
-    /// Whether the platform is taking the machine away.
+    /// Whether the platform is removing the machine.
     pub leaving: bool,
 }
 
-/// Names a changed engine in a commit.
+/// An observed change of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct EngineObservation {
     /// The engine.
     pub id: EngineId,
-    /// The process start that was observed.
+    /// The observed incarnation.
     pub incarnation: u64,
-    /// Whether it may get new work.
+    /// Whether it may receive new work.
     pub availability: EngineAvailability,
-    /// Its weights.
+    /// State of its weights.
     pub weights: WeightState,
 }
