--- a/crates/types/src/protocol.rs
+++ b/crates/types/src/protocol.rs
@@ -1,4 +1,4 @@
-//! Messages between saddlerelay's own processes, and the commands that the control group commits.
+//! Messages between saddlerelay processes, and the commands in the control group's log.
 
 use crate::claim::{ClaimKey, ClaimOutcome, ClaimRequest, ClaimResult};
 use crate::configuration::{ConfigurationChange, ConfigurationOutcome, ConfigurationUpdate, ObjectName, ObjectState};
@@ -25,33 +25,33 @@
     Query(Query),
     /// Form a new control group of this one replica.
     Initialize,
-    /// About routed requests, instances, versions and batch jobs.
+    /// A request about routing, instances, weight versions or batch jobs.
     Gateway(GatewayRequest),
 }
 
-/// A control replica's answer.
+/// A control replica's reply.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ControlReply {
-    /// The replication protocol's answer.
+    /// A reply of the replication protocol, encoded by the replication crate.
     Replication(Vec<u8>),
     /// The lease is renewed.
     Renewed(RenewReply),
     /// The command was committed and this is its outcome.
     Executed(CommandOutcome),
-    /// The state that was asked for.
+    /// The result of a query.
     Answer(QueryAnswer),
-    /// This replica does not lead; nothing was done.
+    /// This replica is not the leader; the request was not carried out.
     NotLeader {
         /// The leader's address, if known.
         leader: Option<SocketAddr>,
-        /// If not, where other replicas listen as far as this one has heard, the likeliest to know the leader first.
+        /// If the leader is unknown, addresses of other replicas, the most likely to know it first.
         peers: Vec<SocketAddr>,
     },
-    /// The command may or may not be committed later.
+    /// The outcome is unknown: the command may still be committed.
     Undecided,
-    /// The request cannot be served; nothing was done.
+    /// The request was rejected and not carried out; the text gives the reason.
     Refused(String),
-    /// Of a request about routed requests, instances, versions or batch jobs.
+    /// The reply to a [`GatewayRequest`].
     Gateway(GatewayReply),
 }
 
@@ -60,39 +60,39 @@
 pub struct RenewRequest {
     /// The relay.
     pub relay: RelayDescription,
-    /// The configuration revision it acts on.
+    /// The configuration revision in use.
     pub configuration: Revision,
-    /// The engine-list revision it acts on.
+    /// The engine-list revision in use.
     pub engines: u64,
-    /// The targets it acts on.
+    /// The weight version targets in use.
     pub targets: Vec<ModelTarget>,
-    /// The revision of the list of suspected work that it acts on.
+    /// The revision in use of the list of suspected requests.
     pub suspicion_revision: u64,
 }
 
-/// The answer to a lease renewal.
+/// The reply to a lease renewal.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct RenewReply {
-    /// Whether the relay's incarnation was declared lost; it must start anew.
+    /// Whether the relay's incarnation was declared lost; the relay must restart under a new one.
     pub fenced: bool,
     /// Lease length in milliseconds, counted by the relay from when it sent the renewal.
     pub lease_milliseconds: u64,
-    /// Configuration the relay lacks.
+    /// Configuration newer than the relay's.
     pub configuration: ConfigurationUpdate,
-    /// The engine-list revision reached.
+    /// The current engine-list revision.
     pub engine_revision: u64,
-    /// Engines that changed since the relay's revision.
+    /// Engines changed since the relay's engine-list revision.
     pub engines: Vec<EngineRecord>,
     /// The newest version each trained model should serve.
     pub targets: Vec<ModelTarget>,
-    /// Relays that hold leases now; rollouts are shared among them.
+    /// Number of relays with a valid lease; rollouts are shared among them.
     pub relay_count: u32,
-    /// The list of suspected work, if it is newer than the relay's.
+    /// The list of suspected requests, if newer than the relay's.
     pub suspicions: Option<SuspicionList>,
 }
 
 impl RenewReply {
-    /// Whether the relay that sent `renewal` would act differently after this answer.
+    /// Whether the reply contains state that differs from what `renewal` reported.
     pub fn brings_news(&self, renewal: &RenewRequest) -> bool {
         let configuration = self.configuration.whole || self.configuration.revision != renewal.configuration;
         self.fenced
@@ -103,7 +103,7 @@
     }
 }
 
-/// The version a model's engines should run.
+/// The weight version that a model's engines should run.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct ModelTarget {
     /// The model.
@@ -112,19 +112,19 @@
     pub version: WeightVersion,
 }
 
-/// A command with the leader's clock, as written to the log.
+/// A log entry: a command with the leader's wall clock.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct LogCommand {
-    /// Unix milliseconds at the leader; the state's time never goes back.
+    /// Unix milliseconds at the leader. The state machine's time is monotonic even if this value decreases.
     pub time: u64,
-    /// What to do.
+    /// The command.
     pub command: Command,
 }
 
-/// What the control group commits.
+/// A command that the control group commits to its log.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Command {
-    /// Configuration.
+    /// Changes a configuration object.
     Configuration(ConfigurationChange),
     /// Claims of keyed requests.
     Claim(ClaimCommand),
@@ -132,29 +132,30 @@
     Rollout(RolloutCommand),
     /// Relays and engines.
     Membership(MembershipCommand),
-    /// Routed requests, instances, named versions and batch jobs.
+    /// Request routing, instances, published weight versions and batch jobs.
     Gateway(GatewayCommand),
 }
 
 /// Commands on claims.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ClaimCommand {
-    /// Take the right to run.
+    /// Acquires the right to run a request.
     Acquire(ClaimRequest),
-    /// Make sure that the key never runs.
+    /// Seals the key so that no request can run under it.
     Seal(ClaimRequest),
-    /// The holder ends without an answer: a repeatable request may be granted again, another one is lost.
+    /// The holder gives up without a result: a repeatable request may be granted again, a non-repeatable one is
+    /// lost.
     Abandon {
         /// The claim.
         key: ClaimKey,
-        /// The arrival that was granted.
+        /// The arrival that holds the claim.
         arrival: u64,
     },
-    /// Store the answer.
+    /// Stores the result of a request.
     Finish {
         /// The claim.
         key: ClaimKey,
-        /// The arrival that was granted.
+        /// The arrival that holds the claim.
         arrival: u64,
         /// How it ended.
         result: ClaimResult,
@@ -164,14 +165,14 @@
 /// Commands on trainers, steps and samples.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum RolloutCommand {
-    /// A trainer starts; fences lower incarnations.
+    /// Registers a trainer incarnation and fences all lower ones.
     OpenTrainer {
         /// The tenant.
         tenant: TenantId,
-        /// Rises with each start of the trainer.
+        /// Increases with each start of the trainer.
         incarnation: Incarnation,
     },
-    /// Ask for a step's samples.
+    /// Requests the samples of a step.
     OpenStep {
         /// The tenant.
         tenant: TenantId,
@@ -180,7 +181,7 @@
         /// The step.
         request: StepRequest,
     },
-    /// Acknowledge up to a cursor and take the samples after it.
+    /// Acknowledges samples up to the cursor and fetches the samples after it.
     Fetch {
         /// The tenant.
         tenant: TenantId,
@@ -188,7 +189,7 @@
         incarnation: Incarnation,
         /// The last position received.
         cursor: Position,
-        /// The most samples to bring.
+        /// Maximum number of samples to return.
         limit: u32,
     },
     /// Publish a weight version.
@@ -202,16 +203,16 @@
         /// The last position received.
         cursor: Position,
     },
-    /// Hand pending samples to a relay.
+    /// Assigns pending samples to a relay.
     Assign {
         /// The relay's incarnation.
         relay: Incarnation,
-        /// Rises with each new request of the relay; the same number again is a resend.
+        /// Increases with each new request of the relay; a repeated number marks a resend.
         sequence: u64,
-        /// The most samples to hand out.
+        /// Maximum number of samples to assign.
         limit: u32,
     },
-    /// A sample is finished.
+    /// Completes a sample.
     Complete {
         /// The sample.
         sample: SampleId,
@@ -220,11 +221,11 @@
         /// The sample's content.
         payload: SamplePayload,
     },
-    /// A relay gives a sample back.
+    /// Returns an unfinished sample to the pending ones.
     Abandon {
         /// The sample.
         sample: SampleId,
-        /// The attempt that ends.
+        /// The attempt that is abandoned.
         attempt: Attempt,
     },
 }
@@ -234,27 +235,27 @@
 pub enum MembershipCommand {
     /// A relay incarnation starts.
     RelayJoined(RelayDescription),
-    /// A relay incarnation is declared lost; its work is taken back.
+    /// A relay incarnation is declared lost; its work is reassigned.
     RelayLost(Incarnation),
     /// An engine is listed by the platform or an operator.
     RegisterEngine(EngineDescription),
-    /// Engines were seen to change.
+    /// Records observed changes of engines.
     Observe(Vec<EngineObservation>),
-    /// Draw the next fence for engine orders.
+    /// Issues the next fencing token for engine orders.
     DrawFence,
 }
 
-/// Why a trainer's call was refused.
+/// Why a trainer's request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TrainerRefusal {
-    /// A newer incarnation of the trainer acts.
+    /// A newer incarnation of the trainer has registered.
     Fenced,
-    /// The trainer never opened.
+    /// The trainer has not registered.
     NotOpen,
     /// The tenant is not configured.
     UnknownTenant,
-    /// The cursor lies before what was acknowledged or after what was delivered.
+    /// The cursor is below the acknowledged position or above the last delivered one.
     BadCursor,
     /// The step number does not follow the last.
     BadStep,
@@ -262,30 +263,30 @@
     BadVersion,
 }
 
-/// A command's outcome.
+/// Result of applying a command.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum CommandOutcome {
-    /// Of a configuration change.
+    /// Result of a configuration change.
     Configuration(ConfigurationOutcome),
-    /// Of a claim command.
+    /// Result of a claim command.
     Claim(ClaimOutcome),
-    /// Of opening a trainer, a step or publishing.
+    /// Result of registering a trainer, opening a step or publishing a version.
     Trainer(TrainerState),
-    /// Of a fetch.
+    /// Result of a fetch.
     Delivery(DeliveryBatch),
-    /// Of a refused trainer call.
+    /// A trainer's request was rejected.
     Refused(TrainerRefusal),
-    /// Of an assignment.
+    /// Samples assigned to the relay.
     Assigned(Vec<SampleAssignment>),
-    /// Of drawing a fence.
+    /// The fencing token issued.
     Fence(Fence),
     /// Whether the command changed anything.
     Applied(bool),
-    /// Of a gateway command.
+    /// Result of a gateway command.
     Gateway(GatewayOutcome),
 }
 
-/// Reads of the committed state.
+/// Queries of the committed state.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Query {
     /// One configuration object.
@@ -294,7 +295,7 @@
     Objects,
     /// Every engine.
     Engines,
-    /// Relays and the revisions in force.
+    /// Every relay and the configuration revision.
     Relays,
     /// The control group.
     Group,
@@ -302,7 +303,7 @@
     Trainer(TenantId),
 }
 
-/// Answers to queries.
+/// Results of queries.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum QueryAnswer {
     /// One object, if it ever existed.
@@ -319,14 +320,14 @@
     Trainer(Option<TrainerState>),
 }
 
-/// The control group as its leader sees it.
+/// The leader's view of the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct GroupView {
     /// The term.
     pub term: u64,
     /// The leader.
     pub leader: ReplicaId,
-    /// The last committed log index.
+    /// The commit index.
     pub committed: u64,
     /// The replicas.
     pub replicas: Vec<ReplicaView>,
@@ -335,14 +336,14 @@
 /// One replica of the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct ReplicaView {
-    /// Its identifier, made with its disk.
+    /// The replica's identifier, generated when its disk was initialized.
     pub id: ReplicaId,
     /// Its address.
     pub address: SocketAddr,
     /// Whether it votes.
     pub voter: bool,
-    /// The last log index it is known to hold.
+    /// The match index: the last log index known to be replicated to it.
     pub matched: u64,
-    /// Milliseconds since it last answered the leader.
+    /// Milliseconds since its last response to the leader.
     pub heard_milliseconds_ago: u64,
 }
--- a/crates/types/src/request.rs
+++ b/crates/types/src/request.rs
@@ -1,22 +1,22 @@
-//! Requests from callers and what became of them.
+//! Requests from callers and their outcomes.
 
 use crate::identity::{CallerId, IdempotencyKey, ModelName, TenantId, WeightVersion};
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// Caller classes, most urgent first. Engines and relays serve a lower number first.
+/// Caller classes, most urgent first. Engines and relays serve earlier variants first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// A person waits for the answer.
+    /// A user waits for the response.
     Interactive,
-    /// An application's background work.
+    /// Background work of an application.
     Batch,
     /// A trainer's sample.
     Rollout,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may be run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeatability {
@@ -26,63 +26,63 @@
     NotRepeatable,
 }
 
-/// A caller's key with the time from which it is no longer accepted.
+/// A caller's idempotency key and its expiry time.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct RequestKey {
-    /// The key itself, unique in a tenant and caller.
+    /// The key, unique per tenant and caller.
     pub key: IdempotencyKey,
-    /// Unix time in milliseconds, fixed when the key is made and the same on each resend.
+    /// Expiry in Unix milliseconds, set when the key is created and repeated unchanged on each resend.
     pub expires_at: u64,
 }
 
-/// One generation asked for by a caller, as the relay understands it.
+/// A caller's generation request, parsed by the relay.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CallerRequest {
     /// The tenant whose settings apply.
     pub tenant: TenantId,
-    /// The application that asks.
+    /// The calling application.
     pub caller: CallerId,
-    /// The model asked for.
+    /// The requested model.
     pub model: ModelName,
     /// The prompt text.
     pub prompt: String,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
     /// Sampling seed.
     pub seed: u64,
-    /// The key under which resends are recognised.
+    /// The idempotency key, used to deduplicate resends.
     pub key: Option<RequestKey>,
     /// Whether the request may run again.
     pub repeatability: Repeatability,
     /// The caller's class.
     pub priority: Priority,
-    /// Time left to answer, in milliseconds from arrival.
+    /// Deadline in milliseconds after arrival.
     pub deadline_milliseconds: u64,
 }
 
-/// What is known of a failed request's execution.
+/// What is known about the execution of a failed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExecutionOutcome {
-    /// The request did not run and, where it has a key, cannot run later under that key.
+    /// The request did not run and, if it has a key, cannot run later under that key.
     NotExecuted,
     /// The request may or may not have run, or may still run.
     Unknown,
-    /// The request began to run and did not end.
+    /// The request started to run and did not complete.
     FailedWhileExecuting,
 }
 
-/// Why a request failed, for machines.
+/// Machine-readable reason of a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureCode {
-    /// The relay holds no configuration lease.
+    /// The relay has no valid configuration lease.
     NotReady,
-    /// The relay is stopping.
+    /// The relay is shutting down.
     Stopping,
-    /// The tenant's limits or the queue are full.
+    /// A limit of the tenant or the queue is exhausted.
     Overloaded,
-    /// No engine can take the request.
+    /// No engine is available for the request.
     NoEngine,
     /// The deadline passed.
     DeadlineExceeded,
@@ -94,35 +94,35 @@
     KeyReused,
     /// The key's expiry has passed.
     KeyExpired,
-    /// The key was sealed by an earlier `not_executed` answer.
+    /// The key was sealed by an earlier `not_executed` response.
     KeySealed,
     /// The engine failed while the request ran.
     EngineFailed,
-    /// Engines have ended under the same work; it is not sent to another one, for a while or at all.
+    /// Engine processes ended while running the same request, which is now held back or quarantined.
     EnginesEnded,
-    /// Control could not decide in time; resend with the same key.
+    /// The control group did not commit a decision in time; resend with the same key.
     Undecided,
-    /// An earlier copy of the request was lost while it may have run.
+    /// An earlier attempt was lost and may have run.
     EarlierAttemptLost,
     /// The request is malformed.
     InvalidRequest,
 }
 
-/// A failed request's final answer.
+/// Final response to a failed request.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct RequestFailure {
-    /// What is known of the execution.
+    /// What is known about the execution.
     pub outcome: ExecutionOutcome,
-    /// Why, for machines.
+    /// Machine-readable reason.
     pub code: FailureCode,
-    /// Why, for people.
+    /// Human-readable reason.
     pub message: String,
-    /// When to come back, in milliseconds; zero when a resend cannot help.
+    /// Delay before a retry, in milliseconds; zero if retrying cannot succeed.
     pub retry_after_milliseconds: u64,
 }
 
 impl RequestFailure {
-    /// A failure with the given parts.
+    /// Creates a failure.
     pub fn new(
         outcome: ExecutionOutcome,
         code: FailureCode,
@@ -137,41 +137,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// The model ended its answer.
+    /// The model completed its output.
     Stop,
     /// `max_tokens` was reached.
     Length,
 }
 
-/// A run of tokens made by one weight version.
+/// A run of consecutive tokens generated by one weight version.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct VersionSpan {
     /// The version the engine reported for these tokens.
     pub version: WeightVersion,
-    /// How many tokens in a row it made.
+    /// Number of consecutive tokens.
     pub tokens: u32,
 }
 
-/// A whole generated answer.
+/// A generated response.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Generation {
     /// The generated tokens, in order.
     pub tokens: Vec<u32>,
     /// The tokens as text.
     pub text: String,
-    /// The versions that made them, in order.
+    /// The weight versions that generated them, in order.
     pub versions: Vec<VersionSpan>,
-    /// Why it ended.
+    /// Why generation ended.
     pub finish: FinishReason,
 }
 
 impl Generation {
-    /// An answer to which nothing has been added yet.
+    /// An empty response.
     pub fn empty() -> Self {
         Self { tokens: Vec::new(), text: String::new(), versions: Vec::new(), finish: FinishReason::Stop }
     }
 
-    /// Adds tokens made by `version`.
+    /// Appends tokens generated by `version`.
     pub fn extend(&mut self, tokens: &[u32], text: &str, version: WeightVersion) {
         self.tokens.extend_from_slice(tokens);
         self.text.push_str(text);
@@ -179,7 +179,7 @@
     }
 }
 
-/// Adds `tokens` made by `version` to `spans`.
+/// Appends a run of `tokens` generated by `version`, merging it into the last span if the version is the same.
 pub fn extend_spans(spans: &mut Vec<VersionSpan>, version: WeightVersion, tokens: u32) {
     if tokens == 0 {
         return;
@@ -190,10 +190,10 @@
     }
 }
 
-/// One piece of an answer on its way to a caller.
+/// One part of a response streamed to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum AnswerPart {
-    /// Further tokens and the version that made them.
+    /// Tokens and the version that generated them.
     Tokens {
         /// The tokens.
         tokens: Vec<u32>,
@@ -202,8 +202,8 @@
         /// The version the engine reported.
         version: WeightVersion,
     },
-    /// The explicit end: the answer is whole.
+    /// The response is complete.
     End(FinishReason),
-    /// The answer will not be completed.
+    /// The response failed and will not be completed.
     Failed(RequestFailure),
 }
--- a/crates/types/src/rollout.rs
+++ b/crates/types/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Trainers' steps, their samples and the delivery of samples.
+//! Training steps, samples and sample delivery.
 
 use crate::identity::{Attempt, DeliveryEpoch, Incarnation, Position, StepNumber, TenantId, WeightVersion};
 use crate::request::Generation;
@@ -6,16 +6,16 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Names one sample for ever: the same prompt, group place and step give the same identifier.
+/// Stable identifier of a sample, determined by tenant, step, prompt and group member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize)]
 pub struct SampleId {
-    /// The tenant that trains.
+    /// The tenant.
     pub tenant: TenantId,
-    /// The step it was asked for in.
+    /// The step that requested it.
     pub step: StepNumber,
-    /// Which of the step's prompts.
+    /// Index of the prompt in the step.
     pub prompt: u32,
-    /// Which of the prompt's group.
+    /// Index of the sample in the prompt's group.
     pub member: u32,
 }
 
@@ -25,84 +25,84 @@
     }
 }
 
-/// A trainer's request for a step's samples.
+/// A trainer's request for the samples of a step.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct StepRequest {
-    /// The step's number; the same number again is a resend.
+    /// The step's number; a repeated number marks a resend.
     pub step: StepNumber,
     /// The prompts.
     pub prompts: Vec<String>,
-    /// Samples for each prompt.
+    /// Number of samples per prompt.
     pub group_size: u32,
-    /// The most tokens in each sample.
+    /// Maximum tokens per sample.
     pub max_tokens: u32,
 }
 
 /// A finished sample.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct SamplePayload {
-    /// The generated answer with the versions that made it.
+    /// The generated response.
     pub generation: Generation,
     /// The scorer's reward, in thousandths.
     pub reward_milli: i64,
 }
 
 impl SamplePayload {
-    /// The oldest version that made any of the sample.
+    /// The oldest weight version that generated any of the tokens.
     pub fn oldest_version(&self) -> WeightVersion {
         let versions = self.generation.versions.iter().map(|span| span.version);
         versions.min().unwrap_or_default()
     }
 }
 
-/// Work handed to a relay: run this sample under this attempt number.
+/// Assignment of a sample to a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct SampleAssignment {
     /// The sample.
     pub sample: SampleId,
-    /// The attempt; a completion with another number is dropped.
+    /// The attempt number; a completion with another number is discarded.
     pub attempt: Attempt,
     /// The prompt text.
     pub prompt: String,
-    /// The most tokens.
+    /// Maximum number of tokens.
     pub max_tokens: u32,
-    /// The oldest weight version that could still be delivered at the time of assignment.
+    /// The oldest weight version that was within the staleness bound at assignment.
     pub oldest_useful_version: WeightVersion,
 }
 
-/// A sample with its place in the delivery order.
+/// A sample and its position in the delivery order.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct DeliveredSample {
-    /// Its place.
+    /// The position.
     pub position: Position,
     /// Its identifier.
     pub sample: SampleId,
-    /// The sample itself.
+    /// The sample's content.
     pub payload: SamplePayload,
 }
 
-/// What a fetch brings.
+/// Result of a fetch.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct DeliveryBatch {
-    /// A trainer drops a batch whose epoch is below the newest it has seen.
+    /// Delivery epoch; a trainer discards a batch with a lower epoch than the highest it has seen.
     pub epoch: DeliveryEpoch,
-    /// The trainer's published version that staleness was decided against.
+    /// The trainer's published version, against which staleness was computed.
     pub published: WeightVersion,
-    /// The samples, in order of position, directly after the cursor.
+    /// The samples directly after the cursor, ordered by position.
     pub samples: Vec<DeliveredSample>,
 }
 
-/// Where a trainer stands, as recorded.
+/// A trainer's committed state.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct TrainerState {
-    /// The incarnation that may act.
+    /// The current incarnation; lower ones are fenced.
     pub incarnation: Incarnation,
     /// The current delivery epoch.
     pub epoch: DeliveryEpoch,
-    /// The last position the trainer has received.
+    /// The last position the trainer has acknowledged.
     pub cursor: Position,
     /// The newest published version.
     pub published: WeightVersion,
-    /// The newest step opened.
+    /// The most recently opened step.
     pub last_step: StepNumber,
 }
--- a/crates/types/src/routing.rs
+++ b/crates/types/src/routing.rs
@@ -1,4 +1,4 @@
-//! Routed requests: the whole-document configuration that says which service serves which host and path.
+//! The routing document: the configuration that maps hosts and paths to services.
 
 use crate::identity::TenantId;
 use crate::tenancy::TenantAccess;
@@ -6,26 +6,26 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Routes, services and limits as one versioned document; the highest version wins.
+/// Routes, services and limits as one versioned document; the highest version takes effect.
 #[derive(Clone, Debug, PartialEq, Encode, Decode, Serialize, Deserialize)]
 pub struct RoutingDocument {
-    /// The operator's version; rises in uneven steps.
+    /// The version, set by the operator; increases, possibly with gaps.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Route>,
     /// The services that routes name.
     pub services: Vec<Service>,
-    /// What clients may send.
+    /// Limits on client requests.
     pub limits: RequestLimits,
-    /// The tenants. With them every request must carry a key of one, unless its route is public.
+    /// The tenants. If present, every request on a non-public route must carry a tenant's key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenants: Option<Vec<TenantAccess>>,
-    /// The document as the operator sent it, to be read back unchanged.
+    /// The document as the operator sent it, returned unchanged on reads.
     #[serde(skip)]
     pub source: Vec<u8>,
 }
 
-/// How often a request of a route may run.
+/// Execution guarantee for a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
@@ -33,40 +33,40 @@
     Idempotent,
     /// Runs at most once.
     NonIdempotent,
-    /// Answers with a series of events; runs at most once unless the route is resumable.
+    /// Responds with a stream of events; runs at most once unless the route is resumable.
     Streaming,
-    /// Batch jobs of streams, asked for by a trainer.
+    /// Batch jobs submitted by a trainer.
     Rollout,
 }
 
 /// One route.
 #[derive(Clone, Debug, PartialEq, Encode, Decode, Serialize, Deserialize)]
 pub struct Route {
-    /// The operator's name for it.
+    /// Name set by the operator.
     pub name: String,
     /// The `Host` it serves, without a port.
     pub host: String,
-    /// The beginning of the paths it serves; the longest wins.
+    /// Path prefix; among a host's matching routes the longest prefix is selected.
     pub path_prefix: String,
-    /// How often its requests may run.
+    /// Execution guarantee for its requests.
     pub kind: RouteKind,
-    /// The longest time that a request may be held, in milliseconds.
+    /// Request timeout in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer is on time, in milliseconds.
+    /// Latency objective in milliseconds.
     pub objective_ms: u64,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
     /// The services that share its requests, by weight.
     pub targets: Vec<WeightedTarget>,
-    /// The most engines that one request may go to.
+    /// Maximum number of engines that one request may be sent to.
     pub max_attempts: u32,
-    /// A stream may go on at another engine after its last event.
+    /// Whether an interrupted stream may be resumed at another engine after its last event.
     #[serde(default)]
     pub resumable: bool,
-    /// Its requests need no key.
+    /// Whether its requests are accepted without a key.
     #[serde(default)]
     pub public: bool,
-    /// How batch jobs on this route are run.
+    /// Settings for batch jobs on this route.
     #[serde(default)]
     pub batch: BatchTerms,
 }
@@ -80,86 +80,86 @@
     pub weight: u64,
 }
 
-/// How a route runs batch jobs.
+/// A route's settings for batch jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct BatchTerms {
-    /// An item may be given up this long after its job was sent, in milliseconds.
+    /// Time after submission from which an item may be aborted, in milliseconds.
     pub give_up_after_ms: u64,
-    /// All results are due this long after the job was sent, in milliseconds.
+    /// Time after submission by which all results are due, in milliseconds.
     pub due_after_ms: u64,
-    /// Every event of an item's text must come from one weight version.
+    /// Whether all events of an item must come from one weight version.
     pub single_version: bool,
 }
 
-/// Engines that are alike.
+/// A group of interchangeable engines.
 #[derive(Clone, Debug, PartialEq, Encode, Decode, Serialize, Deserialize)]
 pub struct Service {
-    /// The operator's name for it.
+    /// Name set by the operator.
     pub name: String,
-    /// The path of its engines' health check.
+    /// Path of the engines' health check.
     pub health_path: String,
-    /// The most connections that one engine takes from all callers together.
+    /// Maximum connections to one engine from all callers together.
     pub max_connections: u32,
-    /// Present when the engines run models.
+    /// Set if the engines host models.
     pub hosting: Option<ModelHosting>,
-    /// Present when the number of its engines can be changed by orders.
+    /// Set if the control group may scale the service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub scaling: Option<ScalingLimits>,
 }
 
-/// Between which numbers the engines of a service in one zone may be ordered, and what they cost.
+/// Per-zone scaling limits of a service, and the cost of its engines.
 #[derive(Clone, Debug, PartialEq, Encode, Decode, Serialize, Deserialize)]
 pub struct ScalingLimits {
-    /// Fewest engines in a zone.
+    /// Minimum number of engines in a zone.
     pub fewest: u32,
-    /// Most engines in a zone, those that may be withdrawn among them.
+    /// Maximum number of engines in a zone, preemptible ones included.
     pub most: u32,
-    /// How long a new engine takes to serve, in milliseconds.
+    /// Startup time of a new engine, in milliseconds.
     pub start_ms: u64,
-    /// The price of an engine that may be withdrawn, as a part of another's.
+    /// Price of a preemptible engine as a fraction of a regular engine's price.
     pub withdrawable_price: f64,
-    /// The price of an engine by zone.
+    /// Price of an engine by zone.
     pub prices_by_zone: BTreeMap<String, f64>,
 }
 
-/// What the engines of a service can hold.
+/// Model hosting capacity of a service's engines.
 #[derive(Clone, Debug, PartialEq, Encode, Decode, Serialize, Deserialize)]
 pub struct ModelHosting {
-    /// Requests that one engine runs at once.
+    /// Maximum concurrent requests on one engine.
     pub slots: u32,
-    /// Tokens that one engine's memory holds.
+    /// Token capacity of one engine's memory.
     pub token_capacity: u64,
-    /// Tokens in one event of a stream.
+    /// Tokens per stream event.
     pub tokens_per_event: u32,
     /// The models.
     pub models: Vec<String>,
 }
 
-/// What a client may send, and how long it may take.
+/// Size and time limits on client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct RequestLimits {
-    /// The most bytes of a request's head.
+    /// Maximum size of a request's headers, in bytes.
     pub max_header_bytes: u64,
-    /// The most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: u64,
-    /// How long a request's head may take, in milliseconds.
+    /// Timeout for receiving a request's headers, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a connection may rest between requests, in milliseconds.
+    /// Idle timeout of a connection between requests, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
-/// Why a document cannot be taken.
+/// Why a routing document is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub enum RoutingError {
-    /// A route names a service that the document does not have.
+    /// A route refers to a service that the document does not list.
     UnknownService(String),
-    /// Two routes share host and prefix.
+    /// Two routes have the same host and path prefix.
     SamePlace(String),
     /// A route's weights add up to zero.
     NoWeight(String),
     /// A route's timeout is zero.
     NoTimeout(String),
-    /// A prefix does not begin and end with a slash.
+    /// A path prefix does not begin and end with a slash.
     BadPrefix(String),
     /// Two tenants have the same name.
     SameTenant(TenantId),
@@ -168,7 +168,7 @@
 }
 
 impl Route {
-    /// Whether requests of this route may go to `service`.
+    /// Whether the route sends requests to `service`, with a weight above zero.
     pub fn serves(&self, service: &str) -> bool {
         self.targets.iter().any(|target| target.weight > 0 && target.service == service)
     }
@@ -195,23 +195,24 @@
 }
 
 impl RoutingDocument {
-    /// The service with this name.
+    /// Looks up a service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// The route that serves this host and path: among those of the host, the one with the longest prefix.
+    /// Selects the route for a host and path: the host's route with the longest matching prefix. A port in `host`
+    /// is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        // Few of many routes share the beginning of a path.
+        // The path is compared first because it excludes more routes than the host.
         let routes = self.routes.iter().filter(|route| path.starts_with(&route.path_prefix));
         let serving = routes.filter(|route| route.host.eq_ignore_ascii_case(host));
         serving.max_by_key(|route| route.path_prefix.len())
     }
 
-    /// What is wrong with the document, or `None`.
+    /// The first validation error, or `None` if the document is valid.
     pub fn error(&self) -> Option<RoutingError> {
-        let mut places = BTreeSet::new();
+        let mut host_prefix_pairs = BTreeSet::new();
         for route in &self.routes {
             let unknown = route.targets.iter().find(|target| self.service(&target.service).is_none());
             if let Some(target) = unknown {
@@ -226,7 +227,7 @@
             if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
                 return Some(RoutingError::BadPrefix(route.name.clone()));
             }
-            if !places.insert((&route.host, &route.path_prefix)) {
+            if !host_prefix_pairs.insert((&route.host, &route.path_prefix)) {
                 return Some(RoutingError::SamePlace(route.name.clone()));
             }
         }
@@ -235,15 +236,15 @@
 
     fn tenant_error(&self) -> Option<RoutingError> {
         let mut names = BTreeSet::new();
-        let mut holders = BTreeMap::new();
+        let mut tenant_by_key = BTreeMap::new();
         for tenant in self.tenants.iter().flatten() {
             if !names.insert(&tenant.name) {
                 return Some(RoutingError::SameTenant(tenant.name.clone()));
             }
             for key in &tenant.keys {
-                let holder = *holders.entry(key).or_insert(&tenant.name);
-                if *holder != tenant.name {
-                    return Some(RoutingError::SharedKey(holder.clone(), tenant.name.clone()));
+                let first_tenant = *tenant_by_key.entry(key).or_insert(&tenant.name);
+                if *first_tenant != tenant.name {
+                    return Some(RoutingError::SharedKey(first_tenant.clone(), tenant.name.clone()));
                 }
             }
         }
--- a/crates/types/src/routing_update.rs
+++ b/crates/types/src/routing_update.rs
@@ -1,4 +1,4 @@
-//! What turns the routing document that a relay holds into a newer one.
+//! Incremental updates of the routing document for relays.
 
 use crate::identity::TenantId;
 use crate::routing::{RequestLimits, Route, RoutingDocument, Service};
@@ -6,32 +6,32 @@
 use bitcode::{Decode, Encode};
 use std::collections::BTreeMap;
 
-/// Where a route stands: no two routes of a document share it.
+/// Host and path prefix, which identify a route within a document.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub struct RoutePlace {
-    /// Its host.
+pub struct RouteKey {
+    /// The route's host.
     pub host: String,
-    /// The beginning of its paths.
+    /// The route's path prefix.
     pub path_prefix: String,
 }
 
-impl RoutePlace {
+impl RouteKey {
     fn of(route: &Route) -> Self {
         Self { host: route.host.clone(), path_prefix: route.path_prefix.clone() }
     }
 }
 
-/// The difference of a document to an older one, or to none.
+/// The changes from an older document, or from none, to a newer one.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct RoutingUpdate {
-    /// The version of the document that it goes on from.
+    /// The version that the update applies to; `None` if it is a full update.
     pub base: Option<u64>,
-    /// The version that it leads to.
+    /// The version after the update is applied.
     pub version: u64,
-    /// Routes that are new or have changed.
+    /// New or changed routes.
     pub changed: Vec<Route>,
-    /// Routes that are no more.
-    pub removed: Vec<RoutePlace>,
+    /// Removed routes.
+    pub removed: Vec<RouteKey>,
     /// All services.
     pub services: Vec<Service>,
     /// The limits.
@@ -40,40 +40,44 @@
     pub tenants: TenantUpdate,
 }
 
-/// The difference of a document's tenants to an older one's.
+/// The changes to a document's tenants.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum TenantUpdate {
-    /// The document lists no tenants: no keys are asked for.
-    Unlisted,
-    /// It lists those that the older one did, but for these changes.
+    /// The document lists no tenants, so requests need no key.
+    NoTenants,
+    /// The changes to the older document's tenants.
     Changes {
-        /// Tenants that are new or have changed.
+        /// New or changed tenants.
         changed: Vec<TenantAccess>,
-        /// Tenants that are no more.
+        /// Removed tenants.
         removed: Vec<TenantId>,
     },
 }
 
 impl TenantUpdate {
-    fn between(base: Option<&[TenantAccess]>, wanted: Option<&[TenantAccess]>) -> Self {
-        let Some(wanted) = wanted else {
-            return Self::Unlisted;
+    fn between(base: Option<&[TenantAccess]>, new_tenants: Option<&[TenantAccess]>) -> Self {
+        let Some(new_tenants) = new_tenants else {
+            return Self::NoTenants;
         };
-        let held = tenants_by_name(base.unwrap_or_default());
-        let wanted = tenants_by_name(wanted);
-        let is_new = |tenant: &&&TenantAccess| held.get(&tenant.name) != Some(*tenant);
+        let base_tenants = tenants_by_name(base.unwrap_or_default());
+        let new_tenants = tenants_by_name(new_tenants);
+        let is_new_or_changed = |tenant: &&&TenantAccess| base_tenants.get(&tenant.name) != Some(*tenant);
         Self::Changes {
-            changed: wanted.values().filter(is_new).map(|tenant| (*tenant).clone()).collect(),
-            removed: held.keys().filter(|name| !wanted.contains_key(*name)).map(|name| (*name).clone()).collect(),
+            changed: new_tenants.values().filter(is_new_or_changed).map(|tenant| (*tenant).clone()).collect(),
+            removed: base_tenants
+                .keys()
+                .filter(|name| !new_tenants.contains_key(*name))
+                .map(|name| (*name).clone())
+                .collect(),
         }
     }
 
-    fn apply(self, held: Option<&[TenantAccess]>) -> Option<Vec<TenantAccess>> {
+    fn apply(self, base: Option<&[TenantAccess]>) -> Option<Vec<TenantAccess>> {
         let Self::Changes { changed, removed } = self else {
             return None;
         };
         let mut tenants: BTreeMap<TenantId, TenantAccess> =
-            held.unwrap_or_default().iter().map(|tenant| (tenant.name.clone(), tenant.clone())).collect();
+            base.unwrap_or_default().iter().map(|tenant| (tenant.name.clone(), tenant.clone())).collect();
         tenants.retain(|name, _| !removed.contains(name));
         tenants.extend(changed.into_iter().map(|tenant| (tenant.name.clone(), tenant)));
         Some(tenants.into_values().collect())
@@ -81,58 +85,59 @@
 }
 
 impl RoutingUpdate {
-    /// What turns `base`, or nothing, into `document`; what operators sent is left out.
+    /// The update from `base`, or from nothing, to `document`. The document's source is left out.
     pub fn between(base: Option<&RoutingDocument>, document: &RoutingDocument) -> Self {
-        let held = routes_by_place(base.map_or(&[], |base| base.routes.as_slice()));
-        let wanted = routes_by_place(&document.routes);
-        let is_new = |(place, route): &(&RoutePlace, &&Route)| held.get(*place).is_none_or(|held| held != *route);
+        let base_routes = routes_by_key(base.map_or(&[], |base| base.routes.as_slice()));
+        let new_routes = routes_by_key(&document.routes);
+        let is_new_or_changed =
+            |(key, route): &(&RouteKey, &&Route)| base_routes.get(*key).is_none_or(|base_route| base_route != *route);
         Self {
             base: base.map(|base| base.version),
             version: document.version,
-            changed: wanted.iter().filter(is_new).map(|(_, route)| (*route).clone()).collect(),
-            removed: held.keys().filter(|place| !wanted.contains_key(place)).cloned().collect(),
+            changed: new_routes.iter().filter(is_new_or_changed).map(|(_, route)| (*route).clone()).collect(),
+            removed: base_routes.keys().filter(|key| !new_routes.contains_key(key)).cloned().collect(),
             services: document.services.clone(),
             limits: document.limits,
             tenants: TenantUpdate::between(base.and_then(|base| base.tenants.as_deref()), document.tenants.as_deref()),
         }
     }
 
-    /// The document that this makes of `held`; `None` if it does not go on from it.
-    pub fn apply(self, held: Option<&RoutingDocument>) -> Option<RoutingDocument> {
-        let held = match self.base {
+    /// Applies the update to `current`; `None` if the update has another base version.
+    pub fn apply(self, current: Option<&RoutingDocument>) -> Option<RoutingDocument> {
+        let current = match self.base {
             None => None,
-            Some(base) => Some(held.filter(|held| held.version == base)?),
+            Some(base) => Some(current.filter(|current| current.version == base)?),
         };
-        let kept = held.map_or(&[][..], |held| held.routes.as_slice());
-        let mut routes: BTreeMap<RoutePlace, Route> =
-            kept.iter().map(|route| (RoutePlace::of(route), route.clone())).collect();
-        for place in &self.removed {
-            routes.remove(place);
+        let base_routes = current.map_or(&[][..], |current| current.routes.as_slice());
+        let mut routes: BTreeMap<RouteKey, Route> =
+            base_routes.iter().map(|route| (RouteKey::of(route), route.clone())).collect();
+        for key in &self.removed {
+            routes.remove(key);
         }
-        routes.extend(self.changed.into_iter().map(|route| (RoutePlace::of(&route), route)));
+        routes.extend(self.changed.into_iter().map(|route| (RouteKey::of(&route), route)));
         Some(RoutingDocument {
             version: self.version,
             routes: routes.into_values().collect(),
             services: self.services,
             limits: self.limits,
-            tenants: self.tenants.apply(held.and_then(|held| held.tenants.as_deref())),
+            tenants: self.tenants.apply(current.and_then(|current| current.tenants.as_deref())),
             source: Vec::new(),
         })
     }
 }
 
-fn routes_by_place(routes: &[Route]) -> BTreeMap<RoutePlace, &Route> {
-    routes.iter().map(|route| (RoutePlace::of(route), route)).collect()
+fn routes_by_key(routes: &[Route]) -> BTreeMap<RouteKey, &Route> {
+    routes.iter().map(|route| (RouteKey::of(route), route)).collect()
 }
 
 fn tenants_by_name(tenants: &[TenantAccess]) -> BTreeMap<&TenantId, &TenantAccess> {
     tenants.iter().map(|tenant| (&tenant.name, tenant)).collect()
 }
 
-/// An encoded update. A document goes to every relay at the same time, so it is encoded once for all of them.
+/// An encoded update, shared so that it is encoded once for all relays.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct EncodedRoutingUpdate {
-    /// The version that it leads to.
+    /// The version after the update is applied.
     pub version: u64,
     bytes: Vec<u8>,
 }
@@ -143,7 +148,7 @@
         Self { version: update.version, bytes: bitcode::encode(update) }
     }
 
-    /// An update that was encoded elsewhere.
+    /// Wraps an update that is already encoded.
     pub fn from_bytes(version: u64, bytes: Vec<u8>) -> Self {
         Self { version, bytes }
     }
@@ -153,17 +158,17 @@
         &self.bytes
     }
 
-    /// The update; `None` if it cannot be read.
+    /// Decodes the update; `None` if it is malformed.
     pub fn decode(&self) -> Option<RoutingUpdate> {
         bitcode::decode(&self.bytes).ok()
     }
 
-    /// Its size in bytes.
+    /// The encoded size in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether it holds nothing.
+    /// Whether there are no encoded bytes.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
--- a/crates/types/src/tenancy.rs
+++ b/crates/types/src/tenancy.rs
@@ -1,35 +1,35 @@
-//! Tenants of routed requests: whose a request or a batch job is, and by which keys a tenant is known.
+//! Tenants of routed requests: authentication by key and ownership of batch jobs.
 
 use crate::credentials::SecretDigest;
 use crate::identity::TenantId;
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// A tenant as the routing document lists it.
+/// A tenant in the routing document.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct TenantAccess {
     /// The tenant.
     pub name: TenantId,
-    /// Digests of its keys, each of which is enough. No other tenant has one of them.
+    /// Digests of its keys. Any one of them authenticates the tenant, and none is shared with another tenant.
     pub keys: Vec<SecretDigest>,
-    /// Rank of its requests, 0 the most urgent; goes before a route's.
+    /// Priority of its requests, 0 being the most urgent; overrides the route's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<u32>,
 }
 
-/// Who makes a call, as its key tells.
+/// The caller of a request, as determined by its key.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Caller {
-    /// Anyone: the routing document lists no tenants, so no keys are asked for.
+    /// Any caller: the routing document lists no tenants, so no key is required.
     Anyone,
-    /// Someone without a key, on a public route.
+    /// A caller without a key, on a public route.
     Public,
-    /// A tenant.
+    /// An authenticated tenant.
     Tenant(TenantId),
 }
 
 impl Caller {
-    /// The tenant, if it is one.
+    /// The tenant, if the caller is one.
     pub fn tenant(&self) -> Option<&TenantId> {
         match self {
             Self::Tenant(tenant) => Some(tenant),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether the caller may see and change what belongs to `owner`, or to nobody.
+    /// Whether the caller may read and modify objects of `owner`; objects without an owner are open to all.
     pub fn may_use(&self, owner: Option<&TenantId>) -> bool {
         match (self, owner) {
             (Self::Anyone, _) | (_, None) => true,
--- a/crates/types/src/usage.rs
+++ b/crates/types/src/usage.rs
@@ -1,54 +1,54 @@
-//! How many requests of each tenant engines have begun, by windows of time.
+//! Usage: requests started by engines, counted by tenant and time window.
 
 use crate::identity::{Incarnation, TenantId};
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The number of a window: it begins that many window lengths after the start of 1970.
+/// Index of a usage window, counted in window lengths from the Unix epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct UsageWindow(pub u64);
 
 impl UsageWindow {
-    /// The window in which `unix_ms` lies.
+    /// The window that contains `unix_ms`.
     pub fn containing(unix_ms: u64, length_ms: u64) -> Self {
         Self(unix_ms / length_ms.max(1))
     }
 
-    /// The window after it.
+    /// The following window.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// When it ends, in Unix milliseconds.
+    /// End of the window (exclusive), in Unix milliseconds.
     pub fn ends_at_ms(self, length_ms: u64) -> u64 {
         (self.0 + 1) * length_ms
     }
 }
 
-/// Requests that engines have begun, by tenant.
+/// Requests started by engines, by tenant.
 pub type TenantCounts = BTreeMap<TenantId, u64>;
 
-/// What a relay has counted since it last handed counts over.
+/// Usage counted by a relay since its previous difference.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct UsageDifference {
-    /// Rises by one with each difference of one start of a relay; the first is 1.
+    /// Sequence number within a relay's incarnation, starting at 1.
     pub sequence: u64,
-    /// The counts to be added, by window.
+    /// Counts to add, by window.
     pub counts: BTreeMap<UsageWindow, TenantCounts>,
 }
 
-/// A relay's difference, with the start of the relay that it belongs to.
+/// A usage difference with the incarnation of the relay that counted it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RelayUsage {
-    /// The start of the relay.
+    /// Incarnation of the relay.
     pub relay: Incarnation,
-    /// What it has counted.
+    /// The counts.
     pub difference: UsageDifference,
 }
 
-/// The counts of one window as they are reported: once fixed they never change.
+/// Final counts of a closed window, as reported to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct UsageReport {
     /// The window.
--- a/crates/types/src/work.rs
+++ b/crates/types/src/work.rs
@@ -1,5 +1,4 @@
-//! What a request asks for, whoever sends it again and however often: every try has an identifier of its own, the work has
-//! one digest.
+//! Identity of a request's content: all attempts and resends of the same request share one digest.
 
 use crate::hexadecimal::digest_as_text;
 use crate::identity::TenantId;
@@ -7,20 +6,20 @@
 use bitcode::{Decode, Encode};
 use sha2::{Digest as _, Sha256};
 
-/// Bytes that are kept of the SHA-256: enough that nobody finds two kinds of work with one digest.
+/// Length of the truncated SHA-256, long enough to be collision-resistant.
 const DIGEST_BYTES: usize = 16;
 
-/// Bytes of a digest that logs show.
-const SHOWN_BYTES: usize = 6;
+/// Length of the digest prefix shown in logs.
+const LOGGED_PREFIX_BYTES: usize = 6;
 
-/// What a request asks for.
+/// The parts of a request that identify its content.
 #[derive(Clone, Copy, Debug)]
 pub struct Work<'a> {
-    /// Who asks. Nobody can bring another tenant's work into disrepute.
+    /// The caller; part of the digest, so that a tenant cannot get another tenant's requests quarantined.
     pub caller: &'a Caller,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host.
+    /// The `Host`.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
@@ -28,41 +27,41 @@
     pub body: &'a [u8],
 }
 
-/// A digest of work; hexadecimal in JSON.
+/// Digest of a request's content; hexadecimal in JSON.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct WorkDigest([u8; DIGEST_BYTES]);
 
 impl WorkDigest {
-    /// Digests work.
+    /// Computes the digest.
     pub fn of(work: &Work) -> Self {
         let mut hasher = Sha256::new();
         match work.caller {
             Caller::Anyone | Caller::Public => hasher.update([0]),
             Caller::Tenant(tenant) => {
                 hasher.update([1]);
-                add(&mut hasher, tenant.as_str().as_bytes());
+                hash_part(&mut hasher, tenant.as_str().as_bytes());
             }
         }
         for part in [work.method.as_bytes(), work.host.as_bytes(), work.path.as_bytes(), work.body] {
-            add(&mut hasher, part);
+            hash_part(&mut hasher, part);
         }
-        let whole = hasher.finalize();
-        let mut kept = [0; DIGEST_BYTES];
-        kept.copy_from_slice(&whole[..DIGEST_BYTES]);
-        Self(kept)
+        let full_digest = hasher.finalize();
+        let mut truncated = [0; DIGEST_BYTES];
+        truncated.copy_from_slice(&full_digest[..DIGEST_BYTES]);
+        Self(truncated)
     }
 
-    /// Digests what saddlerelay posts on behalf of the owner of a job.
+    /// Computes the digest of a POST request that is sent on behalf of a job's owner.
     pub fn of_posted(owner: Option<&TenantId>, host: &str, path: &str, body: &[u8]) -> Self {
         let caller = owner.cloned().map_or(Caller::Anyone, Caller::Tenant);
         Self::of(&Work { caller: &caller, method: "POST", host, path, body })
     }
 }
 
-/// Adds a part with its length, so that parts cannot run into each other.
-fn add(hasher: &mut Sha256, part: &[u8]) {
+/// Hashes a part with its length as prefix, so that the boundaries between parts are unambiguous.
+fn hash_part(hasher: &mut Sha256, part: &[u8]) {
     hasher.update((part.len() as u64).to_le_bytes());
     hasher.update(part);
 }
 
-digest_as_text!(WorkDigest, SHOWN_BYTES, "a digest of work");
+digest_as_text!(WorkDigest, LOGGED_PREFIX_BYTES, "a digest of work");
--- a/crates/types/tests/codec.rs
+++ b/crates/types/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The internal protocol's codec: messages are read back alike, and foreign bytes are refused without a panic.
+//! Codec of the internal protocol: messages round-trip, and malformed bytes never cause a panic.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use saddlerelay_types::claim::{ClaimKey, ClaimRequest, ClaimResult};
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn messages_are_read_back_alike() {
+fn messages_round_trip() {
     fn holds(request: Request) -> bool {
         bitcode::decode(&bitcode::encode(&request.0)).is_ok_and(|read: ControlRequest| read == request.0)
     }
@@ -112,13 +112,13 @@
 }
 
 #[test]
-fn a_message_cut_short_or_changed_never_panics() {
+fn truncated_or_corrupted_messages_never_panic() {
     fn holds(request: Request, cut: usize, place: usize, change: u8) -> bool {
         let mut bytes = bitcode::encode(&request.0);
         let place = place % bytes.len();
         bytes[place] ^= change;
         bytes.truncate(cut % (bytes.len() + 1));
-        // Either another message or an error, as long as there is an answer.
+        // Decoding may succeed or fail, but must not panic.
         let _ = bitcode::decode::<ControlRequest>(&bytes);
         let _ = bitcode::decode::<ControlReply>(&bytes);
         true
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn foreign_bytes_are_refused_without_a_panic() {
+fn arbitrary_bytes_never_panic() {
     fn holds(bytes: Vec<u8>) -> bool {
         let _ = bitcode::decode::<ControlRequest>(&bytes);
         let _ = bitcode::decode::<LogCommand>(&bytes);
--- a/crates/types/tests/tenancy.rs
+++ b/crates/types/tests/tenancy.rs
@@ -1,4 +1,4 @@
-//! Tenants, their keys, and what they may use.
+//! Validation of tenants and keys, and access to jobs.
 
 use quickcheck::QuickCheck;
 use saddlerelay_types::credentials::SecretDigest;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn two_tenants_must_not_share_a_key() {
+fn tenants_must_not_share_a_key_or_a_name() {
     assert_eq!(document(vec![tenant("a", &["1", "2"]), tenant("b", &["3"])]).error(), None);
     assert_eq!(document(vec![tenant("a", &["1", "1"])]).error(), None, "one tenant may list a key twice");
     let shared = document(vec![tenant("a", &["1", "2"]), tenant("b", &["3", "2"])]).error();
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn an_error_about_a_key_does_not_tell_the_key() {
+fn errors_and_debug_output_do_not_reveal_keys() {
     let error = document(vec![tenant("a", &["s3cret-key"]), tenant("b", &["s3cret-key"])]).error();
-    let told = error.map(|error| error.to_string()).unwrap_or_default();
-    assert_eq!(told, "tenant `b` has a key that tenant `a` has too");
-    let shown = format!("{:?}", tenant("a", &["s3cret-key"]));
-    assert!(!shown.contains("s3cret-key"), "{shown}");
+    let message = error.map(|error| error.to_string()).unwrap_or_default();
+    assert_eq!(message, "tenant `b` has a key that tenant `a` has too");
+    let debug = format!("{:?}", tenant("a", &["s3cret-key"]));
+    assert!(!debug.contains("s3cret-key"), "{debug}");
 }
 
 #[test]
@@ -48,12 +48,12 @@
     assert!(Caller::Tenant(a.clone()).may_use(Some(&a)));
     assert!(!Caller::Tenant(b).may_use(Some(&a)));
     assert!(!Caller::Public.may_use(Some(&a)));
-    assert!(Caller::Anyone.may_use(Some(&a)), "no keys are asked for");
-    assert!(Caller::Public.may_use(None), "it belongs to nobody");
+    assert!(Caller::Anyone.may_use(Some(&a)), "no key is required without tenants");
+    assert!(Caller::Public.may_use(None), "a job without an owner is open to all");
 }
 
 #[test]
-fn a_digest_is_read_back_from_hexadecimal_and_matches_its_secret_only() {
+fn a_digest_round_trips_through_hexadecimal_and_matches_only_its_secret() {
     fn holds(secret: Vec<u8>, other: Vec<u8>) -> bool {
         let digest = SecretDigest::of(&secret);
         let text = digest.to_hexadecimal();
@@ -64,5 +64,5 @@
     }
     QuickCheck::new().tests(200).quickcheck(holds as fn(Vec<u8>, Vec<u8>) -> bool);
     assert_eq!(SecretDigest::from_hexadecimal(&"é".repeat(32)), None);
-    assert_eq!(SecretDigest::from_hexadecimal(&"+1".repeat(32)), None, "a sign is no digit");
+    assert_eq!(SecretDigest::from_hexadecimal(&"+1".repeat(32)), None, "a sign is not a hexadecimal digit");
 }
