--- a/bin/saddlerelay/src/main.rs
+++ b/bin/saddlerelay/src/main.rs
@@ -1,4 +1,4 @@
-//! The rollout service: see `saddlerelay --help`.
+//! The `saddlerelay` command-line program.
 
 use std::process::ExitCode;
 
--- a/crates/api/src/commands/callers.rs
+++ b/crates/api/src/commands/callers.rs
@@ -1,9 +1,9 @@
-//! Callers' requests: reads them, has the relay serve them, and writes the answer plain or streamed.
+//! Handlers of completion requests: parse the request, pass it to the relay and write a complete or streamed response.
 
 use crate::credentials::{CallerCredentials, caller_credentials, secret_matches};
-use crate::errors::{Refusal, body_error_reply, error_reply, failure_body, failure_reply};
+use crate::errors::{Rejection, body_error_reply, error_reply, failure_body, failure_reply};
 use crate::relay::RelayApi;
-use crate::wire::{self, AnswerBody, AnswerChoice, AnswerForm, AnswerMessage, ChatRequest, CompletionRequest, Usage};
+use crate::wire::{self, ChatRequest, CompletionRequest, ReplyChoice, ReplyFormat, ReplyJson, ReplyMessage, Usage};
 use bytes::Bytes;
 use futures::StreamExt;
 use futures::channel::mpsc;
@@ -21,19 +21,19 @@
     RequestFailure, RequestKey, VersionSpan,
 };
 
-/// What an answer's parts have in common.
+/// Fields that all chunks of a response share.
 #[derive(Clone)]
-struct AnswerHead {
-    form: AnswerForm,
+struct ReplyHead {
+    format: ReplyFormat,
     id: String,
     created: u64,
     model: String,
     prompt_words: u32,
 }
 
-/// What a request asks for beyond the form's own fields.
-struct Asked {
-    form: AnswerForm,
+/// A parsed request body, independent of its format.
+struct ParsedRequest {
+    format: ReplyFormat,
     model: String,
     prompt: String,
     max_tokens: Option<u32>,
@@ -50,8 +50,8 @@
     };
     match parse_json::<ChatRequest>(&bytes) {
         Ok(request) => {
-            let asked = Asked {
-                form: AnswerForm::Chat,
+            let parsed = ParsedRequest {
+                format: ReplyFormat::Chat,
                 prompt: wire::chat_prompt(&request.messages),
                 model: request.model,
                 max_tokens: request.max_completion_tokens.or(request.max_tokens),
@@ -59,7 +59,7 @@
                 stream: request.stream,
                 choices: request.n.unwrap_or(1),
             };
-            serve(api, &head.headers, asked).await
+            serve(api, &head.headers, parsed).await
         }
         Err(error) => body_error_reply(&error),
     }
@@ -73,8 +73,8 @@
     };
     match parse_json::<CompletionRequest>(&bytes) {
         Ok(request) => {
-            let asked = Asked {
-                form: AnswerForm::Completion,
+            let parsed = ParsedRequest {
+                format: ReplyFormat::Completion,
                 prompt: request.prompt,
                 model: request.model,
                 max_tokens: request.max_tokens,
@@ -82,49 +82,49 @@
                 stream: request.stream,
                 choices: request.n.unwrap_or(1),
             };
-            serve(api, &head.headers, asked).await
+            serve(api, &head.headers, parsed).await
         }
         Err(error) => body_error_reply(&error),
     }
 }
 
-async fn serve<P: Runtime, B: Backends>(api: &RelayApi<P, B>, headers: &HeaderMap, asked: Asked) -> Reply {
+async fn serve<P: Runtime, B: Backends>(api: &RelayApi<P, B>, headers: &HeaderMap, parsed: ParsedRequest) -> Reply {
     let credentials = match check_credentials(api, headers) {
         Ok(credentials) => credentials,
-        Err(refusal) => return *refusal,
+        Err(rejection) => return *rejection,
     };
-    let stream = asked.stream;
-    let answer_head = AnswerHead {
-        form: asked.form,
+    let stream = parsed.stream;
+    let reply_head = ReplyHead {
+        format: parsed.format,
         id: format!("saddlerelay-{:016x}", api.platform.random()),
         created: api.platform.unix_milliseconds() / 1000,
-        model: asked.model.clone(),
-        prompt_words: asked.prompt.split_whitespace().count() as u32,
+        model: parsed.model.clone(),
+        prompt_words: parsed.prompt.split_whitespace().count() as u32,
     };
-    let request = match caller_request(api, headers, credentials, asked) {
+    let request = match caller_request(api, headers, credentials, parsed) {
         Ok(request) => request,
         Err(message) => return failure_reply(&invalid(message)),
     };
     let answer = api.relay.serve(request);
-    if stream { streamed(answer_head, answer, api).await } else { plain(answer_head, answer).await }
+    if stream { streamed(reply_head, answer, api).await } else { complete(reply_head, answer).await }
 }
 
 fn invalid(message: String) -> RequestFailure {
     RequestFailure::new(ExecutionOutcome::NotExecuted, FailureCode::InvalidRequest, message, 0)
 }
 
-/// Who asks, if the tenant's secret allows it. An unknown tenant is left for the relay to refuse.
+/// Checks the caller's secret. An unknown tenant passes, because the relay rejects it.
 pub fn check_credentials<P: Runtime, B: Backends>(
     api: &RelayApi<P, B>,
     headers: &HeaderMap,
-) -> Result<CallerCredentials, Refusal> {
-    let refuse = |message: &str| Box::new(error_reply(StatusCode::UNAUTHORIZED, "unauthorized", message, 0));
+) -> Result<CallerCredentials, Rejection> {
+    let reject = |message: &str| Box::new(error_reply(StatusCode::UNAUTHORIZED, "unauthorized", message, 0));
     let Some(credentials) = caller_credentials(headers) else {
-        return Err(refuse("give `Authorization: Bearer TENANT:CALLER:SECRET`"));
+        return Err(reject("give `Authorization: Bearer TENANT:CALLER:SECRET`"));
     };
     let digest = api.relay.tenant(&credentials.tenant).and_then(|tenant| tenant.caller_secret_digest);
     match digest {
-        Some(digest) if !secret_matches(&credentials.secret, &digest) => Err(refuse("the secret is wrong")),
+        Some(digest) if !secret_matches(&credentials.secret, &digest) => Err(reject("the secret is wrong")),
         _ => Ok(credentials),
     }
 }
@@ -133,12 +133,12 @@
     api: &RelayApi<P, B>,
     headers: &HeaderMap,
     credentials: CallerCredentials,
-    asked: Asked,
+    parsed: ParsedRequest,
 ) -> Result<CallerRequest, String> {
-    if asked.choices != 1 {
+    if parsed.choices != 1 {
         return Err("`n` must be 1".to_string());
     }
-    if asked.max_tokens == Some(0) {
+    if parsed.max_tokens == Some(0) {
         return Err("`max_tokens` must be at least 1".to_string());
     }
     let not_repeatable = flag(headers, wire::NOT_REPEATABLE_HEADER)?;
@@ -148,10 +148,10 @@
     Ok(CallerRequest {
         tenant: credentials.tenant,
         caller: credentials.caller,
-        model: ModelName(asked.model),
-        prompt: asked.prompt,
-        max_tokens: asked.max_tokens.unwrap_or(wire::DEFAULT_MAX_TOKENS),
-        seed: asked.seed.unwrap_or_else(|| default_seed(api, key.is_some())),
+        model: ModelName(parsed.model),
+        prompt: parsed.prompt,
+        max_tokens: parsed.max_tokens.unwrap_or(wire::DEFAULT_MAX_TOKENS),
+        seed: parsed.seed.unwrap_or_else(|| default_seed(api, key.is_some())),
         key,
         repeatability: if not_repeatable { Repeatability::NotRepeatable } else { Repeatability::Repeatable },
         priority: class_of(headers, class.unwrap_or(Priority::Interactive))?,
@@ -159,7 +159,7 @@
     })
 }
 
-/// A keyed resend must be the same request, so its seed is fixed when none is given.
+/// A retry with an idempotency key must equal the original request, so such requests get a fixed seed.
 fn default_seed<P: Runtime, B: Backends>(api: &RelayApi<P, B>, keyed: bool) -> u64 {
     if keyed { 0 } else { api.platform.random() }
 }
@@ -182,7 +182,8 @@
     }
 }
 
-/// A key counts only with its expiry: without one a service that forgets keys cannot tell an old key from a new one.
+/// An idempotency key without an expiry is ignored, or rejected if the request is not repeatable: once the key was dropped,
+/// the relay could not distinguish a late retry from a new request.
 fn request_key(headers: &HeaderMap, not_repeatable: bool) -> Result<Option<RequestKey>, String> {
     let key = text(headers, wire::KEY_HEADER)?;
     let expires_at = number(headers, wire::KEY_EXPIRES_HEADER)?;
@@ -205,41 +206,41 @@
     }
 }
 
-async fn plain(head: AnswerHead, mut answer: mpsc::UnboundedReceiver<AnswerPart>) -> Reply {
+async fn complete(head: ReplyHead, mut answer: mpsc::UnboundedReceiver<AnswerPart>) -> Reply {
     let mut generation = Generation::empty();
     while let Some(part) = answer.next().await {
         match part {
             AnswerPart::Tokens { tokens, text, version } => generation.extend(&tokens, &text, version),
             AnswerPart::End(finish) => {
                 generation.finish = finish;
-                return whole_answer(&head, &generation);
+                return complete_reply(&head, &generation);
             }
             AnswerPart::Failed(failure) => return failure_reply(&failure),
         }
     }
-    failure_reply(&cut_off())
+    failure_reply(&interrupted())
 }
 
-fn cut_off() -> RequestFailure {
+fn interrupted() -> RequestFailure {
     let message = "the answer was cut off".to_string();
     RequestFailure::new(ExecutionOutcome::Unknown, FailureCode::EngineFailed, message, 0)
 }
 
-fn whole_answer(head: &AnswerHead, generation: &Generation) -> Reply {
-    let (message, text) = match head.form {
-        AnswerForm::Chat => (Some(AnswerMessage { role: Some("assistant"), content: generation.text.clone() }), None),
-        AnswerForm::Completion => (None, Some(generation.text.clone())),
+fn complete_reply(head: &ReplyHead, generation: &Generation) -> Reply {
+    let (message, text) = match head.format {
+        ReplyFormat::Chat => (Some(ReplyMessage { role: Some("assistant"), content: generation.text.clone() }), None),
+        ReplyFormat::Completion => (None, Some(generation.text.clone())),
     };
-    let choice = AnswerChoice { index: 0, message, delta: None, text, finish_reason: Some(generation.finish) };
+    let choice = ReplyChoice { index: 0, message, delta: None, text, finish_reason: Some(generation.finish) };
     let completion_tokens = generation.tokens.len() as u32;
     let usage = Usage {
         prompt_tokens: head.prompt_words,
         completion_tokens,
         total_tokens: head.prompt_words + completion_tokens,
     };
-    let body = AnswerBody {
+    let body = ReplyJson {
         id: head.id.clone(),
-        object: head.form.whole_object(),
+        object: head.format.complete_object(),
         created: head.created,
         model: head.model.clone(),
         choices: vec![choice],
@@ -254,58 +255,58 @@
     reply
 }
 
-/// Waits for the first part, so that an early failure still has its status, and then streams.
+/// Waits for the first part, so that an early failure gets its own status code, and then streams.
 async fn streamed<P: Runtime, B: Backends>(
-    head: AnswerHead,
+    head: ReplyHead,
     mut answer: mpsc::UnboundedReceiver<AnswerPart>,
     api: &RelayApi<P, B>,
 ) -> Reply {
     let first = match answer.next().await {
         Some(AnswerPart::Failed(failure)) => return failure_reply(&failure),
         Some(part) => part,
-        None => return failure_reply(&cut_off()),
+        None => return failure_reply(&interrupted()),
     };
     let (events, body) = mpsc::unbounded();
     api.platform.spawn(async move {
         let mut next = Some(first);
         while let Some(part) = next {
             let last = !matches!(part, AnswerPart::Tokens { .. });
-            if !send_part(&head, part, &events) || last {
+            if !send_chunk(&head, part, &events) || last {
                 return;
             }
             next = answer.next().await;
         }
-        // The relay's task ended without an end: the missing `[DONE]` tells the caller.
+        // The relay's task ended early: the stream ends without `[DONE]`.
     });
     parts(sse::CONTENT_TYPE, body)
 }
 
-/// Sends one part; `false` when the caller is gone.
-fn send_part(head: &AnswerHead, part: AnswerPart, events: &mpsc::UnboundedSender<Bytes>) -> bool {
+/// Sends one part; `false` if the caller has disconnected.
+fn send_chunk(head: &ReplyHead, part: AnswerPart, events: &mpsc::UnboundedSender<Bytes>) -> bool {
     match part {
         AnswerPart::Tokens { tokens, text, version } => {
             let span = VersionSpan { version, tokens: tokens.len() as u32 };
-            events.unbounded_send(sse::event(&part_body(head, text, Some(span), None))).is_ok()
+            events.unbounded_send(sse::event(&chunk_body(head, text, Some(span), None))).is_ok()
         }
         AnswerPart::End(finish) => {
-            let end = sse::event(&part_body(head, String::new(), None, Some(finish)));
+            let end = sse::event(&chunk_body(head, String::new(), None, Some(finish)));
             events.unbounded_send(end).is_ok() && events.unbounded_send(sse::done()).is_ok()
         }
         AnswerPart::Failed(failure) => events.unbounded_send(sse::event(&failure_body(&failure))).is_ok(),
     }
 }
 
-fn part_body(head: &AnswerHead, text: String, span: Option<VersionSpan>, finish: Option<FinishReason>) -> AnswerBody {
-    let (delta, text) = match head.form {
-        AnswerForm::Chat => (Some(AnswerMessage { role: Some("assistant"), content: text }), None),
-        AnswerForm::Completion => (None, Some(text)),
+fn chunk_body(head: &ReplyHead, text: String, span: Option<VersionSpan>, finish: Option<FinishReason>) -> ReplyJson {
+    let (delta, text) = match head.format {
+        ReplyFormat::Chat => (Some(ReplyMessage { role: Some("assistant"), content: text }), None),
+        ReplyFormat::Completion => (None, Some(text)),
     };
-    AnswerBody {
+    ReplyJson {
         id: head.id.clone(),
-        object: head.form.part_object(),
+        object: head.format.chunk_object(),
         created: head.created,
         model: head.model.clone(),
-        choices: vec![AnswerChoice { index: 0, message: None, delta, text, finish_reason: finish }],
+        choices: vec![ReplyChoice { index: 0, message: None, delta, text, finish_reason: finish }],
         usage: None,
         weight_versions: span.into_iter().collect(),
     }
--- a/crates/api/src/commands/control.rs
+++ b/crates/api/src/commands/control.rs
@@ -1,4 +1,4 @@
-//! Operators' changes.
+//! Handlers of operators' changes.
 
 use crate::control::ControlApi;
 use crate::errors::{body_error_reply, error_reply, name_of, not_found};
@@ -20,16 +20,16 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Time limit of a change.
-const CHANGE_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a change.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An accepted change.
+/// Response to an accepted change.
 #[derive(Serialize)]
 struct AcceptedBody {
     revision: Revision,
 }
 
-/// A refused change with every reason.
+/// Response to an invalid change, with all errors.
 #[derive(Serialize)]
 struct InvalidBody {
     errors: Vec<ParameterError>,
@@ -71,18 +71,18 @@
         Ok(expected) => expected,
         Err(message) => return error_reply(StatusCode::BAD_REQUEST, "invalid_header", message, 0),
     };
-    let given = head.headers.get(KEY_HEADER).and_then(|key| key.to_str().ok());
-    // Without a key of the operator's, one for this call keeps the call's own repetitions from counting twice.
-    let key = given.map_or_else(|| format!("call-{:016x}", api.platform.random()), str::to_string);
+    let sent_key = head.headers.get(KEY_HEADER).and_then(|key| key.to_str().ok());
+    // A generated key makes the client's internal retries idempotent when the operator sent none.
+    let key = sent_key.map_or_else(|| format!("call-{:016x}", api.platform.random()), str::to_string);
     let change = ConfigurationChange { name, value, expected, idempotency_key: Some(IdempotencyKey(key)) };
-    match api.client.execute(Command::Configuration(change), CHANGE_LIMIT).await {
+    match api.client.execute(Command::Configuration(change), CHANGE_TIMEOUT).await {
         Ok(CommandOutcome::Configuration(outcome)) => outcome_reply(&outcome),
         Ok(_) => not_found(),
         Err(error) => control_error(&error),
     }
 }
 
-/// `If-Match: "N"` names the revision seen; `If-None-Match: *` says that the object must not exist.
+/// The revision that the object must have: that of `If-Match: "N"`, or 0 for `If-None-Match`, meaning that it must not exist.
 fn expected_revision(headers: &HeaderMap) -> Result<Option<Revision>, String> {
     if headers.contains_key(IF_NONE_MATCH) {
         return Ok(Some(Revision(0)));
@@ -122,9 +122,9 @@
     }
 }
 
-/// `POST /admin/v1/engines/ID/drain`: the engine gets no new work until it starts anew.
+/// `POST /admin/v1/engines/ID/drain`: drains the engine until it restarts.
 pub async fn drain_engine<P: Runtime, B: Backends>(api: &ControlApi<P, B>, id: EngineId) -> Reply {
-    let engines = match api.client.query(Query::Engines, CHANGE_LIMIT).await {
+    let engines = match api.client.query(Query::Engines, CHANGE_TIMEOUT).await {
         Ok(QueryAnswer::Engines(engines)) => engines,
         Ok(_) => return not_found(),
         Err(error) => return control_error(&error),
@@ -139,13 +139,13 @@
         weights: engine.weights,
     };
     let command = Command::Membership(MembershipCommand::Observe(vec![observation]));
-    match api.client.execute(command, CHANGE_LIMIT).await {
+    match api.client.execute(command, CHANGE_TIMEOUT).await {
         Ok(_) => json(StatusCode::OK, &name_of(&EngineAvailability::Leaving)),
         Err(error) => control_error(&error),
     }
 }
 
-/// `POST /admin/v1/initialize`: forms a new group of this process's replica alone.
+/// `POST /admin/v1/initialize`: bootstraps a new group with this replica as its only member.
 pub async fn initialize<P: Runtime, B: Backends>(api: &ControlApi<P, B>) -> Reply {
     match api.node.replica().initialize().await {
         Ok(true) => json(StatusCode::OK, &"initialized"),
--- a/crates/api/src/commands/mod.rs
+++ b/crates/api/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Changes over HTTP.
+//! Handlers of calls that change state.
 
 pub mod callers;
 pub mod control;
--- a/crates/api/src/commands/trainers.rs
+++ b/crates/api/src/commands/trainers.rs
@@ -1,7 +1,7 @@
-//! Trainers' calls.
+//! Handlers of trainers' calls.
 
 use crate::commands::callers::check_credentials;
-use crate::errors::{Refusal, body_error_reply, error_reply, name_of};
+use crate::errors::{Rejection, body_error_reply, error_reply, name_of};
 use crate::relay::RelayApi;
 use crate::wire::{OpenStepBody, OpenTrainerBody, PublishBody};
 use hyper::StatusCode;
@@ -15,14 +15,14 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// When to send an undecided call again, in milliseconds.
+/// Retry delay after a call whose outcome is unknown.
 const RETRY_MILLISECONDS: u64 = 200;
 
-/// Samples brought when a fetch names no limit.
+/// Maximum number of samples in a response if the request sets none.
 const DEFAULT_FETCH_LIMIT: u32 = 64;
 
-/// The tenant of the path, if the caller's credentials are its.
-fn authorize<P: Runtime, B: Backends>(api: &RelayApi<P, B>, head: &Parts, tenant: &str) -> Result<TenantId, Refusal> {
+/// Returns the tenant of the path if the credentials belong to it; otherwise the error response.
+fn authorize<P: Runtime, B: Backends>(api: &RelayApi<P, B>, head: &Parts, tenant: &str) -> Result<TenantId, Rejection> {
     let credentials = check_credentials(api, &head.headers)?;
     if credentials.tenant.as_str() != tenant {
         let message = "the credentials are another tenant's";
@@ -31,12 +31,12 @@
     Ok(credentials.tenant)
 }
 
-async fn read<T: DeserializeOwned>(body: Incoming) -> Result<T, Refusal> {
+async fn read<T: DeserializeOwned>(body: Incoming) -> Result<T, Rejection> {
     let bytes = read_whole(body).await.map_err(|error| Box::new(body_error_reply(&error)))?;
     parse_json(&bytes).map_err(|error| Box::new(body_error_reply(&error)))
 }
 
-fn answer<T: Serialize>(outcome: Result<T, TrainerError>) -> Reply {
+fn trainer_reply<T: Serialize>(outcome: Result<T, TrainerError>) -> Reply {
     match outcome {
         Ok(value) => json(StatusCode::OK, &value),
         Err(TrainerError::Refused(refusal)) => {
@@ -52,12 +52,12 @@
 
 /// `POST /v1/trainers/TENANT/open`.
 pub async fn open<P: Runtime, B: Backends>(api: &RelayApi<P, B>, head: &Parts, tenant: &str, body: Incoming) -> Reply {
-    let opened = async {
+    let reply = async {
         let tenant = authorize(api, head, tenant)?;
         let body: OpenTrainerBody = read(body).await?;
-        Ok(answer(api.relay.open_trainer(tenant, body.incarnation).await))
+        Ok(trainer_reply(api.relay.open_trainer(tenant, body.incarnation).await))
     };
-    opened.await.unwrap_or_else(|refusal: Refusal| *refusal)
+    reply.await.unwrap_or_else(|rejection: Rejection| *rejection)
 }
 
 /// `POST /v1/trainers/TENANT/steps`.
@@ -67,12 +67,12 @@
     tenant: &str,
     body: Incoming,
 ) -> Reply {
-    let opened = async {
+    let reply = async {
         let tenant = authorize(api, head, tenant)?;
         let body: OpenStepBody = read(body).await?;
-        Ok(answer(api.relay.open_step(tenant, body.incarnation, body.request).await))
+        Ok(trainer_reply(api.relay.open_step(tenant, body.incarnation, body.request).await))
     };
-    opened.await.unwrap_or_else(|refusal: Refusal| *refusal)
+    reply.await.unwrap_or_else(|rejection: Rejection| *rejection)
 }
 
 /// `POST /v1/trainers/TENANT/versions`.
@@ -82,28 +82,28 @@
     tenant: &str,
     body: Incoming,
 ) -> Reply {
-    let published = async {
+    let reply = async {
         let tenant = authorize(api, head, tenant)?;
         let body: PublishBody = read(body).await?;
-        Ok(answer(api.relay.publish(tenant, body.incarnation, body.version, body.cursor).await))
+        Ok(trainer_reply(api.relay.publish(tenant, body.incarnation, body.version, body.cursor).await))
     };
-    published.await.unwrap_or_else(|refusal: Refusal| *refusal)
+    reply.await.unwrap_or_else(|rejection: Rejection| *rejection)
 }
 
 /// `GET /v1/trainers/TENANT/samples?incarnation=I&cursor=C&limit=L`.
 pub async fn fetch<P: Runtime, B: Backends>(api: &RelayApi<P, B>, head: &Parts, tenant: &str) -> Reply {
-    let fetched = async {
+    let reply = async {
         let tenant = authorize(api, head, tenant)?;
         let query = head.uri.query().unwrap_or_default();
         let incarnation = Incarnation(required(query, "incarnation")?);
         let cursor = Position(required(query, "cursor")?);
         let limit = parameter(query, "limit")?.map_or(DEFAULT_FETCH_LIMIT, |limit| limit as u32);
-        Ok(answer(api.relay.fetch(tenant, incarnation, cursor, limit).await))
+        Ok(trainer_reply(api.relay.fetch(tenant, incarnation, cursor, limit).await))
     };
-    fetched.await.unwrap_or_else(|refusal: Refusal| *refusal)
+    reply.await.unwrap_or_else(|rejection: Rejection| *rejection)
 }
 
-fn parameter(query: &str, name: &str) -> Result<Option<u64>, Refusal> {
+fn parameter(query: &str, name: &str) -> Result<Option<u64>, Rejection> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let Some((_, value)) = pairs.find(|(key, _)| *key == name) else {
         return Ok(None);
@@ -112,7 +112,7 @@
     value.parse().map(Some).map_err(|_| Box::new(error_reply(StatusCode::BAD_REQUEST, "invalid_parameter", message, 0)))
 }
 
-fn required(query: &str, name: &str) -> Result<u64, Refusal> {
+fn required(query: &str, name: &str) -> Result<u64, Rejection> {
     let message = format!("parameter `{name}` is missing");
     parameter(query, name)?
         .ok_or_else(|| Box::new(error_reply(StatusCode::BAD_REQUEST, "missing_parameter", message, 0)))
--- a/crates/api/src/control.rs
+++ b/crates/api/src/control.rs
@@ -1,4 +1,4 @@
-//! A control process's routes: the administration API.
+//! Routes of a control process: health, metrics and the administration API.
 
 use crate::commands;
 use crate::credentials::{bearer, constant_time_equal};
@@ -19,19 +19,19 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The HTTP face of a control process.
+/// Serves HTTP on a control process.
 pub struct ControlApi<P: Runtime, B: Backends> {
-    /// The process's own replica.
+    /// The replica in this process.
     pub node: ControlNode<P, B>,
-    /// A client of the whole group.
+    /// Client of the control group.
     pub client: ControlClient<P>,
-    /// Where the process's replica listens for peers.
+    /// Address at which the replica listens for peer RPCs.
     pub peer_address: SocketAddr,
-    /// The operators' token.
+    /// Bearer token required for the administration API.
     pub operator_token: String,
-    /// The machine.
+    /// Runtime that provides clock, random numbers and tasks.
     pub platform: P,
-    /// The process's log.
+    /// The in-memory log ring of the process, if it has one.
     pub log: Option<Arc<RingSink>>,
 }
 
--- a/crates/api/src/errors.rs
+++ b/crates/api/src/errors.rs
@@ -1,4 +1,4 @@
-//! Error answers, in the OpenAI protocol's shape.
+//! Error responses in the format of the OpenAI API.
 
 use crate::wire::OUTCOME_HEADER;
 use hyper::StatusCode;
@@ -7,29 +7,29 @@
 use saddlerelay_types::request::{ExecutionOutcome, FailureCode, RequestFailure};
 use serde::Serialize;
 
-/// Header with the exact time to wait: `Retry-After` only counts whole seconds.
+/// Header with the retry delay in milliseconds; `Retry-After` only has whole seconds.
 pub const RETRY_AFTER_MILLISECONDS_HEADER: &str = "retry-after-ms";
 
-/// The `error` of an error answer.
+/// The `error` object of an error response.
 #[derive(Clone, Debug, Serialize)]
 pub struct ErrorDetail {
-    /// For people.
+    /// Human-readable description.
     pub message: String,
-    /// The kind, as public client libraries know it.
+    /// Error type as defined by the OpenAI API.
     #[serde(rename = "type")]
     pub kind: &'static str,
-    /// For machines.
+    /// Machine-readable code.
     pub code: String,
-    /// The parameter at fault, if one is.
+    /// The invalid parameter, if one is.
     pub param: Option<String>,
-    /// What is known of the execution.
+    /// Whether the request ran at an engine; absent if the error concerns no execution.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub execution: Option<ExecutionOutcome>,
-    /// When to come back; zero when a resend cannot help.
+    /// Retry delay in milliseconds; zero if a retry is useless.
     pub retry_after_ms: u64,
 }
 
-/// An error answer.
+/// Body of an error response.
 #[derive(Clone, Debug, Serialize)]
 pub struct ErrorBody {
     /// The error.
@@ -61,7 +61,7 @@
     }
 }
 
-/// The text form of a serializable name.
+/// The JSON string form of an enum variant or name; empty if `value` does not serialize to a string.
 pub fn name_of(value: &impl Serialize) -> String {
     match serde_json::to_value(value) {
         Ok(serde_json::Value::String(name)) => name,
@@ -69,7 +69,7 @@
     }
 }
 
-/// The body of a failed request.
+/// The error body for a failed request.
 pub fn failure_body(failure: &RequestFailure) -> ErrorBody {
     let detail = ErrorDetail {
         message: failure.message.clone(),
@@ -82,10 +82,10 @@
     ErrorBody { error: detail }
 }
 
-/// A request's final answer when it goes no further.
-pub type Refusal = Box<Reply>;
+/// The response to a request that was rejected before its execution.
+pub type Rejection = Box<Reply>;
 
-/// The answer to a failed request.
+/// The error response to a failed request.
 pub fn failure_reply(failure: &RequestFailure) -> Reply {
     let mut reply = json(status(failure.code), &failure_body(failure));
     if let Ok(value) = HeaderValue::from_str(&name_of(&failure.outcome)) {
@@ -95,7 +95,7 @@
     reply
 }
 
-/// Tells when to come back.
+/// Adds the retry headers; nothing if `milliseconds` is zero.
 pub fn add_retry_after(reply: &mut Reply, milliseconds: u64) {
     if milliseconds == 0 {
         return;
@@ -105,7 +105,7 @@
     headers.insert(RETRY_AFTER_MILLISECONDS_HEADER, HeaderValue::from(milliseconds));
 }
 
-/// An error that is not about an execution.
+/// An error response for a call that concerns no execution.
 pub fn error_reply(status: StatusCode, code: &str, message: impl Into<String>, retry_after_ms: u64) -> Reply {
     let detail = ErrorDetail {
         message: message.into(),
@@ -120,7 +120,7 @@
     reply
 }
 
-/// The answer to a request whose body cannot be read: nothing of it ran.
+/// The error response to a request whose body cannot be read; the outcome is `NotExecuted`.
 pub fn body_error_reply(error: &BodyError) -> Reply {
     let invalid = |message: String| {
         failure_reply(&RequestFailure::new(ExecutionOutcome::NotExecuted, FailureCode::InvalidRequest, message, 0))
@@ -136,7 +136,7 @@
     }
 }
 
-/// The answer where nothing is.
+/// The response for an unknown path or method.
 pub fn not_found() -> Reply {
     error_reply(StatusCode::NOT_FOUND, "no_such_path", "nothing is served under this path and method", 0)
 }
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,7 +1,7 @@
-//! The HTTP interfaces: callers and trainers on relays, operators on control processes.
+//! HTTP APIs of relays, for callers and trainers, and of control processes, for operators.
 //!
-//! `commands` change something, `queries` read; `wire` has the JSON forms, `credentials` tells who asks, and `errors`
-//! has the error answers.
+//! `commands` handles calls that change state and `queries` handles reads. `wire` defines headers and JSON bodies,
+//! `credentials` parses bearer tokens, and `errors` builds error responses.
 
 pub mod commands;
 pub mod control;
--- a/crates/api/src/queries/control.rs
+++ b/crates/api/src/queries/control.rs
@@ -1,4 +1,4 @@
-//! Operators' reads.
+//! Handlers of operators' reads.
 
 use crate::control::ControlApi;
 use crate::errors::{error_reply, not_found};
@@ -16,20 +16,20 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Time limit of a read.
-const QUERY_LIMIT: Duration = Duration::from_secs(4);
+/// Timeout of a read.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// When to ask again, in milliseconds.
+/// Retry delay while the control group is unavailable.
 pub const RETRY_MILLISECONDS: u64 = 300;
 
-/// Every object with the configuration's revision.
+/// All configuration objects, with the configuration's revision.
 #[derive(Serialize)]
 struct ObjectsBody {
     revision: Revision,
     objects: Vec<ObjectState>,
 }
 
-/// Every relay, and the revision that all of them act on.
+/// All relays, with the configuration's revision and the oldest revision in use.
 #[derive(Serialize)]
 struct RelaysBody {
     revision: Revision,
@@ -37,7 +37,7 @@
     relays: Vec<RelayView>,
 }
 
-/// The answer when the control group did not decide.
+/// The error response for a failed call to the control group.
 pub fn control_error(error: &ControlError) -> Reply {
     match error {
         ControlError::Unavailable => {
@@ -59,7 +59,7 @@
     format!("\"{revision}\"")
 }
 
-/// An object with its revision as entity tag.
+/// A response with an object, and its revision as entity tag.
 pub fn object_reply(status: StatusCode, state: &ObjectState) -> Reply {
     let mut reply = json(status, state);
     if let Ok(tag) = HeaderValue::from_str(&entity_tag(state.revision)) {
@@ -69,7 +69,7 @@
 }
 
 async fn query<P: Runtime, B: Backends>(api: &ControlApi<P, B>, query: Query) -> Result<QueryAnswer, Reply> {
-    api.client.query(query, QUERY_LIMIT).await.map_err(|error| control_error(&error))
+    api.client.query(query, QUERY_TIMEOUT).await.map_err(|error| control_error(&error))
 }
 
 /// `GET /admin/v1/templates/ID` and `/admin/v1/tenants/ID`.
@@ -130,7 +130,7 @@
     }
 }
 
-/// Metrics.
+/// `GET /metrics`.
 pub fn metrics<P: Runtime, B: Backends>(api: &ControlApi<P, B>) -> Reply {
     let replica = api.node.replica();
     let view = replica.view();
--- a/crates/api/src/queries/mod.rs
+++ b/crates/api/src/queries/mod.rs
@@ -1,4 +1,4 @@
-//! Reads over HTTP.
+//! Handlers of reads, health checks and metrics.
 
 pub mod control;
 pub mod relay;
@@ -7,15 +7,15 @@
 use hyper::StatusCode;
 use saddlerelay_http::body::{Reply, whole};
 
-/// When to ask again whether a process is ready, in milliseconds.
+/// Retry delay after a negative readiness response.
 const READINESS_RETRY_MILLISECONDS: u64 = 500;
 
-/// The process runs.
+/// `GET /healthz`: always succeeds.
 pub fn health() -> Reply {
     whole(StatusCode::OK, "text/plain", "ok\n")
 }
 
-/// Whether the process takes new work.
+/// `GET /readyz`: 200 if the process accepts new work, otherwise 503.
 pub fn readiness(ready: bool) -> Reply {
     if ready {
         return whole(StatusCode::OK, "text/plain", "ready\n");
--- a/crates/api/src/queries/relay.rs
+++ b/crates/api/src/queries/relay.rs
@@ -1,4 +1,4 @@
-//! Reads on a relay.
+//! Handlers of reads on a relay.
 
 use crate::queries::readiness;
 use crate::relay::RelayApi;
@@ -9,7 +9,7 @@
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_telemetry::metrics::{CONTENT_TYPE, MetricSet};
 
-/// The models that tenants are served by; refused while the relay may not act on its configuration.
+/// `GET /v1/models`: the models that tenants use; 503 while the relay is not ready.
 pub fn models<P: Runtime, B: Backends>(api: &RelayApi<P, B>) -> Reply {
     if !api.relay.is_ready() {
         return readiness(false);
@@ -19,7 +19,7 @@
     json(StatusCode::OK, &ModelList { object: "list", data })
 }
 
-/// Metrics.
+/// `GET /metrics`.
 pub fn metrics<P: Runtime, B: Backends>(api: &RelayApi<P, B>) -> Reply {
     let counters = api.relay.counters();
     let text = MetricSet::new()
--- a/crates/api/src/relay.rs
+++ b/crates/api/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay's routes.
+//! Routes of a relay.
 
 use crate::commands::{callers, trainers};
 use crate::errors::not_found;
@@ -12,11 +12,11 @@
 use saddlerelay_runtime::backend::Backends;
 use std::rc::Rc;
 
-/// The HTTP face of a relay.
+/// Serves HTTP on a relay.
 pub struct RelayApi<P: Runtime, B: Backends> {
     /// The relay.
     pub relay: Relay<P, B>,
-    /// The machine.
+    /// Runtime that provides clock, random numbers and tasks.
     pub platform: P,
 }
 
--- a/crates/api/src/wire.rs
+++ b/crates/api/src/wire.rs
@@ -1,66 +1,66 @@
-//! JSON forms: the OpenAI protocol's, with a few more fields, and the trainers'.
+//! Headers and JSON bodies: the OpenAI API with additional fields, and the trainer API.
 
 use saddlerelay_types::identity::{Incarnation, Position, WeightVersion};
 use saddlerelay_types::request::{FinishReason, VersionSpan};
 use serde::{Deserialize, Serialize};
 
-/// Header with the caller's key.
+/// Request header with the idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Header with the Unix milliseconds from which the key is refused.
+/// Request header with the expiry of the idempotency key, in Unix milliseconds.
 pub const KEY_EXPIRES_HEADER: &str = "idempotency-key-expires";
-/// Header that marks a request which must run at most once.
+/// Request header that marks a request which must run at most once.
 pub const NOT_REPEATABLE_HEADER: &str = "saddlerelay-not-repeatable";
-/// Header with the milliseconds left to answer.
+/// Request header with the time left until the deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "saddlerelay-deadline-ms";
-/// Header that lowers the request's class to `batch`.
+/// Request header with the priority class; can only lower the tenant's class.
 pub const CLASS_HEADER: &str = "saddlerelay-class";
-/// Header of answers with the weight versions used, oldest first.
+/// Response header with the weight versions used, in order of use.
 pub const VERSIONS_HEADER: &str = "saddlerelay-weight-versions";
-/// Header of failed answers with what is known of the execution.
+/// Response header of failures with the execution outcome.
 pub const OUTCOME_HEADER: &str = "saddlerelay-execution";
 
-/// Tokens in an answer when the request names no limit.
+/// Maximum number of generated tokens if the request sets none.
 pub const DEFAULT_MAX_TOKENS: u32 = 256;
-/// Milliseconds to answer when the request names no deadline.
+/// Deadline in milliseconds if the request sets none.
 pub const DEFAULT_DEADLINE_MILLISECONDS: u64 = 60_000;
 
-/// A message's content: a text, or parts of which those of type `text` count.
+/// Content of a message.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 pub enum MessageContent {
-    /// A text.
+    /// A plain string.
     Text(String),
-    /// Parts.
+    /// A list of parts, of which only text parts are used.
     Parts(Vec<ContentPart>),
 }
 
-/// A part of a message.
+/// A part of a message's content.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ContentPart {
-    /// The text, if it is one.
+    /// The text; empty for parts of another type.
     #[serde(default)]
     pub text: String,
 }
 
-/// A message.
+/// A chat message of a request.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ChatMessage {
-    /// Who speaks.
+    /// Role of the author.
     pub role: String,
-    /// What.
+    /// Content.
     pub content: MessageContent,
 }
 
-/// A request for a chat completion.
+/// Body of `POST /v1/chat/completions`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ChatRequest {
     /// The model.
     pub model: String,
-    /// The conversation.
+    /// The conversation, oldest message first.
     pub messages: Vec<ChatMessage>,
-    /// Most tokens, by its older name.
+    /// Deprecated name of `max_completion_tokens`.
     pub max_tokens: Option<u32>,
-    /// Most tokens.
+    /// Maximum number of tokens to generate.
     pub max_completion_tokens: Option<u32>,
     /// Sampling seed.
     pub seed: Option<u64>,
@@ -71,14 +71,14 @@
     pub n: Option<u32>,
 }
 
-/// A request for a completion.
+/// Body of `POST /v1/completions`.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CompletionRequest {
     /// The model.
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// Most tokens.
+    /// Maximum number of tokens to generate.
     pub max_tokens: Option<u32>,
     /// Sampling seed.
     pub seed: Option<u64>,
@@ -89,7 +89,7 @@
     pub n: Option<u32>,
 }
 
-/// The conversation as one prompt.
+/// Formats a conversation as a single prompt.
 pub fn chat_prompt(messages: &[ChatMessage]) -> String {
     let mut prompt = String::new();
     for message in messages {
@@ -103,26 +103,26 @@
     prompt
 }
 
-/// Which of the two forms an answer takes.
+/// Response format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerForm {
+pub enum ReplyFormat {
     /// Chat completion.
     Chat,
     /// Completion.
     Completion,
 }
 
-impl AnswerForm {
-    /// The `object` of a whole answer.
-    pub fn whole_object(self) -> &'static str {
+impl ReplyFormat {
+    /// Value of `object` in a complete response.
+    pub fn complete_object(self) -> &'static str {
         match self {
             Self::Chat => "chat.completion",
             Self::Completion => "text_completion",
         }
     }
 
-    /// The `object` of a streamed part.
-    pub fn part_object(self) -> &'static str {
+    /// Value of `object` in a streamed chunk.
+    pub fn chunk_object(self) -> &'static str {
         match self {
             Self::Chat => "chat.completion.chunk",
             Self::Completion => "text_completion",
@@ -130,9 +130,9 @@
     }
 }
 
-/// A message or a part of one.
+/// A message of a response, or the delta of a streamed one.
 #[derive(Clone, Debug, Serialize)]
-pub struct AnswerMessage {
+pub struct ReplyMessage {
     /// Always `assistant`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub role: Option<&'static str>,
@@ -140,59 +140,59 @@
     pub content: String,
 }
 
-/// One choice: `message` in a whole chat answer, `delta` in a streamed one, `text` in a completion.
+/// A choice of a response.
 #[derive(Clone, Debug, Serialize)]
-pub struct AnswerChoice {
+pub struct ReplyChoice {
     /// Always zero.
     pub index: u32,
-    /// Of a whole chat answer.
+    /// Set in a complete chat response.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub message: Option<AnswerMessage>,
-    /// Of a streamed chat answer.
+    pub message: Option<ReplyMessage>,
+    /// Set in a chunk of a streamed chat response.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub delta: Option<AnswerMessage>,
-    /// Of a completion.
+    pub delta: Option<ReplyMessage>,
+    /// Set in a completion, complete or streamed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub text: Option<String>,
-    /// Present at the end.
+    /// Set in a complete response and in the last chunk of a stream.
     pub finish_reason: Option<FinishReason>,
 }
 
 /// Token counts.
 #[derive(Clone, Debug, Serialize)]
 pub struct Usage {
-    /// Words of the prompt: the relay does not tokenize.
+    /// Number of words in the prompt, as the relay does not tokenize.
     pub prompt_tokens: u32,
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
-    /// Both.
+    /// Sum of both.
     pub total_tokens: u32,
 }
 
-/// An answer or a part of one.
+/// A complete response or a streamed chunk.
 #[derive(Clone, Debug, Serialize)]
-pub struct AnswerBody {
-    /// Unique for the answer.
+pub struct ReplyJson {
+    /// Response identifier, the same in all chunks.
     pub id: String,
-    /// The form's name.
+    /// Object type, which depends on the format.
     pub object: &'static str,
-    /// Unix seconds.
+    /// Creation time in Unix seconds.
     pub created: u64,
     /// The model.
     pub model: String,
-    /// One choice.
-    pub choices: Vec<AnswerChoice>,
-    /// Of a whole answer.
+    /// Exactly one choice.
+    pub choices: Vec<ReplyChoice>,
+    /// Set in a complete response.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
-    /// The versions that made it.
+    /// Weight versions that generated the tokens, with the token count of each.
     pub weight_versions: Vec<VersionSpan>,
 }
 
-/// One model.
+/// An entry of the model list.
 #[derive(Clone, Debug, Serialize)]
 pub struct ModelEntry {
-    /// Its name.
+    /// Model name.
     pub id: String,
     /// Always `model`.
     pub object: &'static str,
@@ -202,7 +202,7 @@
     pub owned_by: &'static str,
 }
 
-/// The models.
+/// Body of the response to `GET /v1/models`.
 #[derive(Clone, Debug, Serialize)]
 pub struct ModelList {
     /// Always `list`.
@@ -211,30 +211,30 @@
     pub data: Vec<ModelEntry>,
 }
 
-/// A trainer starts.
+/// Body of `POST /v1/trainers/TENANT/open`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OpenTrainerBody {
-    /// Rises with each start.
+    /// The trainer's incarnation, which increases with each start.
     pub incarnation: Incarnation,
 }
 
-/// A trainer publishes.
+/// Body of `POST /v1/trainers/TENANT/versions`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PublishBody {
     /// The trainer's incarnation.
     pub incarnation: Incarnation,
-    /// The version.
+    /// The published weight version.
     pub version: WeightVersion,
-    /// The last position received.
+    /// Position of the last sample that the trainer received.
     pub cursor: Position,
 }
 
-/// A trainer opens a step.
+/// Body of `POST /v1/trainers/TENANT/steps`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OpenStepBody {
     /// The trainer's incarnation.
     pub incarnation: Incarnation,
-    /// The step.
+    /// The step to open.
     #[serde(flatten)]
     pub request: saddlerelay_types::rollout::StepRequest,
 }
--- a/crates/command-line/src/account/mod.rs
+++ b/crates/command-line/src/account/mod.rs
@@ -1,4 +1,4 @@
-//! `account`: what became of each step of each trainer, from the logs of coordinators, and how the engines were used.
+//! `account`: progress of training steps and use of engines, from the logs of coordinators.
 
 mod picture;
 mod steps;
@@ -8,7 +8,7 @@
 use saddlerelay_telemetry::line::LogLine;
 use std::path::PathBuf;
 
-pub use steps::{Account, StepAccount, Use};
+pub use steps::{Account, StepAccount, Usage};
 
 struct Options {
     files: Vec<PathBuf>,
@@ -29,11 +29,11 @@
     Ok(())
 }
 
-/// The account of `lines`, which are in order of time.
+/// Builds the account of `lines`, which must be sorted by time.
 pub fn of_lines(lines: &[LogLine]) -> Result<Account, CommandError> {
     let account = Account::of(lines);
     if account.steps.is_empty() {
-        let reason = "no job is taken up in these logs: name those of the coordinators, from before the first step on";
+        let reason = "these logs contain no started job: name those of the coordinators, from before the first step";
         return Err(CommandError::new(Exit::Failed, reason));
     }
     Ok(account)
@@ -49,7 +49,7 @@
         }
     }
     if options.files.is_empty() {
-        return Err(CommandError::new(Exit::Usage, "name one or more log files"));
+        return Err(CommandError::new(Exit::Usage, "missing log file"));
     }
     Ok(options)
 }
--- a/crates/command-line/src/account/picture.rs
+++ b/crates/command-line/src/account/picture.rs
@@ -1,11 +1,11 @@
-//! The account as a picture: when each step was open, and how many items and loads were under way.
+//! Draws the account as SVG: the steps over time, and the number of items and weight loads in progress.
 
 use crate::account::steps::Account;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::path::Path;
 
-/// Size in pixels.
+/// Width and height in pixels.
 const SIZE: (u32, u32) = (1_000, 760);
 
 /// Height of the panel of steps in pixels.
@@ -14,7 +14,7 @@
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type DrawError<'a> = DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
 
-/// Writes the picture to `file` as SVG, or tells why not.
+/// Writes the SVG to `file`; the error names the file and the reason.
 pub fn write(account: &Account, file: &Path) -> Result<(), String> {
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     let drawn = draw(&area, account).and_then(|()| area.present());
@@ -28,14 +28,14 @@
     let seconds = account.length.ceil().max(1.0) as usize;
     let (items, loads) = uses.split_vertically((SIZE.1 - STEPS_HEIGHT) / 2);
     draw_use(&items, "items at engines", &account.attempts.by_second(seconds))?;
-    draw_use(&loads, "changes of weights under way", &account.loads.by_second(seconds))
+    draw_use(&loads, "weight loads in progress", &account.loads.by_second(seconds))
 }
 
-/// A bar for each step from when it was asked until it ended, a row for each model and every other step.
+/// Draws a bar for each step, with one row per model; odd and even steps are offset vertically.
 fn draw_steps<'a>(area: &Area<'a>, account: &Account) -> Result<(), DrawError<'a>> {
     let models = account.models();
     let mut chart = ChartBuilder::on(area)
-        .caption("steps, from asked to ended", ("sans-serif", 15))
+        .caption("steps, from start to end", ("sans-serif", 15))
         .margin(6)
         .x_label_area_size(24)
         .y_label_area_size(110)
@@ -44,8 +44,8 @@
     chart.configure_mesh().disable_y_mesh().y_labels(models.len()).y_label_formatter(&label).draw()?;
     for step in &account.steps {
         let row = models.iter().position(|model| *model == step.model).unwrap_or_default() as f64;
-        let half = if step.step.is_multiple_of(2) { 0.1 } else { 0.5 };
-        let corners = [(step.open.from, row + half), (step.open.to, row + half + 0.35)];
+        let offset = if step.step.is_multiple_of(2) { 0.1 } else { 0.5 };
+        let corners = [(step.open.from, row + offset), (step.open.to, row + offset + 0.35)];
         chart.draw_series([Rectangle::new(corners, Palette99::pick(row as usize).filled())])?;
     }
     Ok(())
--- a/crates/command-line/src/account/steps.rs
+++ b/crates/command-line/src/account/steps.rs
@@ -1,56 +1,56 @@
-//! Collects the account from log lines.
+//! Builds the account from log lines.
 
 use saddlerelay_telemetry::line::LogLine;
 use std::collections::BTreeMap;
 
-/// A span of time, in seconds since the first line.
+/// A time span, in seconds since the first job started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Span {
-    /// When it began.
+    /// Start.
     pub from: f64,
-    /// When it ended.
+    /// End.
     pub to: f64,
 }
 
-/// What became of one step: a batch job of a trainer.
+/// Statistics of a training step, which is a batch job of a trainer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StepAccount {
-    /// The job.
+    /// Identifier of the job.
     pub job: String,
-    /// The model that it trains.
+    /// The trained model.
     pub model: String,
-    /// Its number.
+    /// Step number.
     pub step: u64,
-    /// Items handed in.
+    /// Number of submitted items.
     pub items: u64,
-    /// When it was first taken up, and when its end was seen; until the last line, if it was not.
+    /// From the time at which a leader first started the job until a leader dropped it, or else until the last log line.
     pub open: Span,
-    /// How often it was taken up: once by each leader.
+    /// Number of times a leader started the job; each leader does so once.
     pub leaders: u32,
-    /// When its first item was sent.
+    /// When the first attempt started; `None` if there was none.
     pub first_start: Option<f64>,
-    /// When its last item was sent.
+    /// When the last attempt started; `None` if there was none.
     pub last_start: Option<f64>,
-    /// When its last text became whole.
+    /// When the last text was completed; `None` if there was none.
     pub last_whole: Option<f64>,
-    /// Texts that became whole.
+    /// Number of completed texts.
     pub whole: u64,
-    /// Attempts that ended otherwise.
+    /// Number of attempts that did not complete a text.
     pub failed_attempts: u64,
-    /// Items that were moved.
+    /// Number of items moved to another engine.
     pub moves: u64,
-    /// Versions by which its whole texts were behind the newest that was ordered, summed.
+    /// Sum, over completed texts, of the difference between the newest ordered version and the oldest one used.
     pub versions_behind: u64,
 }
 
-/// Attempts or loads under way, over time.
+/// Attempts or weight loads in progress over time.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Use {
+pub struct Usage {
     spans: Vec<Span>,
 }
 
-impl Use {
-    /// The mean number of spans under way in each whole second from 0 to `seconds`.
+impl Usage {
+    /// The mean number of attempts or loads in progress in each of the first `seconds` seconds.
     pub fn by_second(&self, seconds: usize) -> Vec<f64> {
         let mut sums = vec![0.0; seconds];
         for span in &self.spans {
@@ -63,63 +63,63 @@
     }
 }
 
-/// The account of a deployment's logs.
+/// Statistics from a deployment's logs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Account {
-    /// The steps, by model and number.
+    /// The steps, sorted by model and number.
     pub steps: Vec<StepAccount>,
-    /// Items at engines.
-    pub attempts: Use,
-    /// Changes of weights.
-    pub loads: Use,
-    /// Length in seconds.
+    /// Attempts to run items at engines.
+    pub attempts: Usage,
+    /// Weight loads.
+    pub loads: Usage,
+    /// Seconds from the start of the first job to the last line.
     pub length: f64,
 }
 
-/// What is collected while lines are read.
+/// Accumulated state while lines are read.
 #[derive(Default)]
 struct Collector {
     began_at: f64,
     steps: BTreeMap<String, StepAccount>,
-    /// The newest version that was ordered, by model.
+    /// The newest ordered version of each model.
     newest: BTreeMap<String, u64>,
-    attempts: Use,
-    loads: Use,
+    attempts: Usage,
+    loads: Usage,
 }
 
 fn number(line: &LogLine, field: &str) -> u64 {
-    // A line of another version may lack the field: it then counts for nothing.
+    // Lines of other builds may lack the field.
     line.field(field).and_then(|value| value.parse().ok()).unwrap_or_default()
 }
 
-/// The oldest of the versions in a list such as `{4, 5}`.
+/// The first, and thus oldest, version of a list such as `{4, 5}`.
 fn oldest_version(list: &str) -> Option<u64> {
     list.trim_matches(['{', '}']).split(',').find_map(|version| version.trim().parse().ok())
 }
 
 impl Collector {
-    /// When the line was written, and the span that it tells the length of.
+    /// The span that ends at the line's time and has the length of its field `lasted_ms`.
     fn span(&self, line: &LogLine) -> Span {
         let to = line.time - self.began_at;
         Span { from: to - number(line, "lasted_ms") as f64 / 1_000.0, to }
     }
 
-    fn take(&mut self, line: &LogLine) {
+    fn add_line(&mut self, line: &LogLine) {
         match line.event.as_str() {
-            "job taken up" => self.take_up(line),
+            "job taken up" => self.start_job(line),
             "job dropped" => self.drop_job(line),
-            "item attempt ended" => self.end_attempt(line),
+            "item attempt ended" => self.add_attempt(line),
             "item moved" => {
                 if let Some(step) = line.field("job").and_then(|job| self.steps.get_mut(job)) {
                     step.moves += 1;
                 }
             }
-            "weights ordered" => self.end_load(line),
+            "weights ordered" => self.add_load(line),
             _ => {}
         }
     }
 
-    fn take_up(&mut self, line: &LogLine) {
+    fn start_job(&mut self, line: &LogLine) {
         let (Some(job), Some(model)) = (line.field("job"), line.field("model")) else {
             return;
         };
@@ -149,7 +149,7 @@
         }
     }
 
-    fn end_attempt(&mut self, line: &LogLine) {
+    fn add_attempt(&mut self, line: &LogLine) {
         let span = self.span(line);
         self.attempts.spans.push(span);
         let Some(step) = line.field("job").and_then(|job| self.steps.get_mut(job)) else {
@@ -170,7 +170,7 @@
         }
     }
 
-    fn end_load(&mut self, line: &LogLine) {
+    fn add_load(&mut self, line: &LogLine) {
         let span = self.span(line);
         self.loads.spans.push(span);
         if let Some(model) = line.field("model") {
@@ -181,12 +181,12 @@
 }
 
 impl Account {
-    /// The account of lines in order of time.
+    /// Builds the account of `lines`, which must be sorted by time.
     pub fn of(lines: &[LogLine]) -> Self {
         let first_job = lines.iter().find(|line| line.event == "job taken up");
         let began_at = first_job.map_or(0.0, |line| line.time);
         let mut collector = Collector { began_at, ..Collector::default() };
-        lines.iter().for_each(|line| collector.take(line));
+        lines.iter().for_each(|line| collector.add_line(line));
         let length = lines.last().map_or(0.0, |line| line.time - began_at);
         let mut steps: Vec<StepAccount> = collector.steps.into_values().collect();
         for step in &mut steps {
@@ -196,14 +196,14 @@
         Self { steps, attempts: collector.attempts, loads: collector.loads, length }
     }
 
-    /// The models that are trained.
+    /// The trained models, each once.
     pub fn models(&self) -> Vec<&str> {
         let mut models: Vec<&str> = self.steps.iter().map(|step| step.model.as_str()).collect();
         models.dedup();
         models
     }
 
-    /// The account as a table: a line for each step, one for each trainer, and the use of engines second by second.
+    /// Formats the account as tables: a row for each step, for each model, and for each second of engine use.
     pub fn table(&self) -> Vec<String> {
         let head = "model        step items leaders  asked  first   last  whole  ended  done  failed moved behind";
         let mut table = vec![head.to_string()];
@@ -225,12 +225,12 @@
         let whole: u64 = steps.iter().map(|step| step.whole).sum();
         let behind: u64 = steps.iter().map(|step| step.versions_behind).sum();
         let staleness = behind as f64 / whole.max(1) as f64;
-        format!("{model:12} {:5} {:9.1} {staleness:16.2}", steps.len(), waited(&steps))
+        format!("{model:12} {:5} {:9.1} {staleness:16.2}", steps.len(), waiting_seconds(&steps))
     }
 }
 
-/// How long a trainer waited for samples: the time in which one of its steps or several were open, in seconds.
-fn waited(steps: &[&StepAccount]) -> f64 {
+/// The time, in seconds, during which at least one step was open and the trainer waited for samples.
+fn waiting_seconds(steps: &[&StepAccount]) -> f64 {
     let mut spans: Vec<Span> = steps.iter().map(|step| step.open).collect();
     spans.sort_by(|left, right| left.from.total_cmp(&right.from));
     let mut covered_to = f64::NEG_INFINITY;
--- a/crates/command-line/src/admin.rs
+++ b/crates/command-line/src/admin.rs
@@ -1,4 +1,4 @@
-//! `saddlerelay admin`: a client of the administration API and nothing more.
+//! `saddlerelay admin`: command-line client of the administration API.
 
 use crate::table::table;
 use crate::{CommandError, Exit};
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// What the command line says.
+/// Parsed command line.
 #[derive(Default)]
 struct AdminArguments {
     address: Option<SocketAddr>,
@@ -21,13 +21,13 @@
     words: Vec<String>,
 }
 
-/// One call of the API and how its answer is shown.
+/// A call to the administration API, and how its response is displayed.
 struct ApiCall {
     method: Method,
     path: String,
     body: Vec<u8>,
     columns: &'static [(&'static str, &'static str)],
-    /// The member of the answer that holds the rows; empty when the answer itself does.
+    /// The response field that contains the rows; empty if the response itself is the list.
     rows: &'static str,
 }
 
@@ -59,8 +59,8 @@
 const SUSPICION_COLUMNS: &[(&str, &str)] = &[("WORK", "work"), ("ENGINES ENDED", "engines"), ("LAST AT", "last_at")];
 const OBJECT_COLUMNS: &[(&str, &str)] = &[("NAME", "name"), ("REVISION", "revision"), ("VALUE", "value")];
 
-/// Fields of an answer that are shown beside its rows.
-const ANSWER_FIELDS: [&str; 9] = [
+/// Response fields that are displayed below the table.
+const SUMMARY_FIELDS: [&str; 9] = [
     "term",
     "committed",
     "revision",
@@ -148,12 +148,12 @@
             let body = read_object(Path::new(file))?;
             vec![ApiCall { method: Method::PUT, body, ..get(&format!("{kind}s/{id}"), &[], "") }]
         }
-        _ => return Err(CommandError::new(Exit::Usage, "no such administration command; see saddlerelay --help")),
+        _ => return Err(CommandError::new(Exit::Usage, "unknown administration command; see saddlerelay --help")),
     };
     Ok(calls)
 }
 
-/// A template or tenant as JSON.
+/// Reads a template or tenant from a TOML or JSON file and returns it as JSON.
 fn read_object(file: &Path) -> Result<Vec<u8>, CommandError> {
     let refuse = |reason: String| CommandError::new(Exit::Usage, format!("{}: {reason}", file.display()));
     let text = std::fs::read_to_string(file).map_err(|error| refuse(error.to_string()))?;
@@ -189,8 +189,8 @@
 fn show(arguments: &AdminArguments, api_call: &ApiCall, response: &WholeResponse) -> Result<(), CommandError> {
     let text = String::from_utf8_lossy(&response.body).into_owned();
     if !response.status.is_success() {
-        let again = response.status == StatusCode::SERVICE_UNAVAILABLE;
-        let exit = if again { Exit::TryAgain } else { Exit::Refused };
+        let is_unavailable = response.status == StatusCode::SERVICE_UNAVAILABLE;
+        let exit = if is_unavailable { Exit::TryAgain } else { Exit::Refused };
         return Err(CommandError::new(exit, format!("{}: {text}", response.status)));
     }
     let answer: Json = serde_json::from_slice(&response.body).unwrap_or(Json::String(text));
@@ -200,8 +200,8 @@
     }
     let rows = if api_call.rows.is_empty() { &answer } else { &answer[api_call.rows] };
     let empty = Vec::new();
-    print!("{}", table(wanted_rows(arguments, rows.as_array().unwrap_or(&empty)).as_slice(), api_call.columns));
-    for name in ANSWER_FIELDS {
+    print!("{}", table(rows_of_kind(arguments, rows.as_array().unwrap_or(&empty)).as_slice(), api_call.columns));
+    for name in SUMMARY_FIELDS {
         if let Some(value) = answer.get(name) {
             println!("{name}: {value}");
         }
@@ -210,8 +210,8 @@
     Ok(())
 }
 
-/// `templates` and `tenants` each show their own kind.
-fn wanted_rows(arguments: &AdminArguments, rows: &[Json]) -> Vec<Json> {
+/// Filters the configuration objects by kind for `templates` and `tenants`.
+fn rows_of_kind(arguments: &AdminArguments, rows: &[Json]) -> Vec<Json> {
     let kind = match arguments.words.first().map(String::as_str) {
         Some("templates") => "template",
         Some("tenants") => "tenant",
--- a/crates/command-line/src/duties.rs
+++ b/crates/command-line/src/duties.rs
@@ -1,4 +1,4 @@
-//! Starts what a coordinator does towards the platform.
+//! Starts a coordinator's calls to the platform: usage reports and engine counts.
 
 use saddlerelay_control::node::ControlNode;
 use saddlerelay_duties::policies::KeepInitial;
@@ -9,7 +9,7 @@
 use saddlerelay_settings::MemberSettings;
 use std::rc::Rc;
 
-/// Starts the duties that the settings name; returns their counters.
+/// Starts the duties enabled in the settings and returns their metrics.
 pub fn start(
     runtime: &CompioRuntime,
     node: &ControlNode<CompioRuntime, HttpBackends>,
--- a/crates/command-line/src/explain.rs
+++ b/crates/command-line/src/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: the story of one request, item, job, engine or version from the logs of many processes.
+//! `explain`: the history of a request, item, job, engine or node from the logs of several processes.
 
 use crate::{CommandError, Exit};
 use lexopt::prelude::*;
@@ -6,19 +6,19 @@
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-/// Fields whose values name other things that the story is about.
+/// Fields whose values identify related objects.
 const RELATING_FIELDS: [&str; 3] = ["job", "instance", "item"];
 
-/// How far from the story's own lines those about related things are told, in seconds.
+/// Maximum time between a line about the identifier and a line about a related object, in seconds.
 const RELATED_WINDOW: f64 = 1.0;
 
-/// Lines of the same event about related things that are told.
-const RELATED_OF_EVENT: usize = 5;
+/// Maximum number of related lines with the same event for each line about the identifier.
+const MAX_RELATED_OF_EVENT: usize = 5;
 
 struct Options {
     id: String,
     files: Vec<PathBuf>,
-    /// How far apart the machines' clocks may be, in seconds.
+    /// Maximum clock difference between machines, in seconds.
     clock_error: f64,
     related: bool,
 }
@@ -27,11 +27,11 @@
 pub fn run(parser: &mut lexopt::Parser) -> Result<(), CommandError> {
     let options = parse(parser)?;
     let lines = crate::logs::read_all(&options.files)?;
-    let story = tell(&lines, &options.id, options.clock_error, options.related);
-    if story.is_empty() {
+    let history = history_of(&lines, &options.id, options.clock_error, options.related);
+    if history.is_empty() {
         return Err(CommandError::new(Exit::Failed, format!("no line mentions `{}`", options.id)));
     }
-    for line in story {
+    for line in history {
         println!("{line}");
     }
     Ok(())
@@ -53,52 +53,54 @@
     }
     match id {
         Some(id) if !files.is_empty() => Ok(Options { id, files, clock_error, related }),
-        _ => Err(CommandError::new(Exit::Usage, "name an identifier and one or more log files")),
+        _ => Err(CommandError::new(Exit::Usage, "missing identifier or log file")),
     }
 }
 
-/// The story of `id`: its own lines in order of time; with `related`, those about its job, item and engines close to
-/// them, indented. A line that another machine may have written first, as far as the clocks tell, is marked `~`.
-pub fn tell(lines: &[LogLine], id: &str, clock_error: f64, related: bool) -> Vec<String> {
-    let own: Vec<usize> = (0..lines.len()).filter(|index| lines[*index].mentions(id)).collect();
-    let related = if related { related_lines(lines, &own, id) } else { BTreeSet::new() };
-    let all: BTreeSet<usize> = own.iter().copied().chain(related.iter().copied()).collect();
+/// The history of `id`: the lines that mention it, sorted by time. With `related`, also lines about its job, item and engines
+/// within [`RELATED_WINDOW`], indented. A line is marked `~` if, given `clock_error`, it may precede the line before it, which
+/// another process logged.
+pub fn history_of(lines: &[LogLine], id: &str, clock_error: f64, related: bool) -> Vec<String> {
+    let matching: Vec<usize> = (0..lines.len()).filter(|index| lines[*index].mentions(id)).collect();
+    let related = if related { related_lines(lines, &matching, id) } else { BTreeSet::new() };
+    let all: BTreeSet<usize> = matching.iter().copied().chain(related.iter().copied()).collect();
     let Some(first) = all.first().map(|index| lines[*index].time) else {
         return Vec::new();
     };
-    let mut story = Vec::new();
-    let mut before: Option<&LogLine> = None;
+    let mut history = Vec::new();
+    let mut previous: Option<&LogLine> = None;
     for index in all {
         let line = &lines[index];
-        let uncertain = before.is_some_and(|before| before.node != line.node && line.time - before.time < clock_error);
+        let uncertain =
+            previous.is_some_and(|previous| previous.node != line.node && line.time - previous.time < clock_error);
         let mark = if uncertain { '~' } else { ' ' };
         let indent = if related.contains(&index) { "    " } else { "" };
         let fields: Vec<String> = line.fields.iter().map(|(key, value)| format!("{key}={value}")).collect();
         let offset = line.time - first;
-        story.push(format!("{offset:9.3} s {mark} {indent}{}: {} ({})", line.node, line.event, fields.join(", ")));
-        before = Some(line);
+        history.push(format!("{offset:9.3} s {mark} {indent}{}: {} ({})", line.node, line.event, fields.join(", ")));
+        previous = Some(line);
     }
-    story
+    history
 }
 
-fn related_lines(lines: &[LogLine], own: &[usize], id: &str) -> BTreeSet<usize> {
+fn related_lines(lines: &[LogLine], matching: &[usize], id: &str) -> BTreeSet<usize> {
     let names = |line: &LogLine| {
         let named = RELATING_FIELDS.iter().filter_map(|key| line.field(key)).filter(|value| *value != id);
         named.map(str::to_string).collect::<BTreeSet<_>>()
     };
     let mut found = BTreeSet::new();
-    for index in own {
+    for index in matching {
         let wanted = names(&lines[*index]);
         let close = |other: &usize| {
             let other = &lines[*other];
             let near = (other.time - lines[*index].time).abs() <= RELATED_WINDOW;
             near && !other.mentions(id) && wanted.iter().any(|name| other.mentions(name))
         };
-        let mut told: Vec<&str> = Vec::new();
+        let mut events: Vec<&str> = Vec::new();
         for other in (0..lines.len()).filter(close) {
             let event = lines[other].event.as_str();
-            if told.iter().filter(|told| **told == event).count() < RELATED_OF_EVENT {
-                told.push(event);
+            if events.iter().filter(|shown| **shown == event).count() < MAX_RELATED_OF_EVENT {
+                events.push(event);
                 found.insert(other);
             }
         }
--- a/crates/command-line/src/level_metrics.rs
+++ b/crates/command-line/src/level_metrics.rs
@@ -1,4 +1,4 @@
-//! Shows how far an upgrade has come: the feature level of a replica's state beside the newest that its build knows.
+//! Gauges of the progress of an upgrade: the active feature level and the newest one that the build supports.
 
 use saddlerelay_control::node::ControlNode;
 use saddlerelay_runtime::Runtime;
@@ -6,7 +6,7 @@
 use saddlerelay_telemetry::registry::{Gauge, MetricRegistry};
 use saddlerelay_types::feature_level::FeatureLevel;
 
-/// The gauges of one replica.
+/// Feature level gauges of a replica.
 pub struct LevelMetrics<P: Runtime, B: Backends> {
     node: ControlNode<P, B>,
     registry: MetricRegistry,
@@ -14,7 +14,7 @@
 }
 
 impl<P: Runtime, B: Backends> LevelMetrics<P, B> {
-    /// Gauges of `node`.
+    /// Registers the gauges of `node`.
     pub fn new(node: ControlNode<P, B>) -> Self {
         let mut registry = MetricRegistry::new("saddlerelay_control");
         let level = registry.gauge("feature_level", "Feature level of this replica's state; 0 outside a group");
@@ -23,7 +23,7 @@
         Self { node, registry, level }
     }
 
-    /// The gauges in the text format of metrics.
+    /// Encodes the gauges in the OpenMetrics text format.
     pub fn encode(&self) -> String {
         let level = self.node.replica().level().map_or(0, FeatureLevel::number);
         self.level.set(level.into());
--- a/crates/command-line/src/lib.rs
+++ b/crates/command-line/src/lib.rs
@@ -21,62 +21,62 @@
 saddlerelay: a rollout service for reinforcement learning
 
   saddlerelay serve --config FILE         run a relay or a control replica
-  saddlerelay member --config FILE        run a process of a deployment that finds its own members
-  saddlerelay check-config FILE           check a settings file and tell everything that is wrong with it
+  saddlerelay member --config FILE        run a gateway or a coordinator
+  saddlerelay check-config FILE           check a settings file and report all errors in it
   saddlerelay explain ID FILE... [--related] [--clock-error-ms N]
-                                          what the logs of many processes tell of a request, item, job, engine or node
+                                          history of a request, item, job, engine or node from log files
   saddlerelay account FILE... [--svg FILE]
-                                          what became of each training step and how engines were used, from logs
+                                          progress of training steps and use of engines from log files
   saddlerelay admin --address IP:PORT (--token TOKEN | --token-file FILE) [--json] COMMAND
-      initialize                          form a new control group of the replica at this address
+      initialize                          bootstrap a control group with the replica at this address
       status                              the group, the relays and the configuration in force
-      members | relays | engines          each of them
-      duties                              of a member: who holds them, reports of usage, engines wanted and there
-      suspicions                          of a member: work under which engines have ended; three engines quarantine it
-      release WORK                        of a member: send quarantined work to engines again
+      members | relays | engines          list the replicas of the group, the relays or the engines
+      duties                              platform duties: holder, usage reports, wanted and present engines
+      suspicions                          work during which engines crashed; quarantined after three engines
+      release WORK                        release quarantined work, so that it is sent to engines again
       templates | tenants                 list the configuration
       template|tenant get ID
       template|tenant put ID FILE [--if-match REVISION | --if-absent] [--key KEY]
       template|tenant delete ID [--if-match REVISION] [--key KEY]
-      trainer ID                          where a tenant's trainer stands
-      drain ENGINE                        give an engine no new work until it starts anew
-      dump-log                            write the process's log ring to its data folder
+      trainer ID                          state of a tenant's trainer
+      drain ENGINE                        drain an engine until it restarts
+      dump-log                            dump the process's log ring to its data folder
   saddlerelay --help | --version
 
 FILE of `put` is TOML, or JSON when its name ends in .json.
 
-Exit codes: 0 done; 1 failed while running; 2 the command line is wrong; 3 the settings are wrong;
-            4 the administration API refused; 5 undecided or unreachable, try again.
+Exit codes: 0 success; 1 runtime failure; 2 invalid command line; 3 invalid settings;
+            4 rejected by the administration API; 5 outcome unknown or service unreachable, retry.
 ";
 
-/// How a command ends.
+/// Exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// Done.
+    /// Success.
     Done = 0,
-    /// Failed while running.
+    /// Runtime failure.
     Failed = 1,
-    /// The command line is wrong.
+    /// Invalid command line.
     Usage = 2,
-    /// The settings are wrong.
+    /// Invalid settings.
     Settings = 3,
-    /// The administration API refused.
+    /// The administration API rejected the call.
     Refused = 4,
-    /// Undecided or unreachable.
+    /// The outcome is unknown or the service unreachable; a retry may succeed.
     TryAgain = 5,
 }
 
-/// A failed command: what to tell, and how to end.
+/// Error message and exit code of a failed command.
 #[derive(Debug)]
 pub struct CommandError {
-    /// How to end.
+    /// Exit code of the process.
     pub exit: Exit,
-    /// What to tell.
+    /// Message for standard error.
     pub message: String,
 }
 
 impl CommandError {
-    /// An error with this end.
+    /// Creates an error.
     pub fn new(exit: Exit, message: impl Into<String>) -> Self {
         Self { exit, message: message.into() }
     }
@@ -94,7 +94,7 @@
     }
 }
 
-/// Runs the command that `arguments` name, without the program's own name.
+/// Runs a command; `arguments` excludes the program name.
 pub fn run(arguments: Vec<OsString>) -> Exit {
     match try_run(arguments) {
         Ok(()) => Exit::Done,
@@ -123,7 +123,7 @@
         Some(Value(command)) if command == "account" => account::run(&mut parser),
         Some(Value(command)) if command == "admin" => admin::run(&mut parser),
         Some(other) => Err(other.unexpected().into()),
-        None => Err(CommandError::new(Exit::Usage, "name a command; see saddlerelay --help")),
+        None => Err(CommandError::new(Exit::Usage, "missing command; see saddlerelay --help")),
     }
 }
 
@@ -141,7 +141,7 @@
 fn check_config(parser: &mut lexopt::Parser) -> Result<(), CommandError> {
     let file = match parser.next()? {
         Some(Value(file)) => PathBuf::from(file),
-        _ => return Err(CommandError::new(Exit::Usage, "name a settings file")),
+        _ => return Err(CommandError::new(Exit::Usage, "missing argument FILE")),
     };
     if let Some(other) = parser.next()? {
         return Err(other.unexpected().into());
@@ -165,18 +165,18 @@
     CommandError::new(Exit::Settings, lines.join("\n"))
 }
 
-/// Whether a settings file is a member's: only those name seeds.
+/// Whether a settings file is for the `member` command, recognised by its key `seeds`.
 fn is_member(file: &Path) -> Result<bool, CommandError> {
     let table: Result<toml::Table, _> = read_file(file)?.parse();
     Ok(table.is_ok_and(|table| table.contains_key("seeds")))
 }
 
-/// Reads a settings file; the error names the file and everything that is wrong in it.
+/// Reads a settings file for the `serve` command; the error message lists all errors in the file.
 pub fn read_settings(file: &Path) -> Result<saddlerelay_settings::Settings, CommandError> {
     saddlerelay_settings::parse(&read_file(file)?).map_err(|errors| settings_error(file, errors))
 }
 
-/// Reads a member's settings file; the error names the file and everything that is wrong in it.
+/// Reads a settings file for the `member` command; the error message lists all errors in the file.
 pub fn read_member_settings(file: &Path) -> Result<saddlerelay_settings::MemberSettings, CommandError> {
     saddlerelay_settings::parse_member(&read_file(file)?).map_err(|errors| settings_error(file, errors))
 }
--- a/crates/command-line/src/logs.rs
+++ b/crates/command-line/src/logs.rs
@@ -1,11 +1,11 @@
-//! Reads the logs of many processes.
+//! Reads and merges the log files of several processes.
 
 use crate::{CommandError, Exit};
 use saddlerelay_telemetry::line::LogLine;
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
 
-/// The lines of all `files` in order of time; what is no log line is left out.
+/// Returns the log lines of all `files`, sorted by time; other lines are skipped.
 pub fn read_all(files: &[PathBuf]) -> Result<Vec<LogLine>, CommandError> {
     let mut lines = Vec::new();
     for file in files {
--- a/crates/command-line/src/member.rs
+++ b/crates/command-line/src/member.rs
@@ -1,4 +1,4 @@
-//! Runs a process of a deployment that finds its own members: a gateway, or a coordinator.
+//! Runs a gateway or a coordinator of a deployment with seed-based discovery.
 
 use crate::level_metrics::LevelMetrics;
 use crate::signals::{SIGHUP, SIGTERM, SignalListener};
@@ -11,7 +11,9 @@
 use saddlerelay_duties::PlatformDialect;
 use saddlerelay_engine_client::{BackendAddresses, HttpBackends};
 use saddlerelay_gateway::{Gateway, GatewayConfig, GatewayOptions};
-use saddlerelay_gateway_api::{ControlApi, Formats, FrontApi, OwnEngines, OwnFormats, OwnPlatform, ReadinessApi};
+use saddlerelay_gateway_api::{
+    ClientApi, ControlApi, Formats, NativeEngines, NativeFormats, NativePlatform, ReadinessApi,
+};
 use saddlerelay_http::body::{Reply, whole};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_platform::{PlatformDuties, PlatformEngines, PlatformFormats};
@@ -31,37 +33,37 @@
 
 const SIGXFSZ: i32 = 25;
 
-/// How long a stopping gateway goes on taking connections: until the platform has noticed that it is not ready.
-const NOTICE_TIME: Duration = Duration::from_millis(2_600);
+/// How long a gateway still accepts connections after SIGTERM, until load balancers have seen the readiness probe fail.
+const READINESS_NOTICE: Duration = Duration::from_millis(2_600);
 
-/// What is left of the grace when the last connections are closed.
+/// Part of the grace period left after connections are closed, for the exit of the process.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Pause between looks at whether the settings file has changed without a signal.
-const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval at which the settings file is checked for changes.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Pause between looks at whether the group knows this machine.
-const REGISTER_INTERVAL: Duration = Duration::from_millis(400);
+/// Interval at which the registration with the group is checked.
+const REGISTER_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Longest time of one introduction.
-const REGISTER_LIMIT: Duration = Duration::from_millis(1_500);
+/// Timeout of one registration attempt.
+const REGISTER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The peer addresses behind the seeds, as the settings name them now.
+/// Peer addresses of the seeds, updated when the settings change.
 type Seeds = Rc<RefCell<Vec<SocketAddr>>>;
 
 fn failed(error: impl std::fmt::Display) -> CommandError {
     CommandError::new(Exit::Failed, error.to_string())
 }
 
-/// Has a write beyond the file size limit fail like one on a full disk, instead of ending the process.
-async fn outlive_file_size_limit() {
+/// Handles SIGXFSZ, so that a write beyond the file size limit returns an error instead of killing the process.
+async fn ignore_file_size_signal() {
     while compio::signal::unix::signal(SIGXFSZ).await.is_ok() {}
 }
 
 /// Runs the process that the settings in `file` describe.
 pub fn run(file: &Path) -> Result<(), CommandError> {
     let settings = read_member_settings(file)?;
-    // Handled before anything is set up, and until everything is done.
+    // Installed first, so that no later signal kills the process during startup or shutdown.
     let mut stop = SignalListener::listen(SIGTERM).map_err(failed)?;
     let reload = SignalListener::listen(SIGHUP).map_err(failed)?;
     let signals = ProcessSignals { stop: &mut stop, reload };
@@ -89,7 +91,7 @@
     }
 }
 
-/// The signals that a process follows.
+/// Listeners of the signals that the process handles.
 struct ProcessSignals<'a> {
     stop: &'a mut SignalListener,
     reload: SignalListener,
@@ -97,29 +99,29 @@
 
 async fn run_role(settings: MemberSettings, file: PathBuf, signals: ProcessSignals<'_>) -> Result<(), CommandError> {
     match settings.interface {
-        Interface::Own => {
-            let outward = Outward { engines: Box::new(OwnEngines), platform: Box::new(OwnPlatform) };
-            run_speaking(settings, file, signals, OwnFormats, outward).await
+        Interface::Native => {
+            let outbound = OutboundFormats { engines: Box::new(NativeEngines), platform: Box::new(NativePlatform) };
+            run_with_formats(settings, file, signals, NativeFormats, outbound).await
         }
         Interface::Platform => {
-            let outward = Outward { engines: Box::new(PlatformEngines), platform: Box::new(PlatformDuties) };
-            run_speaking(settings, file, signals, PlatformFormats, outward).await
+            let outbound = OutboundFormats { engines: Box::new(PlatformEngines), platform: Box::new(PlatformDuties) };
+            run_with_formats(settings, file, signals, PlatformFormats, outbound).await
         }
     }
 }
 
-/// How a coordinator speaks to what it gives orders to.
-struct Outward {
+/// Formats of the requests that a coordinator sends to engines and to the platform.
+struct OutboundFormats {
     engines: Box<dyn EngineDialect>,
     platform: Box<dyn PlatformDialect>,
 }
 
-async fn run_speaking<F: Formats>(
+async fn run_with_formats<F: Formats>(
     settings: MemberSettings,
     file: PathBuf,
     signals: ProcessSignals<'_>,
     formats: F,
-    outward: Outward,
+    outbound: OutboundFormats,
 ) -> Result<(), CommandError> {
     let seeds: Seeds = Rc::new(RefCell::new(settings.seed_peers()));
     match settings.role.clone() {
@@ -130,7 +132,7 @@
         MemberRole::Coordinator { control_address, peer_address, peer_listen_address, data_folder, first_start } => {
             let addresses = CoordinatorAddresses { control_address, peer_address, peer_listen_address };
             let start = CoordinatorStart { addresses, data_folder, first_start };
-            run_coordinator(settings, file, signals, seeds, start, formats, outward).await
+            run_coordinator(settings, file, signals, seeds, start, formats, outbound).await
         }
     }
 }
@@ -180,23 +182,23 @@
     let shutdown = Shutdown::default();
     runtime.spawn(serve_until(
         client_listener,
-        Rc::new(FrontApi { gateway: gateway.clone(), formats }),
+        Rc::new(ClientApi { gateway: gateway.clone(), formats }),
         shutdown.clone(),
     ));
     let readiness = Rc::new(ReadinessApi { gateway: gateway.clone() });
     runtime.spawn(serve_until(readiness_listener, readiness, Shutdown::default()));
-    let of_metrics = gateway.clone();
-    serve_metrics(&runtime, settings.metrics_address, move || of_metrics.metrics().encode()).await?;
-    // A relay that has not found the group yet learns of it by new settings alone.
+    let metrics_source = gateway.clone();
+    serve_metrics(&runtime, settings.metrics_address, move || metrics_source.metrics().encode()).await?;
+    // Changed seeds are the only way to reach the group for a gateway that has not found it yet.
     let control = gateway.control().clone();
-    let changed = move |seeds: &[SocketAddr]| control.hear_of(seeds);
-    runtime.spawn(follow_settings(runtime.clone(), file, signals.reload, seeds, changed));
+    let apply_seeds = move |seeds: &[SocketAddr]| control.hear_of(seeds);
+    runtime.spawn(reload_settings(runtime.clone(), file, signals.reload, seeds, apply_seeds));
     signals.stop.received().await.map_err(failed)?;
     spdlog::info!("planned stop", kv: { grace_ms = settings.bounds.grace.as_millis() as u64 });
     gateway.drain();
-    let notice = NOTICE_TIME.min(settings.bounds.grace / 2);
-    runtime.sleep(notice).await;
-    let closed = shutdown.close(settings.bounds.grace.saturating_sub(notice + GRACE_MARGIN)).await;
+    let notice_period = READINESS_NOTICE.min(settings.bounds.grace / 2);
+    runtime.sleep(notice_period).await;
+    let closed = shutdown.close(settings.bounds.grace.saturating_sub(notice_period + GRACE_MARGIN)).await;
     spdlog::info!("connections closed", kv: { all = closed });
     Ok(())
 }
@@ -208,12 +210,12 @@
     seeds: Seeds,
     start: CoordinatorStart,
     formats: F,
-    outward: Outward,
+    outbound: OutboundFormats,
 ) -> Result<(), CommandError> {
     let CoordinatorStart { addresses, data_folder, first_start } = start;
     std::fs::create_dir_all(&data_folder).map_err(|error| failed(format!("{}: {error}", data_folder.display())))?;
     let runtime = CompioRuntime::new(data_folder);
-    runtime.spawn(outlive_file_size_limit());
+    runtime.spawn(ignore_file_size_signal());
     let peers = seeds.borrow().clone();
     let options = ReplicaOptions {
         address: addresses.peer_address,
@@ -232,22 +234,22 @@
     let secret = settings.shared_secret.clone();
     runtime.spawn(saddlerelay_rpc::server::serve(runtime.clone(), peer_listener, secret, Rc::new(node.clone())));
     let control =
-        ControlClient::new(runtime.clone(), &with_own(&peers, addresses.peer_address), &settings.shared_secret);
+        ControlClient::new(runtime.clone(), &with_own_address(&peers, addresses.peer_address), &settings.shared_secret);
     let coordinator = Coordinator::start(
         runtime.clone(),
         node.clone(),
         CoordinatorIdentity { name: settings.name.clone(), zone: settings.zone.clone() },
         formats.header_names(),
-        outward.engines,
+        outbound.engines,
         CoordinatorConfig::default(),
     );
-    let duties = crate::duties::start(&runtime, &node, &settings, outward.platform);
+    let duties = crate::duties::start(&runtime, &node, &settings, outbound.platform);
     let shutdown = Shutdown::default();
     let control_port = addresses.control_address.port();
-    let reporting = node.clone();
-    // All machines serve control at the same port.
+    let report_node = node.clone();
+    // All coordinators serve control at the same port.
     let report_target = move |report: &InstanceReport| {
-        reporting.reports_go_to(report).map(|peer| SocketAddr::new(peer.ip(), control_port))
+        report_node.reports_go_to(report).map(|peer| SocketAddr::new(peer.ip(), control_port))
     };
     let interval = settings.bounds.report_interval;
     let api = ControlApi::start(runtime.clone(), control.clone(), interval, Box::new(report_target), formats);
@@ -261,9 +263,9 @@
         address: addresses.peer_address,
         zone: settings.zone.clone(),
     };
-    runtime.spawn(introduce(runtime.clone(), node.clone(), control, record, seeds.clone()));
+    runtime.spawn(register(runtime.clone(), node.clone(), control, record, seeds.clone()));
     let replica = node.replica().clone();
-    runtime.spawn(follow_settings(runtime.clone(), file, signals.reload, seeds, move |seeds| {
+    runtime.spawn(reload_settings(runtime.clone(), file, signals.reload, seeds, move |seeds| {
         replica.hear_of(seeds.iter().copied())
     }));
     signals.stop.received().await.map_err(failed)?;
@@ -273,69 +275,69 @@
     Ok(())
 }
 
-fn with_own(peers: &[SocketAddr], own: SocketAddr) -> Vec<SocketAddr> {
+fn with_own_address(peers: &[SocketAddr], own: SocketAddr) -> Vec<SocketAddr> {
     let mut addresses = vec![own];
     addresses.extend(peers.iter().filter(|peer| **peer != own));
     addresses
 }
 
-/// Tells the group this machine's name and replica, and keeps the client's list of replicas new.
-async fn introduce(
+/// Registers this machine's name and replica with the group, and keeps the client's list of replicas up to date.
+async fn register(
     runtime: CompioRuntime,
     node: ControlNode<CompioRuntime, HttpBackends>,
     control: ControlClient<CompioRuntime>,
     record: StoreRecord,
     seeds: Seeds,
 ) {
-    // The group never forgets a machine. One that is no member cannot see that in a state of its own.
-    let mut is_known = false;
+    // Registrations are permanent. A replica that is not a member yet cannot see its registration in its own state.
+    let mut is_registered = false;
     loop {
-        is_known = is_known || node.replica().peek(|machine| machine.state().stores.holds(&record));
-        if !is_known {
+        is_registered = is_registered || node.replica().peek(|machine| machine.state().stores.holds(&record));
+        if !is_registered {
             let request = GatewayRequest::RegisterStore(record.clone());
-            let answer = control.gateway(request, REGISTER_LIMIT, REGISTER_LIMIT).await;
-            is_known = answer == Ok(GatewayReply::Done);
-            if !is_known {
-                spdlog::warn!("not introduced", kv: { answer = format!("{answer:?}").as_str() });
+            let answer = control.gateway(request, REGISTER_TIMEOUT, REGISTER_TIMEOUT).await;
+            is_registered = answer == Ok(GatewayReply::Done);
+            if !is_registered {
+                spdlog::warn!("registration with the control group failed, retrying", kv: { answer = format!("{answer:?}").as_str() });
             }
         }
         let peers = node.replica().known_peers();
         let all = peers.into_iter().chain(seeds.borrow().iter().copied()).collect::<Vec<_>>();
-        control.set_replicas(with_own(&all, record.address));
-        runtime.sleep(REGISTER_INTERVAL).await;
+        control.set_replicas(with_own_address(&all, record.address));
+        runtime.sleep(REGISTER_CHECK_INTERVAL).await;
     }
 }
 
-/// Takes changes of the settings file, with a signal and without.
-async fn follow_settings(
+/// Reloads the settings file when it has changed; checks it at an interval and on SIGHUP.
+async fn reload_settings(
     runtime: CompioRuntime,
     file: PathBuf,
     mut reload: SignalListener,
     seeds: Seeds,
-    changed: impl Fn(&[SocketAddr]) + 'static,
+    apply_seeds: impl Fn(&[SocketAddr]) + 'static,
 ) {
-    let mut held = std::fs::read(&file).unwrap_or_default();
+    let mut last_contents = std::fs::read(&file).unwrap_or_default();
     loop {
         let signal = std::pin::pin!(reload.received());
-        let pause = std::pin::pin!(runtime.sleep(SETTINGS_INTERVAL));
+        let pause = std::pin::pin!(runtime.sleep(SETTINGS_CHECK_INTERVAL));
         if let Either::Left((Err(error), pause)) = futures::future::select(signal, pause).await {
-            spdlog::error!("no signal is heard", kv: { reason = error.to_string().as_str() });
+            spdlog::error!("SIGHUP listener failed, settings still polled", kv: { reason = error.to_string().as_str() });
             pause.await;
         }
         let Ok(bytes) = std::fs::read(&file) else {
             continue;
         };
-        if bytes == held {
+        if bytes == last_contents {
             continue;
         }
-        held = bytes;
+        last_contents = bytes;
         match read_member_settings(&file) {
             Ok(settings) => {
                 *seeds.borrow_mut() = settings.seed_peers();
-                changed(&seeds.borrow());
+                apply_seeds(&seeds.borrow());
                 spdlog::info!("settings reloaded", kv: { seeds = settings.seeds.len() });
             }
-            Err(error) => spdlog::error!("settings refused", kv: { reason = error.to_string().as_str() }),
+            Err(error) => spdlog::error!("settings reload rejected", kv: { reason = error.to_string().as_str() }),
         }
     }
 }
--- a/crates/command-line/src/serve.rs
+++ b/crates/command-line/src/serve.rs
@@ -1,4 +1,4 @@
-//! Wires a process together and runs it until it is told to stop.
+//! Runs a relay or a control process until SIGTERM or SIGINT.
 
 use crate::signals::{SIGTERM, SignalListener};
 use crate::{CommandError, Exit, read_settings};
@@ -23,8 +23,8 @@
 
 const SIGINT: i32 = 2;
 
-/// How long the last answers of a planned stop may take to reach their callers.
-const CLOSE_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout for closing the remaining connections at a graceful shutdown.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn failed(error: impl std::fmt::Display) -> CommandError {
     CommandError::new(Exit::Failed, error.to_string())
@@ -36,12 +36,12 @@
     let folder = &settings.data_folder;
     std::fs::create_dir_all(folder).map_err(|error| failed(format!("{}: {error}", folder.display())))?;
     let log = saddlerelay_telemetry::log::set_up(folder).map_err(failed)?;
-    // Handled until everything is done.
+    // Stays installed until shutdown has completed.
     let mut terminate = SignalListener::listen(SIGTERM).map_err(failed)?;
     let runtime = compio::runtime::Runtime::new().map_err(failed)?;
     let ended = runtime.block_on(run(settings, log.clone(), &mut terminate));
     if let Err(error) = &ended {
-        spdlog::error!("the process ends: {}", error);
+        spdlog::error!("process failed: {}", error);
     }
     ended
 }
@@ -84,9 +84,9 @@
     platform.spawn(serve_until(listener, Rc::new(api), shutdown.clone()));
     wait_for_stop(terminate).await?;
     spdlog::info!("planned stop", kv: { in_progress = relay.in_progress() });
-    // Whoever asks meanwhile is told at once to go elsewhere.
+    // The server stays up during the drain and rejects new requests.
     let drained = relay.drain().await;
-    let closed = shutdown.close(CLOSE_LIMIT).await;
+    let closed = shutdown.close(CLOSE_TIMEOUT).await;
     if drained && closed { Ok(()) } else { Err(failed("requests were still in progress at the drain limit")) }
 }
 
@@ -126,13 +126,13 @@
     wait_for_stop(terminate).await?;
     let handed_over = node.hand_over().await;
     spdlog::info!("planned stop", kv: { handed_over = handed_over });
-    shutdown.close(CLOSE_LIMIT).await;
+    shutdown.close(CLOSE_TIMEOUT).await;
     Ok(())
 }
 
 async fn wait_for_stop(terminate: &mut SignalListener) -> Result<(), CommandError> {
     let terminate = std::pin::pin!(terminate.received());
     let interrupt = std::pin::pin!(compio::signal::unix::signal(SIGINT));
-    let (heard, _) = futures::future::select(terminate, interrupt).await.factor_first();
-    heard.map_err(failed)
+    let (signal_result, _) = futures::future::select(terminate, interrupt).await.factor_first();
+    signal_result.map_err(failed)
 }
--- a/crates/command-line/src/signals.rs
+++ b/crates/command-line/src/signals.rs
@@ -1,29 +1,29 @@
-//! Signals to the process, each handled from one moment on to the process's end.
+//! Signal listeners that keep a signal that arrives while nobody waits for it.
 
 use futures::FutureExt;
 use std::future::Future;
 use std::io;
 use std::pin::Pin;
 
-/// Settings have changed.
+/// Reloads the settings.
 pub(crate) const SIGHUP: i32 = 1;
 
-/// The planned stop.
+/// Starts a graceful shutdown.
 pub(crate) const SIGTERM: i32 = 15;
 
-/// A listener of the operating system's signals; it handles one signal, once.
+/// A one-shot listener of the runtime for a single signal.
 type Listener = Pin<Box<dyn Future<Output = io::Result<()>>>>;
 
-/// Handles one kind of signal while it exists: none of them ends the process, and none that comes while nobody waits is
-/// lost. The runtime's own listener handles a signal only until it has come: the next one of the kind would end the process,
-/// in the middle of a drain for instance.
+/// Handles a signal while it exists: the signal does not kill the process, and one that arrives while nobody waits is kept.
+/// The runtime's listener is one-shot; without a successor a second signal would kill the process, for example during a
+/// drain.
 pub(crate) struct SignalListener {
     signal: i32,
     next: Listener,
 }
 
 impl SignalListener {
-    /// Handles `signal` from now on.
+    /// Starts to handle `signal`.
     pub(crate) fn listen(signal: i32) -> io::Result<Self> {
         Ok(Self { signal, next: registered(signal)? })
     }
@@ -31,18 +31,18 @@
     /// Waits for the next signal.
     pub(crate) async fn received(&mut self) -> io::Result<()> {
         self.next.as_mut().await?;
-        // The next listener is there before this one goes: there is always one that handles the signal.
+        // Registered before the old listener is dropped, so that the signal is handled without a gap.
         self.next = registered(self.signal)?;
         Ok(())
     }
 }
 
-/// A listener that handles the signal already: the runtime registers one when it is polled first.
+/// Creates a listener and polls it once, because the runtime registers it on the first poll.
 fn registered(signal: i32) -> io::Result<Listener> {
     let mut listener: Listener = Box::pin(compio::signal::unix::signal(signal));
     match listener.as_mut().now_or_never() {
         None => Ok(listener),
-        // It has come since.
+        // The signal arrived after the registration.
         Some(Ok(())) => Ok(Box::pin(std::future::ready(Ok(())))),
         Some(Err(error)) => Err(error),
     }
--- a/crates/command-line/src/table.rs
+++ b/crates/command-line/src/table.rs
@@ -1,8 +1,8 @@
-//! Tables for people, from JSON.
+//! Formats JSON objects as text tables.
 
 use serde_json::Value;
 
-/// Rows of `columns` taken out of a list of objects by path, such as `description.id`.
+/// Formats a table with a row for each object. `columns` contains titles and paths, such as `description.id`.
 pub fn table(rows: &[Value], columns: &[(&str, &str)]) -> String {
     let header: Vec<String> = columns.iter().map(|(title, _)| title.to_string()).collect();
     let cells = rows.iter().map(|row| columns.iter().map(|(_, path)| cell(row, path)).collect());
--- a/crates/command-line/tests/account.rs
+++ b/crates/command-line/tests/account.rs
@@ -1,4 +1,4 @@
-//! The account of steps from log lines.
+//! The account that is built from log lines.
 
 use saddlerelay_command_line::account::of_lines;
 use saddlerelay_telemetry::line::LogLine;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn steps_are_accounted_for_across_leaders() {
+fn a_step_is_accounted_for_across_leader_changes() {
     let account = of_lines(&lines(LOG)).expect("there are steps");
     assert_eq!(account.models(), ["m"]);
     let [first, second] = &account.steps[..] else {
@@ -32,20 +32,20 @@
     assert_eq!((first.open.from, first.open.to), (0.0, 4.0));
     assert_eq!((first.first_start, first.last_start, first.last_whole), (Some(0.0), Some(2.0), Some(2.0)));
     assert_eq!(first.versions_behind, 1);
-    // The second is still open at the last line, which lacks its length and outcome.
+    // The second step is still open at the last line; the line of its attempt lacks duration and outcome.
     assert_eq!((second.open.from, second.open.to, second.failed_attempts), (3.0, 6.0, 1));
     assert_eq!(account.attempts.by_second(3), [1.0, 1.0, 0.5]);
     assert_eq!(account.loads.by_second(3), [0.5, 0.5, 0.0]);
 }
 
 #[test]
-fn the_table_tells_how_long_a_trainer_waited_without_counting_twice() {
+fn overlapping_steps_count_once_in_a_trainers_waiting_time() {
     let table = of_lines(&lines(LOG)).expect("there are steps").table();
     assert!(table.contains(&"m                2       6.0             1.00".to_string()), "{table:#?}");
 }
 
 #[test]
-fn logs_without_steps_are_refused_with_what_to_do() {
-    let refused = of_lines(&lines("time=1.0 level=info node=n event=start\nno line")).expect_err("there is no step");
-    assert!(refused.message.contains("name those of the coordinators"), "{}", refused.message);
+fn logs_without_steps_are_rejected_with_a_hint() {
+    let error = of_lines(&lines("time=1.0 level=info node=n event=start\nno line")).expect_err("there is no step");
+    assert!(error.message.contains("name those of the coordinators"), "{}", error.message);
 }
--- a/crates/command-line/tests/explain.rs
+++ b/crates/command-line/tests/explain.rs
@@ -1,6 +1,6 @@
-//! The story of an identifier from many logs, and log lines that are read back.
+//! Parsing of log lines and the history that `explain` builds from them.
 
-use saddlerelay_command_line::explain::tell;
+use saddlerelay_command_line::explain::history_of;
 use saddlerelay_telemetry::line::LogLine;
 
 const LOG: &str = r#"
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn lines_are_read_whatever_stands_before_them() {
+fn lines_are_parsed_after_any_prefix() {
     let lines = lines();
     assert_eq!(lines.len(), 5);
     assert_eq!((lines[0].node.as_str(), lines[0].event.as_str()), ("front-1", "attempt failed"));
@@ -29,18 +29,18 @@
 }
 
 #[test]
-fn a_story_is_in_order_and_tells_what_the_clocks_leave_open() {
-    let story = tell(&lines(), "r-1", 0.05, false);
+fn a_history_is_sorted_by_time_and_marks_uncertain_order() {
+    let history = history_of(&lines(), "r-1", 0.05, false);
     assert_eq!(
-        story,
+        history,
         [
             "    0.000 s   front-1: attempt failed (request=r-1, instance=i-1, may_have_run=true, reason=the answer \"broke\" off)",
             "    0.500 s   front-1: request tried at a second engine (request=r-1, instance=i-2)",
             "    0.700 s   front-2: request answered (request=r-1, status=200, held_ms=700)",
         ]
     );
-    let related = tell(&lines(), "r-1", 0.05, true);
+    let related = history_of(&lines(), "r-1", 0.05, true);
     assert_eq!(related.len(), 4);
     assert_eq!(related[2], "    0.520 s ~     store-1: engine instance changed (instance=i-2, state=Leaving)");
-    assert!(tell(&lines(), "r-9", 0.05, true).is_empty());
+    assert!(history_of(&lines(), "r-9", 0.05, true).is_empty());
 }
--- a/crates/gateway-api/src/front.rs
+++ b/crates/gateway-api/src/client.rs
@@ -1,7 +1,7 @@
-//! Clients' and trainers' calls to a gateway, and the question whether it takes connections.
+//! HTTP handlers of a gateway: requests of clients and trainers, and the readiness probe.
 
-use crate::formats::{Formats, FrontCall, JobCall};
-use crate::outcomes;
+use crate::formats::{ClientCall, Formats, JobCall};
+use crate::responses;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
 use hyper::{Method, Request, StatusCode};
@@ -16,21 +16,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time for a call about batch jobs.
-const CALL_LIMIT: Duration = Duration::from_millis(2_400);
+/// Deadline of a call about batch jobs.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_400);
 
-/// Longest wait for one control replica.
-const ATTEMPT_LIMIT: Duration = Duration::from_millis(800);
+/// Timeout of one attempt at a single control replica.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The address at which clients reach a gateway.
-pub struct FrontApi<F> {
+/// Serves requests of clients and trainers.
+pub struct ClientApi<F> {
     /// The gateway.
     pub gateway: Gateway,
-    /// The interface.
+    /// The wire formats.
     pub formats: F,
 }
 
-/// The address at which a gateway is asked whether it takes connections.
+/// Serves the readiness probe: 200 while the gateway is ready, otherwise 503.
 pub struct ReadinessApi {
     /// The gateway.
     pub gateway: Gateway,
@@ -43,7 +43,7 @@
     }
 }
 
-impl<F: Formats> HttpHandler for FrontApi<F> {
+impl<F: Formats> HttpHandler for ClientApi<F> {
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         let mut reply = self.answer(request).await;
         if self.gateway.is_draining() {
@@ -53,36 +53,36 @@
     }
 }
 
-impl<F: Formats> FrontApi<F> {
+impl<F: Formats> ClientApi<F> {
     async fn answer(&self, request: Request<Incoming>) -> Reply {
         let (head, body) = request.into_parts();
-        let call = self.formats.front_call(&head.method, &head.uri, &head.headers);
+        let call = self.formats.client_call(&head.method, &head.uri, &head.headers);
         let request = ClientRequest::new(head, self.gateway.names(), self.gateway.now());
         match call {
-            FrontCall::Routed => self.answer_routed(request, body).await,
-            FrontCall::Job(call) => match self.gateway.job_caller(&request.id, &request.headers) {
-                Ok(caller) => self.answer_about_job(call, caller).await,
+            ClientCall::Routed => self.serve_routed(request, body).await,
+            ClientCall::Job(call) => match self.gateway.job_caller(&request.id, &request.headers) {
+                Ok(caller) => self.serve_job_call(call, caller).await,
                 Err(refusal) => self.gateway.refuse(&request, refusal),
             },
         }
     }
 
-    async fn answer_about_job(&self, call: JobCall, caller: Caller) -> Reply {
+    async fn serve_job_call(&self, call: JobCall, caller: Caller) -> Reply {
         match call {
             JobCall::ReadResults { job, after, wait_ms } => {
                 let wait = Duration::from_millis(wait_ms);
-                outcomes::read(&self.formats, self.gateway.read_results(job, after, wait, caller).await)
+                responses::read(&self.formats, self.gateway.read_results(job, after, wait, caller).await)
             }
             JobCall::ReadBody { job, item } => {
-                outcomes::read(&self.formats, self.ask(GatewayRequest::ReadBody { job, item, caller }).await)
+                responses::read(&self.formats, self.forward(GatewayRequest::ReadBody { job, item, caller }).await)
             }
             JobCall::End(job) => {
-                outcomes::changed(self.ask(GatewayRequest::EndJob { job, caller }).await, StatusCode::OK)
+                responses::change(self.forward(GatewayRequest::EndJob { job, caller }).await, StatusCode::OK)
             }
         }
     }
 
-    async fn answer_routed(&self, mut request: ClientRequest, body: Incoming) -> Reply {
+    async fn serve_routed(&self, mut request: ClientRequest, body: Incoming) -> Reply {
         let chosen = self.gateway.choose_route(&request.host, request.path());
         let admitted = chosen.and_then(|chosen| self.gateway.admit(&chosen, &mut request).map(|()| chosen));
         match admitted {
@@ -103,19 +103,19 @@
             Ok(mut job) => {
                 job.owner = request.caller.tenant().cloned();
                 if let Some(error) = job.error() {
-                    return self.refuse_job(request, error.to_string());
+                    return self.reject_job(request, error.to_string());
                 }
                 drop(body);
-                let answer = self.ask(GatewayRequest::SubmitJob(job)).await;
-                self.tell_job(request, &answer);
-                outcomes::changed(answer, StatusCode::ACCEPTED)
+                let answer = self.forward(GatewayRequest::SubmitJob(job)).await;
+                self.log_unaccepted_job(request, &answer);
+                responses::change(answer, StatusCode::ACCEPTED)
             }
-            Err(reason) => self.refuse_job(request, reason),
+            Err(reason) => self.reject_job(request, reason),
         }
     }
 
-    /// Says that a job was not accepted, and what the group's replicas answered.
-    fn tell_job(&self, request: &ClientRequest, answer: &Result<GatewayReply, GatewayError>) {
+    /// Logs a job submission that the control group did not confirm, with the replicas' responses.
+    fn log_unaccepted_job(&self, request: &ClientRequest, answer: &Result<GatewayReply, GatewayError>) {
         if matches!(answer, Ok(GatewayReply::Done)) {
             return;
         }
@@ -126,12 +126,12 @@
         });
     }
 
-    fn refuse_job(&self, request: &ClientRequest, reason: String) -> Reply {
+    fn reject_job(&self, request: &ClientRequest, reason: String) -> Reply {
         self.gateway.refuse(request, Refusal::Malformed);
         whole(StatusCode::BAD_REQUEST, "text/plain", reason)
     }
 
-    async fn ask(&self, request: GatewayRequest) -> Result<GatewayReply, GatewayError> {
-        self.gateway.control().gateway(request, CALL_LIMIT, ATTEMPT_LIMIT).await
+    async fn forward(&self, request: GatewayRequest) -> Result<GatewayReply, GatewayError> {
+        self.gateway.control().gateway(request, CALL_TIMEOUT, ATTEMPT_TIMEOUT).await
     }
 }
--- a/crates/gateway-api/src/control.rs
+++ b/crates/gateway-api/src/control.rs
@@ -1,8 +1,8 @@
-//! Calls of operators, trainers and engines to a machine that serves control.
+//! HTTP handler of a coordinator for operators, trainers and engines.
 
-use crate::formats::{ControlCall, Formats, UnreadableCall};
-use crate::outcomes;
-use crate::refused_calls::RefusedCalls;
+use crate::formats::{CallDecodeError, ControlCall, Formats};
+use crate::rejected_calls::RejectedCalls;
+use crate::responses;
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use saddlerelay_control_client::reports::ReportGatherer;
@@ -16,35 +16,34 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Callers move on to another machine after a second without a response.
-const CALL_LIMIT: Duration = Duration::from_millis(900);
+/// Deadline of one call; below the one-second response timeout of callers.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Longest wait for one control replica.
-const ATTEMPT_LIMIT: Duration = Duration::from_millis(600);
+/// Timeout of one attempt at a single control replica.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Largest body accepted, in bytes.
+/// Maximum request body size.
 const MAX_BODY_BYTES: usize = 34 * 1024 * 1024;
 
-/// Largest report of an engine, in bytes: one with thirty models takes 2 KB. What waits for its service to be named is kept,
-/// whoever sent it.
+/// Maximum size of an engine's report. Reports are stored even if no routing names their service yet.
 const MAX_REPORT_BYTES: usize = 16 * 1024;
 
-/// The address at which operators, trainers and engines reach a machine.
+/// Serves the control endpoints of a coordinator.
 pub struct ControlApi<F> {
-    /// Finds the group's leader, which may be this process.
+    /// Sends requests to the control group's leader, which may be this process.
     control: ControlClient<CompioRuntime>,
     reports: Rc<ReportGatherer<CompioRuntime>>,
     report_target: ReportTarget,
     formats: F,
-    refused: RefusedCalls,
+    rejected: RejectedCalls,
 }
 
-/// Where an engine is to send its later reports, if not anywhere.
+/// Selects the address to which an engine must send its later reports; `None` if any coordinator will do.
 pub type ReportTarget = Box<dyn Fn(&InstanceReport) -> Option<SocketAddr>>;
 
 impl<F> ControlApi<F> {
-    /// Passes calls on to the group behind `control`, and gathers engines' reports to it, which come each
-    /// `report_interval`.
+    /// Starts the handler. Requests are forwarded to the control group through `control`; engine reports, expected every
+    /// `report_interval`, are batched before they are forwarded.
     pub fn start(
         runtime: CompioRuntime,
         control: ControlClient<CompioRuntime>,
@@ -53,7 +52,7 @@
         formats: F,
     ) -> Rc<Self> {
         let reports = ReportGatherer::start(runtime, control.clone(), report_interval);
-        Rc::new(Self { control, reports, report_target, formats, refused: RefusedCalls::default() })
+        Rc::new(Self { control, reports, report_target, formats, rejected: RejectedCalls::default() })
     }
 }
 
@@ -67,15 +66,15 @@
         };
         match self.formats.control_call(&head.method, head.uri.path(), &body) {
             Ok(ControlCall::Change(GatewayRequest::ReportInstance(_))) if body.len() > MAX_REPORT_BYTES => {
-                self.refused.note(&head.method, head.uri.path(), "too large for a report");
+                self.rejected.record(&head.method, head.uri.path(), "too large for a report");
                 whole(StatusCode::PAYLOAD_TOO_LARGE, "text/plain", "too large")
             }
-            Ok(ControlCall::Change(GatewayRequest::ReportInstance(report))) => self.take_report(report).await,
-            Ok(ControlCall::Change(request)) => outcomes::changed(self.ask(request).await, StatusCode::OK),
-            Ok(ControlCall::Read(request)) => outcomes::read(&self.formats, self.ask(request).await),
-            Err(UnreadableCall::Unknown) => outcomes::not_found(),
-            Err(UnreadableCall::Malformed(reason)) => {
-                self.refused.note(&head.method, head.uri.path(), &reason);
+            Ok(ControlCall::Change(GatewayRequest::ReportInstance(report))) => self.handle_report(report).await,
+            Ok(ControlCall::Change(request)) => responses::change(self.forward(request).await, StatusCode::OK),
+            Ok(ControlCall::Read(request)) => responses::read(&self.formats, self.forward(request).await),
+            Err(CallDecodeError::Unknown) => responses::not_found(),
+            Err(CallDecodeError::Malformed(reason)) => {
+                self.rejected.record(&head.method, head.uri.path(), &reason);
                 whole(StatusCode::BAD_REQUEST, "text/plain", reason)
             }
         }
@@ -83,22 +82,22 @@
 }
 
 impl<F: Formats> ControlApi<F> {
-    /// Counters, in the text format of metrics.
+    /// Encodes the counters in the OpenMetrics text format.
     pub fn metrics(&self) -> String {
-        self.refused.encode()
+        self.rejected.encode()
     }
 
-    async fn ask(&self, request: GatewayRequest) -> Result<GatewayReply, GatewayError> {
-        self.control.gateway(request, CALL_LIMIT, ATTEMPT_LIMIT).await
+    async fn forward(&self, request: GatewayRequest) -> Result<GatewayReply, GatewayError> {
+        self.control.gateway(request, CALL_TIMEOUT, ATTEMPT_TIMEOUT).await
     }
 
-    async fn take_report(&self, report: InstanceReport) -> Reply {
-        let target = (self.report_target)(&report);
+    async fn handle_report(&self, report: InstanceReport) -> Reply {
+        let report_to = (self.report_target)(&report);
         match self.reports.report(report).await {
             Ok(GatewayReply::Done) => {
-                whole(StatusCode::OK, "application/json", self.formats.write_report_answer(target))
+                whole(StatusCode::OK, "application/json", self.formats.write_report_response(report_to))
             }
-            answer => outcomes::changed(answer, StatusCode::OK),
+            result => responses::change(result, StatusCode::OK),
         }
     }
 }
--- a/crates/gateway-api/src/formats.rs
+++ b/crates/gateway-api/src/formats.rs
@@ -1,4 +1,4 @@
-//! What calls look like on the wire.
+//! Wire formats of the HTTP calls.
 
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
@@ -7,71 +7,71 @@
 use saddlerelay_upstream::HeaderNames;
 use std::net::SocketAddr;
 
-/// A call to a gateway.
+/// A client's call to a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FrontCall {
-    /// One about a batch job.
+pub enum ClientCall {
+    /// A call about an existing batch job.
     Job(JobCall),
-    /// A request for a route; on a route of batch jobs, a job that is handed in.
+    /// A request to be routed to an engine or, on a rollout route, the submission of a batch job.
     Routed,
 }
 
-/// A call about a batch job that was handed in before.
+/// A call about an existing batch job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobCall {
-    /// Reads a job's results from a position on, waiting for one for at most so many milliseconds.
+    /// Long-polls a job's results.
     ReadResults {
         /// The job.
         job: JobId,
-        /// The first position wanted.
+        /// The position to read from.
         after: u64,
-        /// Milliseconds.
+        /// How long to wait for a result, in milliseconds.
         wait_ms: u64,
     },
-    /// Reads the body of an item that is not listed.
+    /// Reads the body of an item that is not listed yet.
     ReadBody {
         /// The job.
         job: JobId,
         /// The item.
         item: ItemId,
     },
-    /// Ends a job.
+    /// Cancels a job.
     End(JobId),
 }
 
-/// A call to a machine that serves control.
+/// A call to a coordinator's control endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlCall {
-    /// One that changes something.
+    /// A call that changes state.
     Change(GatewayRequest),
-    /// One that reads.
+    /// A read-only call.
     Read(GatewayRequest),
 }
 
-/// Why a call cannot be taken.
+/// Why a call cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum UnreadableCall {
-    /// There is no such call.
+pub enum CallDecodeError {
+    /// No endpoint has this method and path.
     Unknown,
-    /// Its body cannot be read; the text says why.
+    /// The body is invalid; contains the reason.
     Malformed(String),
 }
 
-/// The names and formats of one interface.
+/// The header names, paths and body formats of one HTTP interface.
 pub trait Formats: 'static {
     /// The headers that clients and engines use.
     fn header_names(&self) -> HeaderNames;
-    /// What a client asks for.
-    fn front_call(&self, method: &Method, uri: &Uri, headers: &HeaderMap) -> FrontCall;
-    /// Reads a job with this identifier, sent to this host and path; the error says what cannot be read.
+    /// Classifies a client's request to a gateway.
+    fn client_call(&self, method: &Method, uri: &Uri, headers: &HeaderMap) -> ClientCall;
+    /// Decodes a job submission; `id`, `host` and `path` come from the request that carried it. The error contains the reason.
     fn read_job(&self, id: &str, host: &str, path: &str, body: &[u8]) -> Result<JobSubmission, String>;
-    /// Writes a part of a job's results.
+    /// Encodes a page of a job's results.
     fn write_page(&self, page: &ResultPage) -> Vec<u8>;
-    /// What an operator, a trainer or an engine asks for.
-    fn control_call(&self, method: &Method, path: &str, body: &Bytes) -> Result<ControlCall, UnreadableCall>;
-    /// Writes the answer to an engine's report, with the address for its later ones if it is to keep to one.
-    fn write_report_answer(&self, later_at: Option<SocketAddr>) -> Vec<u8>;
-    /// Writes how far a machine's retirement is.
+    /// Decodes a call of an operator, a trainer or an engine.
+    fn control_call(&self, method: &Method, path: &str, body: &Bytes) -> Result<ControlCall, CallDecodeError>;
+    /// Encodes the response to an engine's report; `report_to` is the address for its later reports, if one is assigned.
+    fn write_report_response(&self, report_to: Option<SocketAddr>) -> Vec<u8>;
+    /// Encodes whether the retirement of a machine has completed.
     fn write_retirement(&self, completed: bool) -> Vec<u8>;
 }
 
--- a/crates/gateway-api/src/lib.rs
+++ b/crates/gateway-api/src/lib.rs
@@ -1,16 +1,16 @@
 //! The HTTP interface of gateways and coordinators.
 //!
-//! `front` answers clients and trainers, `control` operators, trainers and engines. What calls look like on the wire is
-//! behind [`formats::Formats`]: `own` has the product's own, and a deployment may bring others.
+//! `client` serves clients and trainers on gateways; `control` serves operators, trainers and engines on coordinators. Wire
+//! formats implement [`formats::Formats`]; `own` contains saddlerelay's native formats.
 
+pub mod client;
 pub mod control;
 pub mod formats;
-pub mod front;
-pub mod outcomes;
 pub mod own;
-mod refused_calls;
+mod rejected_calls;
+pub mod responses;
 
+pub use client::{ClientApi, ReadinessApi};
 pub use control::ControlApi;
-pub use formats::{ControlCall, Formats, FrontCall, JobCall, UnreadableCall};
-pub use front::{FrontApi, ReadinessApi};
-pub use own::{OwnEngines, OwnFormats, OwnPlatform};
+pub use formats::{CallDecodeError, ClientCall, ControlCall, Formats, JobCall};
+pub use own::{NativeEngines, NativeFormats, NativePlatform};
--- a/crates/gateway-api/src/own.rs
+++ b/crates/gateway-api/src/own.rs
@@ -1,6 +1,6 @@
-//! The product's own interface: its types as JSON.
+//! saddlerelay's native HTTP interface: the types of `saddlerelay_types` as JSON.
 
-use crate::formats::{ControlCall, Formats, FrontCall, JobCall, UnreadableCall, query_value};
+use crate::formats::{CallDecodeError, ClientCall, ControlCall, Formats, JobCall, query_value};
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method, Uri};
@@ -19,44 +19,44 @@
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 
-/// The path at which an engine takes orders.
+/// The engine's path for weight load requests.
 pub const ORDER_PATH: &str = "/v1/weights";
 
-/// The path at which an engine reports itself when asked.
+/// The engine's path for status polls.
 pub const REPORT_PATH: &str = "/v1/report";
 
-/// The product's own formats.
+/// The native formats for clients, trainers, operators and engines.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnFormats;
+pub struct NativeFormats;
 
-fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, UnreadableCall> {
-    serde_json::from_slice(body).map_err(|error| UnreadableCall::Malformed(error.to_string()))
+fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, CallDecodeError> {
+    serde_json::from_slice(body).map_err(|error| CallDecodeError::Malformed(error.to_string()))
 }
 
-fn read_routing(body: &Bytes) -> Result<RoutingDocument, UnreadableCall> {
+fn read_routing(body: &Bytes) -> Result<RoutingDocument, CallDecodeError> {
     let document: RoutingDocument = read(body)?;
     Ok(RoutingDocument { source: body.to_vec(), ..document })
 }
 
-impl Formats for OwnFormats {
+impl Formats for NativeFormats {
     fn header_names(&self) -> HeaderNames {
         HeaderNames::default()
     }
 
-    fn front_call(&self, method: &Method, uri: &Uri, _headers: &HeaderMap) -> FrontCall {
+    fn client_call(&self, method: &Method, uri: &Uri, _headers: &HeaderMap) -> ClientCall {
         let path = uri.path().trim_matches('/').to_string();
         let number = |name: &str| query_value(uri, name).and_then(|value| value.parse().ok()).unwrap_or(0);
         match (method, path.split('/').collect::<Vec<_>>().as_slice()) {
-            (&Method::GET, ["v1", "jobs", job, "results"]) => FrontCall::Job(JobCall::ReadResults {
+            (&Method::GET, ["v1", "jobs", job, "results"]) => ClientCall::Job(JobCall::ReadResults {
                 job: JobId(job.to_string()),
                 after: number("after"),
                 wait_ms: number("wait_ms"),
             }),
             (&Method::GET, ["v1", "jobs", job, "items", item, "body"]) => {
-                FrontCall::Job(JobCall::ReadBody { job: JobId(job.to_string()), item: ItemId(item.to_string()) })
+                ClientCall::Job(JobCall::ReadBody { job: JobId(job.to_string()), item: ItemId(item.to_string()) })
             }
-            (&Method::DELETE, ["v1", "jobs", job]) => FrontCall::Job(JobCall::End(JobId(job.to_string()))),
-            _ => FrontCall::Routed,
+            (&Method::DELETE, ["v1", "jobs", job]) => ClientCall::Job(JobCall::End(JobId(job.to_string()))),
+            _ => ClientCall::Routed,
         }
     }
 
@@ -69,7 +69,7 @@
         serde_json::to_vec(page).unwrap_or_default()
     }
 
-    fn control_call(&self, method: &Method, path: &str, body: &Bytes) -> Result<ControlCall, UnreadableCall> {
+    fn control_call(&self, method: &Method, path: &str, body: &Bytes) -> Result<ControlCall, CallDecodeError> {
         let path = path.trim_matches('/').split('/').collect::<Vec<_>>();
         let call = match (method, path.as_slice()) {
             (&Method::PUT, ["v1", "instances", _]) => ControlCall::Change(GatewayRequest::ReportInstance(read(body)?)),
@@ -83,7 +83,7 @@
             (&Method::GET, ["admin", "v1", "routing"]) => ControlCall::Read(GatewayRequest::ReadRouting),
             (&Method::GET, ["admin", "v1", "suspicions"]) => ControlCall::Read(GatewayRequest::ReadSuspicions),
             (&Method::DELETE, ["admin", "v1", "suspicions", work]) => {
-                let work = WorkDigest::from_hexadecimal(work).ok_or(UnreadableCall::Unknown)?;
+                let work = WorkDigest::from_hexadecimal(work).ok_or(CallDecodeError::Unknown)?;
                 ControlCall::Change(GatewayRequest::ReleaseWork(work))
             }
             (&Method::GET, ["admin", "v1", "duties"]) => ControlCall::Read(GatewayRequest::ReadDuties),
@@ -93,13 +93,13 @@
             (&Method::GET, ["admin", "v1", "stores", name, "retirement"]) => {
                 ControlCall::Read(GatewayRequest::ReadRetirement(name.to_string()))
             }
-            _ => return Err(UnreadableCall::Unknown),
+            _ => return Err(CallDecodeError::Unknown),
         };
         Ok(call)
     }
 
-    fn write_report_answer(&self, later_at: Option<SocketAddr>) -> Vec<u8> {
-        later_at.map_or_else(|| b"{}".to_vec(), |address| format!(r#"{{"report_to":"{address}"}}"#).into_bytes())
+    fn write_report_response(&self, report_to: Option<SocketAddr>) -> Vec<u8> {
+        report_to.map_or_else(|| b"{}".to_vec(), |address| format!(r#"{{"report_to":"{address}"}}"#).into_bytes())
     }
 
     fn write_retirement(&self, completed: bool) -> Vec<u8> {
@@ -107,20 +107,20 @@
     }
 }
 
-/// A platform that speaks the product's own formats.
+/// Requests to a platform in the native formats.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnPlatform;
+pub struct NativePlatform;
 
-/// The path at which a platform takes usage reports.
+/// The platform's path for usage reports.
 pub const USAGE_PATH: &str = "/v1/usage";
 
-/// The path at which a platform takes orders of engines.
+/// The platform's path for requested engine counts.
 pub const ENGINE_COUNT_PATH: &str = "/v1/engine-count";
 
-/// The header that names who makes a call to the platform.
+/// The header with the name of the calling duty holder.
 pub const HOLDER_HEADER: &str = "saddlerelay-holder";
 
-/// The header that holds the fence of a call to the platform.
+/// The header with the fencing token of a call to the platform.
 pub const FENCE_HEADER: &str = "saddlerelay-fence";
 
 fn platform_call(path: &str, right: &CallRight, body: &impl Serialize) -> PlatformCall {
@@ -133,7 +133,7 @@
     PlatformCall { method: Method::POST, path: path.to_string(), headers, body: body.into() }
 }
 
-impl PlatformDialect for OwnPlatform {
+impl PlatformDialect for NativePlatform {
     fn usage_report(&self, right: &CallRight, report: &UsageReport) -> PlatformCall {
         platform_call(USAGE_PATH, right, report)
     }
@@ -143,11 +143,11 @@
     }
 }
 
-/// Engines that speak the product's own formats.
+/// Requests to engines in the native formats.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnEngines;
+pub struct NativeEngines;
 
-impl EngineDialect for OwnEngines {
+impl EngineDialect for NativeEngines {
     fn order(&self, order: &VersionOrder) -> Call {
         let body = serde_json::to_vec(order).unwrap_or_default();
         Call { method: Method::PUT, path: ORDER_PATH.to_string(), body: body.into() }
--- a/crates/gateway-api/src/outcomes.rs
+++ b/crates/gateway-api/src/responses.rs
@@ -1,4 +1,4 @@
-//! Answers to calls, from what the control group's leader has answered.
+//! Maps responses of the control group to HTTP responses.
 
 use crate::formats::Formats;
 use hyper::StatusCode;
@@ -7,12 +7,12 @@
 use saddlerelay_http::body::{Reply, json, whole};
 use saddlerelay_types::gateway::GatewayReply;
 
-/// What callers are told to wait when the control group cannot be asked, in seconds.
+/// `Retry-After`, in seconds, when the control group is unavailable.
 const RETRY_AFTER_SECONDS: &str = "0.3";
 
-/// The answer to a call that changes something.
-pub fn changed(answer: Result<GatewayReply, GatewayError>, done: StatusCode) -> Reply {
-    match answer {
+/// The response to a call that changes state; `done` is the status on success.
+pub fn change(result: Result<GatewayReply, GatewayError>, done: StatusCode) -> Reply {
+    match result {
         Ok(GatewayReply::Done) => whole(done, "application/json", "{}"),
         Ok(GatewayReply::NotFound) => not_found(),
         Ok(GatewayReply::TooFew) => whole(StatusCode::CONFLICT, "text/plain", "too few machines would be left"),
@@ -24,9 +24,9 @@
     }
 }
 
-/// The answer to a call that reads: whoever cannot be sure says so.
-pub fn read<F: Formats>(formats: &F, answer: Result<GatewayReply, GatewayError>) -> Reply {
-    match answer {
+/// The response to a read-only call; 503 if the control group returned no definite result.
+pub fn read<F: Formats>(formats: &F, result: Result<GatewayReply, GatewayError>) -> Reply {
+    match result {
         Ok(GatewayReply::Results(page)) => whole(StatusCode::OK, "application/json", formats.write_page(&page)),
         Ok(GatewayReply::Body(body)) => whole(StatusCode::OK, "application/octet-stream", body),
         Ok(GatewayReply::Routing(Some(source))) => whole(StatusCode::OK, "application/json", source),
@@ -40,7 +40,7 @@
     }
 }
 
-/// The answer when there is no such call, or nothing of that name.
+/// The response when the endpoint or the named object does not exist.
 pub fn not_found() -> Reply {
     whole(StatusCode::NOT_FOUND, "text/plain", "there is no such thing")
 }
--- a/crates/gateway-api/tests/common/crashing.rs
+++ b/crates/gateway-api/tests/common/crashing.rs
@@ -1,4 +1,4 @@
-//! An engine whose process ends when it begins to run certain work, and starts again when it is told to.
+//! A stand-in engine that crashes when it runs certain requests, and can be restarted.
 
 use bytes::Bytes;
 use compio::BufResult;
@@ -13,25 +13,25 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
-/// A body that holds this ends the engine that begins to run it.
+/// A request whose body contains this crashes the engine before the response.
 pub const CRASHES: &str = "crashes its engine";
 
-/// A body that holds this ends the engine after the first event of its stream.
+/// A request whose body contains this crashes the engine after the first event of the stream.
 pub const CRASHES_LATER: &str = "crashes after an event";
 
 /// The first event of each stream.
 const EVENT: &str = "id: 1\ndata: a token\n\n";
 
-/// How long the engine runs a request before it ends or answers.
+/// How long the engine runs a request before it crashes or responds.
 const RUN_TIME: Duration = Duration::from_millis(15);
 
-/// Engines that keep their name have started after this, in Unix milliseconds.
+/// Base of the start times of engines that keep their name, in Unix milliseconds.
 const FIRST_START_MS: u64 = 1_764_720_000_000;
 
-/// Counts the engines of this process.
+/// Number of the next engine in this process.
 static ENGINES: AtomicU8 = AtomicU8::new(1);
 
-/// A loopback address of its own: its port stays free while the engine is down, as nobody else binds there.
+/// Returns a loopback address that no other engine uses, so that the port stays free while the engine is down.
 fn own_address() -> SocketAddr {
     let process = std::process::id();
     let engine = ENGINES.fetch_add(1, Ordering::Relaxed);
@@ -45,36 +45,36 @@
     TcpListener::from_std(listener)
 }
 
-/// A request that reached an engine.
+/// A request that an engine started to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Begun {
+pub struct StartedRequest {
     pub instance: InstanceId,
     pub request: String,
     pub crashed: bool,
 }
 
-/// What all engines of a test have begun, in order.
-pub type BegunLog = Rc<RefCell<Vec<Begun>>>;
+/// The requests that all engines of a test have started, in order.
+pub type RequestLog = Rc<RefCell<Vec<StartedRequest>>>;
 
 struct State {
     name: String,
     keeps_name: Cell<bool>,
-    log: BegunLog,
+    log: RequestLog,
     starts: Cell<u32>,
     address: Cell<SocketAddr>,
-    /// Dropping them ends the process.
+    /// Tasks of the engine; dropping them simulates the end of its process.
     tasks: RefCell<Vec<JoinHandle<()>>>,
-    ends: Signal,
+    crash_signal: Signal,
     is_up: Cell<bool>,
 }
 
-/// The engine; each start is an instance of its own at the same address.
+/// An engine; each start is a new instance at the same address.
 #[derive(Clone)]
 pub struct CrashingEngine(Rc<State>);
 
 impl CrashingEngine {
-    /// Starts an engine that writes to `log`.
-    pub fn start(name: &str, log: &BegunLog) -> Self {
+    /// Starts an engine that records its requests in `log`.
+    pub fn start(name: &str, log: &RequestLog) -> Self {
         let state = State {
             name: name.to_string(),
             keeps_name: Cell::new(false),
@@ -82,16 +82,16 @@
             starts: Cell::new(0),
             address: Cell::new(own_address()),
             tasks: RefCell::default(),
-            ends: Signal::default(),
+            crash_signal: Signal::default(),
             is_up: Cell::new(false),
         };
         let engine = Self(Rc::new(state));
-        engine.revive();
+        engine.restart();
         engine
     }
 
-    /// Starts it again if it has ended; returns whether it had.
-    pub fn revive(&self) -> bool {
+    /// Restarts the engine if it is down; returns whether it was.
+    pub fn restart(&self) -> bool {
         let state = &self.0;
         if state.is_up.get() {
             return false;
@@ -100,14 +100,14 @@
         state.address.set(listener.local_addr().expect("an address"));
         state.starts.set(state.starts.get() + 1);
         state.is_up.set(true);
-        let seen = state.ends.count();
+        let previous_crashes = state.crash_signal.count();
         let accepting = compio::runtime::spawn(accept(self.clone(), listener));
         state.tasks.borrow_mut().push(accepting);
-        compio::runtime::spawn(end_when_told(self.clone(), seen)).detach();
+        compio::runtime::spawn(stop_on_crash(self.clone(), previous_crashes)).detach();
         true
     }
 
-    /// Has it keep its name when it starts again, and tell when it started.
+    /// Makes the engine keep its name when it restarts, and identify instances by start time.
     pub fn keep_name(&self) {
         self.0.keeps_name.set(true);
     }
@@ -127,15 +127,15 @@
         self.0.is_up.get()
     }
 
-    /// Ends the process as a crash does.
+    /// Simulates a crash of the process.
     pub fn crash(&self) {
         self.0.is_up.set(false);
-        self.0.ends.notify();
+        self.0.crash_signal.notify();
     }
 }
 
-async fn end_when_told(engine: CrashingEngine, seen: u64) {
-    engine.0.ends.changed(seen).await;
+async fn stop_on_crash(engine: CrashingEngine, previous_crashes: u64) {
+    engine.0.crash_signal.changed(previous_crashes).await;
     engine.0.tasks.borrow_mut().clear();
 }
 
@@ -153,14 +153,14 @@
         let crashes_later = text.contains(CRASHES_LATER);
         let crashes = text.contains(CRASHES) || crashes_later;
         let instance = engine.instance();
-        let begun = Begun { instance: instance.clone(), request: id.clone(), crashed: crashes };
-        engine.0.log.borrow_mut().push(begun);
+        let started = StartedRequest { instance: instance.clone(), request: id.clone(), crashed: crashes };
+        engine.0.log.borrow_mut().push(started);
         compio::time::sleep(RUN_TIME).await;
         if crashes_later {
-            // Twice as long as what comes.
-            let begun = format!("{}{EVENT}", stream_head(&id, &instance.name, 2 * EVENT.len()));
-            // A gateway that is gone already misses it.
-            let _ = stream.write_all(begun.into_bytes()).await;
+            // The announced length is twice that of the data sent.
+            let partial_response = format!("{}{EVENT}", stream_head(&id, &instance.name, 2 * EVENT.len()));
+            // The gateway may have disconnected.
+            let _ = stream.write_all(partial_response.into_bytes()).await;
             compio::time::sleep(RUN_TIME).await;
         }
         if crashes {
@@ -168,14 +168,14 @@
             std::future::pending::<()>().await;
         }
         let (name, text) = (&instance.name, "served");
-        let answer = match header(&head, "events") {
+        let response = match header(&head, "events") {
             None => format!(
                 "HTTP/1.1 200 OK\r\nsaddlerelay-request: {id}\r\nsaddlerelay-stamp: {name}\r\ncontent-length: {}\r\n\r\n{text}",
                 text.len()
             ),
             Some(_) => format!("{}{EVENT}", stream_head(&id, name, EVENT.len())),
         };
-        if stream.write_all(answer.into_bytes()).await.0.is_err() {
+        if stream.write_all(response.into_bytes()).await.0.is_err() {
             return;
         }
     }
@@ -188,7 +188,7 @@
     )
 }
 
-/// A request's head and whole body; `None` at the end of the connection.
+/// Reads the head and the body of a request; `None` at the end of the connection.
 async fn read_request(stream: &mut TcpStream) -> Option<(String, Bytes)> {
     let mut received: Vec<u8> = Vec::new();
     loop {
--- a/crates/gateway-api/tests/common/engine.rs
+++ b/crates/gateway-api/tests/common/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in engine that speaks the product's own formats and misbehaves as it is told.
+//! A stand-in engine that uses the native formats, with configurable faults.
 
 use super::notes;
 use bytes::Bytes;
@@ -17,44 +17,44 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What an engine does with a request.
+/// How an engine handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Conduct {
-    /// Answers it.
+    /// Responds at once.
     Answer,
-    /// Answers it late.
+    /// Responds after a delay.
     AnswerAfter(Duration),
-    /// Says that it did not run it.
+    /// Rejects the request as not executed.
     Shed,
-    /// Runs it and fails.
+    /// Executes the request and fails with status 500.
     Fail,
-    /// Runs it and fails with a status by which saddlerelay promises its clients that nothing has run.
+    /// Executes the request and fails with status 503, which saddlerelay itself only sends for requests that did not run.
     FailUnavailable,
-    /// Says that it can never be done.
+    /// Fails with status 422: the request can never succeed.
     Impossible,
-    /// Answers with another request's identifier.
+    /// Responds with another request's identifier.
     AnswerAnother,
-    /// Answers without its signature.
+    /// Responds without the stamp header.
     AnswerUnsigned,
-    /// Breaks its answer off.
+    /// Closes the connection in the middle of the response body.
     BreakOff,
-    /// Breaks a stream off after so many events.
+    /// Closes the connection after this many events of a stream.
     BreakOffAfter(u32),
-    /// Never answers.
+    /// Never responds.
     Hang,
 }
 
-/// A request as the engine saw it.
+/// A request that the engine received.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub method: String,
     pub path: String,
     pub headers: hyper::HeaderMap,
     pub body: Bytes,
 }
 
-impl Seen {
-    /// A header's text.
+impl ReceivedRequest {
+    /// The value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
@@ -62,36 +62,36 @@
 
 struct State {
     name: String,
-    /// When it started, if it tells.
+    /// Start time in Unix milliseconds, if the engine reports it.
     started_at_ms: Cell<Option<u64>>,
     conduct: Cell<Conduct>,
     version: Cell<u64>,
     orders_taken: Cell<u64>,
     orders: RefCell<Vec<VersionOrder>>,
-    /// Orders whose count of earlier ones differed.
-    orders_refused: Cell<u32>,
-    /// Orders that it takes next without an answer that can be read.
-    order_answers_lost: Cell<u32>,
-    reports_told: Cell<u32>,
-    seen: RefCell<Vec<Seen>>,
-    /// Requests whose answer was given up by whoever asked.
-    dropped: Cell<u32>,
-    event_pause: Cell<Duration>,
-    /// Events of all its streams.
-    events_made: Cell<u32>,
+    /// Number of orders rejected because their `orders_taken` did not match.
+    orders_rejected: Cell<u32>,
+    /// Number of next orders that are executed although their response is cut off.
+    order_responses_to_lose: Cell<u32>,
+    polls_answered: Cell<u32>,
+    received_requests: RefCell<Vec<ReceivedRequest>>,
+    /// Number of requests that the client cancelled.
+    cancelled: Cell<u32>,
+    event_interval: Cell<Duration>,
+    /// Number of events sent in all streams.
+    events_sent: Cell<u32>,
     in_progress: Cell<u32>,
-    /// The most requests that were in progress at once.
-    most_at_once: Cell<u32>,
+    /// Maximum number of concurrent requests.
+    max_concurrent: Cell<u32>,
 }
 
-/// A request in progress; counts until dropped.
+/// Counts a request as in progress until dropped.
 struct InProgress(Rc<State>);
 
 impl InProgress {
     fn begin(state: &Rc<State>) -> Self {
         let count = state.in_progress.get() + 1;
         state.in_progress.set(count);
-        state.most_at_once.set(state.most_at_once.get().max(count));
+        state.max_concurrent.set(state.max_concurrent.get().max(count));
         Self(state.clone())
     }
 }
@@ -102,7 +102,7 @@
     }
 }
 
-/// The engine.
+/// A stand-in engine; clones share its state.
 #[derive(Clone)]
 pub struct StandInEngine {
     state: Rc<State>,
@@ -121,15 +121,15 @@
             version: Cell::new(1),
             orders_taken: Cell::new(0),
             orders: RefCell::default(),
-            orders_refused: Cell::new(0),
-            order_answers_lost: Cell::new(0),
-            reports_told: Cell::new(0),
-            seen: RefCell::default(),
-            dropped: Cell::new(0),
-            event_pause: Cell::new(Duration::from_millis(1)),
-            events_made: Cell::new(0),
+            orders_rejected: Cell::new(0),
+            order_responses_to_lose: Cell::new(0),
+            polls_answered: Cell::new(0),
+            received_requests: RefCell::default(),
+            cancelled: Cell::new(0),
+            event_interval: Cell::new(Duration::from_millis(1)),
+            events_sent: Cell::new(0),
             in_progress: Cell::new(0),
-            most_at_once: Cell::new(0),
+            max_concurrent: Cell::new(0),
         });
         let engine = Self { state, address };
         compio::runtime::spawn(serve_until(listener, Rc::new(engine.clone()), Shutdown::default())).detach();
@@ -140,7 +140,7 @@
         InstanceId { name: self.state.name.clone(), started_at_ms: self.state.started_at_ms.get() }
     }
 
-    /// Has it tell when it started, in Unix milliseconds.
+    /// Sets the start time that the engine reports, in Unix milliseconds.
     pub fn set_started_at(&self, at_ms: u64) {
         self.state.started_at_ms.set(Some(at_ms));
     }
@@ -161,47 +161,47 @@
         self.state.version.set(version);
     }
 
-    pub fn set_event_pause(&self, pause: Duration) {
-        self.state.event_pause.set(pause);
+    pub fn set_event_interval(&self, pause: Duration) {
+        self.state.event_interval.set(pause);
     }
 
-    /// The requests that reached it.
-    pub fn seen(&self) -> Vec<Seen> {
-        self.state.seen.borrow().clone()
+    /// All requests received.
+    pub fn received_requests(&self) -> Vec<ReceivedRequest> {
+        self.state.received_requests.borrow().clone()
     }
 
-    /// The orders that reached it.
+    /// All orders accepted.
     pub fn orders(&self) -> Vec<VersionOrder> {
         self.state.orders.borrow().clone()
     }
 
-    /// Orders that it refused because their count of earlier ones differed.
-    pub fn orders_refused(&self) -> u32 {
-        self.state.orders_refused.get()
+    /// Number of orders rejected because their `orders_taken` did not match.
+    pub fn orders_rejected(&self) -> u32 {
+        self.state.orders_rejected.get()
     }
 
-    /// Has it take the next `count` orders and break its answers off.
-    pub fn lose_order_answers(&self, count: u32) {
-        self.state.order_answers_lost.set(count);
+    /// Makes the engine execute the next `count` orders but cut off the responses.
+    pub fn lose_order_responses(&self, count: u32) {
+        self.state.order_responses_to_lose.set(count);
     }
 
-    /// Reports that it was asked for.
-    pub fn reports_told(&self) -> u32 {
-        self.state.reports_told.get()
+    /// Number of status polls answered.
+    pub fn polls_answered(&self) -> u32 {
+        self.state.polls_answered.get()
     }
 
-    /// Events that it has made of all its streams.
-    pub fn events_made(&self) -> u32 {
-        self.state.events_made.get()
+    /// Number of events sent in all streams.
+    pub fn events_sent(&self) -> u32 {
+        self.state.events_sent.get()
     }
 
-    /// The most requests without a stream that were in progress at once.
-    pub fn most_at_once(&self) -> u32 {
-        self.state.most_at_once.get()
+    /// Maximum number of concurrent requests without a stream.
+    pub fn max_concurrent(&self) -> u32 {
+        self.state.max_concurrent.get()
     }
 
-    pub fn dropped(&self) -> u32 {
-        self.state.dropped.get()
+    pub fn cancelled(&self) -> u32 {
+        self.state.cancelled.get()
     }
 
     fn sign(&self, reply: &mut Reply, request_id: &str) {
@@ -220,28 +220,28 @@
 
     async fn order(&self, body: Bytes) -> Reply {
         let order: VersionOrder = serde_json::from_slice(&body).expect("an order");
-        let taken = self.state.orders_taken.get();
-        if order.orders_taken != taken {
-            self.state.orders_refused.set(self.state.orders_refused.get() + 1);
+        let executed = self.state.orders_taken.get();
+        if order.orders_taken != executed {
+            self.state.orders_rejected.set(self.state.orders_rejected.get() + 1);
             return whole(StatusCode::CONFLICT, "text/plain", "");
         }
-        self.state.orders_taken.set(taken + 1);
+        self.state.orders_taken.set(executed + 1);
         self.state.version.set(order.target.version);
         self.state.orders.borrow_mut().push(order);
         let mut reply = whole(StatusCode::ACCEPTED, "text/plain", "");
-        let lost = self.state.order_answers_lost.get();
+        let lost = self.state.order_responses_to_lose.get();
         if lost > 0 {
-            self.state.order_answers_lost.set(lost - 1);
+            self.state.order_responses_to_lose.set(lost - 1);
             *reply.body_mut() = broken_off();
         }
         reply
     }
 
-    async fn answer(&self, seen: Seen) -> Reply {
+    async fn answer(&self, request: ReceivedRequest) -> Reply {
         let _in_progress = InProgress::begin(&self.state);
-        let request_id = seen.header("saddlerelay-request").unwrap_or_default().to_string();
-        let events: Option<u32> = seen.header("events").and_then(|events| events.parse().ok());
-        let wanted = seen.header("saddlerelay-for-version").and_then(|version| version.parse().ok());
+        let request_id = request.header("saddlerelay-request").unwrap_or_default().to_string();
+        let events: Option<u32> = request.header("events").and_then(|events| events.parse().ok());
+        let wanted = request.header("saddlerelay-for-version").and_then(|version| version.parse().ok());
         if wanted.is_some_and(|wanted: u64| wanted != self.state.version.get()) {
             return self.not_executed(StatusCode::MISDIRECTED_REQUEST, &request_id);
         }
@@ -249,7 +249,7 @@
         match conduct {
             Conduct::Shed => return self.not_executed(StatusCode::SERVICE_UNAVAILABLE, &request_id),
             Conduct::Hang => {
-                let _watch = Watch(self.state.clone());
+                let _watch = CancelCounter(self.state.clone());
                 std::future::pending::<()>().await;
             }
             Conduct::AnswerAfter(time) => compio::time::sleep(time).await,
@@ -257,7 +257,7 @@
         }
         let streams = !matches!(conduct, Conduct::Fail | Conduct::FailUnavailable | Conduct::Impossible);
         if let Some(events) = events.filter(|_| streams) {
-            return self.stream(&seen, &request_id, events, conduct);
+            return self.stream(&request, &request_id, events, conduct);
         }
         let status = match conduct {
             Conduct::Fail => StatusCode::INTERNAL_SERVER_ERROR,
@@ -265,7 +265,7 @@
             Conduct::Impossible => StatusCode::UNPROCESSABLE_ENTITY,
             _ => StatusCode::OK,
         };
-        let mut reply = whole(status, "text/plain", format!("{} answers {}", self.state.name, seen.path));
+        let mut reply = whole(status, "text/plain", format!("{} answers {}", self.state.name, request.path));
         self.sign(&mut reply, &request_id);
         match conduct {
             Conduct::AnswerAnother => {
@@ -282,28 +282,28 @@
         reply
     }
 
-    fn stream(&self, seen: &Seen, request_id: &str, events: u32, conduct: Conduct) -> Reply {
-        let after = seen.header("last-event-id").and_then(|id| id.parse().ok()).unwrap_or(0);
+    fn stream(&self, request: &ReceivedRequest, request_id: &str, events: u32, conduct: Conduct) -> Reply {
+        let after = request.header("last-event-id").and_then(|id| id.parse().ok()).unwrap_or(0);
         let state = self.state.clone();
-        let item = seen.path.clone();
-        let watch = Watch(self.state.clone());
-        let parts = futures::stream::unfold((after, watch), move |(sent, watch)| {
+        let item = request.path.clone();
+        let cancel_counter = CancelCounter(self.state.clone());
+        let parts = futures::stream::unfold((after, cancel_counter), move |(sent, cancel_counter)| {
             let state = state.clone();
             let item = item.clone();
             async move {
                 if sent == events {
-                    std::mem::forget(watch);
+                    std::mem::forget(cancel_counter);
                     return None;
                 }
-                compio::time::sleep(state.event_pause.get()).await;
+                compio::time::sleep(state.event_interval.get()).await;
                 if matches!(conduct, Conduct::BreakOffAfter(count) if sent - after == count) {
-                    return Some((Err(BrokenOff), (sent, watch)));
+                    return Some((Err(BrokenOff), (sent, cancel_counter)));
                 }
-                state.events_made.set(state.events_made.get() + 1);
+                state.events_sent.set(state.events_sent.get() + 1);
                 let number = sent + 1;
                 let version = state.version.get();
                 let event = format!("saddlerelay-version: {version}\nid: {number}\ndata: {item} {number}\n\n");
-                Some((Ok(Bytes::from(event)), (number, watch)))
+                Some((Ok(Bytes::from(event)), (number, cancel_counter)))
             }
         });
         let mut reply = Reply::new(LocalBody::Breakable(Box::pin(parts)));
@@ -312,18 +312,18 @@
     }
 }
 
-/// A body that ends before it is whole.
+/// A body that fails before its end.
 fn broken_off() -> LocalBody {
     let parts = futures::stream::iter([Ok(Bytes::from_static(b"half")), Err(BrokenOff)]);
     LocalBody::Breakable(Box::pin(parts))
 }
 
-/// Counts a request that is given up.
-struct Watch(Rc<State>);
+/// Counts a cancelled request when dropped.
+struct CancelCounter(Rc<State>);
 
-impl Drop for Watch {
+impl Drop for CancelCounter {
     fn drop(&mut self) {
-        self.0.dropped.set(self.0.dropped.get() + 1);
+        self.0.cancelled.set(self.0.cancelled.get() + 1);
     }
 }
 
@@ -342,20 +342,20 @@
             ORDER_PATH => self.order(body).await,
             REPORT_PATH => {
                 let orders_taken = self.state.orders_taken.get();
-                self.state.reports_told.set(self.state.reports_told.get() + 1);
+                self.state.polls_answered.set(self.state.polls_answered.get() + 1);
                 let started_at_ms = self.state.started_at_ms.get();
                 json(StatusCode::OK, &EngineReport { models: self.models(), busy: false, orders_taken, started_at_ms })
             }
             _ => {
-                let seen = Seen { method: head.method.to_string(), path, headers: head.headers, body };
-                self.state.seen.borrow_mut().push(seen.clone());
-                self.answer(seen).await
+                let received = ReceivedRequest { method: head.method.to_string(), path, headers: head.headers, body };
+                self.state.received_requests.borrow_mut().push(received.clone());
+                self.answer(received).await
             }
         }
     }
 }
 
-/// A server that answers each request with fixed bytes; `{id}` in them stands for the request's identifier.
+/// A server that answers each request with fixed bytes, in which `{id}` is replaced by the request's identifier.
 pub struct RawServer {
     pub address: SocketAddr,
     pub requests: Rc<Cell<u32>>,
@@ -363,7 +363,7 @@
 }
 
 impl RawServer {
-    /// Starts a server whose answer is `answer`; it closes the connection after it if told so.
+    /// Starts a server that sends `answer`, and then closes the connection if `closes` is set.
     pub async fn start(answer: &'static str, closes: bool) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
--- a/crates/gateway-api/tests/common/mod.rs
+++ b/crates/gateway-api/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! One control replica with its coordinator, one gateway, and stand-in engines, in one process over loopback.
+//! Test deployment in one process over loopback: a control replica with a coordinator, a gateway, and stand-in engines.
 #![allow(dead_code)]
 
 pub mod crashing;
@@ -13,7 +13,7 @@
 use saddlerelay_coordinator::{Coordinator, CoordinatorConfig, CoordinatorIdentity};
 use saddlerelay_engine_client::{BackendAddresses, HttpBackends};
 use saddlerelay_gateway::{Gateway, GatewayConfig, GatewayOptions};
-use saddlerelay_gateway_api::{ControlApi, FrontApi, OwnEngines, OwnFormats};
+use saddlerelay_gateway_api::{ClientApi, ControlApi, NativeEngines, NativeFormats};
 use saddlerelay_http::client::{Connection, WholeResponse};
 use saddlerelay_http::server::{Shutdown, serve_until};
 use saddlerelay_replication::ReplicaOptions;
@@ -34,31 +34,31 @@
 
 const SECRET: &str = "a secret of sixteen signs";
 
-/// The length of a window of usage.
+/// Length of a usage window.
 pub const USAGE_WINDOW: Duration = Duration::from_secs(1);
 
-/// How long a test waits for what it expects.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of [`eventually`].
+pub const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The host of every route in these tests.
 pub const HOST: &str = "clinic.example";
 
-/// Runs a test on a runtime of its own.
+/// Runs a test on a new runtime.
 pub fn block_on<T>(future: impl Future<Output = T>) -> T {
     spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
     compio::runtime::Runtime::new().expect("a runtime").block_on(future)
 }
 
-/// Waits until `holds`; fails the test when it does not come to hold.
+/// Waits until `holds` returns `true`; panics after [`EVENTUALLY_TIMEOUT`].
 pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + EVENTUALLY_TIMEOUT;
     while !holds().await {
-        assert!(Instant::now() < until, "it did not come to hold that {what}");
+        assert!(Instant::now() < until, "timed out waiting until {what}");
         compio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// The deployment.
+/// A running deployment.
 pub struct Deployment {
     pub node: ControlNode<CompioRuntime, HttpBackends>,
     pub gateway: Gateway,
@@ -66,7 +66,7 @@
     pub control: SocketAddr,
     peer: SocketAddr,
     name: String,
-    /// Of all its gateways.
+    /// Configuration of all gateways.
     gateway_config: GatewayConfig,
 }
 
@@ -93,7 +93,7 @@
     folder
 }
 
-/// Starts a replica of the group that the one at `founder` forms.
+/// Starts a replica of the group that the replica at `founder` bootstraps.
 async fn start_replica(
     runtime: &CompioRuntime,
     listener: compio::net::TcpListener,
@@ -124,7 +124,7 @@
     node
 }
 
-/// Starts a gateway in a zone; returns it and where its clients reach it.
+/// Starts a gateway in a zone; returns it with its client address.
 async fn start_gateway(
     runtime: &CompioRuntime,
     peer: SocketAddr,
@@ -142,12 +142,12 @@
     };
     let gateway = Gateway::start(runtime.clone(), ControlClient::new(runtime.clone(), &[peer], SECRET), options);
     let (listener, front) = bind().await;
-    let api = Rc::new(FrontApi { gateway: gateway.clone(), formats: OwnFormats });
+    let api = Rc::new(ClientApi { gateway: gateway.clone(), formats: NativeFormats });
     runtime.spawn(serve_until(listener, api, Shutdown::default()));
     (gateway, front)
 }
 
-/// Timing of tests: nothing waits for long.
+/// Coordinator configuration with short intervals.
 fn coordinator_config() -> CoordinatorConfig {
     CoordinatorConfig {
         usual_load: Duration::from_millis(20),
@@ -160,17 +160,17 @@
 }
 
 impl Deployment {
-    /// Starts it and waits until it has a leader.
+    /// Starts a deployment and waits until it has a leader.
     pub async fn start(name: &str) -> Self {
         Self::start_with(name, GatewayConfig::default()).await
     }
 
-    /// Starts it with gateways that are set as told, and waits until it has a leader.
+    /// Like [`Self::start`], with a gateway configuration.
     pub async fn start_with(name: &str, gateway_config: GatewayConfig) -> Self {
         Self::start_configured(name, gateway_config, coordinator_config()).await
     }
 
-    /// Starts it with a coordinator that waits for so long for an item's next event, and waits until it has a leader.
+    /// Like [`Self::start`], with the coordinator's timeout for the next event of an item.
     pub async fn start_with_event_limit(name: &str, event_limit: Duration) -> Self {
         let coordinator = CoordinatorConfig { event_limit, ..coordinator_config() };
         Self::start_configured(name, GatewayConfig::default(), coordinator).await
@@ -185,14 +185,14 @@
             node.clone(),
             CoordinatorIdentity { name: "coordinator".to_string(), zone: "north".to_string() },
             Default::default(),
-            Box::new(OwnEngines),
+            Box::new(NativeEngines),
             coordinator,
         );
         let (gateway, front) = start_gateway(&runtime, peer, "gateway", "north", gateway_config.clone()).await;
         let (control_listener, control) = bind().await;
         let control_api = {
             let client = ControlClient::new(runtime.clone(), &[peer], SECRET);
-            ControlApi::start(runtime.clone(), client, Duration::from_secs(1), Box::new(|_| None), OwnFormats)
+            ControlApi::start(runtime.clone(), client, Duration::from_secs(1), Box::new(|_| None), NativeFormats)
         };
         runtime.spawn(serve_until(control_listener, control_api, Shutdown::default()));
         let deployment = Self { node, gateway, front, control, peer, name: name.to_string(), gateway_config };
@@ -200,9 +200,9 @@
         deployment
     }
 
-    /// Starts a second replica, which follows the first, and a gateway beside it, both in zone `south`; returns them and
-    /// where the gateway's clients reach it.
-    pub async fn start_in_the_south(&self) -> (ControlNode<CompioRuntime, HttpBackends>, Gateway, SocketAddr) {
+    /// Starts a second replica, which follows the first, and a gateway, both in zone `south`; returns them with the gateway's
+    /// client address.
+    pub async fn start_south_zone(&self) -> (ControlNode<CompioRuntime, HttpBackends>, Gateway, SocketAddr) {
         let runtime = CompioRuntime::new(empty_folder(&format!("{}-south", self.name)));
         let (listener, address) = bind().await;
         let replica = start_replica(&runtime, listener, address, self.peer).await;
@@ -212,7 +212,7 @@
             address,
             zone: "south".to_string(),
         };
-        self.node.commit_gateway(GatewayCommand::RegisterStore(record)).await.expect("it leads");
+        self.node.commit_gateway(GatewayCommand::RegisterStore(record)).await.expect("the leader commits");
         eventually("the second replica is a member", async || {
             self.node.replica().member_addresses().contains(&address)
         })
@@ -223,19 +223,19 @@
         (replica, gateway, front)
     }
 
-    /// Starts a further gateway in zone `north`; returns where its clients reach it once it is ready.
-    pub async fn start_gateway_beside(&self, name: &str) -> SocketAddr {
+    /// Starts another gateway in zone `north` and waits until it is ready; returns its client address.
+    pub async fn start_north_gateway(&self, name: &str) -> SocketAddr {
         let runtime = CompioRuntime::new(empty_folder(&format!("{}-{name}", self.name)));
         let (gateway, front) = start_gateway(&runtime, self.peer, name, "north", self.gateway_config.clone()).await;
         eventually("the further gateway is ready", async || gateway.is_ready()).await;
         front
     }
 
-    /// Puts a routing document in force at the gateway.
+    /// Commits a routing document and waits until the gateway uses it.
     pub async fn configure(&self, document: &RoutingDocument) {
         let body = serde_json::to_vec(document).expect("JSON");
-        let answer = call(self.control, Method::PUT, "/admin/v1/routing", &[], body).await;
-        assert_eq!(answer.status, StatusCode::OK);
+        let response = call(self.control, Method::PUT, "/admin/v1/routing", &[], body).await;
+        assert_eq!(response.status, StatusCode::OK);
         eventually("the document is in force", async || {
             let probe = self.gateway.choose_route(HOST, "/absent/");
             self.gateway.is_ready() && probe.is_err() && self.routing_version() == Some(document.version)
@@ -247,52 +247,52 @@
         self.node.read(|state| state.routing.version()).flatten()
     }
 
-    /// Registers an engine, and waits until the gateway knows it.
+    /// Registers an engine with its first report.
     pub async fn register(&self, engine: &StandInEngine, service: &str) {
         self.report(engine, service, false, 1).await;
     }
 
-    /// Has an engine report itself.
+    /// Sends a report of an engine.
     pub async fn report(&self, engine: &StandInEngine, service: &str, leaving: bool, sequence: u64) {
         let models = engine.models();
         let report =
             InstanceReport { leaving, sequence, models, ..report(engine.instance(), service, engine.address()) };
-        self.take_report(&report).await;
+        self.send_report(&report).await;
     }
 
-    /// Registers an engine that may crash, with the model of these tests.
+    /// Registers a crashing engine with the model of these tests.
     pub async fn register_crashing(&self, engine: &CrashingEngine, service: &str) {
         let report = report(engine.instance(), service, engine.address());
-        self.take_report(&InstanceReport { models: vec![notes(1)], ..report }).await;
+        self.send_report(&InstanceReport { models: vec![notes(1)], ..report }).await;
     }
 
-    /// Starts the engines that have ended, and registers their new instances.
-    pub async fn revive(&self, engines: &[CrashingEngine], service: &str) {
+    /// Restarts the engines that have crashed, and registers their new instances.
+    pub async fn restart(&self, engines: &[CrashingEngine], service: &str) {
         for engine in engines {
-            if engine.revive() {
+            if engine.restart() {
                 self.register_crashing(engine, service).await;
             }
         }
     }
 
-    async fn take_report(&self, report: &InstanceReport) {
+    async fn send_report(&self, report: &InstanceReport) {
         let path = format!("/v1/instances/{}", report.id.name);
         let body = serde_json::to_vec(report).expect("JSON");
-        let answer = call(self.control, Method::PUT, &path, &[], body).await;
-        assert_eq!(answer.status, StatusCode::OK);
+        let response = call(self.control, Method::PUT, &path, &[], body).await;
+        assert_eq!(response.status, StatusCode::OK);
     }
 
-    /// Waits until the gateway has heard of `count` engines of a service.
+    /// Waits until the gateway sees `count` ready engines of a service.
     pub async fn await_engines(&self, service: &str, count: usize) {
-        eventually("the gateway knows the engines", async || self.gateway.ready_engines(service) == count).await;
+        eventually("the gateway uses the engines", async || self.gateway.ready_engines(service) == count).await;
     }
 
-    /// A client's request.
+    /// Sends a client's request to the gateway.
     pub async fn request(&self, method: Method, path: &str, headers: &[(&str, &str)], body: &str) -> WholeResponse {
         call(self.front, method, path, &[headers, &[("host", HOST)]].concat(), body.to_string()).await
     }
 
-    /// Hands a job in.
+    /// Submits a job.
     pub async fn submit(&self, job: &JobSubmission) -> StatusCode {
         let body = serde_json::to_vec(job).expect("JSON");
         let path = format!("/rollouts/{}", job.id.0);
@@ -305,11 +305,11 @@
         self.results_at(self.front, job).await
     }
 
-    /// Reads a job's results from the start, at a gateway.
+    /// Reads a job's results from the start at a given gateway.
     pub async fn results_at(&self, front: SocketAddr, job: &str) -> Option<ResultPage> {
         let path = format!("/v1/jobs/{job}/results?after=0&wait_ms=50");
-        let answer = call(front, Method::GET, &path, &[], "").await;
-        (answer.status == StatusCode::OK).then(|| serde_json::from_slice(&answer.body).expect("a page"))
+        let response = call(front, Method::GET, &path, &[], "").await;
+        (response.status == StatusCode::OK).then(|| serde_json::from_slice(&response.body).expect("a page"))
     }
 
     /// Waits until a job has `count` results, and returns them.
@@ -324,7 +324,7 @@
     }
 }
 
-/// The first report of an instance without a model, which may be given work.
+/// The first report of an instance that is ready and has no model.
 pub fn report(id: InstanceId, service: &str, address: SocketAddr) -> InstanceReport {
     InstanceReport {
         id,
@@ -338,7 +338,7 @@
     }
 }
 
-/// Calls a server; the host may be among the headers.
+/// Sends a request and reads the entire response. `headers` may contain `host`.
 pub async fn call(
     address: SocketAddr,
     method: Method,
@@ -347,7 +347,7 @@
     body: impl Into<bytes::Bytes>,
 ) -> WholeResponse {
     let mut connection = Connection::open(address).await.expect("the server listens");
-    let response = connection.send(method, path, headers, body).await.expect("an answer");
+    let response = connection.send(method, path, headers, body).await.expect("a response");
     let (head, body) = response.into_parts();
     let body = saddlerelay_http::body::read_whole(body).await.expect("a whole body");
     WholeResponse { status: head.status, headers: head.headers, body }
@@ -371,13 +371,13 @@
     }
 }
 
-/// The route of batch jobs.
+/// The rollout route, for batch jobs.
 pub fn rollouts() -> Route {
     let batch = BatchTerms { give_up_after_ms: 20_000, due_after_ms: 5_000, single_version: false };
     Route { resumable: true, max_attempts: 3, batch, ..route("/rollouts/", RouteKind::Rollout, "llm") }
 }
 
-/// A document with services `web` and `llm`.
+/// A routing document with services `web`, `llm` and `other`.
 pub fn document(version: u64, routes: Vec<Route>) -> RoutingDocument {
     let service = |name: &str, hosting| Service {
         name: name.to_string(),
@@ -403,7 +403,7 @@
     }
 }
 
-/// A job of `count` items that begin with `first`, each of `events` events.
+/// A job of `count` items, numbered from `first`, with `events` events each.
 pub fn job(id: &str, minimum_version: u64, first: u32, count: u32, events: u32) -> JobSubmission {
     let item = |index: u32| JobItem {
         id: ItemId(format!("item-{index}")),
@@ -427,12 +427,12 @@
     }
 }
 
-/// An identifier.
+/// The identifier of an instance without a start time.
 pub fn instance(name: &str) -> InstanceId {
     InstanceId::named(name)
 }
 
-/// The model of these tests at a version.
+/// The model of these tests, loaded at `version`.
 pub fn notes(version: u64) -> LoadedModel {
     LoadedModel { model: "notes".to_string(), version }
 }
--- a/crates/gateway-api/tests/duties.rs
+++ b/crates/gateway-api/tests/duties.rs
@@ -1,4 +1,4 @@
-//! Usage from a client's request to the platform's books, over loopback, in the product's own formats.
+//! Usage reports from a client's request to the platform, over loopback, in the native formats.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use saddlerelay_duties::{Duties, DutyMetrics, HttpPlatform, UsageTerms};
-use saddlerelay_gateway_api::OwnPlatform;
+use saddlerelay_gateway_api::NativePlatform;
 use saddlerelay_gateway_api::own::{FENCE_HEADER, HOLDER_HEADER, USAGE_PATH};
 use saddlerelay_http::body::{Reply, read_whole, whole};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
@@ -24,12 +24,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A platform that refuses its first calls.
+/// A platform that rejects its first calls.
 #[derive(Default)]
 struct StandInPlatform {
-    refusals_left: Cell<u32>,
-    /// Every report with its fence, the refused ones too.
-    told: RefCell<Vec<(u64, UsageReport)>>,
+    rejections_left: Cell<u32>,
+    /// All reports received, including the rejected ones, with their fencing tokens.
+    reports: RefCell<Vec<(u64, UsageReport)>>,
 }
 
 impl HttpHandler for StandInPlatform {
@@ -39,9 +39,9 @@
         assert_eq!(head.headers[HOLDER_HEADER], "coordinator");
         let fence = head.headers[FENCE_HEADER].to_str().expect("text").parse().expect("a number");
         let body = read_whole(body).await.expect("a whole body");
-        self.told.borrow_mut().push((fence, serde_json::from_slice(&body).expect("a report")));
-        let left = self.refusals_left.get();
-        self.refusals_left.set(left.saturating_sub(1));
+        self.reports.borrow_mut().push((fence, serde_json::from_slice(&body).expect("a report")));
+        let left = self.rejections_left.get();
+        self.rejections_left.set(left.saturating_sub(1));
         whole(if left > 0 { StatusCode::TOO_MANY_REQUESTS } else { StatusCode::OK }, "text/plain", "")
     }
 }
@@ -49,7 +49,7 @@
 async fn start_platform() -> (Rc<StandInPlatform>, SocketAddr) {
     let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let platform = Rc::new(StandInPlatform { refusals_left: Cell::new(2), ..StandInPlatform::default() });
+    let platform = Rc::new(StandInPlatform { rejections_left: Cell::new(2), ..StandInPlatform::default() });
     compio::runtime::spawn(serve_until(listener, platform.clone(), Shutdown::default())).detach();
     (platform, address)
 }
@@ -61,7 +61,7 @@
         runtime: runtime.clone(),
         node: deployment.node.clone(),
         client: HttpPlatform { address },
-        dialect: Box::new(OwnPlatform),
+        dialect: Box::new(NativePlatform),
         name: "coordinator".to_string(),
         metrics: metrics.clone(),
     });
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn requests_are_reported_once_by_window_and_an_operator_sees_what_was() {
+fn each_request_is_reported_in_one_window_and_the_overview_shows_progress() {
     block_on(async {
         let deployment = Deployment::start("duties").await;
         let (platform, address) = start_platform().await;
@@ -87,7 +87,7 @@
         let engine = StandInEngine::start("web").await;
         deployment.register(&engine, "web").await;
         deployment.await_engines("web", 1).await;
-        // The group's time is known a second after relays were first heard.
+        // The group's time is known one second after the first contact of a relay.
         compio::time::sleep(Duration::from_millis(1_500)).await;
         for number in 0..7 {
             let id = format!("r-{number}");
@@ -95,16 +95,16 @@
             assert_eq!(deployment.request(Method::GET, "/plans/1", &headers, "").await.status, StatusCode::OK);
         }
         let reported = || {
-            let told = platform.told.borrow();
+            let reports = platform.reports.borrow();
             let windows: std::collections::BTreeMap<_, _> =
-                told.iter().map(|(_, report)| (report.window, report.counts.clone())).collect();
+                reports.iter().map(|(_, report)| (report.window, report.counts.clone())).collect();
             windows.values().flat_map(|counts| counts.values()).sum::<u64>()
         };
         eventually("every request is reported", async || reported() == 7).await;
-        let told = platform.told.borrow().clone();
-        assert!(told.windows(2).all(|pair| pair[0].0 < pair[1].0), "a fence did not rise");
-        assert!(told.iter().all(|(_, report)| report.counts.keys().all(|tenant| tenant.as_str() == "clinic")));
-        assert!(metrics.reports_failed.get() >= 2, "the first calls were refused");
+        let reports = platform.reports.borrow().clone();
+        assert!(reports.windows(2).all(|pair| pair[0].0 < pair[1].0), "a fencing token did not increase");
+        assert!(reports.iter().all(|(_, report)| report.counts.keys().all(|tenant| tenant.as_str() == "clinic")));
+        assert!(metrics.reports_failed.get() >= 2, "the first calls were rejected");
         let answer = call(deployment.control, Method::GET, "/admin/v1/duties", &[], "").await;
         let overview: DutyOverview = serde_json::from_slice(&answer.body).expect("an overview");
         assert_eq!(overview.holder, Some(overview.leader));
--- a/crates/gateway-api/tests/held_connections.rs
+++ b/crates/gateway-api/tests/held_connections.rs
@@ -1,5 +1,4 @@
-//! Connections and places at engines that a gateway holds while their engine stands still: no answer that is ready waits for
-//! them.
+//! A stalled engine must not delay responses that are already available.
 
 mod common;
 
@@ -18,25 +17,26 @@
 
 const ID: (&str, &str) = ("saddlerelay-request", "r-1");
 
-/// Larger than what the buffers of a connection hold (Linux: 4 MB at the sender and 6 MB at the receiver at most).
+/// Larger than the socket buffers of a connection.
 const LONG_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// An engine that answers early reads so much of the rest, so often: it is alive, and far from the end for a minute.
+/// Bytes per read of the early engine, which reads so slowly that the request lasts longer than the test.
 const READ_BYTES: usize = 16 * 1024;
 const READ_PAUSE: Duration = Duration::from_millis(150);
 
 const EARLY_ANSWER: &str =
     "HTTP/1.1 200 OK\r\nsaddlerelay-request: r-1\r\nsaddlerelay-stamp: early\r\ncontent-length: 5\r\n\r\nearly";
 
-/// Serves one engine that answers once it has read the head of a request; the rest it reads slowly.
+/// Starts an engine that responds after its first read and reads the rest of the request slowly; returns the number of bytes
+/// read.
 async fn start_early_engine() -> (SocketAddr, Rc<Cell<usize>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     let read = Rc::new(Cell::new(0));
-    let counted = read.clone();
+    let read_counter = read.clone();
     compio::runtime::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            compio::runtime::spawn(answer_early(stream, counted.clone())).detach();
+            compio::runtime::spawn(answer_early(stream, read_counter.clone())).detach();
         }
     })
     .detach();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_whole_answer_goes_out_although_its_engine_has_not_read_the_whole_request() {
+fn a_complete_response_is_forwarded_before_the_engine_has_read_the_request() {
     block_on(async {
         let deployment = Deployment::start("early").await;
         let plans = Route { timeout_ms: 6_000, ..route("/plans/", RouteKind::NonIdempotent, "web") };
@@ -73,12 +73,12 @@
         deployment.await_engines("web", 1).await;
         let answer = deployment.request(Method::POST, "/plans/1", &[ID], &"x".repeat(LONG_BODY_BYTES)).await;
         assert_eq!((answer.status, &answer.body[..]), (StatusCode::OK, &b"early"[..]));
-        assert!(read.get() < LONG_BODY_BYTES, "the engine had read all of it");
+        assert!(read.get() < LONG_BODY_BYTES, "the engine had read the entire request");
     });
 }
 
 #[test]
-fn a_request_at_an_engine_that_stands_still_is_answered_by_another() {
+fn a_request_at_a_stalled_engine_is_answered_by_another() {
     block_on(async {
         let deployment = Deployment::start("still").await;
         let plans = Route { timeout_ms: 20_000, ..route("/plans/", RouteKind::Idempotent, "web") };
@@ -88,20 +88,20 @@
             deployment.register(engine, "web").await;
         }
         deployment.await_engines("web", 2).await;
-        for (still, other) in [(0, 1), (1, 0)] {
-            engines[still].set_conduct(Conduct::Hang);
+        for (stalled, other) in [(0, 1), (1, 0)] {
+            engines[stalled].set_conduct(Conduct::Hang);
             engines[other].set_conduct(Conduct::Answer);
-            let before = engines[still].seen().len();
-            // An engine that stood still is left alone for a while.
-            eventually("it goes to the one that stands still", async || {
+            let before = engines[stalled].received_requests().len();
+            // A stalled engine is avoided for a while.
+            eventually("a request reaches the stalled engine", async || {
                 let answer = deployment.request(Method::GET, "/plans/1", &[ID], "").await;
                 let expected = ["first answers /plans/1", "second answers /plans/1"][other];
                 assert_eq!((answer.status, &answer.body[..]), (StatusCode::OK, expected.as_bytes()));
-                engines[still].seen().len() > before
+                engines[stalled].received_requests().len() > before
             })
             .await;
-            eventually("it is told to stop", async || {
-                engines[still].dropped() as usize + before == engines[still].seen().len()
+            eventually("the requests at the stalled engine are cancelled", async || {
+                engines[stalled].cancelled() as usize + before == engines[stalled].received_requests().len()
             })
             .await;
         }
--- a/crates/gateway-api/tests/jobs.rs
+++ b/crates/gateway-api/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Batch jobs, named versions and control calls through the product's own interface.
+//! Batch jobs, weight versions and control calls through the native interface.
 
 mod common;
 
@@ -28,16 +28,16 @@
 
 fn runs_of(engines: &[StandInEngine], item: u32) -> usize {
     let path = format!("/rollouts/{item}");
-    engines.iter().flat_map(StandInEngine::seen).filter(|seen| seen.path == path).count()
+    engines.iter().flat_map(StandInEngine::received_requests).filter(|seen| seen.path == path).count()
 }
 
 #[test]
-fn every_item_is_listed_once_with_its_text_and_versions() {
+fn each_item_is_listed_once_with_its_text_and_versions() {
     block_on(async {
         let (deployment, engines) = with_engines("listed", 2).await;
         let job = job("j-1", 1, 0, 10, 4);
         assert_eq!(deployment.submit(&job).await, StatusCode::ACCEPTED);
-        assert_eq!(deployment.submit(&job).await, StatusCode::ACCEPTED, "handed in again, it is taken once");
+        assert_eq!(deployment.submit(&job).await, StatusCode::ACCEPTED, "a repeated submission is idempotent");
         let page = deployment.await_results("j-1", 10).await;
         assert_eq!((page.total, page.next), (10, 10));
         let mut items: Vec<u32> = page.results.iter().map(|(_, result)| result.item).collect();
@@ -50,14 +50,14 @@
                 (ItemEnd::Completed, &text(result.item, 4), &[1][..])
             );
         }
-        let seen = engines[0].seen().remove(0);
+        let seen = engines[0].received_requests().remove(0);
         assert_eq!((seen.method.as_str(), seen.header("host")), ("POST", Some(common::HOST)));
         assert!(seen.body.starts_with(b"prompt "));
     });
 }
 
 #[test]
-fn a_text_goes_on_at_another_engine_after_its_last_event() {
+fn a_text_resumes_at_another_engine_after_its_last_event() {
     block_on(async {
         let (deployment, engines) = with_engines("resumed", 2).await;
         engines[0].set_conduct(Conduct::BreakOffAfter(2));
@@ -66,14 +66,16 @@
         for (_, result) in &page.results {
             assert_eq!(result.text, text(result.item, 6));
         }
-        let resumed =
-            engines.iter().flat_map(StandInEngine::seen).filter(|seen| seen.header("last-event-id").is_some());
-        assert!(resumed.count() > 0, "no text went on");
+        let resumed = engines
+            .iter()
+            .flat_map(StandInEngine::received_requests)
+            .filter(|seen| seen.header("last-event-id").is_some());
+        assert!(resumed.count() > 0, "no text was resumed");
     });
 }
 
 #[test]
-fn an_engine_that_falls_silent_is_left() {
+fn items_leave_an_engine_that_stops_responding() {
     block_on(async {
         let (deployment, engines) = with_engines("silent", 2).await;
         engines[0].set_conduct(Conduct::Hang);
@@ -84,7 +86,7 @@
 }
 
 #[test]
-fn an_item_that_can_never_be_done_or_fails_each_time_is_given_up() {
+fn an_item_that_is_impossible_or_always_fails_is_aborted() {
     block_on(async {
         let (deployment, engines) = with_engines("given-up", 1).await;
         engines[0].set_conduct(Conduct::Impossible);
@@ -94,25 +96,25 @@
         engines[0].set_conduct(Conduct::Fail);
         deployment.submit(&job("j-2", 1, 5, 1, 3)).await;
         assert_eq!(deployment.await_results("j-2", 1).await.results[0].1.end, ItemEnd::Aborted);
-        assert_eq!(runs_of(&engines, 5), 3, "as often as the route's attempts allow");
+        assert_eq!(runs_of(&engines, 5), 3, "the route's maximum number of attempts");
     });
 }
 
 #[test]
-fn nothing_of_a_job_runs_after_its_end() {
+fn no_item_runs_after_its_job_has_ended() {
     block_on(async {
         let (deployment, engines) = with_engines("ended", 1).await;
-        engines[0].set_event_pause(Duration::from_millis(50));
+        engines[0].set_event_interval(Duration::from_millis(50));
         deployment.submit(&job("j-1", 1, 0, 12, 40)).await;
-        eventually("items run", async || !engines[0].seen().is_empty()).await;
+        eventually("items run", async || !engines[0].received_requests().is_empty()).await;
         for _ in 0..2 {
             assert_eq!(call(deployment.front, Method::DELETE, "/v1/jobs/j-1", &[], "").await.status, StatusCode::OK);
         }
-        let began = engines[0].seen().len();
-        eventually("what ran is broken off", async || engines[0].dropped() as usize >= began).await;
+        let started = engines[0].received_requests().len();
+        eventually("running requests are cancelled", async || engines[0].cancelled() as usize >= started).await;
         compio::time::sleep(Duration::from_millis(300)).await;
-        assert_eq!(engines[0].seen().len(), began);
-        let page = deployment.results("j-1").await.expect("an ended job can be read");
+        assert_eq!(engines[0].received_requests().len(), started);
+        let page = deployment.results("j-1").await.expect("results of an ended job");
         assert_eq!(page.results.len(), 0);
         let body = call(deployment.front, Method::GET, "/v1/jobs/j-1/items/item-3/body", &[], "").await;
         assert_eq!(body.status, StatusCode::NOT_FOUND);
@@ -120,7 +122,7 @@
 }
 
 #[test]
-fn bodies_can_be_read_until_their_items_are_listed() {
+fn item_bodies_are_readable_until_the_items_are_listed() {
     block_on(async {
         let (deployment, _) = with_engines("bodies", 0).await;
         deployment.submit(&job("j-1", 1, 0, 2, 3)).await;
@@ -132,7 +134,7 @@
 }
 
 #[test]
-fn a_job_that_cannot_be_read_is_refused_with_the_reason() {
+fn an_invalid_job_is_rejected_with_the_reason() {
     block_on(async {
         let (deployment, _) = with_engines("unreadable", 0).await;
         let headers = [("saddlerelay-request", "j-1")];
@@ -144,7 +146,7 @@
 }
 
 #[test]
-fn no_text_holds_a_version_below_the_jobs_least() {
+fn no_text_uses_a_version_below_the_jobs_minimum() {
     block_on(async {
         let (deployment, engines) = with_engines("minimum", 2).await;
         engines[1].set_version(2);
@@ -152,23 +154,23 @@
         deployment.submit(&job("j-1", 2, 0, 6, 3)).await;
         let page = deployment.await_results("j-1", 6).await;
         assert!(page.results.iter().all(|(_, result)| result.versions == [2]));
-        assert_eq!(engines[0].seen().len(), 0);
+        assert_eq!(engines[0].received_requests().len(), 0);
     });
 }
 
 #[test]
-fn an_engine_that_has_other_weights_than_it_said_runs_nothing() {
+fn an_engine_with_other_weights_than_reported_runs_nothing() {
     block_on(async {
         let (deployment, engines) = with_engines("other-weights", 1).await;
-        // A new leader asks each engine what it has. A finished job shows that it has been told.
+        // A new leader polls each engine for its weights; a completed job shows that the poll has succeeded.
         deployment.submit(&job("j-0", 1, 7, 1, 3)).await;
         deployment.await_results("j-0", 1).await;
-        let before = engines[0].seen().len();
-        // It went back to older weights without a word.
+        let before = engines[0].received_requests().len();
+        // The engine reverts to older weights without a report.
         deployment.report(&engines[0], "llm", false, 2).await;
         engines[0].set_version(0);
         deployment.submit(&job("j-1", 1, 0, 1, 3)).await;
-        eventually("it was asked", async || engines[0].seen().len() > before).await;
+        eventually("the engine received the request", async || engines[0].received_requests().len() > before).await;
         compio::time::sleep(Duration::from_millis(200)).await;
         assert_eq!(deployment.results("j-1").await.expect("a page").results.len(), 0);
         engines[0].set_version(1);
@@ -179,13 +181,13 @@
 }
 
 #[test]
-fn a_later_job_uses_what_an_earlier_one_left() {
+fn a_later_job_reuses_texts_of_an_earlier_one() {
     block_on(async {
         let (deployment, engines) = with_engines("carried", 1).await;
         deployment.submit(&job("j-1", 1, 0, 4, 3)).await;
         deployment.await_results("j-1", 4).await;
         call(deployment.front, Method::DELETE, "/v1/jobs/j-1", &[], "").await;
-        // Two of the same items come again, and two new ones.
+        // Two items of the first job and two new ones.
         deployment.submit(&job("j-2", 1, 2, 4, 3)).await;
         let page = deployment.await_results("j-2", 4).await;
         assert!(page.results.iter().all(|(id, result)| {
@@ -197,10 +199,10 @@
 }
 
 #[test]
-fn engines_load_the_version_that_waiting_items_need() {
+fn engines_load_the_version_that_pending_items_need() {
     block_on(async {
         let (deployment, _) = with_engines("needed", 2).await;
-        // No engine serves it: all hold the version before its least.
+        // All engines have a version below the job's minimum.
         deployment.submit(&job("j-1", 2, 0, 4, 3)).await;
         compio::time::sleep(Duration::from_millis(200)).await;
         let body = serde_json::to_vec(&notes(2)).expect("JSON");
@@ -212,7 +214,7 @@
 }
 
 #[test]
-fn a_named_version_reaches_the_engines_by_fenced_orders() {
+fn a_requested_version_is_loaded_through_fenced_orders() {
     block_on(async {
         let (deployment, engines) = with_engines("named", 3).await;
         for version in [2, 3] {
@@ -220,27 +222,27 @@
             let answer = call(deployment.control, Method::POST, "/v1/versions", &[], body).await;
             assert_eq!(answer.status, StatusCode::OK);
             let everywhere = async || engines.iter().all(|engine| engine.models() == [notes(version)]);
-            eventually("every engine has it", everywhere).await;
+            eventually("every engine has the version", everywhere).await;
         }
         for engine in &engines {
             let orders = engine.orders();
             assert_eq!(orders.len(), 2);
-            assert!(0 < orders[0].fence && orders[0].fence < orders[1].fence, "an older order could overtake a newer");
+            assert!(0 < orders[0].fence && orders[0].fence < orders[1].fence, "fencing tokens must increase");
             assert_eq!((orders[0].orders_taken, orders[1].orders_taken), (0, 1));
             assert!(orders.iter().all(|order| order.holder == "coordinator"));
         }
-        let noted = deployment.node.read_applied(|state| state.orders.notes().len());
-        assert_eq!(noted, 3, "each order is noted in the log before it is given");
+        let recorded = deployment.node.read_applied(|state| state.orders.notes().len());
+        assert_eq!(recorded, 3, "each order is committed to the log before it is sent");
     });
 }
 
-/// Whether it was taken is found out from the engine's report; the orders after it are given as before.
+/// The engine's report shows whether the order was executed, and later orders must not be blocked.
 #[test]
-fn an_order_whose_answer_is_lost_keeps_no_engine_from_later_versions() {
+fn a_lost_order_response_does_not_block_later_versions() {
     block_on(async {
         let (deployment, engines) = with_engines("order-unknown", 2).await;
         for version in [2, 3] {
-            engines.iter().for_each(|engine| engine.lose_order_answers(1));
+            engines.iter().for_each(|engine| engine.lose_order_responses(1));
             let body = serde_json::to_vec(&notes(version)).expect("JSON");
             let answer = call(deployment.control, Method::POST, "/v1/versions", &[], body).await;
             assert_eq!(answer.status, StatusCode::OK);
@@ -249,14 +251,14 @@
             assert_eq!(deployment.submit(&items).await, StatusCode::ACCEPTED);
             let page = deployment.await_results(&format!("j-{version}"), 4).await;
             assert!(page.results.iter().all(|(_, result)| result.versions == [version]));
-            assert!(since.elapsed() < Duration::from_secs(4), "items waited for {:?}", since.elapsed());
+            assert!(since.elapsed() < Duration::from_secs(4), "items were delayed for {:?}", since.elapsed());
         }
-        assert!(engines.iter().all(|engine| engine.orders_refused() == 0), "an order counted in vain");
+        assert!(engines.iter().all(|engine| engine.orders_rejected() == 0), "an order was rejected");
     });
 }
 
 #[test]
-fn an_invalid_document_is_refused_with_the_reason_and_never_in_force() {
+fn an_invalid_document_is_rejected_with_the_reason() {
     block_on(async {
         let (deployment, _) = with_engines("invalid", 0).await;
         let mut invalid = document(9, vec![rollouts()]);
@@ -268,13 +270,13 @@
         let cut =
             call(deployment.control, Method::PUT, "/admin/v1/routing", &[], body[..body.len() / 2].to_vec()).await;
         assert_eq!(cut.status, StatusCode::BAD_REQUEST);
-        let held = call(deployment.control, Method::GET, "/admin/v1/routing", &[], "").await;
-        assert!(held.body.starts_with(b"{\"version\":1,"), "{:?}", held.body);
+        let stored = call(deployment.control, Method::GET, "/admin/v1/routing", &[], "").await;
+        assert!(stored.body.starts_with(b"{\"version\":1,"), "{:?}", stored.body);
     });
 }
 
 #[test]
-fn a_machine_leaves_only_if_enough_are_left() {
+fn a_machine_is_retired_only_if_enough_remain() {
     block_on(async {
         let (deployment, _) = with_engines("retired", 0).await;
         let path = "/admin/v1/stores/store-1/retirement";
@@ -286,7 +288,7 @@
             zone: "north".to_string(),
         };
         let command = saddlerelay_types::gateway::GatewayCommand::RegisterStore(record);
-        deployment.node.commit_gateway(command).await.expect("it leads");
+        deployment.node.commit_gateway(command).await.expect("the leader commits");
         assert_eq!(call(deployment.control, Method::POST, path, &[], "").await.status, StatusCode::CONFLICT);
     });
 }
