--- a/crates/gateway-api/tests/restarts.rs
+++ b/crates/gateway-api/tests/restarts.rs
@@ -1,8 +1,8 @@
-//! Engines that start again under the name that they had, and reports that name no engine to use.
+//! Engines that restart under the same name, and reports of instances that must not be used.
 
 mod common;
 
-use common::crashing::{BegunLog, CRASHES, CrashingEngine};
+use common::crashing::{CRASHES, CrashingEngine, RequestLog};
 use common::engine::StandInEngine;
 use common::{Deployment, block_on, call, document, eventually, notes, report, rollouts, route};
 use hyper::{Method, StatusCode};
@@ -14,14 +14,14 @@
 
 const ID: (&str, &str) = ("saddlerelay-request", "r-1");
 
-/// When the first of two starts was, in Unix milliseconds.
+/// Start time of the first instance, in Unix milliseconds.
 const FIRST: u64 = 1_764_720_000_000;
 
-/// When the second was.
+/// Start time of the second instance, in Unix milliseconds.
 const SECOND: u64 = FIRST + 4_000;
 
-/// An engine's report as it comes over the wire.
-fn started(engine: &StandInEngine, service: &str, started_at_ms: u64, sequence: u64) -> Value {
+/// The JSON report of an engine with a start time.
+fn report_with_start(engine: &StandInEngine, service: &str, started_at_ms: u64, sequence: u64) -> Value {
     let mut body = serde_json::to_value(report(engine.instance(), service, engine.address())).expect("JSON");
     body["started_at_ms"] = json!(started_at_ms);
     body["models"] = serde_json::to_value(engine.models()).expect("JSON");
@@ -34,7 +34,7 @@
     call(deployment.control, Method::PUT, &path, &[], body.to_string()).await.status
 }
 
-async fn say_goodbye(deployment: &Deployment, name: &str) {
+async fn deregister(deployment: &Deployment, name: &str) {
     let path = format!("/v1/instances/{name}");
     assert_eq!(call(deployment.control, Method::DELETE, &path, &[], "").await.status, StatusCode::OK);
 }
@@ -49,83 +49,83 @@
 async fn await_served_by(deployment: &Deployment, engine: &StandInEngine) {
     eventually("the engine serves", async || {
         let answer = deployment.request(Method::GET, "/plans/1", &[ID], "").await;
-        answer.status == StatusCode::OK && !engine.seen().is_empty()
+        answer.status == StatusCode::OK && !engine.received_requests().is_empty()
     })
     .await;
 }
 
 #[test]
-fn an_engine_that_starts_again_under_its_name_replaces_its_earlier_start() {
+fn a_restarted_engine_replaces_its_earlier_instance() {
     block_on(async {
         let deployment = serve_pages("restart").await;
         let (before, after) = (StandInEngine::start("engine").await, StandInEngine::start("engine").await);
-        assert_eq!(put(&deployment, "engine", &started(&before, "web", FIRST, 40)).await, StatusCode::OK);
+        assert_eq!(put(&deployment, "engine", &report_with_start(&before, "web", FIRST, 40)).await, StatusCode::OK);
         await_served_by(&deployment, &before).await;
-        // Its count of reports starts anew.
-        assert_eq!(put(&deployment, "engine", &started(&after, "web", SECOND, 1)).await, StatusCode::OK);
+        // The sequence number restarts.
+        assert_eq!(put(&deployment, "engine", &report_with_start(&after, "web", SECOND, 1)).await, StatusCode::OK);
         await_served_by(&deployment, &after).await;
-        // A late report of the start that has ended.
-        assert_eq!(put(&deployment, "engine", &started(&before, "web", FIRST, 41)).await, StatusCode::OK);
-        let seen = before.seen().len();
+        // A late report of the terminated instance.
+        assert_eq!(put(&deployment, "engine", &report_with_start(&before, "web", FIRST, 41)).await, StatusCode::OK);
+        let received_before = before.received_requests().len();
         for _ in 0..4 {
             assert_eq!(deployment.request(Method::GET, "/plans/1", &[ID], "").await.status, StatusCode::OK);
         }
-        assert_eq!(before.seen().len(), seen, "a request went to the start that has ended");
+        assert_eq!(before.received_requests().len(), received_before, "a request was sent to the terminated instance");
     });
 }
 
 #[test]
-fn a_start_after_a_goodbye_is_taken_and_the_start_that_said_it_is_not() {
+fn after_a_deregistration_only_a_later_start_is_accepted() {
     block_on(async {
         let deployment = serve_pages("goodbye").await;
         let (before, after) = (StandInEngine::start("engine").await, StandInEngine::start("engine").await);
-        put(&deployment, "engine", &started(&before, "web", FIRST, 1)).await;
+        put(&deployment, "engine", &report_with_start(&before, "web", FIRST, 1)).await;
         await_served_by(&deployment, &before).await;
-        say_goodbye(&deployment, "engine").await;
-        put(&deployment, "engine", &started(&before, "web", FIRST, 2)).await;
+        deregister(&deployment, "engine").await;
+        put(&deployment, "engine", &report_with_start(&before, "web", FIRST, 2)).await;
         deployment.await_engines("web", 0).await;
-        put(&deployment, "engine", &started(&after, "web", SECOND, 1)).await;
+        put(&deployment, "engine", &report_with_start(&after, "web", SECOND, 1)).await;
         await_served_by(&deployment, &after).await;
     });
 }
 
 #[test]
-fn a_report_of_a_service_that_no_document_names_takes_no_address() {
+fn a_report_of_an_unknown_service_does_not_replace_an_instance() {
     block_on(async {
         let deployment = serve_pages("unnamed").await;
         let engine = StandInEngine::start("engine").await;
         deployment.register(&engine, "web").await;
         await_served_by(&deployment, &engine).await;
-        let mut stranger = started(&engine, "nowhere", SECOND, 1);
-        stranger["id"] = json!("stranger");
-        put(&deployment, "stranger", &stranger).await;
-        // The same name, address and a higher count, and it leaves: as a later start, and as the same one.
-        let mut imitation = started(&engine, "nowhere", SECOND, 900);
-        imitation["leaving"] = json!(true);
-        put(&deployment, "engine", &imitation).await;
-        imitation.as_object_mut().expect("an object").remove("started_at_ms");
-        put(&deployment, "engine", &imitation).await;
-        let seen = engine.seen().len();
+        let mut other = report_with_start(&engine, "nowhere", SECOND, 1);
+        other["id"] = json!("stranger");
+        put(&deployment, "stranger", &other).await;
+        // Same name and address, higher sequence number, leaving: first with a later start time, then without one.
+        let mut forged = report_with_start(&engine, "nowhere", SECOND, 900);
+        forged["leaving"] = json!(true);
+        put(&deployment, "engine", &forged).await;
+        forged.as_object_mut().expect("an object").remove("started_at_ms");
+        put(&deployment, "engine", &forged).await;
+        let received_before = engine.received_requests().len();
         for _ in 0..4 {
             assert_eq!(deployment.request(Method::GET, "/plans/1", &[ID], "").await.status, StatusCode::OK);
         }
-        assert_eq!(engine.seen().len(), seen + 4);
-        // The count of another writer does not make the engine's own reports late, and its name is not remembered.
-        let heard = report(engine.instance(), "web", engine.address());
-        let heard = InstanceReport { sequence: 2, models: vec![notes(5)], ..heard };
-        put(&deployment, "engine", &serde_json::to_value(&heard).expect("JSON")).await;
+        assert_eq!(engine.received_requests().len(), received_before + 4);
+        // The forged sequence number does not make the engine's own reports stale, and the other name is not stored.
+        let own_report = report(engine.instance(), "web", engine.address());
+        let own_report = InstanceReport { sequence: 2, models: vec![notes(5)], ..own_report };
+        put(&deployment, "engine", &serde_json::to_value(&own_report).expect("JSON")).await;
         let models = |id| deployment.node.reported_models(&id).map(|(_, models)| models);
-        eventually("the engine is heard", async || models(engine.instance()) == Some(vec![notes(5)])).await;
+        eventually("the report is applied", async || models(engine.instance()) == Some(vec![notes(5)])).await;
         assert_eq!(models(InstanceId::named("stranger")), None);
     });
 }
 
 #[test]
-fn an_engine_that_reports_before_its_service_is_named_serves_once_it_is() {
+fn an_engine_that_reports_before_its_service_is_configured_serves_later() {
     block_on(async {
         let deployment = Deployment::start("early").await;
         let engine = StandInEngine::start("engine").await;
-        assert_eq!(put(&deployment, "engine", &started(&engine, "web", FIRST, 1)).await, StatusCode::OK);
+        assert_eq!(put(&deployment, "engine", &report_with_start(&engine, "web", FIRST, 1)).await, StatusCode::OK);
         deployment.configure(&document(1, vec![route("/plans/", RouteKind::Idempotent, "web")])).await;
         await_served_by(&deployment, &engine).await;
     });
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn orders_to_an_engine_that_has_started_again_count_from_its_start() {
+fn order_counts_restart_with_the_engine() {
     block_on(async {
         let deployment = Deployment::start("orders").await;
         deployment.configure(&document(1, vec![rollouts()])).await;
@@ -147,46 +147,46 @@
         deployment.await_engines("llm", 1).await;
         for version in [2, 3] {
             name_version(&deployment, version).await;
-            eventually("the first start has it", async || before.models() == [notes(version)]).await;
+            eventually("the first instance has the version", async || before.models() == [notes(version)]).await;
         }
-        // It has its weights again, and forgets its orders.
+        // The restarted engine has loaded its weights again but lost its order count.
         after.set_started_at(SECOND);
         after.set_version(3);
         deployment.register(&after, "llm").await;
         name_version(&deployment, 4).await;
-        eventually("the second start has it", async || after.models() == [notes(4)]).await;
+        eventually("the second instance has the version", async || after.models() == [notes(4)]).await;
         assert_eq!(after.orders().iter().map(|order| order.orders_taken).collect::<Vec<_>>(), [0]);
-        assert_eq!(after.orders_refused(), 0, "an order counted from the start before");
+        assert_eq!(after.orders_rejected(), 0, "an order used the count of the earlier instance");
         assert_eq!(before.orders().len(), 2);
         assert!(after.orders()[0].fence > before.orders()[1].fence);
     });
 }
 
 #[test]
-fn a_report_of_another_start_says_nothing_about_the_one_that_was_asked() {
+fn a_status_response_of_another_instance_is_ignored() {
     block_on(async {
         let deployment = Deployment::start("another-start").await;
         deployment.configure(&document(1, vec![rollouts()])).await;
         let engine = StandInEngine::start("engine").await;
         engine.set_started_at(SECOND);
-        // The start before is all that the group has heard of.
-        assert_eq!(put(&deployment, "engine", &started(&engine, "llm", FIRST, 1)).await, StatusCode::OK);
+        // The group only has the report of the earlier instance.
+        assert_eq!(put(&deployment, "engine", &report_with_start(&engine, "llm", FIRST, 1)).await, StatusCode::OK);
         deployment.await_engines("llm", 1).await;
         name_version(&deployment, 2).await;
-        eventually("it was asked", async || engine.reports_told() >= 2).await;
+        eventually("the engine was polled", async || engine.polls_answered() >= 2).await;
         assert!(engine.orders().is_empty());
         deployment.register(&engine, "llm").await;
-        eventually("the second start has it", async || engine.models() == [notes(2)]).await;
+        eventually("the second instance has the version", async || engine.models() == [notes(2)]).await;
     });
 }
 
 #[test]
-fn work_that_ends_one_engine_start_after_start_is_sent_to_it_no_more() {
+fn work_that_crashes_an_engine_at_each_restart_is_quarantined() {
     block_on(async {
         let config = GatewayConfig { last_trial_pause: Duration::ZERO, ..GatewayConfig::default() };
         let deployment = Deployment::start_with("crash-one-name", config).await;
         deployment.configure(&document(1, vec![route("/plans/", RouteKind::Idempotent, "web")])).await;
-        let log = BegunLog::default();
+        let log = RequestLog::default();
         let engines = [CrashingEngine::start("engine", &log)];
         engines[0].keep_name();
         deployment.register_crashing(&engines[0], "web").await;
@@ -197,32 +197,32 @@
             let id = format!("try-{round}");
             let headers = [("saddlerelay-request", id.as_str())];
             deployment.request(Method::POST, "/plans/1", &headers, &format!("a plan that {CRASHES}")).await;
-            deployment.revive(&engines, "web").await;
+            deployment.restart(&engines, "web").await;
         }
         assert_eq!(log.borrow().iter().filter(|begun| begun.crashed).count(), 3);
     });
 }
 
 #[test]
-fn a_report_that_cannot_be_read_is_refused_and_changes_nothing() {
+fn an_invalid_report_is_rejected_and_changes_nothing() {
     block_on(async {
         let deployment = serve_pages("unreadable").await;
         let engine = StandInEngine::start("engine").await;
-        put(&deployment, "engine", &started(&engine, "web", FIRST, 1)).await;
+        put(&deployment, "engine", &report_with_start(&engine, "web", FIRST, 1)).await;
         await_served_by(&deployment, &engine).await;
         for (field, value) in
             [("started_at_ms", json!(1.5)), ("started_at_ms", json!("7")), ("slots", json!(-1)), ("address", json!(7))]
         {
-            let mut strange = started(&engine, "web", SECOND, 900);
-            strange["leaving"] = json!(true);
-            strange[field] = value;
-            assert_eq!(put(&deployment, "engine", &strange).await, StatusCode::BAD_REQUEST, "{field}");
+            let mut invalid = report_with_start(&engine, "web", SECOND, 900);
+            invalid["leaving"] = json!(true);
+            invalid[field] = value;
+            assert_eq!(put(&deployment, "engine", &invalid).await, StatusCode::BAD_REQUEST, "{field}");
         }
-        let mut large = started(&engine, "web", SECOND, 900);
+        let mut large = report_with_start(&engine, "web", SECOND, 900);
         large["padding"] = json!("x".repeat(20_000));
         assert_eq!(put(&deployment, "engine", &large).await, StatusCode::PAYLOAD_TOO_LARGE);
-        let seen = engine.seen().len();
+        let received_before = engine.received_requests().len();
         assert_eq!(deployment.request(Method::GET, "/plans/1", &[ID], "").await.status, StatusCode::OK);
-        assert_eq!(engine.seen().len(), seen + 1);
+        assert_eq!(engine.received_requests().len(), received_before + 1);
     });
 }
--- a/crates/gateway-api/tests/results.rs
+++ b/crates/gateway-api/tests/results.rs
@@ -1,4 +1,4 @@
-//! Results read at a replica that does not lead.
+//! Results read at a follower.
 
 mod common;
 
@@ -21,16 +21,16 @@
 }
 
 #[test]
-fn a_gateway_reads_what_the_leader_lists_at_the_replica_in_its_zone() {
+fn a_gateway_reads_results_at_the_replica_in_its_zone() {
     block_on(async {
         let deployment = with_results("near", 6).await;
-        let (_replica, gateway, front) = deployment.start_in_the_south().await;
-        eventually("it reads in its zone", async || {
+        let (_replica, gateway, front) = deployment.start_south_zone().await;
+        eventually("the gateway reads at the replica in its zone", async || {
             deployment.results_at(front, "j-1").await;
             gateway.metrics().results_read_nearby.get() > 0
         })
         .await;
-        // What is acknowledged is read at once.
+        // Reads are linearizable: a listed result is visible at the follower at once.
         for number in 2..8 {
             let id = format!("j-{number}");
             deployment.submit(&job(&id, 1, number * 10, 4, 2)).await;
@@ -38,33 +38,42 @@
             assert_eq!(deployment.results_at(front, &id).await, Some(listed));
         }
         assert!(gateway.metrics().results_read_nearby.get() >= 6);
-        assert_eq!(deployment.gateway.metrics().results_read_nearby.get(), 0, "the leader's own zone asks the leader");
+        assert_eq!(
+            deployment.gateway.metrics().results_read_nearby.get(),
+            0,
+            "the gateway in the leader's zone reads at the leader"
+        );
     });
 }
 
 #[test]
-fn a_replica_that_does_not_know_a_job_or_is_behind_says_so() {
+fn a_follower_without_the_job_or_the_position_responds_unavailable() {
     block_on(async {
         let deployment = with_results("behind", 2).await;
-        let (replica, gateway, front) = deployment.start_in_the_south().await;
+        let (replica, gateway, front) = deployment.start_south_zone().await;
         let address = deployment.node.replica().member_addresses();
         let address = address.into_iter().find(|address| Some(*address) != gateway.control().current_address());
         let address = address.expect("two members");
-        let position = deployment.node.replica().read_position().expect("it leads");
+        let position = deployment.node.replica().read_position().expect("the leader has a read position");
         let read = async |position, id: &str| {
             let job = JobId(id.to_string());
-            let question =
-                GatewayRequest::ReadResultsAt { position, job, after: 0, wait_ms: 0, caller: Caller::Anyone };
-            gateway.control().gateway_at(address, question, Duration::from_secs(2)).await
+            let request = GatewayRequest::ReadResultsAt { position, job, after: 0, wait_ms: 0, caller: Caller::Anyone };
+            gateway.control().gateway_at(address, request, Duration::from_secs(2)).await
         };
-        eventually("it has applied what is committed", async || replica.replica().applied_index() >= position).await;
+        eventually("the follower is up to date", async || replica.replica().applied_index() >= position).await;
         assert!(matches!(read(position, "j-1").await, Some(GatewayReply::Results(page)) if page.results.len() == 2));
-        assert_eq!(read(position, "unknown").await, Some(GatewayReply::Unavailable), "never that there is none");
+        assert_eq!(
+            read(position, "unknown").await,
+            Some(GatewayReply::Unavailable),
+            "a follower must not respond that the job does not exist"
+        );
         assert_eq!(read(position + 1_000_000, "j-1").await, Some(GatewayReply::Unavailable));
-        assert!(deployment.results_at(front, "unknown").await.is_none(), "the leader is asked, and knows");
-        let led =
+        assert!(deployment.results_at(front, "unknown").await.is_none(), "the gateway falls back to the leader");
+        let leader_position =
             gateway.control().gateway(GatewayRequest::ReadPosition, Duration::from_secs(2), Duration::from_secs(1));
-        assert!(matches!(led.await, Ok::<_, GatewayError>(GatewayReply::Position(told)) if told >= position));
-        assert_eq!(replica.replica().read_position(), None, "only the leader tells how far the log is committed");
+        assert!(
+            matches!(leader_position.await, Ok::<_, GatewayError>(GatewayReply::Position(returned)) if returned >= position)
+        );
+        assert_eq!(replica.replica().read_position(), None, "only the leader returns a read position");
     });
 }
--- a/crates/gateway-api/tests/routed.rs
+++ b/crates/gateway-api/tests/routed.rs
@@ -1,4 +1,4 @@
-//! Routed requests through a gateway to stand-in engines that misbehave.
+//! Requests routed through a gateway to faulty stand-in engines.
 
 mod common;
 
@@ -24,19 +24,19 @@
     (deployment, engines)
 }
 
-/// Tells the control group that an instance of this name stands at `address`.
+/// Registers an instance with this name at `address`.
 async fn register_as(deployment: &Deployment, name: &str, address: std::net::SocketAddr) {
     let report = report(InstanceId::named(name), "web", address);
     let body = serde_json::to_vec(&report).expect("JSON");
     call(deployment.control, Method::PUT, &format!("/v1/instances/{name}"), &[], body).await;
 }
 
-fn ran(engines: &[StandInEngine]) -> usize {
-    engines.iter().map(|engine| engine.seen().len()).sum()
+fn executed_requests(engines: &[StandInEngine]) -> usize {
+    engines.iter().map(|engine| engine.received_requests().len()).sum()
 }
 
 #[test]
-fn a_request_and_its_answer_pass_unchanged() {
+fn requests_and_responses_are_forwarded_unchanged() {
     block_on(async {
         let (deployment, engines) = with_engines("unchanged", RouteKind::Idempotent, 1).await;
         let headers =
@@ -45,7 +45,7 @@
         assert_eq!(answer.status, StatusCode::OK);
         assert_eq!(answer.body, "engine-0 answers /plans/7?week=2");
         assert_eq!(answer.headers["saddlerelay-stamp"], "engine-0");
-        let seen = engines[0].seen().remove(0);
+        let seen = engines[0].received_requests().remove(0);
         assert_eq!(
             (seen.method.as_str(), seen.path.as_str(), &seen.body[..]),
             ("PUT", "/plans/7?week=2", &b"the body"[..])
@@ -53,14 +53,14 @@
         assert_eq!(seen.header("x-own"), Some("kept"));
         assert_eq!(seen.header("host"), Some(HOST));
         assert_eq!(seen.header("saddlerelay-for-instance"), Some("engine-0"));
-        assert_eq!(seen.header("x-hop"), None, "a header of one connection does not go on");
+        assert_eq!(seen.header("x-hop"), None, "hop-by-hop headers are not forwarded");
         let left: u64 = seen.header("saddlerelay-deadline-ms").and_then(|left| left.parse().ok()).expect("a deadline");
         assert!((1..=900).contains(&left), "{left}");
     });
 }
 
 #[test]
-fn nothing_is_served_before_there_are_routes_and_unknown_paths_afterwards_are_not_found() {
+fn requests_get_503_without_routes_and_404_on_unknown_paths() {
     block_on(async {
         let deployment = Deployment::start("unknown").await;
         let early = deployment.request(Method::GET, "/plans/1", &[ID], "").await;
@@ -74,9 +74,9 @@
     });
 }
 
-/// Each of these first answers is replaced by the other engine's.
+/// For each fault of the first engine the client must get the response of the second.
 #[test]
-fn an_answer_that_is_not_the_requests_own_whole_one_is_replaced() {
+fn a_faulty_response_is_replaced_by_another_engines() {
     for (name, conduct) in [
         ("another", Conduct::AnswerAnother),
         ("unsigned", Conduct::AnswerUnsigned),
@@ -96,13 +96,13 @@
                     "{name}"
                 );
             }
-            assert!(!engines[0].seen().is_empty(), "{name}: the misbehaving engine was never asked");
+            assert!(!engines[0].received_requests().is_empty(), "{name}: the faulty engine received no request");
         });
     }
 }
 
 #[test]
-fn a_request_that_must_not_be_repeated_runs_once_and_fails() {
+fn a_non_idempotent_request_runs_once_and_fails() {
     for (name, conduct, status) in [
         ("once-broken", Conduct::BreakOff, StatusCode::BAD_GATEWAY),
         ("once-another", Conduct::AnswerAnother, StatusCode::BAD_GATEWAY),
@@ -113,37 +113,37 @@
             engines.iter().for_each(|engine| engine.set_conduct(conduct));
             let answer = deployment.request(Method::POST, "/plans/1", &[ID], "").await;
             assert_eq!(answer.status, status, "{name}");
-            assert_eq!(ran(&engines), 1, "{name}");
+            assert_eq!(executed_requests(&engines), 1, "{name}");
         });
     }
 }
 
 #[test]
-fn a_stream_that_an_engine_keeps_is_never_said_not_to_have_run() {
+fn a_stream_without_response_times_out_instead_of_being_reported_as_not_executed() {
     block_on(async {
         let (deployment, engines) = with_engines("stream-kept", RouteKind::Streaming, 1).await;
-        let held = Route { timeout_ms: 300, ..route("/plans/", RouteKind::Streaming, "web") };
-        deployment.configure(&document(2, vec![held])).await;
+        let short = Route { timeout_ms: 300, ..route("/plans/", RouteKind::Streaming, "web") };
+        deployment.configure(&document(2, vec![short])).await;
         engines[0].set_conduct(Conduct::Hang);
         let answer = deployment.request(Method::POST, "/plans/7", &[ID, ("events", "3")], "").await;
-        assert_eq!((answer.status, ran(&engines)), (StatusCode::GATEWAY_TIMEOUT, 1));
+        assert_eq!((answer.status, executed_requests(&engines)), (StatusCode::GATEWAY_TIMEOUT, 1));
     });
 }
 
 #[test]
-fn a_status_that_promises_not_to_have_run_is_not_quoted_from_an_engine_that_ran_it() {
+fn a_503_of_an_engine_that_ran_the_request_is_not_forwarded() {
     for (name, kind) in [("quoted-once", RouteKind::NonIdempotent), ("quoted-stream", RouteKind::Streaming)] {
         block_on(async {
             let (deployment, engines) = with_engines(name, kind, 1).await;
             engines[0].set_conduct(Conduct::FailUnavailable);
             let answer = deployment.request(Method::POST, "/plans/7", &[ID, ("events", "3")], "").await;
-            assert_eq!((answer.status, ran(&engines)), (StatusCode::BAD_GATEWAY, 1), "{name}");
+            assert_eq!((answer.status, executed_requests(&engines)), (StatusCode::BAD_GATEWAY, 1), "{name}");
         });
     }
 }
 
 #[test]
-fn one_that_an_engine_did_not_run_goes_to_the_next() {
+fn a_request_that_an_engine_did_not_execute_goes_to_the_next() {
     block_on(async {
         let (deployment, engines) = with_engines("not-run", RouteKind::NonIdempotent, 2).await;
         engines[0].set_conduct(Conduct::Shed);
@@ -154,12 +154,12 @@
         let refused = deployment.request(Method::POST, "/plans/1", &[ID], "").await;
         assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(refused.headers.contains_key("retry-after"));
-        assert!(!refused.headers.contains_key("saddlerelay-stamp"), "the promise is the gateway's own");
+        assert!(!refused.headers.contains_key("saddlerelay-stamp"), "the response is the gateway's own");
     });
 }
 
 #[test]
-fn at_the_routes_timeout_the_answer_is_final() {
+fn the_route_timeout_ends_a_request() {
     block_on(async {
         let deployment = Deployment::start("timeout").await;
         let mut slow = route("/plans/", RouteKind::NonIdempotent, "web");
@@ -173,39 +173,39 @@
         let answer = deployment.request(Method::POST, "/plans/1", &[ID], "").await;
         assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
         assert!(began.elapsed() >= Duration::from_millis(290));
-        eventually("the engine is told to stop", async || engine.dropped() == 1).await;
+        eventually("the engine's request is cancelled", async || engine.cancelled() == 1).await;
     });
 }
 
 #[test]
-fn when_the_client_goes_the_engine_is_told() {
+fn a_client_disconnect_cancels_the_engines_request() {
     block_on(async {
         let (deployment, engines) = with_engines("gone", RouteKind::NonIdempotent, 1).await;
         engines[0].set_conduct(Conduct::Hang);
         {
             let mut connection =
-                saddlerelay_http::client::Connection::open(deployment.front).await.expect("it listens");
+                saddlerelay_http::client::Connection::open(deployment.front).await.expect("a connection");
             let headers = [ID, ("host", HOST)];
             let request = connection.send(Method::POST, "/plans/1", &headers, "");
             let _ = compio::time::timeout(Duration::from_millis(200), request).await;
         }
-        eventually("the engine is told", async || engines[0].dropped() == 1).await;
+        eventually("the engine's request is cancelled", async || engines[0].cancelled() == 1).await;
     });
 }
 
 #[test]
-fn an_engine_that_leaves_or_says_goodbye_gets_no_new_work() {
+fn a_leaving_or_deregistered_engine_gets_no_new_requests() {
     block_on(async {
         let (deployment, engines) = with_engines("leaving", RouteKind::Idempotent, 2).await;
         deployment.report(&engines[0], "web", true, 2).await;
         deployment.await_engines("web", 1).await;
-        // A late report from before it left.
+        // A late report from before the engine started to leave.
         deployment.report(&engines[0], "web", false, 1).await;
-        let before = engines[0].seen().len();
+        let before = engines[0].received_requests().len();
         for _ in 0..5 {
             assert_eq!(deployment.request(Method::GET, "/plans/1", &[ID], "").await.status, StatusCode::OK);
         }
-        assert_eq!(engines[0].seen().len(), before);
+        assert_eq!(engines[0].received_requests().len(), before);
         let path = format!("/v1/instances/{}", engines[1].instance().name);
         assert_eq!(call(deployment.control, Method::DELETE, &path, &[], "").await.status, StatusCode::OK);
         deployment.await_engines("web", 0).await;
@@ -213,21 +213,21 @@
 }
 
 #[test]
-fn an_address_of_another_instance_is_not_served_from() {
+fn a_reused_address_of_another_instance_is_not_used() {
     block_on(async {
         let (deployment, engines) = with_engines("reused", RouteKind::NonIdempotent, 1).await;
-        // The control group believes that another instance stands there.
+        // The control group has another instance at the engine's address.
         register_as(&deployment, "former", engines[0].address()).await;
-        eventually("the gateway asks for the other instance", async || {
+        eventually("the gateway expects the other instance", async || {
             deployment.request(Method::POST, "/plans/1", &[ID], "").await.status == StatusCode::SERVICE_UNAVAILABLE
         })
         .await;
-        assert_eq!(ran(&engines), 0);
+        assert_eq!(executed_requests(&engines), 0);
     });
 }
 
 #[test]
-fn targets_get_their_weights_shares() {
+fn targets_get_requests_in_proportion_to_their_weights() {
     block_on(async {
         let deployment = Deployment::start("weights").await;
         let mut split = route("/plans/", RouteKind::Idempotent, "web");
@@ -244,12 +244,12 @@
         for _ in 0..40 {
             assert_eq!(deployment.request(Method::GET, "/plans/1", &[ID], "").await.status, StatusCode::OK);
         }
-        assert_eq!((web.seen().len(), other.seen().len()), (30, 10));
+        assert_eq!((web.received_requests().len(), other.received_requests().len()), (30, 10));
     });
 }
 
 #[test]
-fn a_newer_document_changes_the_route_at_once() {
+fn a_newer_document_replaces_the_routes() {
     block_on(async {
         let (deployment, _engines) = with_engines("newer", RouteKind::Idempotent, 1).await;
         deployment.configure(&document(7, vec![route("/new/", RouteKind::Idempotent, "web")])).await;
@@ -262,18 +262,18 @@
 }
 
 #[test]
-fn a_body_beyond_the_limit_is_refused() {
+fn a_body_beyond_the_limit_is_rejected() {
     block_on(async {
         let (deployment, engines) = with_engines("large", RouteKind::Idempotent, 1).await;
         let answer = deployment.request(Method::POST, "/plans/1", &[ID], &"x".repeat(100_001)).await;
         assert_eq!(answer.status, StatusCode::PAYLOAD_TOO_LARGE);
-        assert_eq!(ran(&engines), 0);
+        assert_eq!(executed_requests(&engines), 0);
     });
 }
 
 async fn with_raw(name: &str, answer: &'static str, closes: bool) -> (Deployment, RawServer, StandInEngine) {
     let (deployment, engines) = with_engines(name, RouteKind::Idempotent, 1).await;
-    // The raw server is unknown, and so is tried before one known to be slow.
+    // The load balancer tries the raw server, which has no latency samples, before the slow engine.
     engines[0].set_conduct(Conduct::AnswerAfter(Duration::from_millis(40)));
     for _ in 0..6 {
         deployment.request(Method::GET, "/plans/1", &[ID], "").await;
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn bytes_behind_a_whole_answer_belong_to_no_request() {
+fn bytes_after_a_complete_response_are_discarded() {
     const ANSWER: &str = "HTTP/1.1 200 OK\r\nsaddlerelay-request: {id}\r\nsaddlerelay-stamp: raw\r\ncontent-length: 3\r\n\r\nrawHTTP/1.1 200 OK\r\nsaddlerelay-request: stale\r\nsaddlerelay-stamp: raw\r\ncontent-length: 5\r\n\r\nstale";
     block_on(async {
         let (deployment, raw, engine) = with_raw("surplus", ANSWER, false).await;
@@ -295,13 +295,13 @@
             assert_eq!(answer.headers["saddlerelay-request"], id.as_str());
             assert!(answer.body == "raw" || answer.body == "engine-0 answers /plans/1", "{:?}", answer.body);
         }
-        assert!(raw.requests.get() > 0, "the surplus server was never asked");
-        assert!(!engine.seen().is_empty() || raw.requests.get() >= 30);
+        assert!(raw.requests.get() > 0, "the raw server received no request");
+        assert!(!engine.received_requests().is_empty() || raw.requests.get() >= 30);
     });
 }
 
 #[test]
-fn what_is_no_answer_or_ends_early_is_replaced() {
+fn an_invalid_or_truncated_response_is_replaced_by_another_engines() {
     const NONSENSE: &str = "this is no answer\r\n\r\n";
     const SHORT: &str =
         "HTTP/1.1 200 OK\r\nsaddlerelay-request: {id}\r\nsaddlerelay-stamp: raw\r\ncontent-length: 30\r\n\r\nshort";
@@ -312,13 +312,13 @@
                 let answer = deployment.request(Method::GET, "/plans/1", &[ID], "").await;
                 assert_eq!(answer.body, "engine-0 answers /plans/1", "{name}");
             }
-            assert!(raw.requests.get() > 0, "{name}: the raw server was never asked");
+            assert!(raw.requests.get() > 0, "{name}: the raw server received no request");
         });
     }
 }
 
 #[test]
-fn a_stream_goes_on_at_another_engine_without_gap_or_repeat() {
+fn a_stream_resumes_at_another_engine_without_gap_or_duplicate() {
     block_on(async {
         let deployment = Deployment::start("stream").await;
         let mut streams = route("/plans/", RouteKind::Streaming, "web");
@@ -334,7 +334,10 @@
         let text = String::from_utf8(answer.body.to_vec()).expect("text");
         let ids: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("id: ")).collect();
         assert_eq!(ids, ["1", "2", "3", "4", "5", "6"]);
-        let resumed = engines.iter().flat_map(StandInEngine::seen).find(|seen| seen.header("last-event-id").is_some());
+        let resumed = engines
+            .iter()
+            .flat_map(StandInEngine::received_requests)
+            .find(|seen| seen.header("last-event-id").is_some());
         assert_eq!(resumed.and_then(|seen| seen.header("last-event-id").map(str::to_string)), Some("3".to_string()));
     });
 }
--- a/crates/gateway-api/tests/scoring.rs
+++ b/crates/gateway-api/tests/scoring.rs
@@ -1,8 +1,8 @@
-//! Items whose whole texts are scored before they are listed.
+//! Items whose completed texts are scored before they are listed.
 
 mod common;
 
-use common::engine::{Conduct, Seen, StandInEngine};
+use common::engine::{Conduct, ReceivedRequest, StandInEngine};
 use common::{Deployment, block_on, call, document, eventually, job, rollouts, route};
 use hyper::{Method, StatusCode};
 use saddlerelay_types::instance::InstanceId;
@@ -11,7 +11,7 @@
 use saddlerelay_types::suspicion::{EngineLoss, WorkEvidence};
 use std::time::Duration;
 
-/// Calls for scores that an engine with four slots is given at once.
+/// Maximum number of concurrent scoring calls at an engine with four slots.
 const SCORING_SLOTS: u32 = 2;
 
 struct Scored {
@@ -39,8 +39,8 @@
         self.scorers.iter().for_each(|engine| engine.set_conduct(conduct));
     }
 
-    fn calls(&self) -> Vec<Seen> {
-        self.scorers.iter().flat_map(StandInEngine::seen).collect()
+    fn calls(&self) -> Vec<ReceivedRequest> {
+        self.scorers.iter().flat_map(StandInEngine::received_requests).collect()
     }
 
     async fn listed(&self, id: &str) -> ResultPage {
@@ -73,33 +73,34 @@
         let page = scored.deployment.await_results("j-1", 8).await;
         for (_, result) in &page.results {
             let call_path = format!("/checks/{}", result.item);
-            let of_item = |engine: &&StandInEngine| engine.seen().iter().any(|seen| seen.path == call_path);
-            let engine = scored.scorers.iter().find(of_item).expect("it was called");
+            let of_item =
+                |engine: &&StandInEngine| engine.received_requests().iter().any(|seen| seen.path == call_path);
+            let engine = scored.scorers.iter().find(of_item).expect("a scoring call");
             assert_eq!((result.end, result.score.as_deref()), (ItemEnd::Completed, Some(&*engine.instance().name)));
         }
         let calls = scored.calls();
-        assert_eq!(calls.len(), 8, "each is called for once");
-        let call = calls.iter().find(|call| call.path == "/checks/5").expect("it was called");
+        assert_eq!(calls.len(), 8, "one call per item");
+        let call = calls.iter().find(|call| call.path == "/checks/5").expect("a scoring call");
         assert_eq!((call.method.as_str(), call.header("host")), ("POST", Some(common::HOST)));
         assert_eq!((call.header("saddlerelay-request"), &call.body[..]), (Some("j-1-score-5"), &b"check 5"[..]));
     });
 }
 
 #[test]
-fn a_scorer_that_fails_as_often_as_its_route_allows_ends_the_item() {
+fn an_item_is_aborted_after_its_scorer_fails_on_all_attempts() {
     block_on(async {
         let scored = Scored::start("score-fails", 2).await;
         scored.set_conduct(Conduct::Fail);
         scored.deployment.submit(&scored_job("j-1", 1)).await;
         let page = scored.deployment.await_results("j-1", 1).await;
         assert_eq!((page.results[0].1.end, page.results[0].1.score.as_deref()), (ItemEnd::Aborted, None));
-        assert_eq!(scored.calls().len(), 2, "as often as the route's attempts allow");
-        assert_eq!(scored.model.seen().len(), 1, "the text was not made again");
+        assert_eq!(scored.calls().len(), 2, "the route's maximum number of attempts");
+        assert_eq!(scored.model.received_requests().len(), 1, "the text was generated once");
     });
 }
 
 #[test]
-fn an_answer_that_is_no_score_is_not_an_attempt_and_costs_no_text() {
+fn a_response_without_a_score_does_not_count_as_an_attempt() {
     let conducts = [
         Conduct::Shed,
         Conduct::BreakOff,
@@ -113,24 +114,25 @@
             let scored = Scored::start(&format!("no-score-{conduct:?}"), 1).await;
             scored.set_conduct(conduct);
             scored.deployment.submit(&scored_job("j-1", 1)).await;
-            eventually("it is called for more often than a failing one", async || scored.calls().len() > 2).await;
+            eventually("the call is retried more often than the attempts allow", async || scored.calls().len() > 2)
+                .await;
             assert_eq!(scored.listed("j-1").await.results.len(), 0, "{conduct:?}");
             scored.set_conduct(Conduct::Answer);
             let page = scored.deployment.await_results("j-1", 1).await;
             assert_eq!(page.results[0].1.score.as_deref(), Some("scorer-0"), "{conduct:?}");
-            assert_eq!(scored.model.seen().len(), 1, "{conduct:?}");
+            assert_eq!(scored.model.received_requests().len(), 1, "{conduct:?}");
         });
     }
 }
 
 #[test]
-fn a_whole_text_waits_for_a_route_and_for_an_engine() {
+fn a_completed_text_waits_for_a_route_and_a_scorer() {
     block_on(async {
         let scored = Scored::start("score-waits", 0).await;
         let without_route = document(2, vec![rollouts()]);
         scored.deployment.configure(&without_route).await;
         scored.deployment.submit(&scored_job("j-1", 2)).await;
-        eventually("the texts are made", async || scored.model.seen().len() == 2).await;
+        eventually("the texts are generated", async || scored.model.received_requests().len() == 2).await;
         compio::time::sleep(Duration::from_millis(200)).await;
         assert_eq!(scored.listed("j-1").await.results.len(), 0);
         scored.deployment.configure(&with_scorers(3)).await;
@@ -138,7 +140,7 @@
         scored.deployment.register(&engine, "web").await;
         let page = scored.deployment.await_results("j-1", 2).await;
         assert!(page.results.iter().all(|(_, result)| result.score.as_deref() == Some("late-scorer")));
-        assert_eq!(scored.model.seen().len(), 2, "no text was made again");
+        assert_eq!(scored.model.received_requests().len(), 2, "each text was generated once");
     });
 }
 
@@ -152,7 +154,7 @@
         scored.deployment.submit(&scored_job("j-2", 2)).await;
         let page = scored.deployment.await_results("j-2", 2).await;
         assert!(page.results.iter().all(|(_, result)| result.score.is_some()));
-        assert_eq!((scored.model.seen().len(), scored.calls().len()), (2, 4));
+        assert_eq!((scored.model.received_requests().len(), scored.calls().len()), (2, 4));
         assert!(scored.calls()[2..].iter().all(|call| call.header("saddlerelay-request").unwrap().starts_with("j-2")));
     });
 }
@@ -163,10 +165,10 @@
         let scored = Scored::start("score-ended", 1).await;
         scored.set_conduct(Conduct::Hang);
         scored.deployment.submit(&scored_job("j-1", 6)).await;
-        eventually("calls are under way", async || scored.calls().len() as u32 == SCORING_SLOTS).await;
+        eventually("calls are in progress", async || scored.calls().len() as u32 == SCORING_SLOTS).await;
         let answer = call(scored.deployment.front, Method::DELETE, "/v1/jobs/j-1", &[], "").await;
         assert_eq!(answer.status, StatusCode::OK);
-        eventually("they are broken off", async || scored.scorers[0].dropped() == SCORING_SLOTS).await;
+        eventually("the calls are cancelled", async || scored.scorers[0].cancelled() == SCORING_SLOTS).await;
         compio::time::sleep(Duration::from_millis(300)).await;
         assert_eq!(scored.calls().len() as u32, SCORING_SLOTS);
         assert_eq!(scored.listed("j-1").await.results.len(), 0);
@@ -174,18 +176,18 @@
 }
 
 #[test]
-fn calls_leave_slots_to_callers() {
+fn scoring_calls_leave_slots_for_callers() {
     block_on(async {
         let scored = Scored::start("score-slots", 1).await;
         scored.set_conduct(Conduct::AnswerAfter(Duration::from_millis(20)));
         scored.deployment.submit(&scored_job("j-1", 12)).await;
         scored.deployment.await_results("j-1", 12).await;
-        assert_eq!(scored.scorers[0].most_at_once(), SCORING_SLOTS);
+        assert_eq!(scored.scorers[0].max_concurrent(), SCORING_SLOTS);
     });
 }
 
 #[test]
-fn calls_are_shared_out_among_the_targets_of_their_route() {
+fn scoring_calls_are_split_among_the_targets_of_their_route() {
     block_on(async {
         let scored = Scored::start("score-split", 1).await;
         let mut checks = route("/checks/", RouteKind::Idempotent, "web");
@@ -196,46 +198,46 @@
         scored.deployment.register(&other, "other").await;
         scored.deployment.submit(&scored_job("j-1", 24)).await;
         scored.deployment.await_results("j-1", 24).await;
-        assert_eq!((scored.calls().len(), other.seen().len()), (18, 6));
+        assert_eq!((scored.calls().len(), other.received_requests().len()), (18, 6));
     });
 }
 
-/// How long a scorer takes where two calls must not meet: a text is made, and its call begun, well within it.
+/// Duration of a scoring call in tests of mutual exclusion; longer than generating a text and starting its call.
 const LONG_CALL: Duration = Duration::from_millis(700);
 
-/// An engine has ended under a call for a score, and the gateway knows.
-async fn suspect(scored: &Scored, request: &ScoringRequest) {
+/// Records that an engine crashed during a scoring call, and waits until the gateway has the record.
+async fn record_crash(scored: &Scored, request: &ScoringRequest) {
     let loss = EngineLoss { work: request.work_digest(None), instance: InstanceId::named("a scorer that has ended") };
     let evidence = WorkEvidence { losses: vec![loss], served: Vec::new() };
-    scored.deployment.node.commit_evidence(evidence).await.expect("it leads");
-    eventually("the gateway knows", async || scored.deployment.gateway.suspected_work() == 1).await;
+    scored.deployment.node.commit_evidence(evidence).await.expect("the leader commits");
+    eventually("the gateway has the record", async || scored.deployment.gateway.suspected_work() == 1).await;
 }
 
 #[test]
-fn two_items_have_the_same_suspected_score_asked_for_one_after_the_other() {
+fn identical_suspected_scoring_calls_of_two_items_run_one_at_a_time() {
     block_on(async {
         let scored = Scored::start("score-alone", 1).await;
         scored.set_conduct(Conduct::AnswerAfter(LONG_CALL));
         let mut job = scored_job("j-1", 2);
         let first = job.items[0].scorer.clone().expect("a scorer");
         job.items[1].scorer = Some(ScoringRequest { id: "j-1-score-1".to_string(), ..first.clone() });
-        suspect(&scored, &first).await;
+        record_crash(&scored, &first).await;
         scored.deployment.submit(&job).await;
         let page = scored.deployment.await_results("j-1", 2).await;
         assert!(page.results.iter().all(|(_, result)| result.score.as_deref() == Some("scorer-0")));
-        assert_eq!((scored.calls().len(), scored.scorers[0].most_at_once()), (2, 1));
+        assert_eq!((scored.calls().len(), scored.scorers[0].max_concurrent()), (2, 1));
     });
 }
 
 #[test]
-fn a_suspected_score_is_not_asked_for_while_a_caller_has_the_same_work_run() {
+fn a_suspected_scoring_call_waits_for_the_same_work_of_a_caller() {
     block_on(async {
         let scored = Scored::start("score-and-caller", 1).await;
         scored.set_conduct(Conduct::AnswerAfter(LONG_CALL));
         scored.deployment.await_engines("web", 1).await;
         let job = scored_job("j-1", 1);
         let scorer = job.items[0].scorer.as_ref().expect("a scorer");
-        suspect(&scored, scorer).await;
+        record_crash(&scored, scorer).await;
         let body = String::from_utf8_lossy(&scorer.body).into_owned();
         let headers = [("saddlerelay-request", "a-caller")];
         let caller = scored.deployment.request(Method::POST, &scorer.path, &headers, &body);
@@ -247,12 +249,12 @@
         assert_eq!(answer.status, StatusCode::OK);
         let page = scored.deployment.await_results("j-1", 1).await;
         assert_eq!(page.results[0].1.score.as_deref(), Some("scorer-0"));
-        assert_eq!((scored.calls().len(), scored.scorers[0].most_at_once()), (2, 1));
+        assert_eq!((scored.calls().len(), scored.scorers[0].max_concurrent()), (2, 1));
     });
 }
 
 #[test]
-fn a_job_with_a_scorer_that_cannot_be_called_is_refused_with_the_reason() {
+fn a_job_with_an_invalid_scorer_is_rejected_with_the_reason() {
     block_on(async {
         let scored = Scored::start("score-refused", 0).await;
         let broken = |change: fn(&mut ScoringRequest)| {
@@ -267,12 +269,12 @@
             (broken(|scorer| scorer.path.insert(1, ' ')), "the path of the scorer of item `item-1` must begin"),
             (broken(|_| ()).replace("Y2hlY2sgMQ==", "!"), "Invalid"),
         ];
-        for (body, told) in cases {
+        for (body, expected_reason) in cases {
             let headers = [("saddlerelay-request", "j-1")];
             let answer = scored.deployment.request(Method::POST, "/rollouts/j-1", &headers, &body).await;
             let reason = String::from_utf8_lossy(&answer.body).into_owned();
-            assert_eq!(answer.status, StatusCode::BAD_REQUEST, "{told}");
-            assert!(reason.contains(told), "{reason}");
+            assert_eq!(answer.status, StatusCode::BAD_REQUEST, "{expected_reason}");
+            assert!(reason.contains(expected_reason), "{reason}");
         }
         assert!(scored.deployment.results("j-1").await.is_none());
     });
--- a/crates/gateway-api/tests/tenants.rs
+++ b/crates/gateway-api/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants and their keys through a gateway: who is let in, what engines are told, whose a batch job is, and what is counted.
+//! Tenants and API keys at a gateway: authentication, headers sent to engines, ownership of batch jobs and usage counts.
 
 mod common;
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_unknown_key_is_refused_and_reaches_no_engine() {
+fn a_request_with_an_unknown_key_is_rejected_before_any_engine() {
     block_on(async {
         let (deployment, web, _llm) = started("keys-unknown").await;
         for headers in [&[][..], &[(KEY, "")], &[(KEY, "clinic-3")], &[(KEY, "clinic-11")], &[(TENANT, "clinic")]] {
@@ -54,30 +54,30 @@
         let refused = deployment.request(Method::GET, "/plans/1", &[ID, (KEY, "guessed-key")], "").await;
         assert!(!String::from_utf8_lossy(&refused.body).contains("guessed-key"));
         assert_eq!(get(&deployment, "/elsewhere/1", &[(KEY, "clinic-3")]).await, StatusCode::NOT_FOUND);
-        assert!(web.seen().is_empty(), "an engine was asked");
+        assert!(web.received_requests().is_empty(), "an engine received a request");
         assert_eq!(deployment.gateway.metrics().keys_refused.get(), 6);
     });
 }
 
 #[test]
-fn an_engine_is_told_the_tenant_of_the_key_and_never_the_key() {
+fn engines_receive_the_tenant_of_the_key_but_not_the_key() {
     block_on(async {
         let (deployment, web, _llm) = started("keys-told").await;
-        for (headers, told) in [
+        for (headers, expected_tenant) in [
             (&[(KEY, "clinic-2")][..], Some("clinic")),
             (&[(KEY, "fund-1"), (TENANT, "clinic")], Some("fund")),
             (&[(TENANT, "clinic"), (KEY, "fund-1"), (TENANT, "clinic")], Some("fund")),
         ] {
             assert_eq!(get(&deployment, "/plans/1", headers).await, StatusCode::OK);
-            let seen = web.seen().pop().expect("it was asked");
-            assert_eq!(seen.header(TENANT), told);
+            let seen = web.received_requests().pop().expect("a received request");
+            assert_eq!(seen.header(TENANT), expected_tenant);
             assert_eq!(seen.headers.get_all(TENANT).iter().count(), 1);
             assert_eq!(seen.header(KEY), None);
         }
-        // A public route needs no key; what a client says of its tenant is not passed on.
+        // A public route needs no key, and the tenant header of the client is removed.
         for headers in [&[(TENANT, "clinic")][..], &[(KEY, "nobody's"), (TENANT, "clinic")]] {
             assert_eq!(get(&deployment, "/open/1", headers).await, StatusCode::OK);
-            let seen = web.seen().pop().expect("it was asked");
+            let seen = web.received_requests().pop().expect("a received request");
             assert_eq!((seen.header(TENANT), seen.header(KEY)), (None, None));
         }
     });
@@ -85,25 +85,25 @@
 
 async fn send(connection: &mut Connection, key: &str) -> StatusCode {
     let headers = [ID, (KEY, key), ("host", HOST)];
-    let response = connection.send(Method::GET, "/plans/1", &headers, "").await.expect("an answer");
+    let response = connection.send(Method::GET, "/plans/1", &headers, "").await.expect("a response");
     let (head, body) = response.into_parts();
     saddlerelay_http::body::read_whole(body).await.expect("a whole body");
     head.status
 }
 
 #[test]
-fn a_key_that_was_taken_away_is_refused_on_a_kept_connection_and_a_new_one_is_taken() {
+fn a_revoked_key_is_rejected_on_an_open_connection_and_a_new_key_accepted() {
     block_on(async {
         let (deployment, _web, _llm) = started("keys-revoked").await;
         let mut connection = Connection::open(deployment.front).await.expect("it listens");
         assert_eq!(send(&mut connection, "clinic-1").await, StatusCode::OK);
         let tenants = vec![tenant("clinic", &["clinic-2", "clinic-9"]), tenant("fund", &["fund-1"])];
         deployment.configure(&with_tenants(2, tenants)).await;
-        eventually("the key is refused", async || send(&mut connection, "clinic-1").await == StatusCode::UNAUTHORIZED)
+        eventually("the key is rejected", async || send(&mut connection, "clinic-1").await == StatusCode::UNAUTHORIZED)
             .await;
         assert_eq!(send(&mut connection, "clinic-2").await, StatusCode::OK);
         assert_eq!(send(&mut connection, "clinic-9").await, StatusCode::OK);
-        // An older document changes nothing.
+        // An older document is ignored.
         let body = serde_json::to_vec(&with_tenants(1, vec![tenant("clinic", &["clinic-1"])])).expect("JSON");
         let answer = call(deployment.control, Method::PUT, "/admin/v1/routing", &[], body).await;
         assert_eq!(answer.status, StatusCode::OK);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_document_in_which_two_tenants_share_a_key_is_not_taken() {
+fn a_document_in_which_two_tenants_share_a_key_is_rejected() {
     block_on(async {
         let (deployment, _web, _llm) = started("keys-shared").await;
         let shared = with_tenants(2, vec![tenant("clinic", &["clinic-1"]), tenant("fund", &["clinic-1"])]);
@@ -130,12 +130,12 @@
     call(deployment.front, Method::POST, &path, &headers, body).await.status
 }
 
-async fn about(deployment: &Deployment, method: Method, path: &str, key: &str) -> WholeResponse {
+async fn call_as(deployment: &Deployment, method: Method, path: &str, key: &str) -> WholeResponse {
     call(deployment.front, method, path, &[("host", HOST), (KEY, key)], "").await
 }
 
 async fn results(deployment: &Deployment, key: &str) -> (StatusCode, usize) {
-    let answer = about(deployment, Method::GET, "/v1/jobs/j/results?after=0&wait_ms=50", key).await;
+    let answer = call_as(deployment, Method::GET, "/v1/jobs/j/results?after=0&wait_ms=50", key).await;
     let page = serde_json::from_slice::<saddlerelay_types::job::ResultPage>(&answer.body);
     (answer.status, page.map_or(0, |page| page.results.len()))
 }
@@ -145,48 +145,56 @@
     block_on(async {
         let (deployment, _web, llm) = started("keys-jobs").await;
         llm.set_conduct(Conduct::Hang);
-        let mut handed_in = job("j", 1, 0, 4, 3);
-        let own_words = vec![(TENANT.to_string(), "fund".to_string()), (KEY.to_string(), "clinic-1".to_string())];
-        handed_in.items[0].headers.extend(own_words);
-        assert_eq!(submit(&deployment, &handed_in, "guessed").await, StatusCode::UNAUTHORIZED);
-        assert_eq!(submit(&deployment, &handed_in, "clinic-1").await, StatusCode::ACCEPTED);
+        let mut submission = job("j", 1, 0, 4, 3);
+        let forged_headers = vec![(TENANT.to_string(), "fund".to_string()), (KEY.to_string(), "clinic-1".to_string())];
+        submission.items[0].headers.extend(forged_headers);
+        assert_eq!(submit(&deployment, &submission, "guessed").await, StatusCode::UNAUTHORIZED);
+        assert_eq!(submit(&deployment, &submission, "clinic-1").await, StatusCode::ACCEPTED);
         let calls = [
             (Method::GET, "/v1/jobs/j/results?after=0"),
             (Method::GET, "/v1/jobs/j/items/item-3/body"),
             (Method::DELETE, "/v1/jobs/j"),
         ];
         for (method, path) in calls.clone() {
-            let refused = about(&deployment, method.clone(), path, "guessed").await;
+            let refused = call_as(&deployment, method.clone(), path, "guessed").await;
             assert_eq!(refused.status, StatusCode::UNAUTHORIZED, "{path}");
-            let another = about(&deployment, method.clone(), path, "fund-1").await;
+            let another = call_as(&deployment, method.clone(), path, "fund-1").await;
             let unknown =
-                about(&deployment, method, &path.replace("/j", "/x").replace("/xobs", "/jobs"), "fund-1").await;
+                call_as(&deployment, method, &path.replace("/j", "/x").replace("/xobs", "/jobs"), "fund-1").await;
             assert_eq!(another.status, StatusCode::NOT_FOUND, "{path}");
-            assert_eq!((another.status, another.body), (unknown.status, unknown.body), "another tenant learns of it");
+            assert_eq!(
+                (another.status, another.body),
+                (unknown.status, unknown.body),
+                "the response reveals the job to another tenant"
+            );
         }
-        assert_eq!(submit(&deployment, &handed_in, "fund-1").await, StatusCode::NOT_FOUND);
-        assert_eq!(submit(&deployment, &handed_in, "clinic-2").await, StatusCode::ACCEPTED, "it is the same job");
-        let body = about(&deployment, Method::GET, "/v1/jobs/j/items/item-3/body", "clinic-2").await;
+        assert_eq!(submit(&deployment, &submission, "fund-1").await, StatusCode::NOT_FOUND);
+        assert_eq!(
+            submit(&deployment, &submission, "clinic-2").await,
+            StatusCode::ACCEPTED,
+            "a repeated submission is idempotent"
+        );
+        let body = call_as(&deployment, Method::GET, "/v1/jobs/j/items/item-3/body", "clinic-2").await;
         assert_eq!((body.status, &body.body[..]), (StatusCode::OK, &b"prompt 3"[..]));
-        eventually("items are at the engine", async || llm.seen().len() >= 4).await;
-        for seen in llm.seen() {
+        eventually("items are at the engine", async || llm.received_requests().len() >= 4).await;
+        for seen in llm.received_requests() {
             assert_eq!((seen.header(TENANT), seen.header(KEY)), (Some("clinic"), None));
             assert_eq!(seen.headers.get_all(TENANT).iter().count(), 1);
         }
-        let ended = about(&deployment, Method::DELETE, "/v1/jobs/j", "clinic-2").await;
+        let ended = call_as(&deployment, Method::DELETE, "/v1/jobs/j", "clinic-2").await;
         assert_eq!(ended.status, StatusCode::OK);
     });
 }
 
 #[test]
-fn the_loss_of_a_key_ends_no_job() {
+fn revoking_a_key_does_not_end_its_jobs() {
     block_on(async {
         let (deployment, _web, llm) = started("keys-lost").await;
         llm.set_conduct(Conduct::Shed);
         assert_eq!(submit(&deployment, &job("j", 1, 0, 4, 3), "clinic-1").await, StatusCode::ACCEPTED);
         let tenants = vec![tenant("clinic", &["clinic-2"]), tenant("fund", &["fund-1"])];
         deployment.configure(&with_tenants(2, tenants)).await;
-        eventually("the key is refused", async || results(&deployment, "clinic-1").await.0 == StatusCode::UNAUTHORIZED)
+        eventually("the key is revoked", async || results(&deployment, "clinic-1").await.0 == StatusCode::UNAUTHORIZED)
             .await;
         llm.set_conduct(Conduct::Answer);
         eventually("the job is done", async || results(&deployment, "clinic-2").await == (StatusCode::OK, 4)).await;
@@ -194,10 +202,10 @@
 }
 
 #[test]
-fn requests_that_engines_have_begun_are_counted_by_tenant_and_no_others() {
+fn only_requests_that_an_engine_started_are_counted_for_their_tenant() {
     block_on(async {
         let (deployment, web, _llm) = started("keys-usage").await;
-        eventually("the gateway knows the time", async || {
+        eventually("the gateway has the time", async || {
             deployment.gateway.metrics().usage_counted.get() > 0
                 || get(&deployment, "/plans/1", &[(KEY, "fund-1")]).await != StatusCode::OK
         })
@@ -206,13 +214,13 @@
         for _ in 0..3 {
             assert_eq!(get(&deployment, "/plans/1", &[(KEY, "clinic-1")]).await, StatusCode::OK);
         }
-        // Of these, engines begin none, or it is nobody's.
+        // Not counted: a request without a tenant, a rejected one, and one that the engine did not execute.
         assert_eq!(get(&deployment, "/open/1", &[]).await, StatusCode::OK);
         assert_eq!(get(&deployment, "/plans/1", &[(KEY, "guessed")]).await, StatusCode::UNAUTHORIZED);
         web.set_conduct(Conduct::Shed);
         assert_eq!(get(&deployment, "/plans/1", &[(KEY, "clinic-1")]).await, StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(deployment.gateway.metrics().usage_counted.get() - before, 3);
-        // A request that ran and failed was begun all the same.
+        // A request that failed after its execution started is counted.
         web.set_conduct(Conduct::Fail);
         assert_eq!(get(&deployment, "/plans/1", &[(KEY, "clinic-1")]).await, StatusCode::INTERNAL_SERVER_ERROR);
         assert_eq!(deployment.gateway.metrics().usage_counted.get() - before, 4);
@@ -225,6 +233,6 @@
             };
             (sum("clinic"), sum("fund"))
         };
-        eventually("the group holds the counts", async || committed() == (4, before)).await;
+        eventually("the counts are committed", async || committed() == (4, before)).await;
     });
 }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: whole, JSON, or a stream of parts.
+//! Request and response bodies: buffered, JSON or streamed.
 
 use bytes::Bytes;
 use futures::Stream;
@@ -13,7 +13,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Largest request body accepted, in bytes.
+/// Default maximum size of a body read by [`read_whole`].
 pub const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 /// A response body.
@@ -22,17 +22,17 @@
 /// A response.
 pub type Reply = Response<ReplyBody>;
 
-/// A body that need not be sent between threads.
+/// A response body that is not `Send`.
 pub enum LocalBody {
-    /// All of it.
+    /// A buffered body.
     Whole(Full<Bytes>),
-    /// Parts as they come.
+    /// A streamed body that ends when the sender is dropped.
     Parts(mpsc::UnboundedReceiver<Bytes>),
-    /// Parts that may break off; the connection then ends without a proper end of the body.
+    /// A streamed body that may fail; the connection is then closed before the end of the body.
     Breakable(Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>>>>),
 }
 
-/// A body that cannot be given whole.
+/// The source of a streamed body failed before its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BrokenOff;
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// A response with a whole body.
+/// A response with a buffered body.
 pub fn whole(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Reply {
     let mut reply = Response::new(LocalBody::Whole(Full::new(body.into())));
     *reply.status_mut() = status;
@@ -83,7 +83,7 @@
     whole(status, "application/json", body)
 }
 
-/// A response whose body is sent part by part; it ends when the sender is dropped.
+/// A response with a streamed body, which ends when the sender is dropped.
 pub fn parts(content_type: &'static str, parts: mpsc::UnboundedReceiver<Bytes>) -> Reply {
     let mut reply = Response::new(LocalBody::Parts(parts));
     reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
@@ -93,11 +93,11 @@
 /// Why a body could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// Larger than [`MAX_BODY_BYTES`].
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The connection was lost.
+    /// The connection failed before the end of the body.
     Lost,
-    /// Not the JSON that was expected; the text says where.
+    /// The body is not the expected JSON; contains the parser's message.
     Malformed(String),
 }
 
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls a server over a connection of its own, so that a failed connect is told from a lost request.
+//! HTTP client with one connection per call, so that errors before and after the request was sent are distinguishable.
 
 use crate::body::{BodyError, read_whole};
 use bytes::Bytes;
@@ -15,9 +15,9 @@
 /// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HttpError {
-    /// No connection: nothing was sent.
+    /// The connection could not be established; nothing was sent.
     NotSent(String),
-    /// The request may have been received.
+    /// The connection failed later; the server may have received the request.
     Lost(String),
 }
 
@@ -32,13 +32,13 @@
 
 impl std::error::Error for HttpError {}
 
-/// An open connection for one request.
+/// An open connection to a server.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     address: SocketAddr,
 }
 
-/// A whole response.
+/// A response with its body buffered.
 pub struct WholeResponse {
     /// The status.
     pub status: StatusCode,
@@ -56,19 +56,20 @@
         let handshake = http1::handshake(HyperStream::new_plain(stream)).await;
         let (sender, connection) = handshake.map_err(|error| HttpError::NotSent(error.to_string()))?;
         compio::runtime::spawn(async move {
-            // Its error reaches the request that waits for an answer.
+            // The pending request reports the connection's error.
             let _ = connection.await;
         })
         .detach();
         Ok(Self { sender, address })
     }
 
-    /// Waits until the connection takes another request; `false` once it is closed.
+    /// Waits until the connection can send another request; `false` if it is closed.
     pub async fn is_open(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends a request with `headers`, the host of its own among them if need be, and returns the response with its body still to come.
+    /// Sends a request and returns the response with an unread body. `Host` is the server's address unless `headers`
+    /// contains one.
     pub async fn send(
         &mut self,
         method: Method,
@@ -90,7 +91,7 @@
     }
 }
 
-/// Connects, sends one request and reads the whole response.
+/// Sends one request over a new connection and reads the entire response.
 pub async fn call(
     address: SocketAddr,
     method: Method,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 by hyper on compio: a server, a client whose connect and send are two steps, JSON and event streams.
+//! HTTP/1.1 with hyper on compio: server, client, JSON bodies and server-sent events.
 
 pub mod body;
 pub mod client;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP: one task for each connection.
+//! HTTP server with one task per connection and graceful shutdown.
 
 use crate::body::Reply;
 use compio::net::{TcpListener, TcpStream};
@@ -15,25 +15,25 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Pause after a failed accept, for example when file descriptors ran out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example when no file descriptors are left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a closing server looks for connections in the backlog.
-const BACKLOG_LOOK: Duration = Duration::from_millis(20);
+/// How long a server that is shutting down waits for further connections from the backlog.
+const BACKLOG_WAIT: Duration = Duration::from_millis(20);
 
-/// How long a closing server waits for the first request of a connection that has just been made: it is on its way.
+/// How long a server that is shutting down waits for the first request of a connection, counted from its accept.
 const FIRST_REQUEST_WAIT: Duration = Duration::from_millis(300);
 
-/// Pause between looks at whether every connection is closed.
-const CLOSE_POLL: Duration = Duration::from_millis(10);
+/// Interval at which [`Shutdown::close`] checks whether all connections are closed.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Answers requests.
+/// Handles requests.
 pub trait HttpHandler: 'static {
-    /// The answer to `request`.
+    /// Returns the response to `request`.
     fn handle(self: Rc<Self>, request: Request<Incoming>) -> impl Future<Output = Reply> + 'static;
 }
 
-/// Ends a server in an orderly way. Clones share it.
+/// Graceful shutdown of the servers it was passed to. Clones share their state.
 #[derive(Clone, Default)]
 pub struct Shutdown {
     inner: Rc<ShutdownState>,
@@ -42,9 +42,9 @@
 #[derive(Default)]
 struct ShutdownState {
     closing: Signal,
-    /// Listeners that still accept.
+    /// Number of listeners that still accept.
     listening: Cell<usize>,
-    /// Connections that are not closed.
+    /// Number of open connections.
     open: Cell<usize>,
 }
 
@@ -55,13 +55,13 @@
 }
 
 impl Shutdown {
-    /// Stops accepting, lets every request in progress end, and waits until every connection is closed, for at most
-    /// `limit`. Returns whether all were.
+    /// Stops accepting connections and waits, for at most `limit`, until requests in progress have completed and all
+    /// connections are closed. Returns whether all were closed in time.
     pub async fn close(&self, limit: Duration) -> bool {
         self.inner.closing.notify();
         let until = Instant::now() + limit;
         while !self.inner.is_closed() && Instant::now() < until {
-            compio::time::sleep(CLOSE_POLL).await;
+            compio::time::sleep(CLOSE_POLL_INTERVAL).await;
         }
         self.inner.is_closed()
     }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Counts a connection as open until dropped.
+/// Counts a connection as open until it is dropped.
 struct OpenConnection(Rc<ShutdownState>);
 
 impl Drop for OpenConnection {
@@ -90,32 +90,32 @@
     serve_until(listener, handler, Shutdown::default()).await;
 }
 
-/// Accepts connections until `shutdown` is closed. Those already in the backlog then are still served.
+/// Accepts connections until `shutdown` is closed, and still serves those that are in the backlog at that time.
 pub async fn serve_until<H: HttpHandler>(listener: TcpListener, handler: Rc<H>, shutdown: Shutdown) {
     shutdown.inner.listening.set(shutdown.inner.listening.get() + 1);
     let start = |stream| {
         let connection = serve_connection(stream, handler.clone(), shutdown.clone(), shutdown.begin());
         compio::runtime::spawn(connection).detach();
     };
-    // One that is dropped may have taken a connection, which is reset then: the same one is asked again and again.
+    // The accept future is reused across polls: dropping one that has already accepted a connection would reset it.
     let mut accepting = Box::pin(listener.accept());
     loop {
         match future::select(accepting.as_mut(), pin!(shutdown.closing())).await {
             Either::Left((Ok((stream, _)), _)) => start(stream),
-            Either::Left((Err(_), _)) => compio::time::sleep(ACCEPT_PAUSE).await,
+            Either::Left((Err(_), _)) => compio::time::sleep(ACCEPT_RETRY_DELAY).await,
             Either::Right(_) => break,
         }
         accepting = Box::pin(listener.accept());
     }
     loop {
         let began_at = Instant::now();
-        match future::select(accepting.as_mut(), pin!(compio::time::sleep(BACKLOG_LOOK))).await {
+        match future::select(accepting.as_mut(), pin!(compio::time::sleep(BACKLOG_WAIT))).await {
             Either::Left((Ok((stream, _)), _)) => {
                 start(stream);
                 accepting = Box::pin(listener.accept());
             }
-            // The machine gave the process no time: connections may have come meanwhile.
-            Either::Right(_) if began_at.elapsed() > 2 * BACKLOG_LOOK => {}
+            // The process was not scheduled in time: connections may have arrived meanwhile.
+            Either::Right(_) if began_at.elapsed() > 2 * BACKLOG_WAIT => {}
             Either::Left((Err(_), _)) | Either::Right(_) => break,
         }
     }
@@ -134,25 +134,25 @@
         return;
     }
     let accepted_at = Instant::now();
-    let asked = Rc::new(Signal::default());
-    let told = asked.clone();
+    let first_request_received = Rc::new(Signal::default());
+    let received_signal = first_request_received.clone();
     let service = service_fn(move |request| {
-        told.notify();
-        let answer = handler.clone().handle(request);
-        async move { Ok::<_, Infallible>(answer.await) }
+        received_signal.notify();
+        let response = handler.clone().handle(request);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let connection = http1::Builder::new().serve_connection(HyperStream::new_plain(stream), service);
     let mut connection = pin!(connection);
-    // A broken connection ends its own task and nothing else; a malformed request is answered by hyper with 400.
+    // Connection errors affect only this task; hyper answers malformed requests with 400.
     if let Either::Left(_) = future::select(connection.as_mut(), pin!(shutdown.closing())).await {
         return;
     }
     let left = FIRST_REQUEST_WAIT.saturating_sub(accepted_at.elapsed());
-    let first_request = pin!(compio::time::timeout(left, asked.changed(0)));
+    let first_request = pin!(compio::time::timeout(left, first_request_received.changed(0)));
     if let Either::Left(_) = future::select(connection.as_mut(), first_request).await {
         return;
     }
     connection.as_mut().graceful_shutdown();
-    // As above: a broken connection ends its own task.
+    // Connection errors affect only this task.
     let _ = connection.await;
 }
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -1,11 +1,11 @@
-//! Server-sent events: lines of `data: …`, each followed by an empty line.
+//! Server-sent events with a single `data` line each.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use serde::Serialize;
 
-/// The data of the last event of a whole stream.
+/// Data of the event that ends a complete stream.
 pub const DONE: &str = "[DONE]";
 
 /// Content type of an event stream.
@@ -13,13 +13,13 @@
 
 const DATA_PREFIX: &str = "data: ";
 
-/// One event with `value` as JSON.
+/// Encodes an event with `value` as JSON.
 pub fn event(value: &impl Serialize) -> Bytes {
     let json = serde_json::to_string(value).unwrap_or_default();
     Bytes::from(format!("{DATA_PREFIX}{json}\n\n"))
 }
 
-/// The last event of a whole stream.
+/// Encodes the event that ends a complete stream.
 pub fn done() -> Bytes {
     Bytes::from(format!("{DATA_PREFIX}{DONE}\n\n"))
 }
@@ -36,7 +36,7 @@
         Self { body, received: Vec::new() }
     }
 
-    /// The data of the next event; `None` when the body ended or broke off.
+    /// The data of the next event; `None` when the body has ended or failed.
     pub async fn next(&mut self) -> Option<String> {
         loop {
             if let Some(data) = self.take_event() {
--- a/crates/http/tests/closing.rs
+++ b/crates/http/tests/closing.rs
@@ -1,4 +1,4 @@
-//! A server that closes still answers whoever has reached it.
+//! A server that shuts down must still answer connections that reached it.
 
 use compio::net::TcpListener;
 use hyper::body::Incoming;
@@ -11,8 +11,8 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-/// Ends a test that hangs.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 struct Hello;
 
@@ -22,11 +22,11 @@
     }
 }
 
-/// A client on a thread of its own: connects, waits, asks, and tells what it read.
+/// Runs a client on another thread: connects, waits for `pause`, sends a request and returns the response text.
 fn client(address: SocketAddr, pause: Duration) -> Receiver<std::io::Result<String>> {
-    let (told, answer) = channel();
+    let (result_sender, result) = channel();
     std::thread::spawn(move || {
-        let ask = || {
+        let request = || {
             let mut stream = TcpStream::connect(address)?;
             std::thread::sleep(pause);
             stream.write_all(b"GET / HTTP/1.1\r\nhost: here\r\n\r\n")?;
@@ -35,20 +35,20 @@
             Ok(text)
         };
         // The test may have ended.
-        let _ = told.send(ask());
+        let _ = result_sender.send(request());
     });
-    answer
+    result
 }
 
-/// Lets the server run until the client has its answer.
-async fn assert_answered(answer: Receiver<std::io::Result<String>>) {
+/// Runs the server until the client has received its response.
+async fn assert_answered(result: Receiver<std::io::Result<String>>) {
     let read = loop {
-        match answer.try_recv() {
+        match result.try_recv() {
             Ok(read) => break read,
             Err(_) => compio::time::sleep(Duration::from_millis(5)).await,
         }
     };
-    let text = read.expect("it was answered");
+    let text = read.expect("a response");
     assert!(text.starts_with("HTTP/1.1 200") && text.contains("hello"), "{text}");
 }
 
@@ -61,36 +61,37 @@
 }
 
 fn block_on(test: impl Future<Output = ()>) {
-    let ended = compio::runtime::Runtime::new().expect("a runtime").block_on(compio::time::timeout(LIMIT, test));
-    ended.expect("the test hangs");
+    let outcome =
+        compio::runtime::Runtime::new().expect("a runtime").block_on(compio::time::timeout(TEST_TIMEOUT, test));
+    outcome.expect("test timed out");
 }
 
 #[test]
-fn a_request_that_follows_its_connection_while_the_server_closes_is_answered() {
+fn a_request_sent_during_shutdown_on_an_accepted_connection_is_answered() {
     block_on(async {
         let (address, shutdown) = start().await;
-        let answer = client(address, Duration::from_millis(120));
-        // The connection stands, and the request is on its way.
+        let result = client(address, Duration::from_millis(120));
+        // The connection is established; its request is sent after the shutdown has begun.
         compio::time::sleep(Duration::from_millis(60)).await;
-        assert!(shutdown.close(LIMIT).await, "a connection stayed open");
-        assert_answered(answer).await;
+        assert!(shutdown.close(TEST_TIMEOUT).await, "a connection stayed open");
+        assert_answered(result).await;
     });
 }
 
 #[test]
-fn a_connection_that_comes_while_a_closing_server_stands_still_is_answered() {
+fn a_connection_in_the_backlog_of_a_stalled_server_is_answered_during_shutdown() {
     for _ in 0..20 {
         block_on(async {
             let (address, shutdown) = start().await;
             compio::time::sleep(Duration::from_millis(5)).await;
             let closing = shutdown.clone();
-            let closed = compio::runtime::spawn(async move { closing.close(LIMIT).await });
-            // The server looks for connections; the machine gives it no time, and one comes.
+            let closed = compio::runtime::spawn(async move { closing.close(TEST_TIMEOUT).await });
+            // The server drains its backlog. Blocking its thread delays it while a client connects.
             compio::time::sleep(Duration::from_millis(5)).await;
-            let answer = client(address, Duration::ZERO);
+            let result = client(address, Duration::ZERO);
             std::thread::sleep(Duration::from_millis(60));
-            assert_answered(answer).await;
-            assert!(closed.await.expect("it ends"), "a connection stayed open");
+            assert_answered(result).await;
+            assert!(closed.await.expect("the shutdown ends"), "a connection stayed open");
         });
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Settings files in TOML: typed, checked as a whole, unknown keys refused.
+//! Typed TOML settings files. All errors of a file are reported at once, and unknown keys are rejected.
 //!
-//! `member` has the settings of processes that find each other from seeds.
+//! `member` contains the settings of processes that discover each other through seed addresses.
 //!
-//! `types` has the settings with their defaults and units, `reader` takes values out of a file and collects every error,
-//! and `parse` does both for a whole file.
+//! `types` defines the settings of relays and control processes and `parse` reads them. `reader` extracts single values and
+//! collects the errors.
 
 pub mod member;
 pub mod parse;
--- a/crates/settings/src/member.rs
+++ b/crates/settings/src/member.rs
@@ -1,5 +1,5 @@
-//! Settings of a process in a deployment that finds its own members: what the process is, where it listens, whom it
-//! asks first, and the deployment's bounds, from which every timing is derived.
+//! Settings of a gateway or coordinator in a deployment with seed-based discovery: its role, listen addresses and seeds, and
+//! the deployment's bounds, from which leases and timeouts are derived.
 
 use crate::reader::{Section, SettingError};
 use saddlerelay_control::config::ControlConfig;
@@ -9,35 +9,35 @@
 use std::time::Duration;
 use toml::Table;
 
-/// Shortest shared secret, in characters.
-const SHORTEST_SECRET: usize = 16;
+/// Minimum length of the shared secret, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// What is left between the end of a relay's lease and the bound that it serves, for clocks and messages in flight.
+/// Margin between the end of a relay's configuration lease and the shortest bound it must satisfy, for clock drift and
+/// messages in flight.
 const LEASE_MARGIN: Duration = Duration::from_millis(250);
 
-/// What is added to the reports that an engine may miss before it is called silent.
+/// Added to the interval of [`MISSED_REPORTS`] before an engine is considered silent.
 const SILENCE_MARGIN: Duration = Duration::from_millis(400);
 
-/// Reports that an engine may miss before it is called silent.
+/// Consecutive reports that an engine may miss before it is considered silent.
 const MISSED_REPORTS: u32 = 3;
 
-/// What is added to the time for which a job must be readable.
-const KEEP_MARGIN: Duration = Duration::from_secs(30);
+/// Added to the retention that the settings require for a job.
+const RETENTION_MARGIN: Duration = Duration::from_secs(30);
 
-/// What is added to the wait of a new holder of orders.
+/// Added to the order lease before a new holder may send orders.
 const ORDER_MARGIN: Duration = Duration::from_millis(400);
 
-/// Bytes of log that a member writes between two snapshots. A process that starts holds them twice, once as its file and
-/// once decoded: little beside the smallest machines' memory of 88 MB. Snapshots are small, because they leave texts out.
+/// Log bytes between two snapshots. Replay at startup holds them in memory twice, encoded and decoded.
 const SNAPSHOT_BYTES: u64 = 12 * 1024 * 1024;
 
-/// Bytes of log that a member keeps in memory for voters that are behind. Beyond, they are sent what its log file holds.
-const MEMORY_BYTES_BEHIND: u64 = 3 * 1024 * 1024;
+/// Log bytes kept in memory for lagging voters; older entries are read from the log file.
+const LAGGING_VOTER_BYTES: u64 = 3 * 1024 * 1024;
 
-/// The duty of telling the platform the usage of tenants, as the settings name it.
+/// Settings value that enables usage reports to the platform.
 const USAGE_REPORT: &str = "usage_report";
 
-/// The duty of telling the platform how many engines are wanted, as the settings name it.
+/// Settings value that enables requests to the platform for engine counts.
 const AUTOSCALE: &str = "autoscale";
 
 /// A member's settings.
@@ -47,98 +47,98 @@
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Where it tells its metrics, if anywhere.
+    /// Listen address of the metrics endpoint; `None` disables it.
     pub metrics_address: Option<SocketAddr>,
-    /// Where control replicas may be found at first: the addresses that they serve operators and engines at.
+    /// Control addresses of coordinators, used for initial discovery.
     pub seeds: Vec<SocketAddr>,
-    /// The port at which every replica listens for saddlerelay's own processes.
+    /// The peer RPC port of every replica.
     pub peer_port: u16,
-    /// The secret that saddlerelay's own processes share; at least 16 characters.
+    /// Shared secret that authenticates peer RPCs; at least 16 bytes.
     pub shared_secret: String,
     /// The deployment's bounds.
     pub bounds: Bounds,
-    /// How tenants' requests are counted; `None` if they are not.
+    /// Usage accounting by tenant; `None` disables it.
     pub usage: Option<UsageSettings>,
-    /// The platform, where the deployment has duties towards it.
+    /// The platform that receives usage reports and engine counts; `None` if there is none.
     pub platform: Option<PlatformSettings>,
-    /// How callers, engines and operators speak to it.
+    /// Wire formats for callers, engines and operators.
     pub interface: Interface,
-    /// What the process is.
+    /// Role of the process.
     pub role: MemberRole,
 }
 
-/// How tenants' requests are counted.
+/// Usage accounting by tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageSettings {
-    /// The length of a window.
+    /// Length of an accounting window.
     pub window: Duration,
-    /// A window's report is due that long after its end.
+    /// Deadline for a window's report, counted from the end of the window.
     pub due_after: Duration,
 }
 
-/// What the deployment's leader does towards the platform.
+/// Calls that the deployment makes to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlatformSettings {
-    /// Where the platform takes calls.
+    /// The platform's HTTP address.
     pub address: SocketAddr,
-    /// It is told the usage of tenants.
+    /// Whether usage reports are sent.
     pub reports_usage: bool,
-    /// It is told how many engines are wanted.
+    /// Whether engine counts are requested.
     pub orders_engines: bool,
 }
 
-/// How callers, engines and operators speak to a member.
+/// Wire formats for callers, engines and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interface {
-    /// In the product's own formats.
-    Own,
-    /// In those of the users' platform.
+    /// saddlerelay's native formats.
+    Native,
+    /// The formats of the users' platform.
     Platform,
 }
 
-/// What a member is.
+/// Role of a process, with the settings of that role.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberRole {
-    /// Serves clients; keeps nothing.
+    /// Serves clients; keeps no state on disk.
     Gateway {
-        /// Where clients reach it.
+        /// Listen address for clients.
         client_address: SocketAddr,
-        /// Where it is asked whether it takes connections.
+        /// Listen address of the readiness probe.
         readiness_address: SocketAddr,
     },
-    /// A replica of the control group, which also runs batch jobs while it leads.
+    /// A replica of the control group, which also runs batch jobs while it is the leader.
     Coordinator {
-        /// Where operators and engines reach it.
+        /// Listen address for operators, trainers and engines.
         control_address: SocketAddr,
-        /// Where saddlerelay's own processes reach it.
+        /// Advertised address for peer RPCs.
         peer_address: SocketAddr,
-        /// Where it listens for them, if that is elsewhere, for example behind a forwarder.
+        /// Listen address for peer RPCs; differs from `peer_address` behind a forwarder.
         peer_listen_address: SocketAddr,
-        /// Its files.
+        /// Folder for the log and the snapshots.
         data_folder: PathBuf,
-        /// Whether the deployment starts for the first time.
+        /// Whether the replicas at the seeds form a new group.
         first_start: bool,
     },
 }
 
-/// What a deployment promises, and how often its engines report.
+/// Time bounds that a deployment guarantees, and the report interval of its engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Pause between an engine's reports.
+    /// Interval of an engine's reports.
     pub report_interval: Duration,
-    /// A leaving engine gets no new work so long after its leaving was acknowledged.
+    /// Time from the acknowledgement of an engine's departure until no new work is sent to it.
     pub drain: Duration,
-    /// A configuration is in force so long after it was acknowledged.
+    /// Time from the acknowledgement of a configuration until it is in force on every relay.
     pub configuration: Duration,
-    /// A key that was taken away is refused so long after it was acknowledged, by a relay out of touch too.
+    /// Time from the acknowledgement of a key's revocation until every relay rejects the key, even a partitioned one.
     pub revocation: Duration,
-    /// Holders of orders do not take turns within this time.
+    /// Minimum time between orders of two different holders.
     pub order_lease: Duration,
-    /// A planned stop may take so long.
+    /// Time limit of a graceful shutdown.
     pub grace: Duration,
-    /// A batch job stays readable so long after it was handed in.
+    /// Time for which a batch job stays readable after its submission.
     pub job_status: Duration,
-    /// Machines that may be lost at once.
+    /// Number of machines that may fail at the same time.
     pub tolerated_losses: u64,
 }
 
@@ -160,28 +160,28 @@
         bounds
     }
 
-    /// How long a relay may act on what it was told.
+    /// How long a relay may act on the configuration that it last received.
     pub fn follow_lease(&self) -> Duration {
         self.drain.min(self.configuration).min(self.revocation).saturating_sub(LEASE_MARGIN)
     }
 
-    /// The control group's timing.
+    /// Timing of the control group.
     pub fn control(&self) -> ControlConfig {
         ControlConfig {
             follow_lease: self.follow_lease(),
             instance_silence: self.report_interval * MISSED_REPORTS + SILENCE_MARGIN,
-            job_keep: self.job_status + KEEP_MARGIN,
+            job_keep: self.job_status + RETENTION_MARGIN,
             order_distance: self.order_distance(),
             ..ControlConfig::default()
         }
     }
 
-    /// How far apart the orders of two holders about one subject must be.
+    /// Minimum time between orders of two different holders about the same subject.
     pub fn order_distance(&self) -> Duration {
         self.order_lease + ORDER_MARGIN
     }
 
-    /// Replication among as many voters as the losses to be borne ask for.
+    /// Replication settings, with enough voters to tolerate `tolerated_losses` failures.
     pub fn replication(&self) -> ReplicationConfig {
         ReplicationConfig {
             heartbeat_interval: Duration::from_millis(70),
@@ -192,7 +192,7 @@
             snapshot_entries: 40_000,
             snapshot_bytes: SNAPSHOT_BYTES,
             memory_bytes: 512 * 1024,
-            memory_bytes_behind: MEMORY_BYTES_BEHIND,
+            memory_bytes_behind: LAGGING_VOTER_BYTES,
             target_voters: 2 * self.tolerated_losses as usize + 1,
             ..ReplicationConfig::default()
         }
@@ -200,7 +200,7 @@
 }
 
 impl MemberSettings {
-    /// Where the replicas behind the seeds listen for saddlerelay's own processes.
+    /// Peer RPC addresses of the replicas at the seeds.
     pub fn seed_peers(&self) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), self.peer_port)).collect()
     }
@@ -244,16 +244,16 @@
 
 fn parse_interface(root: &mut Section) -> Interface {
     match root.optional_text("interface").as_deref() {
-        None | Some("own") => Interface::Own,
+        None | Some("own") => Interface::Native,
         Some("platform") => Interface::Platform,
         Some(other) => {
-            root.refuse("interface", Some(format!("\"{other}\"")), "is not `own` or `platform`");
-            Interface::Own
+            root.reject("interface", Some(format!("\"{other}\"")), "is not `own` or `platform`");
+            Interface::Native
         }
     }
 }
 
-/// Reads a member's settings, or tells everything that is wrong with them.
+/// Parses a member's settings; on failure returns every error in the file.
 pub fn parse_member(text: &str) -> Result<MemberSettings, Vec<SettingError>> {
     let table: Table = text.parse().map_err(|error: toml::de::Error| {
         vec![SettingError { key: "(file)".to_string(), value: None, reason: error.to_string() }]
@@ -269,7 +269,7 @@
     let metrics_address = root.optional_address("metrics_address");
     let seeds = root.addresses("seeds");
     let peer_port = root.required_number("peer_port", 1..=65_535) as u16;
-    let shared_secret = root.text("shared_secret", SHORTEST_SECRET);
+    let shared_secret = root.text("shared_secret", MIN_SECRET_BYTES);
     let interface = parse_interface(&mut root);
     let role = match role_name.as_str() {
         "coordinator" => parse_coordinator(&mut root),
@@ -279,7 +279,7 @@
         },
     };
     if !matches!(role_name.as_str(), "" | "gateway" | "coordinator") {
-        root.refuse("role", Some(format!("\"{role_name}\"")), "is not `gateway` or `coordinator`");
+        root.reject("role", Some(format!("\"{role_name}\"")), "is not `gateway` or `coordinator`");
     }
     root.end();
     let bounds = Bounds::parse(bounds, &mut errors);
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a whole settings file.
+//! Parses the settings file of a relay or a control process.
 
 use crate::reader::{Section, SettingError};
 use crate::types::{ControlSettings, RelaySettings, Role, Settings};
@@ -10,9 +10,9 @@
 use std::path::PathBuf;
 use toml::Table;
 
-const SHORTEST_SECRET: usize = 16;
+const MIN_SECRET_BYTES: usize = 16;
 
-/// Reads settings, or tells everything that is wrong with them.
+/// Parses settings; on failure returns every error in the file.
 pub fn parse(text: &str) -> Result<Settings, Vec<SettingError>> {
     let table: Table = text.parse().map_err(|error: toml::de::Error| {
         vec![SettingError { key: "(file)".to_string(), value: None, reason: error.to_string() }]
@@ -26,11 +26,11 @@
     let data_folder = PathBuf::from(root.text("data_folder", 1));
     let http_address = root.address("http_address");
     let control = root.addresses("control");
-    let shared_secret = root.text("shared_secret", SHORTEST_SECRET);
+    let shared_secret = root.text("shared_secret", MIN_SECRET_BYTES);
     let scorer = root.optional_address("scorer");
     let platform = root.optional_address("platform");
     if !matches!(role.as_str(), "" | "relay" | "control") {
-        root.refuse("role", Some(format!("\"{role}\"")), "is not `relay` or `control`");
+        root.reject("role", Some(format!("\"{role}\"")), "is not `relay` or `control`");
     }
     root.end();
     let role = parse_role(&role, tables, &control, &mut errors);
@@ -46,18 +46,18 @@
 ) -> Role {
     let [relay, process, replication] = tables;
     if role == "control" {
-        refuse_section("relay", &relay, errors);
+        reject_section("relay", &relay, errors);
         Role::Control(Box::new(parse_control(process, replication, control, errors)))
     } else {
-        refuse_section("control_process", &process, errors);
-        refuse_section("replication", &replication, errors);
+        reject_section("control_process", &process, errors);
+        reject_section("replication", &replication, errors);
         Role::Relay(parse_relay(relay, errors))
     }
 }
 
-fn refuse_section(name: &str, table: &Table, errors: &mut Vec<SettingError>) {
+fn reject_section(name: &str, table: &Table, errors: &mut Vec<SettingError>) {
     if !table.is_empty() {
-        let reason = "belongs to the other role".to_string();
+        let reason = "is a section of the other role".to_string();
         errors.push(SettingError { key: name.to_string(), value: None, reason });
     }
 }
@@ -68,7 +68,7 @@
     let policy_name = section.optional_text("policy").unwrap_or_else(|| "prefix-affinity".to_string());
     let policy = PolicyName::parse(&policy_name).unwrap_or_else(|| {
         let names: Vec<&str> = PolicyName::ALL.iter().map(|policy| policy.as_str()).collect();
-        section.refuse("policy", Some(format!("\"{policy_name}\"")), format!("is not one of {}", names.join(", ")));
+        section.reject("policy", Some(format!("\"{policy_name}\"")), format!("is not one of {}", names.join(", ")));
         PolicyName::PrefixAffinity
     });
     let config = RelayConfig {
@@ -105,9 +105,9 @@
     let mut section = Section::new("control_process", process, errors);
     let peer_address = section.address("peer_address");
     if !control.contains(&peer_address) {
-        section.refuse("peer_address", Some(format!("\"{peer_address}\"")), "is not among the `control` addresses");
+        section.reject("peer_address", Some(format!("\"{peer_address}\"")), "is not among the `control` addresses");
     }
-    let operator_token = section.text("operator_token", SHORTEST_SECRET);
+    let operator_token = section.text("operator_token", MIN_SECRET_BYTES);
     let config = ControlConfig {
         relay_lease: section.milliseconds("relay_lease_ms", default.relay_lease, 500..=10_000),
         relay_loss: section.milliseconds("relay_loss_ms", default.relay_loss, 1_000..=60_000),
@@ -128,7 +128,7 @@
         order_validity: default.order_validity,
     };
     if config.relay_loss <= config.relay_lease {
-        section.refuse("relay_loss_ms", None, "must be longer than `relay_lease_ms`");
+        section.reject("relay_loss_ms", None, "must be longer than `relay_lease_ms`");
     }
     section.end();
     let replication = parse_replication(replication, errors);
@@ -149,7 +149,7 @@
         ..default
     };
     if let Some(reason) = config.error() {
-        section.refuse("lease_ms", None, reason);
+        section.reject("lease_ms", None, reason);
     }
     section.end();
     config
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Takes values out of a settings file and collects every error.
+//! Extracts values from a settings file and collects all errors.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,14 +6,14 @@
 use std::time::Duration;
 use toml::{Table, Value};
 
-/// One thing wrong with a settings file.
+/// An error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingError {
-    /// The key, with its sections.
+    /// The key, qualified with its sections.
     pub key: String,
-    /// The value given, if one was.
+    /// The rejected value; `None` if the key is missing or the value is omitted.
     pub value: Option<String>,
-    /// Why it cannot be accepted, with the allowed range.
+    /// Why the value was rejected, with the allowed range if there is one.
     pub reason: String,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// One section of a file. Values are taken out; what is left at the end is unknown.
+/// A section of a settings file. Reading a value removes it, so that keys left at the end are unknown.
 pub struct Section<'a> {
     name: String,
     table: Table,
@@ -34,7 +34,7 @@
 }
 
 impl<'a> Section<'a> {
-    /// A section; errors go to `errors`.
+    /// Creates a reader of `table` that appends errors to `errors`. The file's root has an empty name.
     pub fn new(name: &str, table: Table, errors: &'a mut Vec<SettingError>) -> Self {
         Self { name: name.to_string(), table, errors }
     }
@@ -44,108 +44,108 @@
     }
 
     /// Records an error.
-    pub fn refuse(&mut self, key: &str, value: Option<String>, reason: impl Into<String>) {
+    pub fn reject(&mut self, key: &str, value: Option<String>, reason: impl Into<String>) {
         let error = SettingError { key: self.full_key(key), value, reason: reason.into() };
         self.errors.push(error);
     }
 
-    /// Takes a section out of this one; empty if it is not there.
+    /// Removes and returns a subsection; empty if missing.
     pub fn take_table(&mut self, key: &str) -> Table {
         match self.table.remove(key) {
             None => Table::new(),
             Some(Value::Table(table)) => table,
             Some(other) => {
-                self.refuse(key, Some(other.to_string()), "is not a section");
+                self.reject(key, Some(other.to_string()), "is not a section");
                 Table::new()
             }
         }
     }
 
-    /// A text, or `None` if it is not there.
+    /// An optional string.
     pub fn optional_text(&mut self, key: &str) -> Option<String> {
         match self.table.remove(key)? {
             Value::String(text) => Some(text),
             other => {
-                self.refuse(key, Some(other.to_string()), "is not a text");
+                self.reject(key, Some(other.to_string()), "is not a string");
                 None
             }
         }
     }
 
-    /// A text that must be there and have at least `shortest` characters.
-    pub fn text(&mut self, key: &str, shortest: usize) -> String {
+    /// A required string of at least `min_bytes` bytes.
+    pub fn text(&mut self, key: &str, min_bytes: usize) -> String {
         if !self.table.contains_key(key) {
-            self.refuse(key, None, "is missing");
+            self.reject(key, None, "is missing");
             return String::new();
         }
         let text = self.optional_text(key).unwrap_or_default();
-        if text.len() < shortest {
-            self.refuse(key, None, format!("needs at least {shortest} characters"));
+        if text.len() < min_bytes {
+            self.reject(key, None, format!("needs at least {min_bytes} bytes"));
         }
         text
     }
 
-    /// An address, or `None` if it is not there.
+    /// An optional socket address.
     pub fn optional_address(&mut self, key: &str) -> Option<SocketAddr> {
         let text = self.optional_text(key)?;
         let parsed = text.parse();
         if parsed.is_err() {
-            self.refuse(key, Some(format!("\"{text}\"")), "is not an IP number with a port, such as 10.0.0.1:7400");
+            self.reject(key, Some(format!("\"{text}\"")), "is not an IP address with a port, such as 10.0.0.1:7400");
         }
         parsed.ok()
     }
 
-    /// An address that must be there.
+    /// A required socket address.
     pub fn address(&mut self, key: &str) -> SocketAddr {
         if !self.table.contains_key(key) {
-            self.refuse(key, None, "is missing");
+            self.reject(key, None, "is missing");
         }
         self.optional_address(key).unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)))
     }
 
-    /// A list of addresses that must be there and not be empty.
+    /// A required, non-empty list of socket addresses.
     pub fn addresses(&mut self, key: &str) -> Vec<SocketAddr> {
         let Some(value) = self.table.remove(key) else {
-            self.refuse(key, None, "is missing");
+            self.reject(key, None, "is missing");
             return Vec::new();
         };
         let Value::Array(values) = value else {
-            self.refuse(key, Some(value.to_string()), "is not a list");
+            self.reject(key, Some(value.to_string()), "is not a list");
             return Vec::new();
         };
         if values.is_empty() {
-            self.refuse(key, None, "needs at least one address");
+            self.reject(key, None, "needs at least one address");
         }
         let mut addresses = Vec::new();
         for value in values {
             match value.as_str().and_then(|text| text.parse().ok()) {
                 Some(address) => addresses.push(address),
-                None => self.refuse(key, Some(value.to_string()), "is not an IP number with a port"),
+                None => self.reject(key, Some(value.to_string()), "is not an IP address with a port"),
             }
         }
         addresses
     }
 
-    /// A list of texts, each one of `allowed`; empty if it is not there.
+    /// A list of strings out of `allowed`; empty if missing.
     pub fn texts(&mut self, key: &str, allowed: &[&str]) -> Vec<String> {
         let Some(value) = self.table.remove(key) else {
             return Vec::new();
         };
         let Value::Array(values) = value else {
-            self.refuse(key, Some(value.to_string()), "is not a list");
+            self.reject(key, Some(value.to_string()), "is not a list");
             return Vec::new();
         };
         let mut texts = Vec::new();
         for value in values {
             match value.as_str().filter(|text| allowed.contains(text)) {
                 Some(text) => texts.push(text.to_string()),
-                None => self.refuse(key, Some(value.to_string()), format!("is not one of {allowed:?}")),
+                None => self.reject(key, Some(value.to_string()), format!("is not one of {allowed:?}")),
             }
         }
         texts
     }
 
-    /// A whole number in `range`, or `default`.
+    /// An integer in `range`; `default` if missing.
     pub fn number(&mut self, key: &str, default: u64, range: RangeInclusive<u64>) -> u64 {
         let Some(value) = self.table.remove(key) else {
             return default;
@@ -155,27 +155,27 @@
             Some(number) => number,
             None => {
                 let reason = format!("is not a whole number from {} to {}", range.start(), range.end());
-                self.refuse(key, Some(value.to_string()), reason);
+                self.reject(key, Some(value.to_string()), reason);
                 default
             }
         }
     }
 
-    /// Milliseconds in `range`, or `default`.
+    /// A duration given in whole milliseconds, with `range` in milliseconds; `default` if missing.
     pub fn milliseconds(&mut self, key: &str, default: Duration, range: RangeInclusive<u64>) -> Duration {
         Duration::from_millis(self.number(key, default.as_millis() as u64, range))
     }
 
-    /// A whole number in `range` that must be there.
+    /// A required integer in `range`.
     pub fn required_number(&mut self, key: &str, range: RangeInclusive<u64>) -> u64 {
         if !self.table.contains_key(key) {
-            self.refuse(key, None, "is missing");
+            self.reject(key, None, "is missing");
         }
-        let least = *range.start();
-        self.number(key, least, range)
+        let minimum = *range.start();
+        self.number(key, minimum, range)
     }
 
-    /// Seconds, fractions too, in `range`, or `default`.
+    /// A duration given in seconds, fractions allowed, with `range` in seconds; `default` if missing.
     pub fn seconds(&mut self, key: &str, default: Duration, range: RangeInclusive<u64>) -> Duration {
         let Some(value) = self.table.remove(key) else {
             return default;
@@ -186,28 +186,28 @@
             Some(number) => Duration::from_secs_f64(number),
             None => {
                 let reason = format!("is not a number of seconds from {} to {}", range.start(), range.end());
-                self.refuse(key, Some(value.to_string()), reason);
+                self.reject(key, Some(value.to_string()), reason);
                 default
             }
         }
     }
 
-    /// `true` or `false`, or `default`.
+    /// A boolean; `default` if missing.
     pub fn flag(&mut self, key: &str, default: bool) -> bool {
         match self.table.remove(key) {
             None => default,
             Some(Value::Boolean(flag)) => flag,
             Some(other) => {
-                self.refuse(key, Some(other.to_string()), "is not `true` or `false`");
+                self.reject(key, Some(other.to_string()), "is not `true` or `false`");
                 default
             }
         }
     }
 
-    /// Refuses every key that was not taken.
+    /// Records an error for every key that was not read.
     pub fn end(mut self) {
         for (key, value) in std::mem::take(&mut self.table) {
-            self.refuse(&key, Some(value.to_string()), "is not a known key");
+            self.reject(&key, Some(value.to_string()), "is not a known key");
         }
     }
 }
--- a/crates/settings/src/types.rs
+++ b/crates/settings/src/types.rs
@@ -1,4 +1,4 @@
-//! The settings of a process.
+//! Settings of a relay or a control process.
 
 use saddlerelay_control::config::ControlConfig;
 use saddlerelay_policies::PolicyName;
@@ -8,55 +8,55 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What every process has.
+/// Settings of a process; `role` contains those that depend on its role.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The process's name, unique in the deployment.
     pub name: String,
     /// Its zone.
     pub zone: Zone,
-    /// The folder under which all its files live; created if it does not exist.
+    /// The folder for all of the process's files; created if missing.
     pub data_folder: PathBuf,
-    /// Where it serves HTTP.
+    /// HTTP listen address.
     pub http_address: SocketAddr,
-    /// Where the control replicas listen for saddlerelay's own processes.
+    /// Peer RPC addresses of the control replicas.
     pub control: Vec<SocketAddr>,
-    /// The secret that saddlerelay's own processes share; at least 16 characters.
+    /// Shared secret that authenticates peer RPCs; at least 16 bytes.
     pub shared_secret: String,
-    /// The scorer; without one every sample's reward is zero.
+    /// Address of the scorer; without one the reward of every sample is zero.
     pub scorer: Option<SocketAddr>,
-    /// The platform's machine list, if there is one.
+    /// Address of the platform's machine list, if there is one.
     pub platform: Option<SocketAddr>,
-    /// What the process is.
+    /// Role of the process.
     pub role: Role,
 }
 
-/// What a process is.
+/// Role of a process, with the settings of that role.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Role {
-    /// Serves callers and trainers.
+    /// A relay, which serves callers and trainers.
     Relay(RelaySettings),
-    /// One replica of the control group.
+    /// A replica of the control group.
     Control(Box<ControlSettings>),
 }
 
 /// A relay's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelaySettings {
-    /// Which engine gets a request. Default: `prefix-affinity`.
+    /// Policy that selects the engine of a request. Default: `prefix-affinity`.
     pub policy: PolicyName,
-    /// Limits.
+    /// Timeouts, intervals and limits.
     pub config: RelayConfig,
 }
 
 /// A control process's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlSettings {
-    /// Where this replica listens for saddlerelay's own processes; one of the `control` addresses.
+    /// Listen address for peer RPCs; must be one of the `control` addresses.
     pub peer_address: SocketAddr,
-    /// The operators' token; at least 16 characters.
+    /// Bearer token of operators; at least 16 bytes.
     pub operator_token: String,
-    /// Leases and polling.
+    /// Leases, polling intervals and timeouts.
     pub config: ControlConfig,
     /// Replication.
     pub replication: ReplicationConfig,
--- a/crates/settings/tests/member.rs
+++ b/crates/settings/tests/member.rs
@@ -1,4 +1,4 @@
-//! Settings of processes that find each other from seeds.
+//! Parses the settings of processes with seed-based discovery.
 
 use saddlerelay_settings::{Interface, MemberRole, parse_member};
 use std::time::Duration;
@@ -35,25 +35,25 @@
 "#;
 
 fn errors(text: &str) -> Vec<String> {
-    parse_member(text).expect_err("it is wrong").iter().map(ToString::to_string).collect()
+    parse_member(text).expect_err("settings must be rejected").iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn a_coordinator_and_a_gateway_are_read() {
-    let settings = parse_member(COORDINATOR).expect("it is right");
-    assert_eq!(settings.interface, Interface::Own);
+fn coordinator_and_gateway_settings_are_parsed() {
+    let settings = parse_member(COORDINATOR).expect("settings must be valid");
+    assert_eq!(settings.interface, Interface::Native);
     assert_eq!(settings.seed_peers(), ["10.0.0.1:7720".parse().unwrap(), "10.0.1.1:7720".parse().unwrap()]);
     assert!(matches!(settings.role, MemberRole::Coordinator { first_start: true, .. }));
     assert_eq!(settings.bounds.grace, Duration::from_millis(8_500));
-    let settings = parse_member(GATEWAY).expect("it is right");
+    let settings = parse_member(GATEWAY).expect("settings must be valid");
     assert_eq!(settings.interface, Interface::Platform);
     assert!(matches!(settings.role, MemberRole::Gateway { .. }));
 }
 
-/// Whatever the bounds, a relay's right to act ends before them, and the group bears the losses asked for.
+/// A relay's lease must expire before the bounds, and the group must have enough voters for the tolerated failures.
 #[test]
-fn timings_follow_from_the_bounds() {
-    let bounds = parse_member(COORDINATOR).expect("it is right").bounds;
+fn timings_are_derived_from_the_bounds() {
+    let bounds = parse_member(COORDINATOR).expect("settings must be valid").bounds;
     assert!(bounds.follow_lease() < bounds.drain.min(bounds.configuration));
     assert!(bounds.order_distance() > bounds.order_lease);
     assert!(bounds.control().job_keep > bounds.job_status);
@@ -64,45 +64,48 @@
 }
 
 #[test]
-fn duties_towards_the_platform_are_read() {
+fn usage_and_platform_settings_are_parsed() {
     let with = |text: &str| format!("{COORDINATOR}revocation_ms = 1500\n{text}");
     let usage = "[usage]\nwindow_s = 5\ndue_after_s = 10\n";
     let platform = "[platform]\naddress = \"10.0.0.9:80\"\nduties = [\"usage_report\", \"autoscale\"]\n";
-    let settings = parse_member(&with(&format!("{usage}{platform}"))).expect("it is right");
-    let (held, duties) = (settings.usage.expect("it counts"), settings.platform.expect("it has duties"));
-    assert_eq!((held.window, held.due_after), (Duration::from_secs(5), Duration::from_secs(10)));
+    let settings = parse_member(&with(&format!("{usage}{platform}"))).expect("settings must be valid");
+    let (counting, duties) = (settings.usage.expect("usage settings"), settings.platform.expect("platform settings"));
+    assert_eq!((counting.window, counting.due_after), (Duration::from_secs(5), Duration::from_secs(10)));
     assert!(duties.reports_usage && duties.orders_engines);
-    assert!(settings.bounds.follow_lease() < Duration::from_millis(1_500), "a key is refused in time out of touch too");
-    assert_eq!(parse_member(COORDINATOR).expect("it is right").platform, None);
-    let told = errors(&with(platform));
-    assert!(told[0].starts_with("`usage`: is missing"), "{told:?}");
-    let told = errors(&with(&format!("{usage}{}", platform.replace("autoscale", "baking"))));
-    assert!(told[0].starts_with("`platform.duties`"), "{told:?}");
+    assert!(
+        settings.bounds.follow_lease() < Duration::from_millis(1_500),
+        "a partitioned relay rejects a revoked key in time"
+    );
+    assert_eq!(parse_member(COORDINATOR).expect("settings must be valid").platform, None);
+    let messages = errors(&with(platform));
+    assert!(messages[0].starts_with("`usage`: is missing"), "{messages:?}");
+    let messages = errors(&with(&format!("{usage}{}", platform.replace("autoscale", "baking"))));
+    assert!(messages[0].starts_with("`platform.duties`"), "{messages:?}");
 }
 
 #[test]
-fn everything_that_is_wrong_is_told() {
+fn all_errors_are_reported() {
     let wrong = GATEWAY
         .replace("readiness_address = \"10.0.0.2:8167\"", "readiness_address = \"front\"")
         .replace("interface = \"platform\"", "interface = \"soap\"")
         .replace("peer_port = 7720", "peer_port = 0")
         .replace("name = \"front-1\"", "");
-    let told = errors(&format!("{wrong}surplus = 1\n\n[bounds]\ndrain_ms = 3\ngrace_s = \"long\"\n"));
-    let about = |key: &str| told.iter().any(|line| line.starts_with(&format!("`{key}`")));
+    let messages = errors(&format!("{wrong}surplus = 1\n\n[bounds]\ndrain_ms = 3\ngrace_s = \"long\"\n"));
+    let about = |key: &str| messages.iter().any(|line| line.starts_with(&format!("`{key}`")));
     for key in ["readiness_address", "interface", "peer_port", "name", "surplus", "bounds.drain_ms", "bounds.grace_s"] {
-        assert!(about(key), "nothing about {key}: {told:#?}");
+        assert!(about(key), "no error about {key}: {messages:#?}");
     }
-    assert_eq!(told.len(), 7);
+    assert_eq!(messages.len(), 7);
 }
 
 #[test]
-fn a_missing_field_of_a_template_is_told_by_its_key() {
-    // What a template leaves behind when the deployment lacks a field.
-    let told = errors(&COORDINATOR.replace("\"10.0.0.1:8166\"\npeer_address", "\"\"\npeer_address"));
-    assert_eq!(told.len(), 1);
-    assert!(told[0].starts_with("`control_address` = \"\""), "{told:?}");
-    let told = errors(&COORDINATOR.replace("drain_ms = 2500", "drain_ms = "));
-    assert!(told[0].starts_with("`(file)`"), "{told:?}");
-    let told = errors("role = \"baker\"\nseeds = []\n");
-    assert!(told.contains(&"`role` = \"baker\": is not `gateway` or `coordinator`".to_string()), "{told:?}");
+fn an_unfilled_template_field_is_reported_by_its_key() {
+    // A template whose value is missing renders to an empty string or to nothing.
+    let messages = errors(&COORDINATOR.replace("\"10.0.0.1:8166\"\npeer_address", "\"\"\npeer_address"));
+    assert_eq!(messages.len(), 1);
+    assert!(messages[0].starts_with("`control_address` = \"\""), "{messages:?}");
+    let messages = errors(&COORDINATOR.replace("drain_ms = 2500", "drain_ms = "));
+    assert!(messages[0].starts_with("`(file)`"), "{messages:?}");
+    let messages = errors("role = \"baker\"\nseeds = []\n");
+    assert!(messages.contains(&"`role` = \"baker\": is not `gateway` or `coordinator`".to_string()), "{messages:?}");
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: the examples are accepted, and everything wrong with a file is told at once.
+//! Parses the example settings files, and checks that all errors of a file are reported together.
 
 use saddlerelay_settings::{Role, parse};
 use std::path::PathBuf;
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn the_examples_of_both_deployments_are_accepted() {
+fn example_settings_files_are_accepted() {
     for deployment in ["andino", "fund"] {
         let control = parse(&example(&format!("{deployment}/control.toml"))).expect("an example is accepted");
         assert!(matches!(control.role, Role::Control(_)));
         let relay = parse(&example(&format!("{deployment}/relay.toml"))).expect("an example is accepted");
         let Role::Relay(settings) = relay.role else {
-            panic!("the relay's example is not a relay's");
+            panic!("relay.toml has a role other than relay");
         };
         assert_eq!(settings.config.drain_limit, Duration::from_secs(600));
         assert_eq!(control.control, relay.control, "both examples name the same control replicas");
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn everything_wrong_is_told_at_once() {
+fn all_errors_are_reported_at_once() {
     let text = example("andino/control.toml")
         .replace("zone = \"miraflores\"", "zone = 7")
         .replace("shared_secret = \"replace-with-your-own-secret\"", "shared_secret = \"short\"")
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_missing_key_an_unknown_section_and_a_name_in_place_of_an_ip_number_are_refused() {
+fn missing_keys_unknown_sections_and_host_names_are_rejected() {
     let text = example("fund/relay.toml")
         .replace("name = \"relay-plateau-1\"\n", "")
         .replace("http_address = \"10.2.1.21:8080\"", "http_address = \"localhost:8080\"");
@@ -59,18 +59,18 @@
 }
 
 #[test]
-fn settings_of_the_other_role_are_refused() {
+fn sections_of_the_other_role_are_rejected() {
     let text = format!("{}\n[replication]\nvoters = 3\n", example("fund/relay.toml"));
     assert_eq!(error_keys(&text), ["replication"]);
 }
 
 #[test]
-fn a_leader_lease_as_long_as_the_election_timeout_is_refused() {
+fn a_leader_lease_as_long_as_the_election_timeout_is_rejected() {
     let text = format!("{}lease_ms = 1000\n", example("fund/control.toml"));
     assert_eq!(error_keys(&text), ["replication.lease_ms"]);
 }
 
 #[test]
-fn a_file_that_is_not_toml_is_one_error() {
+fn invalid_toml_is_reported_as_a_single_error() {
     assert_eq!(error_keys("role = "), ["(file)"]);
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,5 +1,5 @@
-//! Logs: lines on standard output, and a ring in memory that is written out when something goes wrong; metrics in the
-//! standard text format.
+//! Logging to standard output or to an in-memory ring that is dumped on errors, parsing of log lines, and metrics in the
+//! OpenMetrics text format.
 
 pub mod line;
 pub mod log;
--- a/crates/telemetry/src/line.rs
+++ b/crates/telemetry/src/line.rs
@@ -1,23 +1,23 @@
-//! Reads log lines back.
+//! Parses log lines.
 
-/// One line of a process's log.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// Seconds since the Unix epoch, by the clock of the machine that wrote it.
+    /// Seconds since the Unix epoch, by the clock of the machine that logged it.
     pub time: f64,
-    /// The process.
+    /// Name of the process.
     pub node: String,
-    /// How serious it is.
+    /// Log level.
     pub level: String,
-    /// What happened.
+    /// Name of the event.
     pub event: String,
-    /// What decided it, and the outcome.
+    /// Keys and values of the event, in order.
     pub fields: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// Reads a line; whatever stands before its time, for example what a collector adds, is left out. `None` if it is
-    /// no log line.
+    /// Parses a line, ignoring any prefix before `time=`, such as one that a log collector adds. `None` if it is not a
+    /// complete log line.
     pub fn parse(line: &str) -> Option<Self> {
         let start = line.find("time=")?;
         let mut pairs = Pairs { rest: &line[start..] };
@@ -40,14 +40,14 @@
         (!parsed.time.is_nan() && !parsed.event.is_empty()).then_some(parsed)
     }
 
-    /// Whether some field has this value.
+    /// Whether any field has this value.
     pub fn mentions(&self, value: &str) -> bool {
-        self.fields.iter().any(|(_, held)| held == value)
+        self.fields.iter().any(|(_, found)| found == value)
     }
 
-    /// The value of a field.
+    /// The value of the first field with this key.
     pub fn field(&self, key: &str) -> Option<&str> {
-        self.fields.iter().find(|(held, _)| held == key).map(|(_, value)| value.as_str())
+        self.fields.iter().find(|(found, _)| found == key).map(|(_, value)| value.as_str())
     }
 }
 
@@ -58,25 +58,25 @@
 impl<'a> Pairs<'a> {
     fn next_pair(&mut self) -> Option<(&'a str, String)> {
         let (key, rest) = self.rest.trim_start().split_once('=')?;
-        let (value, rest) = if rest.starts_with('"') { quoted(rest)? } else { plain(rest) };
+        let (value, rest) = if rest.starts_with('"') { quoted(rest)? } else { unquoted(rest) };
         self.rest = rest;
         Some((key, value))
     }
 }
 
-fn plain(text: &str) -> (String, &str) {
+fn unquoted(text: &str) -> (String, &str) {
     let end = text.find(char::is_whitespace).unwrap_or(text.len());
     (text[..end].to_string(), &text[end..])
 }
 
-/// A text in quotes, with `\"`, `\\` and `\n` in it.
+/// Parses a quoted value with backslash escapes; returns it with the rest of the text. `None` if the quote is not closed.
 fn quoted(text: &str) -> Option<(String, &str)> {
     let mut value = String::new();
-    let mut signs = text.char_indices().skip(1);
-    while let Some((at, sign)) = signs.next() {
-        match sign {
+    let mut characters = text.char_indices().skip(1);
+    while let Some((at, character)) = characters.next() {
+        match character {
             '"' => return Some((value, &text[at + 1..])),
-            '\\' => match signs.next()?.1 {
+            '\\' => match characters.next()?.1 {
                 'n' => value.push('\n'),
                 't' => value.push('\t'),
                 'r' => value.push('\r'),
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in the standard text format, gathered when they are asked for.
+//! Metrics collected at scrape time, in the OpenMetrics text format.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -6,10 +6,10 @@
 use prometheus_client::registry::Registry;
 use saddlerelay_runtime::Traffic;
 
-/// Content type of the text format.
+/// Content type of the OpenMetrics text format.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Values gathered for one answer.
+/// Metrics of one scrape.
 pub struct MetricSet {
     registry: Registry,
 }
@@ -21,12 +21,12 @@
 }
 
 impl MetricSet {
-    /// An empty set; every name gets the prefix `saddlerelay`.
+    /// An empty set; all names get the prefix `saddlerelay`.
     pub fn new() -> Self {
         Self { registry: Registry::with_prefix("saddlerelay") }
     }
 
-    /// Adds a count that only rises while the process lives.
+    /// Adds a counter with its current value.
     pub fn counter(mut self, name: &str, help: &str, value: u64) -> Self {
         let counter: Counter = Counter::default();
         counter.inc_by(value);
@@ -34,7 +34,7 @@
         self
     }
 
-    /// Adds a value that rises and falls.
+    /// Adds a gauge with its current value.
     pub fn gauge(mut self, name: &str, help: &str, value: i64) -> Self {
         let gauge: Gauge = Gauge::default();
         gauge.set(value);
@@ -42,7 +42,7 @@
         self
     }
 
-    /// Adds what the process has exchanged with saddlerelay's own processes.
+    /// Adds counters of the traffic with peers.
     pub fn traffic(self, traffic: Traffic) -> Self {
         self.counter("peer_sent_bytes", "Bytes of frames sent to peers", traffic.sent_bytes)
             .counter("peer_sent_frames", "Frames sent to peers", traffic.sent_frames)
@@ -50,7 +50,7 @@
             .counter("peer_received_frames", "Frames received from peers", traffic.received_frames)
     }
 
-    /// The set as text.
+    /// Encodes the set in the OpenMetrics text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
--- a/crates/telemetry/src/ring.rs
+++ b/crates/telemetry/src/ring.rs
@@ -1,4 +1,4 @@
-//! A bounded ring of log lines as an spdlog sink.
+//! An spdlog sink that keeps the most recent log lines in memory.
 
 use spdlog::formatter::{Formatter, FormatterContext, FullFormatter};
 use spdlog::prelude::Level;
@@ -9,13 +9,13 @@
 use std::path::PathBuf;
 use std::sync::Mutex;
 
-/// Lines kept.
+/// Capacity in lines.
 pub const RING_LINES: usize = 4096;
 
-/// Most bytes of one line kept.
+/// Maximum length of a line; longer lines are truncated.
 const LINE_BYTES: usize = 1024;
 
-/// Keeps the newest lines, and writes them to a file when an error is logged or when told.
+/// Keeps the most recent [`RING_LINES`] lines and dumps them to a file when an error is logged.
 pub struct RingSink {
     properties: SinkProp,
     lines: Mutex<VecDeque<String>>,
@@ -23,12 +23,12 @@
 }
 
 impl RingSink {
-    /// A ring that is written out to `file`.
+    /// An empty ring that is dumped to `file`.
     pub fn new(file: PathBuf) -> Self {
         Self { properties: SinkProp::default(), lines: Mutex::default(), file }
     }
 
-    /// Writes the ring to its file and returns the file's path.
+    /// Overwrites the file with the ring's lines and returns its path.
     pub fn write_out(&self) -> io::Result<PathBuf> {
         let lines = self.lines.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let text: String = lines.iter().map(String::as_str).collect();
@@ -37,7 +37,7 @@
         Ok(self.file.clone())
     }
 
-    fn keep(&self, mut line: String) {
+    fn add_line(&self, mut line: String) {
         if line.len() > LINE_BYTES {
             let end = (0..=LINE_BYTES).rev().find(|end| line.is_char_boundary(*end)).unwrap_or(0);
             line.truncate(end);
@@ -62,9 +62,9 @@
         let mut text = StringBuf::new();
         let mut context = FormatterContext::new();
         FullFormatter::new().format(record, &mut text, &mut context)?;
-        self.keep(text.to_string());
+        self.add_line(text.to_string());
         if matches!(record.level(), Level::Error | Level::Critical) {
-            // The log must not stop the process when the disk is full.
+            // Logging must not fail when the disk is full.
             let _ = self.write_out();
         }
         Ok(())
--- a/crates/telemetry/src/stdout.rs
+++ b/crates/telemetry/src/stdout.rs
@@ -1,7 +1,7 @@
-//! Structured log lines on standard output: bounded, and never in the way of the work that logs.
+//! An spdlog sink that writes structured lines to standard output without blocking the caller.
 //!
-//! Lines go into a buffer that a thread of its own writes out. When the buffer or the budget of a second is full, lines
-//! are dropped and counted, and the count is told with the next line that fits.
+//! A dedicated thread writes out a bounded buffer. Lines beyond the buffer size or the rate limit are dropped and counted;
+//! the count is logged before the next accepted line.
 
 use spdlog::Record;
 use spdlog::sink::{GetSinkProp, Sink, SinkProp};
@@ -10,24 +10,24 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
-/// Most bytes that wait to be written.
+/// Maximum number of buffered bytes.
 const BUFFER_BYTES: usize = 256 * 1024;
 
-/// Most lines taken in one second.
+/// Maximum number of lines accepted per second.
 const LINES_PER_SECOND: u32 = 2_000;
 
-/// How long lines are gathered before they are written together.
-const GATHER: Duration = Duration::from_millis(25);
+/// Delay between the first buffered line and the write, so that lines are written in batches.
+const FLUSH_DELAY: Duration = Duration::from_millis(25);
 
-/// Lines that wait to be written.
+/// Buffer of lines that are not yet written, with a rate limit.
 pub struct Buffer {
     text: String,
-    most_bytes: usize,
+    max_bytes: usize,
     lines_per_second: u32,
     second: Option<Instant>,
     lines_in_second: u32,
     dropped: u64,
-    dropped_untold: u64,
+    dropped_unreported: u64,
 }
 
 impl Default for Buffer {
@@ -42,7 +42,7 @@
     filled: Condvar,
 }
 
-/// The sink.
+/// A sink for standard output.
 pub struct StdoutSink {
     properties: SinkProp,
     node: String,
@@ -50,7 +50,7 @@
 }
 
 impl StdoutSink {
-    /// A sink whose lines name the process `node`. Its writer ends with the process.
+    /// Starts a sink whose lines have the field `node`. The writer thread runs until the process exits.
     pub fn new(node: &str) -> Self {
         let shared = Arc::<Shared>::default();
         let writer = shared.clone();
@@ -75,18 +75,18 @@
             buffer = shared.filled.wait(buffer).unwrap_or_else(|poisoned| poisoned.into_inner());
         }
         drop(buffer);
-        std::thread::sleep(GATHER);
+        std::thread::sleep(FLUSH_DELAY);
         let text = lock(shared).drain();
-        // Nobody reads standard output any more: the lines are lost, the process goes on.
+        // If standard output is closed, the lines are discarded.
         let _ = std::io::stdout().write_all(text.as_bytes());
     }
 }
 
 impl Buffer {
-    /// A buffer for so many bytes, and so many lines each second.
-    pub fn new(most_bytes: usize, lines_per_second: u32) -> Self {
+    /// An empty buffer with a capacity in bytes and a rate limit.
+    pub fn new(max_bytes: usize, lines_per_second: u32) -> Self {
         let text = String::new();
-        Self { text, most_bytes, lines_per_second, second: None, lines_in_second: 0, dropped: 0, dropped_untold: 0 }
+        Self { text, max_bytes, lines_per_second, second: None, lines_in_second: 0, dropped: 0, dropped_unreported: 0 }
     }
 
     /// Lines dropped so far.
@@ -94,37 +94,37 @@
         self.dropped
     }
 
-    /// Takes what waits.
+    /// Removes and returns the buffered text.
     pub fn drain(&mut self) -> String {
         std::mem::take(&mut self.text)
     }
 
-    /// Begins the budget of the next second.
+    /// Starts the next interval of the rate limit, which lasts a second.
     pub fn next_second(&mut self) {
         self.second = Some(Instant::now());
         self.lines_in_second = 0;
     }
 
-    /// Takes a line, or drops and counts it.
-    pub fn take(&mut self, node: &str, line: &str) {
+    /// Buffers a line; drops and counts it if the buffer or the rate limit is exhausted.
+    pub fn add_line(&mut self, node: &str, line: &str) {
         if self.second.is_none_or(|second| second.elapsed() >= Duration::from_secs(1)) {
             self.next_second();
         }
         self.lines_in_second += 1;
-        if self.lines_in_second > self.lines_per_second || self.text.len() + line.len() > self.most_bytes {
+        if self.lines_in_second > self.lines_per_second || self.text.len() + line.len() > self.max_bytes {
             self.dropped += 1;
-            self.dropped_untold += 1;
+            self.dropped_unreported += 1;
             return;
         }
-        if self.dropped_untold > 0 {
-            let count = std::mem::take(&mut self.dropped_untold);
+        if self.dropped_unreported > 0 {
+            let count = std::mem::take(&mut self.dropped_unreported);
             let _ = writeln!(self.text, "level=warn node={node} event=\"log lines dropped\" count={count}");
         }
         self.text.push_str(line);
     }
 }
 
-/// A record as one line of `key=value` pairs.
+/// Formats a record as one line of `key=value` pairs.
 pub fn format_line(node: &str, record: &Record) -> String {
     let since_epoch = record.time().duration_since(UNIX_EPOCH).unwrap_or_default();
     let mut line = format!(
@@ -136,9 +136,13 @@
     );
     for (key, value) in record.key_values() {
         let value = value.to_string();
-        let plain = !value.is_empty() && !value.contains(|sign: char| sign.is_whitespace() || sign == '"');
-        let _ =
-            if plain { write!(line, " {}={value}", key.as_str()) } else { write!(line, " {}={value:?}", key.as_str()) };
+        let unquoted =
+            !value.is_empty() && !value.contains(|character: char| character.is_whitespace() || character == '"');
+        let _ = if unquoted {
+            write!(line, " {}={value}", key.as_str())
+        } else {
+            write!(line, " {}={value:?}", key.as_str())
+        };
     }
     line.push('\n');
     line
@@ -153,7 +157,7 @@
 impl Sink for StdoutSink {
     fn log(&self, record: &Record) -> spdlog::Result<()> {
         let line = format_line(&self.node, record);
-        lock(&self.shared).take(&self.node, &line);
+        lock(&self.shared).add_line(&self.node, &line);
         self.shared.filled.notify_one();
         Ok(())
     }
--- a/crates/telemetry/tests/stdout.rs
+++ b/crates/telemetry/tests/stdout.rs
@@ -1,10 +1,10 @@
-//! Lines for standard output.
+//! Format, buffering and rate limit of log lines on standard output.
 
 use saddlerelay_telemetry::stdout::{Buffer, format_line};
 use spdlog::sink::{Sink, SinkProp};
 use std::sync::{Arc, Mutex};
 
-/// Keeps what it is given as lines.
+/// A sink that collects formatted lines.
 #[derive(Default)]
 struct Lines {
     properties: SinkProp,
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_line_has_time_level_node_event_and_what_decided() {
+fn a_line_has_time_level_node_event_and_fields() {
     let sink = Arc::new(Lines::default());
     let logger = spdlog::Logger::builder().sink(sink.clone()).build().expect("a logger");
     spdlog::warn!(logger: logger, "request refused", kv: { request = "r-1", reason = "no \"lease\" now", held_ms = 4_u64 });
@@ -44,14 +44,14 @@
 }
 
 #[test]
-fn lines_beyond_the_budget_are_dropped_counted_and_told() {
+fn lines_beyond_the_rate_limit_are_dropped_and_their_count_is_logged() {
     let mut buffer = Buffer::new(100, 3);
     for _ in 0..5 {
-        buffer.take("n", "a line\n");
+        buffer.add_line("n", "a line\n");
     }
     assert_eq!(buffer.dropped(), 2);
     buffer.next_second();
-    buffer.take("n", "later\n");
+    buffer.add_line("n", "later\n");
     let text = buffer.drain();
     assert_eq!(text.matches("a line").count(), 3);
     assert!(text.contains("event=\"log lines dropped\" count=2"), "{text}");
@@ -59,11 +59,11 @@
 }
 
 #[test]
-fn a_full_buffer_takes_nothing_more() {
+fn a_full_buffer_drops_further_lines() {
     let mut buffer = Buffer::new(20, 1_000);
-    buffer.take("n", "ten signs\n");
-    buffer.take("n", "ten signs\n");
-    buffer.take("n", "one too many\n");
+    buffer.add_line("n", "ten signs\n");
+    buffer.add_line("n", "ten signs\n");
+    buffer.add_line("n", "one too many\n");
     assert_eq!(buffer.dropped(), 1);
     assert_eq!(buffer.drain(), "ten signs\nten signs\n");
 }
