--- a/bin/saddlerelay-soak/tests/processes.rs
+++ b/bin/saddlerelay-soak/tests/processes.rs
@@ -1,31 +1,31 @@
-//! Single faults on the product's real processes, each chosen for a failure that a soak once showed.
+//! Single faults on the product's processes, each a regression test for a failure found by a soak.
 
 use anyhow::{Result, ensure};
 use saddlerelay_soak_runner::builds::Builds;
 use saddlerelay_soak_runner::case::{Case, PlanKind};
 use saddlerelay_soak_runner::deployment::{Deployment, MemberKind, Size};
-use saddlerelay_soak_runner::faults::Faults;
+use saddlerelay_soak_runner::faults::FaultInjector;
 use saddlerelay_soak_runner::journal::Journal;
 use saddlerelay_soak_runner::links::{Condition, Party};
 use saddlerelay_soak_runner::operator::Operator;
 use saddlerelay_soak_runner::plan::{Direction, Fault, Overlap, Round};
-use saddlerelay_soak_runner::workload::Demands;
+use saddlerelay_soak_runner::workload::Features;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// For hangs only.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Only to fail a test that hangs.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-struct Soaked {
+struct Fixture {
     deployment: Rc<Deployment>,
-    faults: Faults,
+    faults: FaultInjector,
     operator: Rc<Operator>,
     journal: Journal,
     folder: PathBuf,
 }
 
-impl Soaked {
+impl Fixture {
     async fn start(name: &str) -> Result<Self> {
         Self::start_case(name, Case { seed: 0, kind: PlanKind::Single, size: Size::SMALL }).await
     }
@@ -35,31 +35,31 @@
         let executable = PathBuf::from(env!("CARGO_BIN_EXE_saddlerelay-soak"));
         let journal = Journal::default();
         let deployment = Deployment::start(Builds::new(executable, None), &folder, journal.clone(), 0, case).await?;
-        let operator = Rc::new(Operator::new(deployment.addresses.clone(), journal.clone(), Demands::All));
-        let faults = Faults::new(deployment.clone(), Vec::new(), operator.clone(), journal.clone());
-        let soaked = Self { deployment, faults, operator, journal, folder };
-        soaked.accepts_a_change().await?;
-        Ok(soaked)
+        let operator = Rc::new(Operator::new(deployment.addresses.clone(), journal.clone(), Features::All));
+        let faults = FaultInjector::new(deployment.clone(), Vec::new(), operator.clone(), journal.clone());
+        let fixture = Self { deployment, faults, operator, journal, folder };
+        fixture.accept_change().await?;
+        Ok(fixture)
     }
 
-    async fn accepts_a_change(&self) -> Result<()> {
-        let until = Instant::now() + PATIENCE;
+    async fn accept_change(&self) -> Result<()> {
+        let until = Instant::now() + TEST_TIMEOUT;
         ensure!(self.operator.change(|| Instant::now() < until).await, "no document was accepted");
         Ok(())
     }
 
     fn violations(&self) -> Vec<String> {
-        self.journal.read(|records| records.violations.iter().map(|violation| violation.seen.clone()).collect())
+        self.journal.read(|records| records.violations.iter().map(|violation| violation.observed.clone()).collect())
     }
 }
 
-impl Drop for Soaked {
+impl Drop for Fixture {
     fn drop(&mut self) {
         if std::thread::panicking() || !self.violations().is_empty() {
             println!("its files are in {}", self.folder.display());
             return;
         }
-        // What is left behind is the system's temporary folder's.
+        // A leftover folder is harmless: it is in the system's temporary folder.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -69,37 +69,37 @@
 }
 
 #[test]
-fn a_disk_that_takes_no_more_bytes_ends_no_process() -> Result<()> {
+fn a_process_survives_failing_writes() -> Result<()> {
     block_on(async {
-        let soaked = Soaked::start("refused-writes").await?;
+        let fixture = Fixture::start("refused-writes").await?;
         for number in 0..3 {
             let fault = Fault::RefuseWrites { number, time: Duration::from_millis(300) };
-            let refused = soaked.faults.cause(fault);
-            let changed = soaked.accepts_a_change();
+            let refused = fixture.faults.inject(fault);
+            let changed = fixture.accept_change();
             let (refused, changed) = futures::future::join(refused, changed).await;
             refused?;
             changed?;
-            soaked.deployment.watch()?;
+            fixture.deployment.watch()?;
         }
-        assert_eq!(soaked.violations(), Vec::<String>::new());
-        soaked.accepts_a_change().await
+        assert_eq!(fixture.violations(), Vec::<String>::new());
+        fixture.accept_change().await
     })
 }
 
-/// Signals at a gateway and at a coordinator that overlap, and what was found broken.
+/// Sends overlapping signals to a gateway and a coordinator and returns the violations.
 async fn violations_of_overlap(name: &str, overlap: Overlap) -> Result<Vec<String>> {
-    let soaked = Soaked::start(name).await?;
+    let fixture = Fixture::start(name).await?;
     let round = Round { overlap, gap: Duration::from_millis(200), down: Duration::ZERO };
     for party in [Party::Gateway(0), Party::Coordinator(0)] {
-        soaked.faults.cause(Fault::Series { party, rounds: vec![round; 2] }).await?;
+        fixture.faults.inject(Fault::Series { party, rounds: vec![round; 2] }).await?;
     }
-    soaked.deployment.watch()?;
-    soaked.accepts_a_change().await?;
-    Ok(soaked.violations())
+    fixture.deployment.watch()?;
+    fixture.accept_change().await?;
+    Ok(fixture.violations())
 }
 
 #[test]
-fn a_second_signal_to_stop_ends_no_drain() -> Result<()> {
+fn a_second_stop_signal_does_not_abort_a_drain() -> Result<()> {
     block_on(async {
         assert_eq!(violations_of_overlap("stop-twice", Overlap::StopTwice).await?, Vec::<String>::new());
         Ok(())
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_reload_ends_no_drain() -> Result<()> {
+fn a_reload_signal_does_not_abort_a_drain() -> Result<()> {
     block_on(async {
         assert_eq!(violations_of_overlap("reload", Overlap::ReloadWhileStopping).await?, Vec::<String>::new());
         Ok(())
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_stop_during_a_reload_ends_well() -> Result<()> {
+fn a_stop_during_a_reload_succeeds() -> Result<()> {
     block_on(async {
         assert_eq!(violations_of_overlap("stop-in-reload", Overlap::StopDuringReload).await?, Vec::<String>::new());
         Ok(())
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_process_starts_again_while_its_old_connections_stand() -> Result<()> {
+fn a_process_restarts_while_its_old_connections_are_open() -> Result<()> {
     block_on(async {
         let overlap = Overlap::RestartUnderOldConnections;
         assert_eq!(violations_of_overlap("old-connections", overlap).await?, Vec::<String>::new());
@@ -131,17 +131,17 @@
     })
 }
 
-/// A voter is cut off until it has lost its place. Reached again, it hears from the leader that it is no member: from then on it
-/// seeks no votes. Before, its log said `votes would not be given` twice a second behind `group announced`.
+/// A voter that is partitioned until it is removed must, once it learns of its removal from the leader (`group
+/// announced`), start no more pre-votes (`votes would not be given`).
 #[test]
-fn a_voter_that_was_removed_while_it_was_cut_off_seeks_no_votes() -> Result<()> {
-    const ANNOUNCED: &str = "group announced";
-    const SEEKS_VOTES: &str = "votes would not be given";
+fn a_voter_removed_while_partitioned_requests_no_votes() -> Result<()> {
+    const REMOVAL_RECEIVED: &str = "group announced";
+    const PRE_VOTE_FAILED: &str = "votes would not be given";
     block_on(async {
         let case = Case { seed: 0, kind: PlanKind::Single, size: Size { coordinators: 7, gateways: 1 } };
-        let soaked = Soaked::start_case("removed-voter", case).await?;
-        let deployment = &soaked.deployment;
-        let until = Instant::now() + PATIENCE;
+        let fixture = Fixture::start_case("removed-voter", case).await?;
+        let deployment = &fixture.deployment;
+        let until = Instant::now() + TEST_TIMEOUT;
         let is_follower = |number: &u8| {
             deployment.membership_of(*number) == MemberKind::Voter && deployment.leader() != Some(*number)
         };
@@ -149,7 +149,7 @@
             if let Some(voter) = (0..7).find(is_follower) {
                 break voter;
             }
-            ensure!(Instant::now() < until, "nobody follows");
+            ensure!(Instant::now() < until, "there is no follower");
             compio::time::sleep(Duration::from_millis(50)).await;
         };
         let party = Party::Coordinator(voter);
@@ -160,41 +160,41 @@
             time: Duration::from_secs(5),
             coordinators_only: true,
         };
-        soaked.faults.cause(cut).await?;
+        fixture.faults.inject(cut).await?;
         ensure!(deployment.membership_of(voter) == MemberKind::None, "it was not removed");
-        let announced = loop {
+        let removal_index = loop {
             let lines = deployment.log_lines(party);
-            if let Some(place) = lines.iter().rposition(|line| line.contains(ANNOUNCED)) {
-                break place;
+            if let Some(index) = lines.iter().rposition(|line| line.contains(REMOVAL_RECEIVED)) {
+                break index;
             }
-            ensure!(Instant::now() < until, "it was told nothing");
+            ensure!(Instant::now() < until, "it did not learn of its removal");
             compio::time::sleep(Duration::from_millis(50)).await;
         };
         compio::time::sleep(Duration::from_secs(4)).await;
         let lines = deployment.log_lines(party);
-        let sought = lines[announced..].iter().filter(|line| line.contains(SEEKS_VOTES)).count();
-        // One round may have been under way.
-        ensure!(sought <= 1, "it sought votes {sought} times");
-        assert_eq!(soaked.violations(), Vec::<String>::new());
+        let election_attempts = lines[removal_index..].iter().filter(|line| line.contains(PRE_VOTE_FAILED)).count();
+        // One election attempt may have been in progress.
+        ensure!(election_attempts <= 1, "{election_attempts} election attempts after its removal");
+        assert_eq!(fixture.violations(), Vec::<String>::new());
         Ok(())
     })
 }
 
 #[test]
-fn a_soaks_process_that_ends_by_itself_is_found() -> Result<()> {
+fn an_unexpected_process_exit_is_a_violation() -> Result<()> {
     block_on(async {
-        let soaked = Soaked::start("ends").await?;
-        let stopped = soaked.deployment.with_process(Party::Gateway(0), |child| child.signal_stop());
-        ensure!(stopped.is_some(), "it runs");
-        let until = Instant::now() + PATIENCE;
-        while soaked.violations().is_empty() {
-            ensure!(Instant::now() < until, "its end was not found");
+        let fixture = Fixture::start("ends").await?;
+        let stopped = fixture.deployment.with_process(Party::Gateway(0), |child| child.signal_stop());
+        ensure!(stopped.is_some(), "the gateway is not running");
+        let until = Instant::now() + TEST_TIMEOUT;
+        while fixture.violations().is_empty() {
+            ensure!(Instant::now() < until, "its exit was not recorded");
             compio::time::sleep(Duration::from_millis(50)).await;
-            soaked.deployment.watch()?;
+            fixture.deployment.watch()?;
         }
-        assert_eq!(soaked.violations(), ["gateway-0"]);
-        // It was meant to be found: its files need not be kept.
-        soaked.journal.write(|records| records.violations.clear());
+        assert_eq!(fixture.violations(), ["gateway-0"]);
+        // The violation is expected, so the files need not be kept.
+        fixture.journal.write(|records| records.violations.clear());
         Ok(())
     })
 }
--- a/crates/soak/src/builds.rs
+++ b/crates/soak/src/builds.rs
@@ -1,4 +1,4 @@
-//! The product's builds that a soak runs: the one under test, and an older one that it replaces.
+//! Builds of the product: the one under test, and an older one that it replaces.
 
 use crate::links::Party;
 use anyhow::{Context, Result};
@@ -10,40 +10,40 @@
 /// A build of the product.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Build {
-    /// The one under test.
+    /// Build under test.
     Newest,
-    /// The one that it replaces.
+    /// Older build that it replaces.
     Production,
 }
 
-/// The builds' executables, and which of them each process runs.
+/// Executables of the builds, and the build that each process runs.
 #[derive(Debug)]
 pub struct Builds {
-    /// The soak's own executable, which holds the product.
+    /// The soak's own executable, which contains the product.
     newest: PathBuf,
-    /// An executable of the product.
+    /// Executable of the older build.
     production: Option<PathBuf>,
     current: RefCell<BTreeMap<Party, Build>>,
 }
 
 impl Builds {
-    /// Every process runs the newest build at first, or the one in production if that is given.
+    /// All processes run the production build initially if there is one, and the newest build otherwise.
     pub fn new(newest: PathBuf, production: Option<PathBuf>) -> Self {
         Self { newest, production, current: RefCell::default() }
     }
 
-    /// What `party` runs.
+    /// The build that `party` runs.
     pub fn of(&self, party: Party) -> Build {
         let first = if self.production.is_some() { Build::Production } else { Build::Newest };
         self.current.borrow().get(&party).copied().unwrap_or(first)
     }
 
-    /// From its next start on, `party` runs `build`.
+    /// Sets the build that `party` runs from its next start.
     pub fn choose(&self, party: Party, build: Build) {
         self.current.borrow_mut().insert(party, build);
     }
 
-    /// Executable and program that `party` starts with.
+    /// Executable and program that `party` is started with.
     pub fn program(&self, party: Party) -> Result<(PathBuf, Program)> {
         match self.of(party) {
             Build::Newest => Ok((self.newest.clone(), Program::Product)),
--- a/crates/soak/src/calls.rs
+++ b/crates/soak/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the deployment as clients, trainers, engines and operators make them.
+//! HTTP calls of clients, trainers, engines and operators to the deployment.
 
 use crate::deployment::Addresses;
 use crate::workload::{HOST, KEY};
@@ -8,70 +8,75 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The header that holds a key.
+/// Header of the tenant key.
 pub const KEY_HEADER: &str = "saddlerelay-key";
 
-/// How long one call to a coordinator is waited for.
-const CONTROL_PATIENCE: Duration = Duration::from_millis(1_000);
+/// Timeout of one call to a coordinator.
+const CONTROL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Pause before a call goes to the next process.
-pub const NEXT_PAUSE: Duration = Duration::from_millis(60);
+/// Pause before a call is retried at another process.
+pub const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// Makes a call and waits for its whole answer, for at most `patience`; `None` when it brought none.
-pub async fn ask(
+/// Sends a request and waits for the complete response; `None` after an error or the timeout.
+pub async fn send_request(
     address: SocketAddr,
     method: Method,
     path: &str,
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
-    patience: Duration,
+    response_timeout: Duration,
 ) -> Option<WholeResponse> {
-    let answered = compio::time::timeout(patience, call(address, method, path, headers, body)).await;
-    match answered {
+    let result = compio::time::timeout(response_timeout, call(address, method, path, headers, body)).await;
+    match result {
         Ok(Ok(response)) => Some(response),
         Ok(Err(HttpError::NotSent(_) | HttpError::Lost(_))) | Err(_) => None,
     }
 }
 
-/// One call to a coordinator chosen at random.
-pub async fn control(addresses: &Addresses, method: Method, path: &str, body: Vec<u8>) -> Option<WholeResponse> {
+/// Sends a request to a random coordinator.
+pub async fn call_coordinator(
+    addresses: &Addresses,
+    method: Method,
+    path: &str,
+    body: Vec<u8>,
+) -> Option<WholeResponse> {
     let address = addresses.control(fastrand::u8(..addresses.size.coordinators));
-    ask(address, method, path, &[], body, CONTROL_PATIENCE).await
+    send_request(address, method, path, &[], body, CONTROL_TIMEOUT).await
 }
 
-/// Sends a change to one coordinator after another until it is acknowledged; `false` when `wanted` ceases to hold.
-pub async fn control_until_done(
+/// Sends a change to random coordinators until one acknowledges it; `false` once `keep_trying` returns false.
+pub async fn change_until_acknowledged(
     addresses: &Addresses,
     method: Method,
     path: &str,
     body: Vec<u8>,
-    wanted: impl Fn() -> bool,
+    keep_trying: impl Fn() -> bool,
 ) -> bool {
-    while wanted() {
-        let answer = control(addresses, method.clone(), path, body.clone()).await;
-        if answer.is_some_and(|answer| answer.status.is_success()) {
+    while keep_trying() {
+        let response = call_coordinator(addresses, method.clone(), path, body.clone()).await;
+        if response.is_some_and(|response| response.status.is_success()) {
             return true;
         }
-        compio::time::sleep(NEXT_PAUSE).await;
+        compio::time::sleep(RETRY_PAUSE).await;
     }
     false
 }
 
-/// One call to a gateway with the tenant's key, on the host of the routes.
-pub async fn front(
+/// Sends a request to a gateway with the tenant's key and the routes' host.
+pub async fn call_gateway(
     addresses: &Addresses,
     gateway: u8,
     method: Method,
     path: &str,
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
-    patience: Duration,
+    response_timeout: Duration,
 ) -> Option<WholeResponse> {
     let headers = [headers, &[("host", HOST), (KEY_HEADER, KEY)]].concat();
-    ask(addresses.front(gateway), method, path, &headers, body, patience).await
+    send_request(addresses.front(gateway), method, path, &headers, body, response_timeout).await
 }
 
-/// A gateway chosen at random.
-pub fn any_gateway(addresses: &Addresses) -> u8 {
+/// A random gateway.
+pub fn random_gateway(addresses: &Addresses) -> u8 {
     fastrand::u8(..addresses.size.gateways)
 }
--- a/crates/soak/src/case.rs
+++ b/crates/soak/src/case.rs
@@ -1,39 +1,39 @@
-//! What a soak is made from, and how it is written: `SEED`, `KIND:SEED` or `KIND:SEED:COORDINATORS+GATEWAYS`.
+//! A soak case and its textual form: `SEED`, `KIND:SEED` or `KIND:SEED:COORDINATORS+GATEWAYS`.
 
 use crate::deployment::{NAMED_COORDINATORS, Size};
 use crate::trainer::StepShape;
-use crate::workload::Demands;
+use crate::workload::Features;
 use anyhow::{Context, Result, ensure};
 use std::fmt;
 use std::str::FromStr;
 
-/// Which faults a soak causes.
+/// Kind of fault plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlanKind {
-    /// Faults of one party each.
+    /// Independent faults, each of one party.
     Single,
-    /// The same, with series of signals that overlap, and suspensions.
+    /// As `Single`, plus series of overlapping signals and process suspensions.
     Overlapping,
-    /// The same; at last the group's members are replaced by coordinators that the settings don't name.
+    /// As `Overlapping`; at the end, the group's members are replaced by coordinators that the settings do not name.
     Replaced,
-    /// Engines end, hang or are cut off, and soon after it a fault meets those who hold state; pair after pair.
+    /// Pairs of faults: engines end, hang or are cut off, and shortly after a fault hits a process that holds state.
     Paired,
-    /// A newer build takes the place of an older one, process after process.
+    /// Processes are upgraded one by one from an older build.
     Upgrade,
-    /// The leader's zone loses packets to all others; in the midst of it all coordinators are killed.
+    /// The leader's zone loses packets on its links to all other zones, and all coordinators are killed during it.
     Lossy,
 }
 
-/// Coordinators of a deployment one of whose zones loses packets: two there, and in the other zones a group's five voters.
+/// Coordinators for the lossy plan: two in the lossy zone, and the group's five voters in the other zones.
 const LOSSY_COORDINATORS: u8 = 7;
 
-/// Coordinators of a deployment whose named ones are to be replaced: as many again vote, one learns and one is spare.
+/// Coordinators for the replacement plan: the named ones, as many replacement voters, one learner and one spare.
 const REPLACED_COORDINATORS: u8 = 2 * NAMED_COORDINATORS + 2;
 
 impl PlanKind {
     const ALL: [Self; 6] = [Self::Single, Self::Overlapping, Self::Replaced, Self::Paired, Self::Upgrade, Self::Lossy];
 
-    fn word(self) -> &'static str {
+    fn name(self) -> &'static str {
         match self {
             Self::Single => "single",
             Self::Overlapping => "overlapping",
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The steps that the trainer makes.
+    /// Shape of the trainer's steps.
     pub fn steps(self) -> StepShape {
         match self {
             Self::Single | Self::Overlapping | Self::Replaced | Self::Upgrade | Self::Lossy => StepShape::SHORT,
@@ -52,24 +52,24 @@
         }
     }
 
-    /// What is asked of the deployment.
-    pub fn demands(self) -> Demands {
+    /// Product features that the load uses.
+    pub fn features(self) -> Features {
         match self {
-            Self::Single | Self::Overlapping | Self::Replaced | Self::Paired | Self::Lossy => Demands::All,
-            Self::Upgrade => Demands::Common,
+            Self::Single | Self::Overlapping | Self::Replaced | Self::Paired | Self::Lossy => Features::All,
+            Self::Upgrade => Features::Common,
         }
     }
 
-    /// Disks that the group bears to lose at once.
+    /// Simultaneous disk losses that the group tolerates.
     pub fn tolerated_losses(self) -> u8 {
         match self {
             Self::Single | Self::Overlapping | Self::Replaced | Self::Paired | Self::Upgrade => 1,
-            // Of three voters two in one zone are a quorum, and the lead is best there.
+            // With three voters, the two in one zone would form a quorum and keep the leader there.
             Self::Lossy => 2,
         }
     }
 
-    /// The size of a deployment for it, unless told otherwise.
+    /// Default deployment size.
     pub fn size(self) -> Size {
         match self {
             Self::Single | Self::Overlapping | Self::Paired | Self::Upgrade => Size::SMALL,
@@ -82,8 +82,8 @@
 impl FromStr for PlanKind {
     type Err = anyhow::Error;
 
-    fn from_str(word: &str) -> Result<Self> {
-        Self::ALL.into_iter().find(|kind| kind.word() == word).with_context(|| format!("`{word}` is no kind of plan"))
+    fn from_str(name: &str) -> Result<Self> {
+        Self::ALL.into_iter().find(|kind| kind.name() == name).with_context(|| format!("unknown plan kind `{name}`"))
     }
 }
 
@@ -91,26 +91,26 @@
     type Err = anyhow::Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let (coordinators, gateways) = text.split_once('+').context("a size is COORDINATORS+GATEWAYS")?;
+        let (coordinators, gateways) = text.split_once('+').context("size must be COORDINATORS+GATEWAYS")?;
         let size = Self { coordinators: coordinators.parse()?, gateways: gateways.parse()? };
-        let Self { coordinators: most_coordinators, gateways: most_gateways } = Self::LARGEST;
+        let Self { coordinators: max_coordinators, gateways: max_gateways } = Self::LARGEST;
         ensure!(
-            (NAMED_COORDINATORS..=most_coordinators).contains(&size.coordinators),
-            "coordinators: 3 to {most_coordinators}"
+            (NAMED_COORDINATORS..=max_coordinators).contains(&size.coordinators),
+            "coordinators: 3 to {max_coordinators}"
         );
-        ensure!((1..=most_gateways).contains(&size.gateways), "gateways: 1 to {most_gateways}");
+        ensure!((1..=max_gateways).contains(&size.gateways), "gateways: 1 to {max_gateways}");
         Ok(size)
     }
 }
 
-/// What a soak is made from.
+/// One soak case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Case {
-    /// What its faults are drawn from.
+    /// Seed of the fault plan.
     pub seed: u64,
-    /// Which faults.
+    /// Kind of fault plan.
     pub kind: PlanKind,
-    /// How many processes.
+    /// Number of coordinators and gateways.
     pub size: Size,
 }
 
@@ -123,16 +123,16 @@
             [seed] => (PlanKind::Single, seed, None),
             [kind, seed] => (kind.parse()?, seed, None),
             [kind, seed, size] => (kind.parse()?, seed, Some(size.parse()?)),
-            _ => anyhow::bail!("`{text}` is no case"),
+            _ => anyhow::bail!("invalid case `{text}`"),
         };
-        let seed = seed.parse().with_context(|| format!("`{seed}` is no seed"))?;
+        let seed = seed.parse().with_context(|| format!("invalid seed `{seed}`"))?;
         Ok(Self { seed, kind, size: size.unwrap_or(kind.size()) })
     }
 }
 
 impl fmt::Display for Case {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}:{}", self.kind.word(), self.seed)?;
+        write!(formatter, "{}:{}", self.kind.name(), self.seed)?;
         if self.size != self.kind.size() {
             write!(formatter, ":{}+{}", self.size.coordinators, self.size.gateways)?;
         }
--- a/crates/soak/src/command_line.rs
+++ b/crates/soak/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The soak's command line.
+//! Command line of the soak.
 
 use crate::case::{Case, PlanKind};
 use crate::deployment::Size;
@@ -15,34 +15,36 @@
 
 /// Help text.
 pub const HELP: &str = "\
-saddlerelay-soak: the product's processes under randomized faults, checked by what callers and engines see
+saddlerelay-soak: runs the product's processes under randomized faults and checks invariants that callers and engines observe
 
   run [--plan KIND] [--size C+G] [--seeds FROM..TO | --seed N | --count N] [--case CASE] [--length SECONDS] [--keep]
       [--production FILE]
-                      soaks one after the other; without seeds, a fresh one
+                      runs soaks one after the other; without seeds, one with a random seed
   regressions FILE [--length SECONDS]
-                      the cases that FILE lists: on each line a case, and why it is kept
+                      runs the cases that FILE lists, one per line, each followed by a reason
   plan [--plan KIND] --seed N [--length SECONDS]
-                      the faults of a seed
+                      prints the fault plan of a seed
 
-KIND is single (faults of one party each), overlapping (the same, with series of signals that overlap, and suspensions;
-the default), replaced (the same; at last the group moves to coordinators that the settings don't name), paired (a fault
-of engines and, 0.3 to 3 s later, one of those who hold state, pair after pair, each followed by calm), upgrade (all processes
-begin as the build of --production, an executable of the product, and are replaced one after the other) or lossy (the leader's zone
-loses a fifth of its packets; all coordinators are killed before or after the lead has left it). Of the other kinds --production
-runs all processes from the beginning to the end.
-C+G are the numbers of coordinators and gateways. A CASE is SEED (of the kind single), KIND:SEED or KIND:SEED:C+G, as reports name it.
+KIND is one of:
+  single       independent faults, each of one party
+  overlapping  as single, plus series of overlapping signals, and suspensions (default)
+  replaced     as overlapping; at the end, the group moves to coordinators that the settings do not name
+  paired       a fault of engines and, 0.3 to 3 s later, a fault of a process that holds state; a quiet period follows each pair
+  upgrade      all processes start with the build of --production, an executable of the product, and are upgraded one by one
+  lossy        the leader's zone loses a fifth of its packets; all coordinators are killed before or after the leadership change
+With any other kind than upgrade, all processes run the build of --production throughout.
+C+G are the numbers of coordinators and gateways. A CASE is SEED (kind single), KIND:SEED or KIND:SEED:C+G, as in reports.
 
-A soak that breaks a promise keeps its folder with the logs of every process, and names it.
-Exit code 0 when no promise was broken, 1 otherwise.
+If an invariant is violated, the folder with the logs of all processes is kept and its path is printed.
+Exit code: 0 if no invariant was violated, 1 otherwise.
 ";
 
-/// Seconds of faults, unless told otherwise.
+/// Default duration of fault injection.
 const DEFAULT_LENGTH: Duration = Duration::from_secs(30);
 
-/// Runs the command that `arguments` name, without the program's own name.
+/// Runs a command; `arguments` exclude the program name.
 pub fn main(arguments: Vec<OsString>) -> ExitCode {
-    let first = arguments.first().and_then(|word| word.to_str()).unwrap_or_default().to_string();
+    let first = arguments.first().and_then(|name| name.to_str()).unwrap_or_default().to_string();
     let rest = arguments.get(1..).unwrap_or_default().to_vec();
     let outcome = match first.as_str() {
         "run" | "regressions" | "plan" if asks_for_help(&rest) => {
@@ -56,26 +58,26 @@
             print!("{HELP}");
             Ok(true)
         }
-        other => Err(anyhow::anyhow!("there is no command `{other}`; see --help")),
+        other => Err(anyhow::anyhow!("unknown command `{other}`; see --help")),
     };
     exit_code("saddlerelay-soak", outcome)
 }
 
-/// What the command line asks for.
+/// Parsed options of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// The cases, in turn.
+    /// Cases to run, in order.
     pub cases: Vec<Case>,
-    /// How long each causes faults.
+    /// Duration of fault injection per case.
     pub length: Duration,
-    /// Whether to keep the folders of clean soaks too.
+    /// Whether to keep the folders of clean soaks, too.
     pub keep: bool,
-    /// An executable of the product that runs at first; only soaks of the kind `upgrade` replace it.
+    /// Executable of an older build that runs initially; only the `upgrade` kind replaces it.
     pub production: Option<PathBuf>,
 }
 
 impl Options {
-    /// Reads the arguments of a command.
+    /// Parses the arguments of a command.
     pub fn parse(arguments: Vec<OsString>) -> Result<Self> {
         let mut parser = lexopt::Parser::from_args(arguments);
         let mut options = Self { cases: Vec::new(), length: DEFAULT_LENGTH, keep: false, production: None };
@@ -110,15 +112,15 @@
 }
 
 fn parse_range(text: &str) -> Result<std::ops::Range<u64>> {
-    let (from, to) = text.split_once("..").context("seeds are FROM..TO")?;
+    let (from, to) = text.split_once("..").context("a seed range must be FROM..TO")?;
     let (from, to) = (from.parse()?, to.parse()?);
     if from >= to {
-        bail!("there is no seed in {text}");
+        bail!("empty seed range {text}");
     }
     Ok(from..to)
 }
 
-/// Reads a list of cases: on each line a case, and why it is kept; lines that begin with `#` are comments.
+/// Reads a file with a case and a reason on each line; lines that start with `#` are comments.
 pub fn read_cases(file: &PathBuf) -> Result<Vec<Case>> {
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
     let lines = text.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with('#'));
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -1,12 +1,12 @@
-//! The deployment: addresses, settings files, child processes and the proxies before them.
+//! The deployment under test: addresses, settings files, child processes and their proxies.
 
 pub use crate::addresses::{Addresses, NAMED_COORDINATORS, Size};
-use crate::addresses::{PEER_PORT, behind};
+use crate::addresses::{PEER_PORT, backend_address};
 use crate::builds::{Build, Builds};
 use crate::case::Case;
 use crate::journal::Journal;
 use crate::links::{Links, Party};
-use crate::proxy::{self, Identify, ProcessTable, ProxyPlace};
+use crate::proxy::{self, Identify, ProcessTable, ProxyEndpoint};
 use anyhow::{Context, Result, ensure};
 use saddlerelay_fleet_runner::process::{ChildSpec, RunningChild};
 use std::cell::{Cell, RefCell};
@@ -16,69 +16,70 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often engines report themselves.
+/// Report interval of engines.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A leaving engine gets no new work so long after its leaving was acknowledged.
+/// A draining engine receives no new work this long after the drain was acknowledged.
 pub const DRAIN_BOUND: Duration = Duration::from_millis(2_000);
 
-/// A configuration is in force so long after it was acknowledged.
+/// A routing document takes effect this long after it was acknowledged.
 pub const CONFIGURATION_BOUND: Duration = Duration::from_millis(2_000);
 
-/// Holders of orders do not take turns within this time.
+/// Lease duration of the holder that orders weight loads.
 pub const ORDER_LEASE: Duration = Duration::from_millis(3_000);
 
-/// A planned stop may take so long.
-pub const GRACE: Duration = Duration::from_secs(5);
+/// Graceful shutdown limit in the settings.
+pub const SHUTDOWN_GRACE: Duration = Duration::from_secs(5);
 
-/// How long a planned stop is waited for.
-const STOP_LIMIT: Duration = Duration::from_secs(15);
+/// How long to wait for a process to end after a stop signal.
+const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Secret of the processes.
+/// Shared secret in the settings.
 const SECRET: &str = "soak-shared-secret-0123456789";
 
-/// The length of a window of usage, and how long after its end it is due.
+/// Length of a usage window, and time after its end by which its report is due.
 const USAGE_WINDOW: Duration = Duration::from_secs(2);
 const USAGE_DUE: Duration = Duration::from_secs(10);
 
-/// What a leader's line about new members says.
+/// Event that a leader logs when it proposes a membership change.
 const MEMBERS_PROPOSED: &str = "members proposed";
 
-/// What a coordinator's line says when it begins to lead.
-const BEGINS_TO_LEAD: &str = "event=\"leading\"";
+/// Event that a coordinator logs when it becomes leader.
+const BECAME_LEADER: &str = "event=\"leading\"";
 
-/// How a coordinator's log tells the feature level of its state.
+/// Log key of the feature level of a coordinator's state.
 const FEATURE_LEVEL: &str = " feature_level=";
 
-/// The processes of the product.
+/// The product's processes and the proxies in front of them.
 pub struct Deployment {
-    /// Where everything listens.
+    /// Listen addresses.
     pub addresses: Addresses,
-    /// The state of the links.
+    /// Conditions of the links.
     pub links: Links,
     journal: Journal,
     builds: Builds,
     folder: PathBuf,
-    /// Disks that the group bears to lose at once.
+    /// Simultaneous disk losses that the group tolerates.
     tolerated_losses: u8,
     children: RefCell<BTreeMap<Party, RunningChild>>,
     processes: ProcessTable,
-    /// The coordinator that settings files name first; it changes with each reload, so that the content does.
-    first_named: Cell<u8>,
+    /// Coordinator listed first in settings files. Each reload changes it, so that the content of the file changes.
+    first_seed: Cell<u8>,
 }
 
-/// What a coordinator is to its group.
+/// A coordinator's role in the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberKind {
-    /// It votes.
+    /// Voting member.
     Voter,
-    /// It learns.
+    /// Non-voting member.
     Learner,
-    /// Neither.
+    /// Not a member.
     None,
 }
 
-/// What the coordinator at `peer` is in a leader's line about new members: voters by address, learners behind a plus sign.
+/// The role of the coordinator at `peer` in a `members proposed` log line, which lists voters by address and learners
+/// by `+` and address.
 pub fn membership_in(line: &str, peer: SocketAddr) -> MemberKind {
     let members = line.split_once(" members=\"").map_or("", |(_, rest)| rest.trim_end_matches('"'));
     let (voter, learner) = (peer.to_string(), format!("+{peer}"));
@@ -90,34 +91,34 @@
     kind.unwrap_or(MemberKind::None)
 }
 
-/// A coordinator's word that it begins to lead; a later one is greater.
+/// A log line of a coordinator that became leader. Ordered by time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Lead {
-    /// The line of its log, which begins with its moment.
+pub struct Leadership {
+    /// The log line, which begins with its timestamp.
     line: String,
-    /// The coordinator.
+    /// Coordinator number.
     pub number: u8,
 }
 
-/// A process that has been asked to stop.
+/// A process that has received a stop signal.
 pub struct Stopping {
     party: Party,
     child: RunningChild,
 }
 
 impl Stopping {
-    /// Asks once more.
-    pub fn ask_again(&self) {
+    /// Sends the stop signal again.
+    pub fn signal_stop_again(&self) {
         self.child.signal_stop();
     }
 
-    /// Signals that its settings have changed.
+    /// Sends the reload signal.
     pub fn signal_reload(&self) {
         self.child.signal_reload();
     }
 }
 
-fn name_of(party: Party) -> String {
+fn process_name(party: Party) -> String {
     match party {
         Party::Gateway(number) => format!("gateway-{number}"),
         Party::Coordinator(number) => format!("coordinator-{number}"),
@@ -127,11 +128,11 @@
 }
 
 impl Deployment {
-    /// Starts every process, and the proxies before them and before `engines` engines.
+    /// Starts all processes, and the proxies in front of them and of `engines` engines.
     pub async fn start(builds: Builds, folder: &Path, journal: Journal, engines: u8, case: Case) -> Result<Rc<Self>> {
         std::fs::create_dir_all(folder)?;
         let deployment = Rc::new(Self {
-            addresses: Addresses::take(case.size)?,
+            addresses: Addresses::allocate(case.size)?,
             links: Links::default(),
             journal,
             builds,
@@ -139,7 +140,7 @@
             tolerated_losses: case.kind.tolerated_losses(),
             children: RefCell::default(),
             processes: ProcessTable::default(),
-            first_named: Cell::new(0),
+            first_seed: Cell::new(0),
         });
         deployment.start_proxies(engines).await?;
         for party in case.size.processes() {
@@ -152,85 +153,85 @@
     async fn start_proxies(&self, engines: u8) -> Result<()> {
         let outside = Identify::Always(Party::Outside);
         let by_process = Identify::ByProcess(self.processes.clone());
-        let mut places = Vec::new();
+        let mut endpoints = Vec::new();
         for number in 0..self.addresses.size.coordinators {
             let party = Party::Coordinator(number);
-            places.push((self.addresses.control(number), party, outside.clone()));
-            places.push((self.addresses.peer(number), party, by_process.clone()));
+            endpoints.push((self.addresses.control(number), party, outside.clone()));
+            endpoints.push((self.addresses.peer(number), party, by_process.clone()));
         }
         for number in 0..self.addresses.size.gateways {
-            places.push((self.addresses.front(number), Party::Gateway(number), outside.clone()));
+            endpoints.push((self.addresses.front(number), Party::Gateway(number), outside.clone()));
         }
         for number in 0..engines {
-            places.push((self.addresses.engine(number), Party::Engine(number), by_process.clone()));
+            endpoints.push((self.addresses.engine(number), Party::Engine(number), by_process.clone()));
         }
-        for (address, party, identify) in places {
-            let place = ProxyPlace { party, target: behind(address), identify };
-            proxy::start(address, place, self.links.clone()).await.with_context(|| format!("proxy at {address}"))?;
+        for (address, party, identify) in endpoints {
+            let endpoint = ProxyEndpoint { party, target: backend_address(address), identify };
+            proxy::start(address, endpoint, self.links.clone()).await.with_context(|| format!("proxy at {address}"))?;
         }
         Ok(())
     }
 
     fn settings_file(&self, party: Party) -> PathBuf {
-        self.folder.join(format!("{}.toml", name_of(party)))
+        self.folder.join(format!("{}.toml", process_name(party)))
     }
 
     /// A process's data folder.
     pub fn data_folder(&self, party: Party) -> PathBuf {
-        self.folder.join(format!("data-{}", name_of(party)))
+        self.folder.join(format!("data-{}", process_name(party)))
     }
 
-    /// The members that the group's leader proposed last, as the logs of the coordinators tell; empty if none did.
+    /// The latest `members proposed` line in the coordinators' logs; empty if there is none.
     pub fn newest_members(&self) -> String {
         let logs = (0..self.addresses.size.coordinators).map(|number| self.log_file(Party::Coordinator(number)));
         let proposals = logs.filter_map(|log| std::fs::read_to_string(log).ok()).flat_map(|text| {
             let lines = text.lines().filter(|line| line.contains(MEMBERS_PROPOSED)).map(str::to_string);
             lines.collect::<Vec<_>>()
         });
-        // Each line begins with its moment.
+        // Lines begin with a timestamp.
         proposals.max().unwrap_or_default()
     }
 
-    /// What a coordinator is to the group's newest members.
+    /// A coordinator's role in the latest proposed membership.
     pub fn membership_of(&self, number: u8) -> MemberKind {
         membership_in(&self.newest_members(), self.addresses.peer(number))
     }
 
-    /// The feature level that a coordinator told last of its state; 0 if it told none.
+    /// The feature level that a coordinator last logged; 0 if it logged none.
     pub fn feature_level(&self, number: u8) -> u32 {
         let text = std::fs::read_to_string(self.log_file(Party::Coordinator(number))).unwrap_or_default();
-        let is_told = |line: &&str| line.contains(FEATURE_LEVEL) && !line.contains("feature level proposed");
-        let newest = text.lines().rfind(is_told).and_then(|line| line.split_once(FEATURE_LEVEL));
+        let has_level = |line: &&str| line.contains(FEATURE_LEVEL) && !line.contains("feature level proposed");
+        let newest = text.lines().rfind(has_level).and_then(|line| line.split_once(FEATURE_LEVEL));
         let number = newest.and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
         number.unwrap_or_default()
     }
 
-    /// The coordinator that began to lead last, as the logs of the coordinators tell.
+    /// The coordinator that last became leader, from the coordinators' logs.
     pub fn leader(&self) -> Option<u8> {
-        self.newest_lead().map(|lead| lead.number)
+        self.newest_leadership().map(|leadership| leadership.number)
     }
 
-    /// The newest lead, as the logs of the coordinators tell.
-    pub fn newest_lead(&self) -> Option<Lead> {
-        let leads = (0..self.addresses.size.coordinators).filter_map(|number| {
+    /// The latest change of leader, from the coordinators' logs.
+    pub fn newest_leadership(&self) -> Option<Leadership> {
+        let leaderships = (0..self.addresses.size.coordinators).filter_map(|number| {
             let text = std::fs::read_to_string(self.log_file(Party::Coordinator(number))).ok()?;
-            let line = text.lines().rfind(|line| line.contains(BEGINS_TO_LEAD)).map(str::to_string)?;
-            Some(Lead { line, number })
+            let line = text.lines().rfind(|line| line.contains(BECAME_LEADER)).map(str::to_string)?;
+            Some(Leadership { line, number })
         });
-        leads.max()
+        leaderships.max()
     }
 
-    /// What a process has written so far.
+    /// The log lines of a process so far.
     pub fn log_lines(&self, party: Party) -> Vec<String> {
         let text = std::fs::read_to_string(self.log_file(party)).unwrap_or_default();
         text.lines().map(str::to_string).collect()
     }
 
     fn log_file(&self, party: Party) -> PathBuf {
-        self.folder.join(format!("{}.log", name_of(party)))
+        self.folder.join(format!("{}.log", process_name(party)))
     }
 
-    /// The settings of duties towards the platform; a build in production may not know them.
+    /// Usage and platform settings; empty for the production build, which may not support them.
     fn duties_settings(&self, party: Party) -> String {
         match self.builds.of(party) {
             Build::Newest => format!(
@@ -243,55 +244,55 @@
         }
     }
 
-    /// From its next start on, `party` runs `build`.
+    /// Sets the build that `party` runs from its next start.
     pub fn choose_build(&self, party: Party, build: Build) {
         self.builds.choose(party, build);
     }
 
-    /// Writes a process's settings; `first_start` is true only while the deployment starts for the first time.
+    /// Writes a process's settings file; `first_start` is true only for the initial start of the deployment.
     pub fn write_settings(&self, party: Party, first_start: bool) -> Result<()> {
-        let named = (0..NAMED_COORDINATORS).map(|place| (self.first_named.get() + place) % NAMED_COORDINATORS);
-        let seeds: Vec<String> = named.map(|number| format!("\"{}\"", self.addresses.control(number))).collect();
-        let own = match party {
+        let seed_numbers = (0..NAMED_COORDINATORS).map(|offset| (self.first_seed.get() + offset) % NAMED_COORDINATORS);
+        let seeds: Vec<String> = seed_numbers.map(|number| format!("\"{}\"", self.addresses.control(number))).collect();
+        let role_settings = match party {
             Party::Coordinator(number) => format!(
                 "role = \"coordinator\"\ncontrol_address = \"{}\"\npeer_address = \"{}\"\npeer_listen_address = \"{}\"\n\
                  data_folder = \"{}\"\nfirst_start = {first_start}\n",
-                behind(self.addresses.control(number)),
+                backend_address(self.addresses.control(number)),
                 self.addresses.peer(number),
-                behind(self.addresses.peer(number)),
+                backend_address(self.addresses.peer(number)),
                 self.data_folder(party).display(),
             ),
             Party::Gateway(number) => format!(
                 "role = \"gateway\"\nclient_address = \"{}\"\nreadiness_address = \"{}\"\n",
-                behind(self.addresses.front(number)),
+                backend_address(self.addresses.front(number)),
                 self.addresses.readiness(number),
             ),
-            Party::Engine(_) | Party::Outside => anyhow::bail!("{} has no settings", name_of(party)),
+            Party::Engine(_) | Party::Outside => anyhow::bail!("{} has no settings", process_name(party)),
         };
         let text = format!(
-            "name = \"{}\"\nzone = \"north\"\nseeds = [{}]\npeer_port = {PEER_PORT}\nshared_secret = \"{SECRET}\"\n{own}\n\
+            "name = \"{}\"\nzone = \"north\"\nseeds = [{}]\npeer_port = {PEER_PORT}\nshared_secret = \"{SECRET}\"\n{role_settings}\n\
              [bounds]\nreport_interval_ms = {}\ndrain_ms = {}\nconfiguration_ms = {}\norder_lease_ms = {}\ngrace_s = {}\n\
              job_status_s = 600\ntolerated_losses = {}\n\n{}",
-            name_of(party),
+            process_name(party),
             seeds.join(", "),
             REPORT_INTERVAL.as_millis(),
             DRAIN_BOUND.as_millis(),
             CONFIGURATION_BOUND.as_millis(),
             ORDER_LEASE.as_millis(),
-            GRACE.as_secs(),
+            SHUTDOWN_GRACE.as_secs(),
             self.tolerated_losses,
             self.duties_settings(party),
         );
-        // In one step: a process that starts or follows its settings meanwhile would read half of them.
+        // Replaces the file atomically: a process may be reading it.
         let file = self.settings_file(party);
         let written = file.with_extension("new");
         std::fs::write(&written, text)?;
         Ok(std::fs::rename(written, file)?)
     }
 
-    /// Starts a process, or starts it again.
+    /// Starts or restarts a process.
     pub fn start_process(&self, party: Party) -> Result<()> {
-        let name = name_of(party);
+        let name = process_name(party);
         let (executable, program) = self.builds.program(party)?;
         let spec = ChildSpec {
             executable,
@@ -310,59 +311,58 @@
         Ok(())
     }
 
-    /// Takes a process out of the watch over those that end by themselves. Its connections stay its own until
-    /// [`Self::forget_connections`].
-    fn take(&self, party: Party) -> Option<RunningChild> {
+    /// Removes a process from supervision. Its connections remain attributed to it until [`Self::forget_process`].
+    fn remove_child(&self, party: Party) -> Option<RunningChild> {
         self.children.borrow_mut().remove(&party)
     }
 
-    /// A process has ended: what its number owns from now on is another's.
-    fn forget_connections(&self, process: u32) {
+    /// Stops attributing connections to the process id, which the system may reuse.
+    fn forget_process(&self, process: u32) {
         self.processes.remove(process);
     }
 
-    /// Kills a process at once; `false` if it does not run.
+    /// Kills a process; `false` if it is not running.
     pub fn kill(&self, party: Party) -> bool {
-        let Some(mut child) = self.take(party) else {
+        let Some(mut child) = self.remove_child(party) else {
             return false;
         };
         child.kill();
-        self.forget_connections(child.id());
+        self.forget_process(child.id());
         true
     }
 
-    /// Begins a planned stop: what follows is up to the caller, who ends it with [`Self::finish_stop`] or
-    /// [`Self::break_off_stop`]. `None` if the process does not run.
+    /// Sends a stop signal. The caller completes the stop with [`Self::finish_stop`] or [`Self::abort_stop`]. `None`
+    /// if the process is not running.
     pub async fn begin_stop(&self, party: Party) -> Option<Stopping> {
-        let mut child = self.take(party)?;
+        let mut child = self.remove_child(party)?;
         child.ask_to_stop().await;
         Some(Stopping { party, child })
     }
 
-    /// Waits until a process that was asked to stop has ended, and says whether it ended well.
+    /// Waits for a process to end after a stop signal; an error if it does not exit successfully in time.
     pub async fn finish_stop(&self, mut stopping: Stopping) -> Result<()> {
-        let ended = stopping.child.wait(STOP_LIMIT).await;
-        self.forget_connections(stopping.child.id());
-        ensure!(ended == Some(true), "{}: the planned stop ended with {ended:?}", name_of(stopping.party));
+        let ended = stopping.child.wait(STOP_TIMEOUT).await;
+        self.forget_process(stopping.child.id());
+        ensure!(ended == Some(true), "{}: the planned stop ended with {ended:?}", process_name(stopping.party));
         Ok(())
     }
 
-    /// Kills a process that was asked to stop.
-    pub fn break_off_stop(&self, mut stopping: Stopping) {
+    /// Kills a process that has received a stop signal.
+    pub fn abort_stop(&self, mut stopping: Stopping) {
         stopping.child.kill();
-        self.forget_connections(stopping.child.id());
+        self.forget_process(stopping.child.id());
     }
 
-    /// Rewrites a process's settings: the same content, in another order.
+    /// Rewrites a process's settings with the same values in another order.
     pub fn change_settings(&self, party: Party) -> Result<()> {
-        self.first_named.set((self.first_named.get() + 1) % NAMED_COORDINATORS);
+        self.first_seed.set((self.first_seed.get() + 1) % NAMED_COORDINATORS);
         self.write_settings(party, false)
     }
 
-    /// Changes a process's settings, and signals it.
+    /// Rewrites a process's settings and sends the reload signal.
     pub async fn reload(&self, party: Party) -> Result<()> {
         self.change_settings(party)?;
-        let child = self.take(party);
+        let child = self.remove_child(party);
         if let Some(mut child) = child {
             child.ask_to_reload().await;
             self.children.borrow_mut().insert(party, child);
@@ -370,17 +370,17 @@
         Ok(())
     }
 
-    /// Whether a process runs.
+    /// Whether a process is running.
     pub fn is_running(&self, party: Party) -> bool {
         self.children.borrow().contains_key(&party)
     }
 
-    /// Does something to a running process.
+    /// Calls `act` with a running process; `None` if it is not running.
     pub fn with_process<T>(&self, party: Party, act: impl FnOnce(&RunningChild) -> T) -> Option<T> {
         self.children.borrow().get(&party).map(act)
     }
 
-    /// Stops a process in the planned way.
+    /// Gracefully stops a process.
     pub async fn stop(&self, party: Party) -> Result<()> {
         match self.begin_stop(party).await {
             Some(stopping) => self.finish_stop(stopping).await,
@@ -388,33 +388,33 @@
         }
     }
 
-    /// Notes processes that have ended by themselves, and starts them again.
+    /// Records processes that ended unexpectedly as violations, and restarts them.
     pub fn watch(&self) -> Result<()> {
         let ended: Vec<Party> = {
             let mut children = self.children.borrow_mut();
             children.iter_mut().filter_map(|(party, child)| child.ended().map(|_| *party)).collect()
         };
         for party in ended {
-            self.journal.violation("processes do not end by themselves", name_of(party));
-            if let Some(child) = self.take(party) {
-                self.forget_connections(child.id());
+            self.journal.violation("processes do not end by themselves", process_name(party));
+            if let Some(child) = self.remove_child(party) {
+                self.forget_process(child.id());
             }
             self.start_process(party)?;
         }
         Ok(())
     }
 
-    /// The longest time for which the proxies kept a new connection waiting.
-    pub fn slowest_look_up(&self) -> Duration {
-        self.processes.slowest_look_up()
+    /// Longest time for which a proxy delayed a new connection to look up its owner.
+    pub fn slowest_owner_lookup(&self) -> Duration {
+        self.processes.slowest_owner_lookup()
     }
 
-    /// Every process of the product.
+    /// All processes of the product.
     pub fn processes(&self) -> Vec<Party> {
         self.addresses.size.processes()
     }
 
-    /// Most resident memory of one process now, in bytes.
+    /// Largest current resident memory of any one process, in bytes.
     pub fn largest_memory(&self) -> u64 {
         let children = self.children.borrow();
         children.values().filter_map(|child| child.usage()).map(|(resident, _)| resident).max().unwrap_or(0)
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -1,9 +1,10 @@
-//! A stand-in engine that speaks the product's own formats, writes down what reaches it, and misbehaves as it is told.
+//! A simulated engine that implements the product's engine protocol, records requests and orders, and misbehaves on
+//! demand.
 
 use crate::calls::KEY_HEADER;
 use crate::deployment::Addresses;
-use crate::journal::{EngineSeen, ItemRunEnd, Journal, OrderSeen, Run};
-use crate::workload::{self, Demands, MODEL, MODEL_SERVICE, ROLLOUTS, SCORES, SLOTS, STRANGER, TENANT};
+use crate::journal::{EngineSample, ItemRunEnd, Journal, OrderRecord, Run};
+use crate::workload::{self, Features, MODEL, MODEL_SERVICE, ROLLOUTS, SCORES, SLOTS, TENANT, UNKNOWN_KEY_REQUEST};
 use bytes::Bytes;
 use compio::net::TcpListener;
 use hyper::body::Incoming;
@@ -20,55 +21,55 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// When engines say that they started, in Unix milliseconds: any moment in the past.
-const FIRST_START_MS: u64 = 1_700_000_000_000;
+/// Start time in reports, in Unix milliseconds; any time in the past.
+const START_MS: u64 = 1_700_000_000_000;
 
-/// How long a change of weights takes.
+/// Duration of a weight load.
 const LOAD_TIME: Duration = Duration::from_millis(300);
 
-/// Pause between looks at whether running streams have ended.
+/// Polling interval while a load waits for running streams to end.
 const LOAD_POLL: Duration = Duration::from_millis(10);
 
-/// Time of one event of a stream.
+/// Time to generate one stream event.
 const EVENT_TIME: Duration = Duration::from_millis(12);
 
-/// Time of one request without a stream.
+/// Time to execute a non-streaming request.
 const REQUEST_TIME: Duration = Duration::from_millis(15);
 
-/// From the start of work that ends its engine to the engine's end.
+/// Delay from the start of crashing work to the crash.
 const CRASH_TIME: Duration = Duration::from_millis(25);
 
-/// How long an engine that hangs keeps a request.
+/// How long a hanging engine holds a request.
 const HANG_TIME: Duration = Duration::from_secs(6);
 
-/// Requests that run or wait, for each slot, beyond which more are refused.
-const QUEUE_FACTOR: u32 = 3;
+/// Requests in progress per slot above which new ones are rejected.
+const QUEUE_LIMIT_FACTOR: u32 = 3;
 
-/// What an engine does with requests.
+/// Behavior on requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Conduct {
-    /// Answers them.
+    /// Executes them.
     Normal,
-    /// Takes so many times as long.
+    /// Executes them this many times slower.
     Slow(u32),
-    /// Refuses them: it has not run them.
+    /// Rejects them without executing them.
     Refusing,
-    /// Runs them and fails.
+    /// Accepts them and returns an error.
     Failing,
-    /// Runs them and breaks the answer off.
+    /// Executes them and aborts the response body.
     BreakingOff,
-    /// Runs them and says nothing for long.
+    /// Holds them for a long time before executing them.
     Hanging,
-    /// Answers with another request's identifier.
+    /// Executes them and returns another request's id.
     Mistaken,
 }
 
-/// What an engine does with orders.
+/// Behavior on orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderConduct {
-    /// Takes them.
+    /// Accepts them.
     Normal,
-    /// Leaves them unanswered and carries them out this much later.
+    /// Executes them after this delay and does not respond in time.
     Late(Duration),
 }
 
@@ -86,32 +87,32 @@
     highest_fence: Cell<u64>,
     running: Cell<u32>,
     leaving: Cell<bool>,
-    /// Whether it reports itself to nobody, as one that is gone.
+    /// Whether it sends no reports, as an engine that is gone.
     silent: Cell<bool>,
     sequence: Cell<u64>,
-    /// Work has begun that ends this instance.
-    ends: Signal,
-    /// The newest version that its trainer has named: what a new engine starts with.
-    newest: Rc<Cell<u64>>,
-    demands: Demands,
+    /// Notified when crashing work has started.
+    crash_signal: Signal,
+    /// The newest model version that the trainer published; a new instance starts with it.
+    newest_version: Rc<Cell<u64>>,
+    features: Features,
 }
 
-/// The engine. Clones are the same one.
+/// A simulated engine. Clones share state.
 #[derive(Clone)]
 pub struct Engine {
     state: Rc<State>,
 }
 
-/// The number of an instance's engine.
+/// The engine number of an instance.
 pub fn number_of(instance: &InstanceId) -> Option<u8> {
     let (number, _) = instance.name.strip_prefix("engine-")?.split_once('-')?;
     number.parse().ok()
 }
 
-/// A request in progress; counts until dropped.
+/// A request in progress; counted until dropped.
 struct InProgress {
     state: Rc<State>,
-    /// Its number in the journal, if it is an item.
+    /// Index of the item execution in the journal, if the request is an item.
     item_run: Option<usize>,
 }
 
@@ -122,7 +123,7 @@
         Self { state: state.clone(), item_run }
     }
 
-    /// The engine has done with it.
+    /// Records the end of the item execution.
     fn end(&self, end: ItemRunEnd) {
         if let Some(number) = self.item_run {
             self.state.journal.end_item_run(number, end);
@@ -142,16 +143,16 @@
 }
 
 impl Engine {
-    /// Starts an engine behind its proxy.
+    /// Starts an engine at its backend address.
     pub async fn start(
         number: u8,
         service: &'static str,
         addresses: Addresses,
         journal: Journal,
-        newest: Rc<Cell<u64>>,
-        demands: Demands,
+        newest_version: Rc<Cell<u64>>,
+        features: Features,
     ) -> std::io::Result<Self> {
-        let listener = TcpListener::bind(addresses.engine_behind(number)).await?;
+        let listener = TcpListener::bind(addresses.engine_backend(number)).await?;
         let state = Rc::new(State {
             number,
             service,
@@ -168,28 +169,28 @@
             leaving: Cell::new(false),
             silent: Cell::new(false),
             sequence: Cell::new(0),
-            ends: Signal::default(),
-            newest,
-            demands,
+            crash_signal: Signal::default(),
+            newest_version,
+            features,
         });
         let engine = Self { state };
         compio::runtime::spawn(serve_until(listener, Rc::new(engine.clone()), Shutdown::default())).detach();
         Ok(engine)
     }
 
-    /// Its number.
+    /// Engine number.
     pub fn number(&self) -> u8 {
         self.state.number
     }
 
-    /// Its present instance.
+    /// Current instance.
     pub fn instance(&self) -> InstanceId {
         InstanceId::named(format!("engine-{}-{}", self.state.number, self.state.incarnation.get()))
     }
 
-    /// Notified when work has begun that ends this instance.
-    pub fn ends(&self) -> &Signal {
-        &self.state.ends
+    /// Notified when crashing work has started at this instance.
+    pub fn crash_signal(&self) -> &Signal {
+        &self.state.crash_signal
     }
 
     /// Whether it runs the model.
@@ -197,55 +198,56 @@
         self.state.service == MODEL_SERVICE
     }
 
-    /// Whether it has said that it leaves.
+    /// Whether its reports announce a drain.
     pub fn is_leaving(&self) -> bool {
         self.state.leaving.get()
     }
 
-    /// Changes what it does with requests.
+    /// Sets the behavior on requests.
     pub fn set_conduct(&self, conduct: Conduct) {
         self.state.conduct.set(conduct);
     }
 
-    /// Changes what it does with orders.
+    /// Sets the behavior on orders.
     pub fn set_order_conduct(&self, conduct: OrderConduct) {
         self.state.order_conduct.set(conduct);
     }
 
-    /// From now on its reports say that it leaves.
+    /// Announces a drain in its reports from now on.
     pub fn leave(&self) {
         self.state.leaving.set(true);
     }
 
-    /// Has it report itself to nobody, or again.
+    /// Stops or resumes its reports.
     pub fn set_silent(&self, silent: bool) {
         self.state.silent.set(silent);
     }
 
-    /// Whether it reports itself to nobody.
+    /// Whether it sends no reports.
     pub fn is_silent(&self) -> bool {
         self.state.silent.get()
     }
 
-    /// What it is at this moment; `is_reached` tells whether its links are open.
-    pub fn seen(&self, is_reached: bool) -> EngineSeen {
+    /// Its current state; `is_reachable` says whether its address accepts connections.
+    pub fn sample(&self, is_reachable: bool) -> EngineSample {
         let state = &self.state;
-        let is_well = state.conduct.get() == Conduct::Normal && state.order_conduct.get() == OrderConduct::Normal;
-        let is_used = !state.loading.get() && !state.leaving.get();
-        EngineSeen {
+        let behaves_normally =
+            state.conduct.get() == Conduct::Normal && state.order_conduct.get() == OrderConduct::Normal;
+        let is_available = !state.loading.get() && !state.leaving.get();
+        EngineSample {
             number: state.number,
             version: state.version.get(),
             running: state.running.get(),
-            takes_items: is_reached && is_well && is_used,
+            takes_items: is_reachable && behaves_normally && is_available,
         }
     }
 
-    /// Ends this instance, with everything that runs; the next one has the same address.
-    pub fn start_anew(&self) {
+    /// Ends this instance and its requests; the next instance uses the same address.
+    pub fn start_next_incarnation(&self) {
         let state = &self.state;
         state.journal.engine_ended(&self.instance());
         state.incarnation.set(state.incarnation.get() + 1);
-        state.version.set(state.newest.get());
+        state.version.set(state.newest_version.get());
         state.loading.set(false);
         state.orders_taken.set(0);
         state.highest_fence.set(0);
@@ -255,15 +257,16 @@
         state.order_conduct.set(OrderConduct::Normal);
     }
 
-    /// Where builds of several levels run, engines tell their starts: some of the builds know nothing of them.
+    /// The instance id in reports. If older builds take part, it includes a start time, which some of them do not
+    /// support.
     fn reported_instance(&self) -> InstanceId {
-        match self.state.demands {
-            Demands::All => self.instance(),
-            Demands::Common => InstanceId::started(self.instance().name, FIRST_START_MS + u64::from(self.state.number)),
+        match self.state.features {
+            Features::All => self.instance(),
+            Features::Common => InstanceId::started(self.instance().name, START_MS + u64::from(self.state.number)),
         }
     }
 
-    /// What it reports of itself now.
+    /// Creates the next report.
     pub fn report(&self) -> InstanceReport {
         let state = &self.state;
         state.sequence.set(state.sequence.get() + 1);
@@ -284,7 +287,7 @@
         if self.hosts_model() { vec![model] } else { Vec::new() }
     }
 
-    fn sign(&self, reply: &mut Reply, request: &str) {
+    fn add_response_headers(&self, reply: &mut Reply, request: &str) {
         let stamp = HeaderValue::from_str(&self.instance().name);
         let echo = match self.state.conduct.get() {
             Conduct::Mistaken => HeaderValue::from_str("another request"),
@@ -300,7 +303,7 @@
 
     fn not_executed(&self, status: StatusCode, request: &str) -> Reply {
         let mut reply = whole(status, "text/plain", "not executed");
-        self.sign(&mut reply, request);
+        self.add_response_headers(&mut reply, request);
         reply.headers_mut().insert("saddlerelay-not-executed", HeaderValue::from_static("1"));
         reply
     }
@@ -310,13 +313,13 @@
             return whole(StatusCode::BAD_REQUEST, "text/plain", "");
         };
         let state = &self.state;
-        let seen = OrderSeen {
+        let observed = OrderRecord {
             at: state.journal.now(),
             instance: self.instance(),
             holder: order.holder.clone(),
             fence: order.fence,
         };
-        state.journal.write(|records| records.orders.push(seen));
+        state.journal.write(|records| records.orders.push(observed));
         match state.order_conduct.get() {
             OrderConduct::Normal => self.take_order(order),
             OrderConduct::Late(delay) => {
@@ -366,15 +369,16 @@
         }
     }
 
-    /// Where tenants are listed every request names its own, and none shows a key.
+    /// Checks that a request has the tenant header and no key. Skipped if older builds take part, which have no
+    /// tenants.
     fn check_tenant(&self, request: &str, headers: &HeaderMap) {
-        if self.state.demands == Demands::Common {
+        if self.state.features == Features::Common {
             return;
         }
         let tenant = header(headers, "saddlerelay-tenant");
-        if tenant != Some(TENANT) || headers.contains_key(KEY_HEADER) || request.starts_with(STRANGER) {
-            let seen = format!("{request} came to {} for tenant {tenant:?}", self.instance().name);
-            self.state.journal.violation("an engine is told the tenant of the key, and never the key", seen);
+        if tenant != Some(TENANT) || headers.contains_key(KEY_HEADER) || request.starts_with(UNKNOWN_KEY_REQUEST) {
+            let observed = format!("{request} came to {} for tenant {tenant:?}", self.instance().name);
+            self.state.journal.violation("an engine is told the tenant of the key, and never the key", observed);
         }
     }
 
@@ -382,12 +386,13 @@
         let state = &self.state;
         let request = header(&headers, "saddlerelay-request").unwrap_or_default().to_string();
         self.check_tenant(&request, &headers);
-        let wanted: Option<u64> = header(&headers, "saddlerelay-for-version").and_then(|version| version.parse().ok());
-        if wanted.is_some_and(|wanted| wanted != state.version.get()) {
+        let requested_version: Option<u64> =
+            header(&headers, "saddlerelay-for-version").and_then(|version| version.parse().ok());
+        if requested_version.is_some_and(|requested_version| requested_version != state.version.get()) {
             return self.not_executed(StatusCode::MISDIRECTED_REQUEST, &request);
         }
-        let full = state.running.get() >= SLOTS * QUEUE_FACTOR;
-        if state.conduct.get() == Conduct::Refusing || full || state.loading.get() {
+        let is_full = state.running.get() >= SLOTS * QUEUE_LIMIT_FACTOR;
+        if state.conduct.get() == Conduct::Refusing || is_full || state.loading.get() {
             return self.not_executed(StatusCode::SERVICE_UNAVAILABLE, &request);
         }
         let item = path.starts_with(ROLLOUTS).then(|| ItemId(request.clone()));
@@ -404,8 +409,8 @@
         state.journal.write(|records| records.runs.push(run));
         if crashes {
             compio::time::sleep(CRASH_TIME).await;
-            state.ends.notify();
-            // The connection ends with the instance.
+            state.crash_signal.notify();
+            // Never returns: the connection is closed with the instance.
             std::future::pending::<()>().await;
         }
         if state.conduct.get() == Conduct::Hanging {
@@ -415,35 +420,35 @@
             state.journal.write(|records| *records.item_failures.entry(request.clone()).or_default() += 1);
             in_progress.end(ItemRunEnd::Failed);
             let mut reply = whole(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "failed");
-            self.sign(&mut reply, &request);
+            self.add_response_headers(&mut reply, &request);
             return reply;
         }
         match header(&headers, "events").and_then(|events| events.parse().ok()) {
             Some(events) => self.stream(path, &request, &headers, events, in_progress),
-            None => self.answer(path, &request, body, in_progress).await,
+            None => self.respond(path, &request, body, in_progress).await,
         }
     }
 
-    fn slowness(&self) -> u32 {
+    fn slowdown_factor(&self) -> u32 {
         match self.state.conduct.get() {
             Conduct::Slow(times) => times,
             _ => 1,
         }
     }
 
-    async fn answer(&self, path: String, request: &str, body: Bytes, in_progress: InProgress) -> Reply {
+    async fn respond(&self, path: String, request: &str, body: Bytes, in_progress: InProgress) -> Reply {
         let incarnation = self.state.incarnation.get();
-        compio::time::sleep(REQUEST_TIME * self.slowness()).await;
+        compio::time::sleep(REQUEST_TIME * self.slowdown_factor()).await;
         drop(in_progress);
-        let text = workload::answer(&path, request, &body);
-        let gone = self.state.incarnation.get() != incarnation;
+        let text = workload::expected_response(&path, request, &body);
+        let has_ended = self.state.incarnation.get() != incarnation;
         let mut reply = whole(StatusCode::OK, "text/plain", text.clone());
-        if gone || self.state.conduct.get() == Conduct::BreakingOff {
+        if has_ended || self.state.conduct.get() == Conduct::BreakingOff {
             let half = Bytes::from(text.into_bytes()).slice(..path.len());
             let parts = futures::stream::iter([Ok(half), Err(BrokenOff)]);
             *reply.body_mut() = LocalBody::Breakable(Box::pin(parts));
         }
-        self.sign(&mut reply, request);
+        self.add_response_headers(&mut reply, request);
         reply
     }
 
@@ -457,10 +462,10 @@
                 if sent >= events {
                     return None;
                 }
-                compio::time::sleep(EVENT_TIME * engine.slowness()).await;
+                compio::time::sleep(EVENT_TIME * engine.slowdown_factor()).await;
                 let state = &engine.state;
-                let breaks = state.conduct.get() == Conduct::BreakingOff && sent > after;
-                if state.incarnation.get() != incarnation || breaks {
+                let aborts = state.conduct.get() == Conduct::BreakingOff && sent > after;
+                if state.incarnation.get() != incarnation || aborts {
                     return Some((Err(BrokenOff), (sent, in_progress)));
                 }
                 let (number, version) = (sent + 1, state.version.get());
@@ -474,12 +479,12 @@
             }
         });
         let mut reply = Reply::new(LocalBody::Breakable(Box::pin(parts)));
-        self.sign(&mut reply, request);
+        self.add_response_headers(&mut reply, request);
         reply
     }
 }
 
-/// The job that a path of an item, or of the call for its score, names.
+/// The job in the path of an item or of its scoring request.
 fn job_of(path: &str) -> Option<JobId> {
     let rest = path.strip_prefix(ROLLOUTS).or_else(|| path.strip_prefix(SCORES))?;
     rest.split_once('/').map(|(job, _)| JobId(job.to_string()))
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,12 +1,12 @@
-//! Brings planned faults about, and heals them.
+//! Injects planned faults and heals them.
 
+use crate::convergence::ConvergenceCheck;
 use crate::deployment::{Deployment, MemberKind, NAMED_COORDINATORS};
 use crate::engine::{Conduct, Engine, OrderConduct};
 use crate::journal::{Journal, Moment};
 use crate::links::{Condition, Party};
 use crate::operator::{self, Operator};
-use crate::plan::{Direction, ENGINES, End, Fault, LeaderHarm};
-use crate::proof::Proof;
+use crate::plan::{Direction, ENGINES, End, Fault, LeaderFault};
 use anyhow::Result;
 use rustix::process::{Pid, Resource, Rlimit, prlimit};
 use saddlerelay_fleet_runner::process::RunningChild;
@@ -16,58 +16,57 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// After a fault of a coordinator, its group may need so long until it bears the loss of a disk again.
+/// Time after a coordinator's fault until its group tolerates a disk loss again.
 const REPAIR_TIME: Duration = Duration::from_secs(8);
 
-/// How long an engine is down that has ended under its work.
-const DOWN_AFTER_WORK: Duration = Duration::from_millis(1_500);
+/// Downtime of an engine that crashed under its work.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(1_500);
 
-/// How long a learner may be silent before it is dropped: eight times the 1.5 s of a voter.
-const LEARNER_SILENCE: Duration = Duration::from_secs(12);
+/// Time without contact after which the group removes a learner; a voter is replaced after 1.5 s.
+const LEARNER_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Pause after a change of members, in which the next learner is taken in.
+/// Pause after a membership change, in which the group adds the next learner.
 const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 
-/// How long all processes are down that were killed together.
-const DOWN_TOGETHER: Duration = Duration::from_millis(500);
+/// Downtime of processes that are killed together.
+const KILL_ALL_DOWNTIME: Duration = Duration::from_millis(500);
 
-/// Pause between looks at something.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A process that is asked to stop ends, and says that it ended well.
+/// A process that receives a stop signal ends with a successful exit status.
 pub const STOP_ENDS_WELL: &str = "a planned stop ends well";
 
-/// The file to which a coordinator appends.
+/// A coordinator's write-ahead log.
 const LOG_FILE: &str = "wal";
 
-/// Bytes of a record's head, and of its length in it.
-const RECORD_HEAD: usize = 12;
-const RECORD_LENGTH: usize = 4;
+/// Size of a log record header and of the length field at its start, in bytes.
+const RECORD_HEADER_BYTES: usize = 12;
+const RECORD_LENGTH_BYTES: usize = 4;
 
-/// Largest file while writes are refused, in bytes.
-const REFUSED_FROM: u64 = 1;
+/// File size limit that makes writes fail, in bytes.
+const FILE_SIZE_LIMIT: u64 = 1;
 
-/// What faults act on.
-pub struct Faults {
+/// Injects faults into a deployment and its engines.
+pub struct FaultInjector {
     pub(crate) deployment: Rc<Deployment>,
     engines: Vec<Engine>,
     pub(crate) operator: Rc<Operator>,
     pub(crate) journal: Journal,
-    /// Processes that a fault holds at this moment.
-    held: RefCell<BTreeSet<Party>>,
-    /// When a fault of any coordinator last ended.
+    /// Parties with a fault or planned work in progress.
+    reserved: RefCell<BTreeSet<Party>>,
+    /// End of the latest fault of a coordinator.
     coordinators_healed_at: Cell<Moment>,
 }
 
-/// Holds a party for one fault; lets it go when dropped.
-pub(crate) struct Hold<'a> {
-    faults: &'a Faults,
+/// Reserves a party for one fault or planned operation; released on drop.
+pub(crate) struct Reservation<'a> {
+    faults: &'a FaultInjector,
     pub(crate) party: Party,
 }
 
-impl Drop for Hold<'_> {
+impl Drop for Reservation<'_> {
     fn drop(&mut self) {
-        self.faults.held.borrow_mut().remove(&self.party);
+        self.faults.reserved.borrow_mut().remove(&self.party);
         self.faults.journal.end_disruption(self.party);
         if matches!(self.party, Party::Coordinator(_)) {
             self.faults.coordinators_healed_at.set(self.faults.journal.now());
@@ -75,53 +74,53 @@
     }
 }
 
-impl Faults {
-    /// Faults of this deployment and these engines.
+impl FaultInjector {
+    /// Creates an injector for a deployment and its engines.
     pub fn new(deployment: Rc<Deployment>, engines: Vec<Engine>, operator: Rc<Operator>, journal: Journal) -> Self {
         let coordinators_healed_at = Cell::new(journal.now());
-        Self { deployment, engines, operator, journal, held: RefCell::default(), coordinators_healed_at }
+        Self { deployment, engines, operator, journal, reserved: RefCell::default(), coordinators_healed_at }
     }
 
-    /// Holds a party for a fault; `None` while another one does.
-    pub(crate) fn hold(&self, party: Party) -> Option<Hold<'_>> {
-        let hold = self.hold_for_planned_work(party)?;
+    /// Reserves a party for a fault; `None` if it is reserved already.
+    pub(crate) fn reserve(&self, party: Party) -> Option<Reservation<'_>> {
+        let reservation = self.reserve_for_planned_work(party)?;
         self.journal.begin_disruption(party);
-        Some(hold)
+        Some(reservation)
     }
 
-    /// Holds a party for planned work, which is no fault.
-    pub(crate) fn hold_for_planned_work(&self, party: Party) -> Option<Hold<'_>> {
-        self.held.borrow_mut().insert(party).then(|| Hold { faults: self, party })
+    /// Reserves a party for planned work, which is not recorded as a fault.
+    pub(crate) fn reserve_for_planned_work(&self, party: Party) -> Option<Reservation<'_>> {
+        self.reserved.borrow_mut().insert(party).then(|| Reservation { faults: self, party })
     }
 
-    /// Holds every process, once the faults under way have let go of them.
-    pub(crate) async fn hold_all(&self) -> Vec<Hold<'_>> {
-        let mut holds = Vec::new();
+    /// Reserves every process, waiting for those with a fault in progress.
+    pub(crate) async fn reserve_all(&self) -> Vec<Reservation<'_>> {
+        let mut reservations = Vec::new();
         for party in self.deployment.processes() {
             loop {
-                if let Some(hold) = self.hold(party) {
-                    holds.push(hold);
+                if let Some(reservation) = self.reserve(party) {
+                    reservations.push(reservation);
                     break;
                 }
-                compio::time::sleep(POLL).await;
+                compio::time::sleep(POLL_INTERVAL).await;
             }
         }
-        holds
+        reservations
     }
 
-    /// Whether the group can bear the loss of a disk now: no coordinator is harmed, nor was one lately.
-    fn bears_disk_loss(&self) -> bool {
-        let harmed = self.held.borrow().iter().any(|party| matches!(party, Party::Coordinator(_)));
-        !harmed && self.journal.now() > self.coordinators_healed_at.get() + REPAIR_TIME
+    /// Whether the group tolerates the loss of a disk now: no coordinator has or recently had a fault.
+    fn tolerates_disk_loss(&self) -> bool {
+        let has_fault = self.reserved.borrow().iter().any(|party| matches!(party, Party::Coordinator(_)));
+        !has_fault && self.journal.now() > self.coordinators_healed_at.get() + REPAIR_TIME
     }
 
-    /// Brings a fault about and heals it; one that does not fit at this moment is left out.
-    pub async fn cause(&self, fault: Fault) -> Result<()> {
+    /// Injects a fault and heals it. A fault that is not applicable at this moment is skipped.
+    pub async fn inject(&self, fault: Fault) -> Result<()> {
         match fault {
             Fault::Restart { party, end, down } => self.restart(party, end, down).await,
             Fault::ReplaceBuild { party, build, end, down } => {
                 self.deployment.choose_build(party, build);
-                self.tell(&format!("{party:?}: {build:?} from its next start on"));
+                self.log_fault(&format!("{party:?}: {build:?} from its next start on"));
                 self.restart_once_free(party, end, down).await
             }
             Fault::KillAll { down } => self.kill_all(down).await,
@@ -144,33 +143,33 @@
                 Ok(())
             }
             Fault::LossyZone(zone) => self.lose_packets(zone).await,
-            Fault::HarmLeader(harm) => self.harm_leader(harm).await,
+            Fault::HarmLeader(leader_fault) => self.inject_leader_fault(leader_fault).await,
             engine_fault => {
-                self.harm_engine(engine_fault).await;
+                self.inject_engine_fault(engine_fault).await;
                 Ok(())
             }
         }
     }
 
-    pub(crate) fn tell(&self, fault: &str) {
-        self.journal.fault(fault.to_string());
+    pub(crate) fn log_fault(&self, fault: &str) {
+        self.journal.record_fault(fault.to_string());
     }
 
-    /// Waits for the end of what is under way at `party` first.
+    /// Waits for faults in progress at `party` to end before the restart.
     async fn restart_once_free(&self, party: Party, end: End, down: Duration) -> Result<()> {
-        while self.held.borrow().contains(&party) {
-            compio::time::sleep(POLL).await;
+        while self.reserved.borrow().contains(&party) {
+            compio::time::sleep(POLL_INTERVAL).await;
         }
         self.restart(party, end, down).await
     }
 
     async fn restart(&self, party: Party, end: End, down: Duration) -> Result<()> {
-        let end = if end == End::LoseDisk && !self.bears_disk_loss() { End::Kill } else { end };
-        let hold = if end == End::Stop { self.hold_for_planned_work(party) } else { self.hold(party) };
-        let Some(_hold) = hold else {
+        let end = if end == End::LoseDisk && !self.tolerates_disk_loss() { End::Kill } else { end };
+        let reservation = if end == End::Stop { self.reserve_for_planned_work(party) } else { self.reserve(party) };
+        let Some(_reservation) = reservation else {
             return Ok(());
         };
-        self.tell(&format!("{party:?}: {end:?}, down {} ms", down.as_millis()));
+        self.log_fault(&format!("{party:?}: {end:?}, down {} ms", down.as_millis()));
         match end {
             End::Stop => {
                 let planned = self.journal.begin_planned(party);
@@ -186,14 +185,14 @@
         let folder = self.deployment.data_folder(party);
         match end {
             End::LoseDisk => std::fs::remove_dir_all(&folder)?,
-            End::TearLog => tear(&folder)?,
+            End::TearLog => append_torn_record(&folder)?,
             End::Kill | End::Stop => {}
         }
         compio::time::sleep(down).await;
         self.start_again(party)
     }
 
-    /// Starts a process again that has ended.
+    /// Restarts a process that has ended.
     pub(crate) fn start_again(&self, party: Party) -> Result<()> {
         self.deployment.write_settings(party, false)?;
         self.deployment.start_process(party)
@@ -201,12 +200,12 @@
 
     async fn kill_all(&self, down: Duration) -> Result<()> {
         let coordinators = (0..self.deployment.addresses.size.coordinators).map(Party::Coordinator);
-        let holds: Vec<Hold> = coordinators.filter_map(|party| self.hold(party)).collect();
-        self.tell(&format!("{} coordinators killed at once, down {} ms", holds.len(), down.as_millis()));
-        self.kill_together(holds.iter().map(|hold| hold.party), down).await
+        let reservations: Vec<Reservation> = coordinators.filter_map(|party| self.reserve(party)).collect();
+        self.log_fault(&format!("{} coordinators killed at once, down {} ms", reservations.len(), down.as_millis()));
+        self.kill_together(reservations.iter().map(|reservation| reservation.party), down).await
     }
 
-    /// Kills processes at the same moment, and starts them again.
+    /// Kills processes simultaneously and restarts them after `down`.
     pub(crate) async fn kill_together(
         &self,
         parties: impl Iterator<Item = Party> + Clone,
@@ -222,60 +221,61 @@
         Ok(())
     }
 
-    /// Has the group replace the coordinators that the settings name, one after the other: each is ended for good once
-    /// the one before is no member any more. Then every process is killed and comes back with the same settings.
+    /// Kills the coordinators named in the settings one after the other, each once the previous one is no longer a
+    /// member, and restarts them. Then kills every process and restarts it with the same settings.
     async fn replace_members(&self) -> Result<()> {
-        let holds = self.hold_all().await;
-        let named = (0..NAMED_COORDINATORS).map(Party::Coordinator);
+        let reservations = self.reserve_all().await;
+        let named_coordinators = (0..NAMED_COORDINATORS).map(Party::Coordinator);
         for number in 0..NAMED_COORDINATORS {
-            self.tell(&format!("coordinator {number} is ended, to be replaced"));
+            self.log_fault(&format!("coordinator {number} is killed, to be replaced"));
             self.deployment.kill(Party::Coordinator(number));
-            self.await_replacement(number).await;
+            self.wait_for_replacement(number).await;
             compio::time::sleep(SETTLE_TIME).await;
         }
-        for party in named {
+        for party in named_coordinators {
             self.start_again(party)?;
         }
         compio::time::sleep(SETTLE_TIME).await;
-        self.tell(&format!("all processes are killed; members: {}", self.deployment.newest_members()));
-        self.kill_together(holds.iter().map(|hold| hold.party), DOWN_TOGETHER).await
+        self.log_fault(&format!("all processes are killed; members: {}", self.deployment.newest_members()));
+        self.kill_together(reservations.iter().map(|reservation| reservation.party), KILL_ALL_DOWNTIME).await
     }
 
-    /// A voter that has ended is replaced soon. A learner may be silent for 12 s before it is dropped.
-    async fn await_replacement(&self, number: u8) {
-        const PROMISE: &str = "a lost member is replaced";
+    /// Checks that a killed voter loses its vote in time, and that it is removed from the group at the latest
+    /// [`LEARNER_TIMEOUT`] after that.
+    async fn wait_for_replacement(&self, number: u8) {
+        const INVARIANT: &str = "a lost member is replaced";
         let membership = || self.deployment.membership_of(number);
-        let votes_no_more = || async { membership() != MemberKind::Voter };
-        let replaced = Proof::begin(PROMISE, &self.journal);
-        replaced.prove(format!("coordinator {number} votes no more"), votes_no_more).await;
+        let is_not_voter = || async { membership() != MemberKind::Voter };
+        let replaced = ConvergenceCheck::begin(INVARIANT, &self.journal);
+        replaced.wait_for(format!("coordinator {number} is no longer a voter"), is_not_voter).await;
         let is_dropped = || async { membership() == MemberKind::None };
-        let dropped = Proof::begin_after(LEARNER_SILENCE, PROMISE, &self.journal);
-        dropped.prove(format!("coordinator {number} is no member any more"), is_dropped).await;
+        let dropped = ConvergenceCheck::begin_after(LEARNER_TIMEOUT, INVARIANT, &self.journal);
+        dropped.wait_for(format!("coordinator {number} is no longer a member"), is_dropped).await;
     }
 
     async fn suspend(&self, parties: &[Party], time: Duration) {
-        let holds: Vec<Hold> = parties.iter().filter_map(|party| self.hold(*party)).collect();
-        let held: Vec<Party> = holds.iter().map(|hold| hold.party).collect();
-        self.tell(&format!("{held:?}: suspended for {} ms", time.as_millis()));
-        for party in &held {
+        let reservations: Vec<Reservation> = parties.iter().filter_map(|party| self.reserve(*party)).collect();
+        let reserved: Vec<Party> = reservations.iter().map(|reservation| reservation.party).collect();
+        self.log_fault(&format!("{reserved:?}: suspended for {} ms", time.as_millis()));
+        for party in &reserved {
             self.deployment.with_process(*party, RunningChild::freeze);
         }
         compio::time::sleep(time).await;
-        for party in &held {
+        for party in &reserved {
             self.deployment.with_process(*party, RunningChild::thaw);
         }
-        self.journal.woke();
+        self.journal.record_resumption();
     }
 
     async fn freeze(&self, party: Party, time: Duration) {
-        let Some(_hold) = self.hold(party) else {
+        let Some(_reservation) = self.reserve(party) else {
             return;
         };
-        self.tell(&format!("{party:?}: frozen for {} ms", time.as_millis()));
+        self.log_fault(&format!("{party:?}: frozen for {} ms", time.as_millis()));
         self.deployment.with_process(party, RunningChild::freeze);
         compio::time::sleep(time).await;
         self.deployment.with_process(party, RunningChild::thaw);
-        self.journal.woke();
+        self.journal.record_resumption();
     }
 
     async fn cut(
@@ -303,36 +303,36 @@
         direction: Direction,
         time: Duration,
     ) {
-        let Some(_hold) = self.hold(party) else {
+        let Some(_reservation) = self.reserve(party) else {
             return;
         };
         others.retain(|other| *other != party);
         let (milliseconds, count) = (time.as_millis(), others.len());
-        self.tell(&format!("{party:?}: {condition:?} {direction:?} for {milliseconds} ms, {count} others"));
+        self.log_fault(&format!("{party:?}: {condition:?} {direction:?} for {milliseconds} ms, {count} others"));
         self.set_links(party, &others, direction, condition);
         compio::time::sleep(time).await;
         self.set_links(party, &others, direction, Condition::Open);
-        self.journal.woke();
+        self.journal.record_resumption();
     }
 
-    /// Harms the coordinator that leads now; left out if none has led yet or another fault holds it.
-    async fn harm_leader(&self, harm: LeaderHarm) -> Result<()> {
+    /// Injects a fault into the current leader. Skipped if there is none or it is reserved already.
+    async fn inject_leader_fault(&self, leader_fault: LeaderFault) -> Result<()> {
         let Some(number) = self.deployment.leader() else {
             return Ok(());
         };
         let party = Party::Coordinator(number);
-        self.tell(&format!("{party:?} leads"));
-        match harm {
-            LeaderHarm::Kill(down) => self.restart(party, End::Kill, down).await?,
-            LeaderHarm::Freeze(time) => self.freeze(party, time).await,
-            LeaderHarm::CutFromProcesses(time) => {
+        self.log_fault(&format!("{party:?} leads"));
+        match leader_fault {
+            LeaderFault::Kill(down) => self.restart(party, End::Kill, down).await?,
+            LeaderFault::Freeze(time) => self.freeze(party, time).await,
+            LeaderFault::CutFromProcesses(time) => {
                 let processes = self.deployment.processes();
                 self.cut_from(party, processes, Condition::Silent, Direction::Both, time).await;
             }
-            LeaderHarm::CutFromAll(time) => {
+            LeaderFault::CutFromAll(time) => {
                 self.cut(party, Condition::Silent, Direction::Both, time, false).await;
             }
-            LeaderHarm::RefuseWrites(time) => self.refuse_writes(party, time).await,
+            LeaderFault::RefuseWrites(time) => self.refuse_writes(party, time).await,
         }
         Ok(())
     }
@@ -349,26 +349,26 @@
     }
 
     async fn refuse_writes(&self, party: Party, time: Duration) {
-        let Some(_hold) = self.hold(party) else {
+        let Some(_reservation) = self.reserve(party) else {
             return;
         };
-        self.tell(&format!("{party:?}: writes refused for {} ms", time.as_millis()));
+        self.log_fault(&format!("{party:?}: writes refused for {} ms", time.as_millis()));
         let process = self.deployment.with_process(party, |child| child.id());
         let Some(process) = process.and_then(|process| Pid::from_raw(process as i32)) else {
             return;
         };
-        let refused = Rlimit { current: Some(REFUSED_FROM), maximum: None };
+        let refused = Rlimit { current: Some(FILE_SIZE_LIMIT), maximum: None };
         let Ok(before) = prlimit(Some(process), Resource::Fsize, refused) else {
             return;
         };
         compio::time::sleep(time).await;
         if self.deployment.is_running(party) {
-            // A process that has ended meanwhile needs no limit.
+            // The process may have ended, and its limit with it.
             let _ = prlimit(Some(process), Resource::Fsize, before);
         }
     }
 
-    async fn harm_engine(&self, fault: Fault) {
+    async fn inject_engine_fault(&self, fault: Fault) {
         let number = match fault {
             Fault::CrashEngine { number, .. }
             | Fault::EndEngine { number, .. }
@@ -377,11 +377,11 @@
             | Fault::LateOrders { number, .. } => number,
             _ => return,
         };
-        let Some(_hold) = self.hold(Party::Engine(number)) else {
+        let Some(_reservation) = self.reserve(Party::Engine(number)) else {
             return;
         };
         let engine = &self.engines[usize::from(number)];
-        self.tell(&format!("{fault:?}"));
+        self.log_fault(&format!("{fault:?}"));
         match fault {
             Fault::CrashEngine { down, .. } => self.crash(engine, down).await,
             Fault::EndEngine { down, .. } => {
@@ -406,13 +406,13 @@
         }
     }
 
-    /// Ends an engine each time that work begins there which does so.
-    pub async fn crash_by_work(self: Rc<Self>, engine: Engine) {
+    /// Crashes an engine whenever it starts to execute crashing work.
+    pub async fn run_crashes(self: Rc<Self>, engine: Engine) {
         loop {
-            engine.ends().changed(engine.ends().count()).await;
+            engine.crash_signal().changed(engine.crash_signal().count()).await;
             if !self.deployment.links.is_down(Party::Engine(engine.number())) {
-                self.tell(&format!("engine {} ends under its work", engine.number()));
-                self.crash(&engine, DOWN_AFTER_WORK).await;
+                self.log_fault(&format!("engine {} crashes under its work", engine.number()));
+                self.crash(&engine, CRASH_DOWNTIME).await;
             }
         }
     }
@@ -427,35 +427,35 @@
             }
         };
         set(Condition::Reset);
-        engine.start_anew();
+        engine.start_next_incarnation();
         compio::time::sleep(down).await;
         set(Condition::Open);
         self.deployment.links.set_down(party, false);
         self.journal.end_disruption(party);
     }
 
-    /// Lets everything go on that stands still or is cut off; faults under way end by themselves.
+    /// Opens all links and resets all engines to normal behavior; faults in progress end on their own.
     pub fn heal_all(&self) {
         self.deployment.links.heal_all();
         for engine in &self.engines {
             engine.set_conduct(Conduct::Normal);
             engine.set_order_conduct(OrderConduct::Normal);
         }
-        self.journal.woke();
+        self.journal.record_resumption();
     }
 }
 
-/// Leaves the beginning of a record behind the last whole one, as a process does that is killed while it writes.
-fn tear(folder: &Path) -> Result<()> {
+/// Appends the beginning of a record to the log, as a process does that is killed during a write.
+fn append_torn_record(folder: &Path) -> Result<()> {
     let file = folder.join(LOG_FILE);
     let Ok(mut bytes) = std::fs::read(&file) else {
         return Ok(());
     };
-    let Some(length) = bytes.get(..RECORD_LENGTH).and_then(|length| length.try_into().ok()) else {
+    let Some(length) = bytes.get(..RECORD_LENGTH_BYTES).and_then(|length| length.try_into().ok()) else {
         return Ok(());
     };
-    let whole = RECORD_HEAD + u32::from_le_bytes(length) as usize;
-    let torn = bytes.get(..fastrand::usize(1..whole).min(bytes.len())).unwrap_or_default().to_vec();
+    let record_bytes = RECORD_HEADER_BYTES + u32::from_le_bytes(length) as usize;
+    let torn = bytes.get(..fastrand::usize(1..record_bytes).min(bytes.len())).unwrap_or_default().to_vec();
     bytes.extend_from_slice(&torn);
     Ok(std::fs::write(file, bytes)?)
 }
--- a/crates/soak/src/journal.rs
+++ b/crates/soak/src/journal.rs
@@ -1,4 +1,4 @@
-//! What callers, operators and engines saw during a soak.
+//! Observations of callers, operators and engines during a soak.
 
 use crate::links::Party;
 use saddlerelay_types::instance::InstanceId;
@@ -8,273 +8,274 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Time since the soak's start.
+/// Time since the start of the soak.
 pub type Moment = Duration;
 
-/// A request that an engine began to run.
+/// A request that an engine started to execute.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// When.
+    /// Time of the observation.
     pub at: Moment,
-    /// The engine.
+    /// Engine instance.
     pub instance: InstanceId,
-    /// Its service.
+    /// The engine's service.
     pub service: String,
-    /// The request's identifier; an item's on the path of batch jobs.
+    /// Request id; for a job item, the item id.
     pub request: String,
-    /// The job that the request is an item of, as its path tells.
+    /// Job of the item, derived from the request path.
     pub job: Option<JobId>,
-    /// The kind of work that ends its engine, if it is such.
+    /// Kind of crashing work, if the request crashes its engine.
     pub crashing: Option<u32>,
 }
 
-/// An item at an engine.
+/// Execution of an item at an engine.
 #[derive(Clone, Debug)]
 pub struct ItemRun {
-    /// The item.
+    /// Item id.
     pub item: ItemId,
-    /// The engine.
+    /// Engine instance.
     pub instance: InstanceId,
-    /// When it began.
+    /// Start time.
     pub from: Moment,
-    /// When it left the engine; `None` while it is there.
+    /// End time; `None` while in progress.
     pub until: Option<Moment>,
-    /// How.
+    /// How it ended.
     pub end: ItemRunEnd,
 }
 
-/// How an item left its engine.
+/// How the execution of an item ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ItemRunEnd {
-    /// It has not left, or its caller has gone.
+    /// In progress, or its caller disconnected.
     Open,
-    /// The engine has made its whole text.
+    /// The engine produced all events.
     Finished,
-    /// The engine has answered that it failed.
+    /// The engine returned a failure.
     Failed,
-    /// The engine has ended.
+    /// The engine terminated.
     EngineEnded,
 }
 
-/// An engine that runs the model, at one moment.
+/// State of an engine that runs the model, at one moment.
 #[derive(Clone, Debug)]
-pub struct EngineSeen {
-    /// Its number.
+pub struct EngineSample {
+    /// Engine number.
     pub number: u8,
-    /// The version that it holds.
+    /// Loaded model version.
     pub version: u64,
-    /// Items and other requests that it runs.
+    /// Requests in progress, including items.
     pub running: u32,
-    /// Whether it takes items: it is reached, loads nothing, does not leave and answers as it should.
+    /// Whether it accepts items: reachable, not loading weights, not draining and behaving normally.
     pub takes_items: bool,
 }
 
-/// The engines that run the model, at one moment.
+/// States of all engines that run the model, at one moment.
 #[derive(Clone, Debug)]
-pub struct EnginesSeen {
-    /// When.
+pub struct EnginesSample {
+    /// Time of the observation.
     pub at: Moment,
-    /// The engines.
-    pub engines: Vec<EngineSeen>,
+    /// State of each engine.
+    pub engines: Vec<EngineSample>,
 }
 
-/// How a client's request ended, as the client saw it.
+/// Outcome of a client's request, as observed by the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// A whole successful answer that is the request's own.
-    Whole,
-    /// A status that promises that the request has not run and never will.
+pub enum Outcome {
+    /// Complete response with status 200. One that does not match the request is also recorded as a violation.
+    Complete,
+    /// Status that guarantees that the request was not and will not be executed.
     NotRun(u16),
-    /// Another failing status.
+    /// Any other error status.
     Failed(u16),
-    /// The connection ended, or the client's patience.
+    /// No complete response: the connection was closed, or the client timed out.
     Broken,
 }
 
-/// A client's request.
+/// A request sent by a client.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Its identifier.
+    /// Request id.
     pub request: String,
-    /// The beginning of its path.
+    /// Path prefix, which selects the route.
     pub prefix: &'static str,
-    /// When it was sent.
+    /// Send time.
     pub sent_at: Moment,
-    /// When it ended.
+    /// End time.
     pub ended_at: Moment,
-    /// How.
-    pub ending: Ending,
+    /// How it ended.
+    pub outcome: Outcome,
 }
 
-/// How a request on a connection that its client keeps ended.
+/// Outcome of a request on a keep-alive connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeptEnding {
-    /// With a whole answer.
+pub enum KeepAliveOutcome {
+    /// Complete response received.
     Answered,
-    /// The connection ended before the whole answer.
+    /// Connection closed before a complete response.
     Closed,
-    /// The client's patience ended.
-    GivenUp,
+    /// Client timed out.
+    TimedOut,
 }
 
-/// A request on a connection that its client keeps.
+/// A request on a keep-alive connection.
 #[derive(Clone, Debug)]
-pub struct KeptRequest {
-    /// Its identifier.
+pub struct KeepAliveRequest {
+    /// Request id.
     pub request: String,
-    /// The gateway at the other end.
+    /// Gateway that the connection goes to.
     pub gateway: u8,
-    /// Whether it is the first on its connection. The proxy takes connections for a process that is down, too.
+    /// Whether it is the first request of its connection. The proxy also accepts connections while the process behind
+    /// it is down.
     pub is_first: bool,
-    /// When it was sent.
+    /// Send time.
     pub sent_at: Moment,
-    /// When it ended.
+    /// End time.
     pub ended_at: Moment,
-    /// How.
-    pub ending: KeptEnding,
+    /// How it ended.
+    pub outcome: KeepAliveOutcome,
 }
 
-/// Time for which something was done to a party.
+/// Interval of a fault or of planned work at a party.
 #[derive(Clone, Debug)]
 pub struct Disturbance {
-    /// The party.
+    /// Affected party.
     pub party: Party,
-    /// When it began.
+    /// Start time.
     pub from: Moment,
-    /// When it ended; `None` while it lasts.
+    /// End time; `None` while it lasts.
     pub until: Option<Moment>,
 }
 
-/// An order that reached an engine.
+/// A weight load order received by an engine.
 #[derive(Clone, Debug)]
-pub struct OrderSeen {
-    /// When.
+pub struct OrderRecord {
+    /// Time of the observation.
     pub at: Moment,
-    /// The engine.
+    /// Engine instance.
     pub instance: InstanceId,
-    /// Who gave it.
+    /// Lease holder that sent it.
     pub holder: String,
-    /// Its fence.
+    /// Fencing token.
     pub fence: u64,
 }
 
-/// A routing document as operators sent it.
+/// A routing document sent by an operator.
 #[derive(Clone, Debug)]
 pub struct SentDocument {
-    /// Its version.
+    /// Document version.
     pub version: u64,
-    /// The service to which the route that moves goes.
+    /// Target service of the route that changes with each document.
     pub moving_to: &'static str,
-    /// Its bytes.
+    /// Document as sent, in bytes.
     pub body: Vec<u8>,
-    /// When it was first sent.
+    /// Time of the first send.
     pub sent_at: Moment,
-    /// When it was first acknowledged.
+    /// Time of the first acknowledgement.
     pub acknowledged_at: Option<Moment>,
 }
 
 /// A routing document that was read back.
 #[derive(Clone, Debug)]
 pub struct ReadDocument {
-    /// When the question was sent.
-    pub asked_at: Moment,
-    /// Its bytes; `None` when there was said to be none.
+    /// Send time of the read request.
+    pub requested_at: Moment,
+    /// Response body; `None` for a not-found response.
     pub body: Option<Vec<u8>>,
 }
 
-/// A result as a trainer read it.
+/// An item result as read by a trainer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SeenResult {
-    /// The item.
+pub struct ResultRecord {
+    /// Item id.
     pub item: ItemId,
-    /// How it ended.
+    /// Whether the item was completed or aborted.
     pub end: ItemEnd,
-    /// Its text.
+    /// Generated text.
     pub text: Vec<u8>,
-    /// The versions that it names.
+    /// Model versions that the result lists.
     pub versions: Vec<u64>,
-    /// The stamp of its scorer's answer.
+    /// Stamp in the scorer's response.
     pub score: Option<String>,
 }
 
-/// A batch job as its trainer saw it.
+/// A batch job as observed by its trainer.
 #[derive(Clone, Debug, Default)]
-pub struct JobSeen {
-    /// Its items, with the number of events of each.
+pub struct JobRecord {
+    /// Number of events by item.
     pub items: BTreeMap<ItemId, u32>,
-    /// The oldest version that may make its text.
+    /// Oldest model version allowed to generate its items.
     pub minimum_version: u64,
-    /// How many of its items end the engines that run them.
+    /// Number of items that crash their engine.
     pub crashing: usize,
-    /// When a gateway acknowledged it.
+    /// Time when a gateway acknowledged the submission.
     pub acknowledged_at: Option<Moment>,
-    /// Whether it was never sent again after a promise that nothing of it runs.
-    pub refused: bool,
-    /// When its end was first asked for.
-    pub end_asked_at: Option<Moment>,
-    /// When its end was acknowledged.
+    /// Whether the submission was rejected as not executed and never retried.
+    pub rejected: bool,
+    /// Time of the first cancellation request.
+    pub end_requested_at: Option<Moment>,
+    /// Time when the cancellation was acknowledged.
     pub ended_at: Option<Moment>,
-    /// Results by position.
-    pub results: BTreeMap<u64, SeenResult>,
+    /// Results by position in the listing.
+    pub results: BTreeMap<u64, ResultRecord>,
 }
 
-/// A promise that was broken.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The promise.
-    pub promise: &'static str,
-    /// What was seen.
-    pub seen: String,
-    /// Whether it is one because of the time that something took, so that a late soak may have caused it.
+    /// Name of the invariant.
+    pub invariant: &'static str,
+    /// Observation that violates it.
+    pub observed: String,
+    /// Whether a time limit was exceeded, which lag of the soak's own tasks may cause.
     pub time_bound: bool,
 }
 
-/// Everything that was seen.
+/// All observations of a soak.
 #[derive(Debug, Default)]
 pub struct Records {
-    /// Requests that engines ran.
+    /// Requests that engines started to execute.
     pub runs: Vec<Run>,
-    /// Items at engines.
+    /// Item executions at engines.
     pub item_runs: Vec<ItemRun>,
-    /// The engines that run the model, several times a second.
-    pub engines_seen: Vec<EnginesSeen>,
-    /// When versions were named: the first send and the acknowledgement of each.
-    pub versions_named: Vec<Moment>,
-    /// Events that engines made: item, number, version.
+    /// Periodic samples of the engines that run the model.
+    pub engine_samples: Vec<EnginesSample>,
+    /// Times of the first send and of the acknowledgement of each published model version.
+    pub versions_published: Vec<Moment>,
+    /// Events that engines generated: item id, event number, model version.
     pub events: BTreeSet<(String, u32, u64)>,
-    /// Failures of items at engines, by item.
+    /// Failed executions at engines, by request id.
     pub item_failures: BTreeMap<String, u32>,
-    /// Clients' requests.
+    /// Requests of all clients.
     pub requests: Vec<ClientRequest>,
-    /// Clients' requests on connections that they keep.
-    pub kept: Vec<KeptRequest>,
-    /// Planned work: stops and reloads, each until the process has ended or its reload is long done.
+    /// Requests on keep-alive connections.
+    pub keep_alive: Vec<KeepAliveRequest>,
+    /// Planned stops and reloads, each until the process has ended or the reload is complete.
     pub planned: Vec<Disturbance>,
-    /// Faults of parties, apart from planned work.
+    /// Faults of parties, excluding planned work.
     pub disruptions: Vec<Disturbance>,
-    /// Orders that engines saw.
-    pub orders: Vec<OrderSeen>,
-    /// When the leaving of an engine was acknowledged.
+    /// Orders received by engines.
+    pub orders: Vec<OrderRecord>,
+    /// Time when a drain was acknowledged, by engine instance.
     pub leaving: BTreeMap<InstanceId, Moment>,
-    /// Documents that operators sent.
+    /// Routing documents sent by operators.
     pub documents: Vec<SentDocument>,
-    /// Documents that were read.
+    /// Routing documents read back.
     pub reads: Vec<ReadDocument>,
-    /// Batch jobs.
-    pub jobs: BTreeMap<JobId, JobSeen>,
-    /// Moments at which a process woke or a link healed: what was held up until then arrives late.
-    pub woken: Vec<Moment>,
-    /// Promises whose breach was seen at once.
+    /// Batch jobs by id.
+    pub jobs: BTreeMap<JobId, JobRecord>,
+    /// Times when a frozen process resumed or a link healed: traffic held until then arrives late.
+    pub resumptions: Vec<Moment>,
+    /// Violated invariants.
     pub violations: Vec<Violation>,
-    /// The latest that a task of the soak itself ran.
+    /// Maximum scheduling lag of the soak's own tasks.
     pub own_lag: Duration,
-    /// When one was last later than is in time.
+    /// Last time when the lag of the soak's own tasks exceeded the limit.
     pub late_at: Option<Moment>,
-    /// Faults, for the report.
+    /// Injected faults, with start time and description.
     pub faults: Vec<(Moment, String)>,
 }
 
-/// The journal. Clones write to the same one.
+/// Shared store of observations. Clones write to the same records.
 #[derive(Clone)]
 pub struct Journal {
     started: Instant,
@@ -295,50 +296,50 @@
 }
 
 impl Journal {
-    /// Time since the start.
+    /// Time since the start of the soak.
     pub fn now(&self) -> Moment {
         self.started.elapsed()
     }
 
-    /// Changes the records.
+    /// Modifies the records.
     pub fn write<T>(&self, change: impl FnOnce(&mut Records) -> T) -> T {
         change(&mut self.records.borrow_mut())
     }
 
-    /// Looks at the records.
-    pub fn read<T>(&self, look: impl FnOnce(&Records) -> T) -> T {
-        look(&self.records.borrow())
+    /// Reads the records.
+    pub fn read<T>(&self, inspect: impl FnOnce(&Records) -> T) -> T {
+        inspect(&self.records.borrow())
     }
 
-    /// Notes a broken promise.
-    pub fn violation(&self, promise: &'static str, seen: String) {
-        self.take_violation(Violation { promise, seen, time_bound: false });
+    /// Records a violated invariant.
+    pub fn violation(&self, invariant: &'static str, observed: String) {
+        self.record_violation(Violation { invariant, observed, time_bound: false });
     }
 
-    /// Notes that something took longer than was promised.
-    pub fn late(&self, promise: &'static str, seen: String) {
-        self.take_violation(Violation { promise, seen, time_bound: true });
+    /// Records a violated time limit.
+    pub fn late(&self, invariant: &'static str, observed: String) {
+        self.record_violation(Violation { invariant, observed, time_bound: true });
     }
 
-    /// Notes a broken promise that a check has found.
-    pub fn take_violation(&self, violation: Violation) {
+    /// Prints and records a violation.
+    pub fn record_violation(&self, violation: Violation) {
         let now = self.now().as_secs_f64();
-        eprintln!("{now:>8.3} s  broken: {}: {}", violation.promise, violation.seen);
+        eprintln!("{now:>8.3} s  broken: {}: {}", violation.invariant, violation.observed);
         self.write(|records| records.violations.push(violation));
     }
 
-    /// Notes that a task of the soak itself was later than is in time.
-    pub fn note_lateness(&self) {
+    /// Records that the lag of one of the soak's own tasks exceeded the limit.
+    pub fn record_lateness(&self) {
         let now = self.now();
         self.write(|records| records.late_at = Some(now));
     }
 
-    /// When a task of the soak itself was last later than is in time.
+    /// Last time when the lag of the soak's own tasks exceeded the limit.
     pub fn late_at(&self) -> Option<Moment> {
         self.read(|records| records.late_at)
     }
 
-    /// Notes that planned work on `party` begins; returns its number for [`Self::end_planned`].
+    /// Records the start of planned work on `party`; returns an index for [`Self::end_planned`].
     pub fn begin_planned(&self, party: Party) -> usize {
         let from = self.now();
         self.write(|records| {
@@ -347,25 +348,25 @@
         })
     }
 
-    /// Notes that planned work is over.
+    /// Records the end of planned work.
     pub fn end_planned(&self, number: usize) {
         let now = self.now();
         self.write(|records| records.planned[number].until = Some(now));
     }
 
-    /// Whether planned work on `party` is under way.
+    /// Whether planned work on `party` is in progress.
     pub fn is_under_planned_work(&self, party: Party) -> bool {
         let under_way = |work: &Disturbance| work.party == party && work.until.is_none();
         self.read(|records| records.planned.iter().any(under_way))
     }
 
-    /// Notes that a fault of `party` begins.
+    /// Records the start of a fault of `party`.
     pub fn begin_disruption(&self, party: Party) {
         let from = self.now();
         self.write(|records| records.disruptions.push(Disturbance { party, from, until: None }));
     }
 
-    /// Notes that the faults of `party` are over.
+    /// Records the end of all faults of `party`.
     pub fn end_disruption(&self, party: Party) {
         let now = self.now();
         self.write(|records| {
@@ -374,13 +375,13 @@
         });
     }
 
-    /// Notes that a process woke or a link healed.
-    pub fn woke(&self) {
+    /// Records that a frozen process resumed or a link healed.
+    pub fn record_resumption(&self) {
         let now = self.now();
-        self.write(|records| records.woken.push(now));
+        self.write(|records| records.resumptions.push(now));
     }
 
-    /// Notes that an item has begun at an engine; returns its number for [`Self::end_item_run`].
+    /// Records the start of an item at an engine; returns an index for [`Self::end_item_run`].
     pub fn begin_item_run(&self, item: ItemId, instance: InstanceId) -> usize {
         let from = self.now();
         self.write(|records| {
@@ -389,25 +390,25 @@
         })
     }
 
-    /// Notes that an item has left its engine, unless it had before.
+    /// Records the end of an item execution, unless it ended before.
     pub fn end_item_run(&self, number: usize, end: ItemRunEnd) {
         let now = self.now();
         self.write(|records| end_if_open(&mut records.item_runs[number], now, end));
     }
 
-    /// Notes that an engine has ended, with the items that were there.
+    /// Records the end of an engine and of the items in progress there.
     pub fn engine_ended(&self, instance: &InstanceId) {
         let now = self.now();
         self.write(|records| {
-            let there = records.item_runs.iter_mut().filter(|run| run.instance == *instance);
-            there.for_each(|run| end_if_open(run, now, ItemRunEnd::EngineEnded));
+            let affected = records.item_runs.iter_mut().filter(|run| run.instance == *instance);
+            affected.for_each(|run| end_if_open(run, now, ItemRunEnd::EngineEnded));
         });
     }
 
-    /// Notes a fault.
-    pub fn fault(&self, what: String) {
+    /// Prints and records an injected fault.
+    pub fn record_fault(&self, description: String) {
         let now = self.now();
-        println!("{:>8.3} s  {what}", now.as_secs_f64());
-        self.write(|records| records.faults.push((now, what)));
+        println!("{:>8.3} s  {description}", now.as_secs_f64());
+        self.write(|records| records.faults.push((now, description)));
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,10 +1,10 @@
-//! A randomized soak of the product's real processes.
+//! Randomized fault soak of the product's processes.
 //!
-//! Gateways and coordinators run as child processes, each on a loopback address of its own; engines, clients, a trainer,
-//! operators and the platform are tasks of the soak's process. Every connection passes a proxy that can delay, silence or reset it by
-//! direction and by pair of parties. Faults come from outside only: from the proxy, by signals, by what happens to data
-//! folders and file size limits, and from engines. What callers and engines see is written to a journal, and
-//! [`checks`] judges it against the product's promises.
+//! Gateways and coordinators run as child processes, each on its own loopback address; engines, clients, a trainer,
+//! operators and the platform run as tasks of the soak process. Every connection passes through a proxy that can
+//! delay, block or reset it per direction and per pair of parties. Faults are injected from outside only: by the
+//! proxy, signals, damage to data folders, file size limits and engine misbehavior. Observations of callers and
+//! engines go to a journal, and [`checks`] verifies the product's invariants against it.
 
 pub mod addresses;
 pub mod builds;
@@ -13,11 +13,12 @@
 pub mod case;
 pub mod checks;
 pub mod command_line;
+pub mod convergence;
 pub mod deployment;
 pub mod engine;
 pub mod faults;
 pub mod journal;
-pub mod kept;
+pub mod keep_alive;
 pub mod links;
 pub mod lossy_zone;
 pub mod operator;
@@ -25,7 +26,6 @@
 pub mod pairs;
 pub mod plan;
 pub mod platform;
-pub mod proof;
 pub mod proxy;
 pub mod report;
 pub mod run;
--- a/crates/soak/src/links.rs
+++ b/crates/soak/src/links.rs
@@ -1,4 +1,4 @@
-//! The condition of the links between the parties of a soak, by direction.
+//! Conditions of the links between the parties of a soak, per direction.
 
 use saddlerelay_runtime::signal::Signal;
 use std::cell::RefCell;
@@ -6,67 +6,67 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Someone who opens connections or takes them.
+/// An endpoint of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Party {
     /// A gateway process.
     Gateway(u8),
     /// A coordinator process.
     Coordinator(u8),
-    /// A stand-in engine.
+    /// A simulated engine.
     Engine(u8),
     /// Clients, trainers and operators.
     Outside,
 }
 
-/// What happens to the bytes that go one way between two parties.
+/// Condition of one direction between two parties.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Condition {
-    /// They arrive.
+    /// Bytes are delivered.
     #[default]
     Open,
-    /// They arrive late by this long.
+    /// Each chunk is delivered after this delay.
     Delayed(Duration),
-    /// So many pieces in a thousand are lost, and sent again as TCP does. Each connection loses pieces for itself, and what
-    /// follows a lost piece waits behind it.
+    /// Chunks lost, per thousand, and retransmitted as TCP does. Losses are independent per connection, and later
+    /// chunks of a connection wait for a lost one.
     Lossy(u32),
-    /// They are held back until the link heals.
+    /// Bytes are held until the link heals.
     Silent,
-    /// Their connections are reset, and no new one comes up.
+    /// Connections are reset and new ones are rejected.
     Reset,
 }
 
-/// First wait before a lost piece is sent again; it doubles with each loss in a row (Linux: 200 ms at least).
-const RESEND: Duration = Duration::from_millis(200);
+/// Initial retransmission timeout, doubled after each consecutive loss (Linux: at least 200 ms).
+const RETRANSMISSION_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The same of the first packet of a connection (RFC 6298: 1 s).
-const CONNECT_RESEND: Duration = Duration::from_secs(1);
+/// Initial retransmission timeout of a SYN (RFC 6298: 1 s).
+const CONNECT_RETRANSMISSION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Doublings at most.
-const MOST_RESENDS: u32 = 6;
+/// Maximum number of consecutive losses.
+const MAX_RETRANSMISSIONS: u32 = 6;
 
-/// How long losses in a row hold a piece up.
-fn resend_time(lost_per_mille: u32, first: Duration) -> Duration {
-    let losses = (0..MOST_RESENDS).take_while(|_| fastrand::u32(..1000) < lost_per_mille);
+/// Total delay of a chunk by consecutive losses.
+fn retransmission_delay(lost_per_mille: u32, first: Duration) -> Duration {
+    let losses = (0..MAX_RETRANSMISSIONS).take_while(|_| fastrand::u32(..1000) < lost_per_mille);
     losses.map(|loss| first * (1 << loss)).sum()
 }
 
-/// Every link. Clones share them.
+/// Conditions of all links. Clones share state.
 #[derive(Clone, Default)]
 pub struct Links {
     conditions: Rc<RefCell<BTreeMap<(Party, Party), Condition>>>,
-    /// Parties at whose addresses nobody listens.
+    /// Parties whose addresses refuse connections.
     down: Rc<RefCell<BTreeSet<Party>>>,
     changed: Rc<Signal>,
 }
 
 impl Links {
-    /// What happens to bytes from `from` to `to`.
+    /// Condition of the direction from `from` to `to`.
     pub fn condition(&self, from: Party, to: Party) -> Condition {
         self.conditions.borrow().get(&(from, to)).copied().unwrap_or_default()
     }
 
-    /// Sets what happens to bytes from `from` to `to`.
+    /// Sets the condition of the direction from `from` to `to`.
     pub fn set(&self, from: Party, to: Party, condition: Condition) {
         self.conditions.borrow_mut().insert((from, to), condition);
         self.changed.notify();
@@ -78,12 +78,12 @@
         self.set(other, one, condition);
     }
 
-    /// Whether nobody listens at a party's address.
+    /// Whether a party's address refuses connections.
     pub fn is_down(&self, party: Party) -> bool {
         self.down.borrow().contains(&party)
     }
 
-    /// Has connections to a party refused, as the machine of a process that has ended refuses them, or no longer.
+    /// Makes connections to a party be refused, as after the end of its process, or accepted again.
     pub fn set_down(&self, party: Party, down: bool) {
         let mut parties = self.down.borrow_mut();
         if down {
@@ -95,28 +95,28 @@
         self.changed.notify();
     }
 
-    /// Waits until a party's address is as wanted: down or not.
-    pub async fn until_down_is(&self, party: Party, wanted: bool) {
+    /// Waits until a party's address refuses connections, or accepts them.
+    pub async fn wait_until_down_is(&self, party: Party, expected: bool) {
         loop {
-            let seen = self.changed.count();
-            if self.is_down(party) == wanted {
+            let change_count = self.changed.count();
+            if self.is_down(party) == expected {
                 return;
             }
-            self.changed.changed(seen).await;
+            self.changed.changed(change_count).await;
         }
     }
 
-    /// Opens every link.
+    /// Resets all links to open and all parties to up.
     pub fn heal_all(&self) {
         self.conditions.borrow_mut().clear();
         self.down.borrow_mut().clear();
         self.changed.notify();
     }
 
-    /// Waits until bytes from `from` to `to` may go on; `false` if their connection is to be reset.
-    pub async fn pass(&self, from: Party, to: Party) -> bool {
+    /// Waits until bytes from `from` to `to` may be forwarded; `false` if the connection must be reset.
+    pub async fn wait_to_forward(&self, from: Party, to: Party) -> bool {
         loop {
-            let seen = self.changed.count();
+            let change_count = self.changed.count();
             match self.condition(from, to) {
                 Condition::Open => return true,
                 Condition::Delayed(delay) => {
@@ -124,40 +124,40 @@
                     return true;
                 }
                 Condition::Lossy(per_mille) => {
-                    compio::time::sleep(resend_time(per_mille, RESEND)).await;
+                    compio::time::sleep(retransmission_delay(per_mille, RETRANSMISSION_TIMEOUT)).await;
                     return true;
                 }
                 Condition::Reset => return false,
-                Condition::Silent => self.changed.changed(seen).await,
+                Condition::Silent => self.changed.changed(change_count).await,
             }
         }
     }
 
-    /// Waits until a connection may come up; `false` if it is to be reset. Delays concern what goes over it.
-    pub async fn may_connect(&self, from: Party, to: Party) -> bool {
+    /// Waits until a connection may be established; `false` if it must be reset. Delays apply only to its data.
+    pub async fn wait_to_connect(&self, from: Party, to: Party) -> bool {
         loop {
-            let seen = self.changed.count();
+            let change_count = self.changed.count();
             match self.condition(from, to) {
                 Condition::Open | Condition::Delayed(_) => return true,
                 Condition::Lossy(per_mille) => {
-                    compio::time::sleep(resend_time(per_mille, CONNECT_RESEND)).await;
+                    compio::time::sleep(retransmission_delay(per_mille, CONNECT_RETRANSMISSION_TIMEOUT)).await;
                     return true;
                 }
                 Condition::Reset => return false,
-                Condition::Silent => self.changed.changed(seen).await,
+                Condition::Silent => self.changed.changed(change_count).await,
             }
         }
     }
 
-    /// Waits until a connection between two parties is to be reset.
-    pub async fn until_reset(&self, one: Party, other: Party) {
+    /// Waits until connections between two parties must be reset.
+    pub async fn wait_for_reset(&self, one: Party, other: Party) {
         loop {
-            let seen = self.changed.count();
+            let change_count = self.changed.count();
             let resets = |from, to| self.condition(from, to) == Condition::Reset;
             if resets(one, other) || resets(other, one) {
                 return;
             }
-            self.changed.changed(seen).await;
+            self.changed.changed(change_count).await;
         }
     }
 }
--- a/crates/soak/src/lossy_zone.rs
+++ b/crates/soak/src/lossy_zone.rs
@@ -1,54 +1,53 @@
-//! A zone that loses packets to all others while the group is led from there.
+//! Packet loss between the leader's zone and all other zones.
 //!
-//! The zone is made of the coordinator that leads at that moment, another coordinator and a gateway. Its links hold frames up as
-//! lost packets do. The lead has to go to another zone, and voters there keep their places. All coordinators are killed before or
-//! after that, and whoever is elected, the lead has to be in another zone again soon.
+//! The zone consists of the current leader, another coordinator and a gateway. Leadership must move to another zone,
+//! and voters in other zones must keep their votes. All coordinators are killed before or after the leadership
+//! change; afterwards, too, a coordinator of another zone must become leader in time.
 
 use crate::case::Case;
-use crate::deployment::{Lead, MemberKind};
-use crate::faults::{Faults, Hold};
+use crate::convergence::ConvergenceCheck;
+use crate::deployment::{Leadership, MemberKind};
+use crate::faults::{FaultInjector, Reservation};
 use crate::links::{Condition, Party};
 use crate::plan::{ENGINES, Fault, Planned, milliseconds};
-use crate::proof::Proof;
 use anyhow::Result;
 use fastrand::Rng;
 use std::ops::Range;
 use std::time::Duration;
 
-/// Pieces in a thousand that are lost.
+/// Chunk loss per thousand.
 const LOST_PER_MILLE: u32 = 200;
 
-/// When the zone begins to lose packets, in milliseconds.
+/// Start of the packet loss, in milliseconds.
 const BEGINS_MS: Range<u64> = 1_000..4_000;
 
-/// From the beginning, or from the hand-over, until all coordinators are killed, in milliseconds.
-const CALM_MS: Range<u64> = 0..3_000;
+/// Time from the start of the packet loss, or from the leadership change, until all coordinators are killed, in
+/// milliseconds.
+const QUIET_MS: Range<u64> = 0..3_000;
 
-/// How long all coordinators are down, in milliseconds.
+/// Downtime of the killed coordinators, in milliseconds.
 const DOWN_MS: Range<u64> = 100..1_000;
 
-/// Pause between looks for a leader.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the lead has to do.
-const PROMISE: &str = "a leader whose zone loses packets hands its lead over";
+const INVARIANT: &str = "a leader whose zone loses packets hands its lead over";
 
-/// How a zone loses packets.
+/// Parameters of the fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LossyZone {
-    /// How far the zone's other coordinator stands behind the leader in the order of their numbers.
+    /// Offset of the zone's other coordinator from the leader, modulo the number of coordinators.
     pub companion: u8,
-    /// The zone's gateway.
+    /// Gateway in the zone.
     pub gateway: u8,
-    /// Whether all coordinators are killed after the lead has gone to another zone, or while it is still there.
+    /// Whether all coordinators are killed after the leadership change rather than before it.
     pub killed_after_handover: bool,
-    /// How long before that nothing else happens.
+    /// Time without further faults before the kill.
     pub calm: Duration,
-    /// How long all coordinators are down.
+    /// Downtime of the killed coordinators.
     pub down: Duration,
 }
 
-/// Draws the fault of a case.
+/// Generates the fault of a case.
 pub fn draw(case: Case) -> Vec<Planned> {
     let mut random = Rng::with_seed(case.seed);
     let at = milliseconds(&mut random, BEGINS_MS);
@@ -56,81 +55,83 @@
         companion: random.u8(1..case.size.coordinators),
         gateway: random.u8(..case.size.gateways),
         killed_after_handover: random.bool(),
-        calm: milliseconds(&mut random, CALM_MS),
+        calm: milliseconds(&mut random, QUIET_MS),
         down: milliseconds(&mut random, DOWN_MS),
     };
     vec![Planned { at, fault: Fault::LossyZone(zone) }]
 }
 
-impl Faults {
-    /// Has the leader's zone lose packets, and proves that the lead leaves it.
+impl FaultInjector {
+    /// Injects the packet loss and checks that leadership leaves the zone.
     pub(crate) async fn lose_packets(&self, zone: LossyZone) -> Result<()> {
-        let holds = self.hold_all().await;
-        let first = self.await_lead().await;
-        let companion = (first.number + zone.companion) % self.deployment.addresses.size.coordinators;
-        let inside = [Party::Coordinator(first.number), Party::Coordinator(companion), Party::Gateway(zone.gateway)];
-        self.tell(&format!("{inside:?}: {LOST_PER_MILLE} pieces in a thousand are lost"));
-        self.set_zone(&inside, Condition::Lossy(LOST_PER_MILLE));
-        let voters = self.voters_outside(&inside);
+        let reservations = self.reserve_all().await;
+        let first_leadership = self.wait_for_leader().await;
+        let companion = (first_leadership.number + zone.companion) % self.deployment.addresses.size.coordinators;
+        let members =
+            [Party::Coordinator(first_leadership.number), Party::Coordinator(companion), Party::Gateway(zone.gateway)];
+        self.log_fault(&format!("{members:?}: {LOST_PER_MILLE} chunks per thousand are lost"));
+        self.set_zone(&members, Condition::Lossy(LOST_PER_MILLE));
+        let voters = self.voters_outside(&members);
         if zone.killed_after_handover {
-            self.prove_led_from_outside(&inside, &first, "while it runs").await;
+            self.check_leader_outside(&members, &first_leadership, "while it runs").await;
         }
         compio::time::sleep(zone.calm).await;
         self.check_voters(&voters);
-        self.tell("all coordinators are killed");
-        let last = self.await_lead().await;
-        self.kill_together(coordinators_of(&holds).into_iter(), zone.down).await?;
-        self.prove_led_from_outside(&inside, &last, "after all coordinators were killed").await;
-        self.set_zone(&inside, Condition::Open);
+        self.log_fault("all coordinators are killed");
+        let last_leadership = self.wait_for_leader().await;
+        self.kill_together(coordinators_of(&reservations).into_iter(), zone.down).await?;
+        self.check_leader_outside(&members, &last_leadership, "after all coordinators were killed").await;
+        self.set_zone(&members, Condition::Open);
         Ok(())
     }
 
-    async fn await_lead(&self) -> Lead {
+    async fn wait_for_leader(&self) -> Leadership {
         loop {
-            if let Some(lead) = self.deployment.newest_lead() {
-                return lead;
+            if let Some(newest) = self.deployment.newest_leadership() {
+                return newest;
             }
-            compio::time::sleep(POLL).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn set_zone(&self, inside: &[Party], condition: Condition) {
+    fn set_zone(&self, members: &[Party], condition: Condition) {
         let engines = (0..ENGINES).map(Party::Engine);
-        let everyone = self.deployment.processes().into_iter().chain(engines);
-        for other in everyone.filter(|party| !inside.contains(party)) {
-            for party in inside {
+        let all_parties = self.deployment.processes().into_iter().chain(engines);
+        for other in all_parties.filter(|party| !members.contains(party)) {
+            for party in members {
                 self.deployment.links.set_both(*party, other, condition);
             }
         }
     }
 
-    /// A lead that begins after `before` has to be outside.
-    async fn prove_led_from_outside(&self, inside: &[Party], before: &Lead, when: &str) {
+    /// Checks that a coordinator outside the zone becomes leader after `previous`.
+    async fn check_leader_outside(&self, members: &[Party], previous: &Leadership, when: &str) {
         let is_outside = || async {
-            let lead = self.deployment.newest_lead();
-            lead.is_some_and(|lead| lead > *before && !inside.contains(&Party::Coordinator(lead.number)))
+            let newest = self.deployment.newest_leadership();
+            newest.is_some_and(|newest| newest > *previous && !members.contains(&Party::Coordinator(newest.number)))
         };
-        let proof = Proof::begin(PROMISE, &self.journal);
-        proof.prove(when.to_string(), is_outside).await;
-        self.tell(&format!("led by {:?}, {when}", self.deployment.leader()));
+        let check = ConvergenceCheck::begin(INVARIANT, &self.journal);
+        check.wait_for(when.to_string(), is_outside).await;
+        self.log_fault(&format!("led by {:?}, {when}", self.deployment.leader()));
     }
 
-    fn voters_outside(&self, inside: &[Party]) -> Vec<u8> {
+    fn voters_outside(&self, members: &[Party]) -> Vec<u8> {
         let numbers = 0..self.deployment.addresses.size.coordinators;
-        let outside = numbers.filter(|number| !inside.contains(&Party::Coordinator(*number)));
+        let outside = numbers.filter(|number| !members.contains(&Party::Coordinator(*number)));
         outside.filter(|number| self.deployment.membership_of(*number) == MemberKind::Voter).collect()
     }
 
     fn check_voters(&self, voters: &[u8]) {
         for number in voters {
             if self.deployment.membership_of(*number) != MemberKind::Voter {
-                self.journal.violation("sound voters keep their places", format!("coordinator {number} votes no more"));
+                self.journal
+                    .violation("sound voters keep their places", format!("coordinator {number} is no longer a voter"));
             }
         }
     }
 }
 
-fn coordinators_of(holds: &[Hold]) -> Vec<Party> {
-    let parties = holds.iter().map(|hold| hold.party);
+fn coordinators_of(reservations: &[Reservation]) -> Vec<Party> {
+    let parties = reservations.iter().map(|reservation| reservation.party);
     parties.filter(|party| matches!(party, Party::Coordinator(_))).collect()
 }
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -1,56 +1,55 @@
-//! Operators, who change the routing and read it back, and the reports of engines.
+//! Operators that change and read the routing document, and reports and replacement of engines.
 
-use crate::calls::{control, control_until_done};
+use crate::calls::{call_coordinator, change_until_acknowledged};
 use crate::deployment::{Addresses, DRAIN_BOUND, REPORT_INTERVAL};
 use crate::engine::Engine;
 use crate::journal::{Journal, ReadDocument, SentDocument};
-use crate::workload::{self, Demands, WEB_SERVICES};
+use crate::workload::{self, Features, WEB_SERVICES};
 use hyper::{Method, StatusCode};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Where routing documents are put and read.
+/// Path of the routing document.
 const ROUTING_PATH: &str = "/admin/v1/routing";
 
-/// Pause between changes, in milliseconds: shortest and longest.
+/// Range of the pause between changes, in milliseconds.
 const CHANGE_PAUSE_MS: std::ops::Range<u64> = 300..2_500;
 
-/// Pause between reads.
 const READ_PAUSE: Duration = Duration::from_millis(150);
 
-/// Most routes that nobody asks for.
-const MOST_IDLE_ROUTES: usize = 200;
+/// Maximum number of unused routes in a document.
+const MAX_IDLE_ROUTES: usize = 200;
 
-/// Pause before a leaving engine that is no longer used ends, beyond the bound.
+/// Additional time beyond the drain bound before a drained engine ends.
 const LINGER: Duration = Duration::from_millis(1_200);
 
-/// How long an engine that leaves waits for an acknowledgement.
-const LEAVING_LIMIT: Duration = Duration::from_secs(8);
+/// Timeout for the acknowledgement of a drain.
+const DRAIN_ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Pause before the next instance starts at the address of one that ended.
+/// Delay before the next instance reuses the address.
 const REUSE_PAUSE: Duration = Duration::from_millis(500);
 
-/// An operator's documents; their versions rise in uneven steps.
+/// An operator, whose document versions increase in uneven steps.
 pub struct Operator {
     addresses: Addresses,
     journal: Journal,
-    demands: Demands,
+    features: Features,
     version: Cell<u64>,
 }
 
 impl Operator {
-    /// An operator.
-    pub fn new(addresses: Addresses, journal: Journal, demands: Demands) -> Self {
-        Self { addresses, journal, demands, version: Cell::new(0) }
+    /// Creates an operator.
+    pub fn new(addresses: Addresses, journal: Journal, features: Features) -> Self {
+        Self { addresses, journal, features, version: Cell::new(0) }
     }
 
-    /// Writes the next document down as about to be sent.
+    /// Creates the next document and records it as sent.
     fn next_document(&self) -> (u64, Vec<u8>) {
         let version = self.version.get() + fastrand::u64(1..4);
         self.version.set(version);
         let moving_to = WEB_SERVICES[fastrand::usize(..WEB_SERVICES.len())];
-        let document = workload::document(self.demands, version, moving_to, fastrand::usize(..MOST_IDLE_ROUTES));
+        let document = workload::document(self.features, version, moving_to, fastrand::usize(..MAX_IDLE_ROUTES));
         let body = serde_json::to_vec(&document).unwrap_or_default();
         let sent =
             SentDocument { version, moving_to, body: body.clone(), sent_at: self.journal.now(), acknowledged_at: None };
@@ -58,28 +57,28 @@
         (version, body)
     }
 
-    /// Sends a new document until it is acknowledged; `false` when `wanted` ceases to hold.
-    pub async fn change(&self, wanted: impl Fn() -> bool) -> bool {
-        self.change_to_next(wanted).await.is_some()
+    /// Sends a new document until it is acknowledged; `false` once `keep_trying` returns false.
+    pub async fn change(&self, keep_trying: impl Fn() -> bool) -> bool {
+        self.change_to_next(keep_trying).await.is_some()
     }
 
-    /// As [`Self::change`]; returns the version that was acknowledged.
-    async fn change_to_next(&self, wanted: impl Fn() -> bool) -> Option<u64> {
+    /// As [`Self::change`], but returns the acknowledged version.
+    async fn change_to_next(&self, keep_trying: impl Fn() -> bool) -> Option<u64> {
         let (version, body) = self.next_document();
-        self.send(version, body, wanted).await.then_some(version)
+        self.send(version, body, keep_trying).await.then_some(version)
     }
 
-    /// Sends two documents at the same time, as two operators do.
-    async fn change_twice_at_once(&self, wanted: &impl Fn() -> bool) {
+    /// Sends two documents concurrently, as two operators would.
+    async fn change_twice_concurrently(&self, keep_trying: &impl Fn() -> bool) {
         let (first_version, first) = self.next_document();
         let (second_version, second) = self.next_document();
-        let first = self.send(first_version, first, wanted);
-        let second = self.send(second_version, second, wanted);
+        let first = self.send(first_version, first, keep_trying);
+        let second = self.send(second_version, second, keep_trying);
         futures::future::join(first, second).await;
     }
 
-    async fn send(&self, version: u64, body: Vec<u8>, wanted: impl Fn() -> bool) -> bool {
-        let done = control_until_done(&self.addresses, Method::PUT, ROUTING_PATH, body, wanted).await;
+    async fn send(&self, version: u64, body: Vec<u8>, keep_trying: impl Fn() -> bool) -> bool {
+        let done = change_until_acknowledged(&self.addresses, Method::PUT, ROUTING_PATH, body, keep_trying).await;
         if done {
             let now = self.journal.now();
             self.journal.write(|records| {
@@ -90,47 +89,47 @@
         done
     }
 
-    /// Sends other content under an acknowledged version: it must be acknowledged and change nothing.
+    /// Sends other content with an acknowledged version; it must not replace the document.
     async fn send_other_content(&self, version: u64) {
-        let document = workload::document(self.demands, version, "web-b", 1);
+        let document = workload::document(self.features, version, "web-b", 1);
         let body = serde_json::to_vec(&document).unwrap_or_default();
-        // The answer does not matter: what is read later does.
-        control(&self.addresses, Method::PUT, ROUTING_PATH, body).await;
+        // The response is ignored: later reads are checked.
+        call_coordinator(&self.addresses, Method::PUT, ROUTING_PATH, body).await;
     }
 
-    /// Changes the routing until told to stop: one change after the other, two at once, and old versions again.
+    /// Changes the routing until stopped: sequential changes, concurrent changes and resent versions.
     pub async fn run(self: Rc<Self>, stop: Rc<Cell<bool>>) {
         while !stop.get() {
             compio::time::sleep(Duration::from_millis(fastrand::u64(CHANGE_PAUSE_MS))).await;
-            let wanted = || !stop.get();
+            let keep_trying = || !stop.get();
             match fastrand::u32(..10) {
-                0..2 => self.change_twice_at_once(&wanted).await,
+                0..2 => self.change_twice_concurrently(&keep_trying).await,
                 2 => {
-                    if let Some(version) = self.change_to_next(wanted).await {
+                    if let Some(version) = self.change_to_next(keep_trying).await {
                         self.send_other_content(version).await;
                     }
                 }
                 _ => {
-                    self.change(wanted).await;
+                    self.change(keep_trying).await;
                 }
             }
         }
     }
 
-    /// Reads the routing document from any coordinator; returns whether there was a sure answer.
+    /// Reads the routing document from a random coordinator; returns whether the response was conclusive.
     pub async fn read(&self) -> bool {
-        let asked_at = self.journal.now();
-        let answer = control(&self.addresses, Method::GET, ROUTING_PATH, Vec::new()).await;
-        let body = match answer {
-            Some(answer) if answer.status == StatusCode::OK => Some(answer.body.to_vec()),
-            Some(answer) if answer.status == StatusCode::NOT_FOUND => None,
+        let requested_at = self.journal.now();
+        let response = call_coordinator(&self.addresses, Method::GET, ROUTING_PATH, Vec::new()).await;
+        let body = match response {
+            Some(response) if response.status == StatusCode::OK => Some(response.body.to_vec()),
+            Some(response) if response.status == StatusCode::NOT_FOUND => None,
             _ => return false,
         };
-        self.journal.write(|records| records.reads.push(ReadDocument { asked_at, body }));
+        self.journal.write(|records| records.reads.push(ReadDocument { requested_at, body }));
         true
     }
 
-    /// Reads until told to stop.
+    /// Reads the document repeatedly until stopped.
     pub async fn run_reads(self: Rc<Self>, stop: Rc<Cell<bool>>) {
         while !stop.get() {
             self.read().await;
@@ -139,7 +138,7 @@
     }
 }
 
-/// Reports an engine until told to stop.
+/// Sends the reports of an engine until stopped.
 pub async fn report(engine: Engine, addresses: Addresses, journal: Journal, stop: Rc<Cell<bool>>) {
     while !stop.get() {
         if engine.is_silent() {
@@ -150,8 +149,8 @@
         let report = engine.report();
         let path = format!("/v1/instances/{}", report.id.name);
         let body = serde_json::to_vec(&report).unwrap_or_default();
-        let answer = control(&addresses, Method::PUT, &path, body).await;
-        let acknowledged = answer.is_some_and(|answer| answer.status.is_success());
+        let response = call_coordinator(&addresses, Method::PUT, &path, body).await;
+        let acknowledged = response.is_some_and(|response| response.status.is_success());
         if acknowledged && report.leaving {
             let now = journal.now();
             journal.write(|records| {
@@ -163,13 +162,13 @@
     }
 }
 
-/// Has an engine leave in the planned way; a new instance follows at its address.
+/// Drains an engine and starts a new instance at its address.
 pub async fn replace(engine: Engine, addresses: Addresses, journal: Journal) {
     let instance = engine.instance();
     engine.leave();
-    let asked_at = journal.now();
+    let requested_at = journal.now();
     let acknowledged = || journal.read(|records| records.leaving.contains_key(&instance));
-    while !acknowledged() && journal.now() < asked_at + LEAVING_LIMIT {
+    while !acknowledged() && journal.now() < requested_at + DRAIN_ACKNOWLEDGEMENT_TIMEOUT {
         compio::time::sleep(REPORT_INTERVAL / 5).await;
     }
     compio::time::sleep(DRAIN_BOUND + LINGER).await;
@@ -177,7 +176,7 @@
         return;
     }
     let path = format!("/v1/instances/{}", instance.name);
-    control(&addresses, Method::DELETE, &path, Vec::new()).await;
+    call_coordinator(&addresses, Method::DELETE, &path, Vec::new()).await;
     compio::time::sleep(REUSE_PAUSE).await;
-    engine.start_anew();
+    engine.start_next_incarnation();
 }
--- a/crates/soak/src/pairs.rs
+++ b/crates/soak/src/pairs.rs
@@ -1,75 +1,75 @@
-//! Pairs of faults that meet: engines end, hang or are cut off, and while what they ran goes on elsewhere, a fault meets
-//! those who hold state. Calm follows, in which what was left lying shows.
+//! Plans with pairs of faults: engines end, hang or are cut off, and while their work moves to other engines, a fault
+//! hits a process that holds state. A quiet period follows, in which stalled items become visible.
 
 use crate::case::Case;
 use crate::engine::Conduct;
 use crate::links::{Condition, Party};
-use crate::plan::{Direction, ENGINES, End, Fault, LeaderHarm, MODEL_ENGINES, Planned, milliseconds};
-use crate::waits::{CALM_TIME, ITEM_WAIT_BOUND};
+use crate::plan::{Direction, ENGINES, End, Fault, LeaderFault, MODEL_ENGINES, Planned, milliseconds};
+use crate::waits::{ITEM_WAIT_BOUND, QUIET_PERIOD};
 use fastrand::Rng;
 use std::ops::{Range, RangeInclusive};
 use std::time::Duration;
 
-/// From the start of the load to the first pair, in milliseconds.
+/// Time from the start of the load to the first pair, in milliseconds.
 const FIRST_MS: Range<u64> = 1_000..2_500;
 
-/// From the fault of engines to that of those who hold state, in milliseconds: items of [`crate::trainer::StepShape::LONG`]
-/// go on meanwhile.
+/// Time between the two faults of a pair, in milliseconds; items of [`crate::trainer::StepShape::LONG`] are in
+/// progress meanwhile.
 const GAP_MS: RangeInclusive<u64> = 300..=3_000;
 
-/// Added to the calm after a pair, so that a wait can be longer than its bound.
-const CALM_SLACK: Duration = Duration::from_millis(500);
+/// Added to the quiet period, so that a wait can exceed its bound.
+const QUIET_SLACK: Duration = Duration::from_millis(500);
 
-/// Engines that are harmed together, of the four that run the model.
-const ENGINES_HARMED: RangeInclusive<usize> = 2..=3;
+/// Number of engines affected by one fault, of the four that run the model.
+const ENGINES_AFFECTED: RangeInclusive<usize> = 2..=3;
 
-/// Time of a fault of engines, in milliseconds: most are over before the calm.
+/// Duration of an engine fault, in milliseconds; most end before the quiet period.
 const ENGINE_FAULT_MS: Range<u64> = 100..2_000;
 
-/// How long an engine is gone that ends for good, in milliseconds.
+/// Time until a permanently ended engine is replaced, in milliseconds.
 const GONE_MS: Range<u64> = 5_000..8_000;
 
-/// How long a process is down, in milliseconds.
+/// Downtime of a process, in milliseconds.
 const DOWN_MS: Range<u64> = 50..1_500;
 
-/// How long a process stands still, is cut off or can't write, in milliseconds: from less than a change of leaders to more
-/// than any lease.
-const HELD_UP_MS: Range<u64> = 500..4_000;
+/// Duration of a freeze, partition or write failure, in milliseconds; from below the duration of a leader election to
+/// above every lease.
+const BLOCKED_MS: Range<u64> = 500..4_000;
 
-/// Time after a pair in which nothing is harmed.
-fn calm() -> Duration {
-    CALM_TIME + ITEM_WAIT_BOUND + CALM_SLACK
+/// Time without faults after a pair.
+fn quiet_period() -> Duration {
+    QUIET_PERIOD + ITEM_WAIT_BOUND + QUIET_SLACK
 }
 
-/// The pairs of a case with this length: one that begins so late that its calm would not begin any more is left out.
+/// Generates the pairs of a case. A pair whose quiet period would not start within `length` is omitted.
 pub fn draw(case: Case, length: Duration) -> Vec<Planned> {
     let mut random = Rng::with_seed(case.seed);
     let mut planned = Vec::new();
     let mut at = milliseconds(&mut random, FIRST_MS);
-    while at + calm() < length {
-        let second = at + Duration::from_millis(random.u64(GAP_MS));
-        planned.extend(harm_engines(&mut random).into_iter().map(|fault| Planned { at, fault }));
-        let (fault, time) = harm_holder(&mut random, case);
-        planned.push(Planned { at: second, fault });
-        at = second + time + calm();
+    while at + quiet_period() < length {
+        let second_at = at + Duration::from_millis(random.u64(GAP_MS));
+        planned.extend(draw_engine_faults(&mut random).into_iter().map(|fault| Planned { at, fault }));
+        let (fault, time) = draw_stateful_fault(&mut random, case);
+        planned.push(Planned { at: second_at, fault });
+        at = second_at + time + quiet_period();
     }
     planned
 }
 
-/// A fault of several engines that run the model.
-fn harm_engines(random: &mut Rng) -> Vec<Fault> {
+/// Generates one kind of fault for several engines that run the model.
+fn draw_engine_faults(random: &mut Rng) -> Vec<Fault> {
     let mut numbers: Vec<u8> = (ENGINES - MODEL_ENGINES..ENGINES).collect();
     random.shuffle(&mut numbers);
-    numbers.truncate(random.usize(ENGINES_HARMED));
+    numbers.truncate(random.usize(ENGINES_AFFECTED));
     let kind = random.u8(..8);
-    let harm = |number| match kind {
+    let draw_fault = |number| match kind {
         0..3 => Fault::CrashEngine { number, down: milliseconds(random, ENGINE_FAULT_MS) },
         3..5 => Fault::EndEngine { number, down: milliseconds(random, GONE_MS) },
         5 => misconduct(random, number, Conduct::Hanging),
         6 => misconduct(random, number, Conduct::BreakingOff),
         _ => cut_engine(random, number),
     };
-    numbers.into_iter().map(harm).collect()
+    numbers.into_iter().map(draw_fault).collect()
 }
 
 fn misconduct(random: &mut Rng, number: u8, conduct: Conduct) -> Fault {
@@ -83,19 +83,19 @@
     Fault::Cut { party: Party::Engine(number), condition, direction, time, coordinators_only: false }
 }
 
-/// A fault of those who hold state, and how long it lasts.
-fn harm_holder(random: &mut Rng, case: Case) -> (Fault, Duration) {
-    let (down, held_up) = (milliseconds(random, DOWN_MS), milliseconds(random, HELD_UP_MS));
+/// Generates a fault of a process that holds state, with its duration.
+fn draw_stateful_fault(random: &mut Rng, case: Case) -> (Fault, Duration) {
+    let (down, blocked) = (milliseconds(random, DOWN_MS), milliseconds(random, BLOCKED_MS));
     match random.u8(..10) {
-        0..2 => (Fault::HarmLeader(LeaderHarm::Kill(down)), down),
-        2..4 => (Fault::HarmLeader(LeaderHarm::Freeze(held_up)), held_up),
-        4 => (Fault::HarmLeader(LeaderHarm::CutFromProcesses(held_up)), held_up),
-        5 => (Fault::HarmLeader(LeaderHarm::CutFromAll(held_up)), held_up),
+        0..2 => (Fault::HarmLeader(LeaderFault::Kill(down)), down),
+        2..4 => (Fault::HarmLeader(LeaderFault::Freeze(blocked)), blocked),
+        4 => (Fault::HarmLeader(LeaderFault::CutFromProcesses(blocked)), blocked),
+        5 => (Fault::HarmLeader(LeaderFault::CutFromAll(blocked)), blocked),
         6..8 => (Fault::KillAll { down }, down),
         8 => {
             let party = Party::Gateway(random.u8(..case.size.gateways));
             (Fault::Restart { party, end: End::Kill, down }, down)
         }
-        _ => (Fault::HarmLeader(LeaderHarm::RefuseWrites(held_up)), held_up),
+        _ => (Fault::HarmLeader(LeaderFault::RefuseWrites(blocked)), blocked),
     }
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! The faults of a soak, drawn from its seed.
+//! Fault plans, generated deterministically from a seed.
 
 use crate::builds::Build;
 use crate::case::{Case, PlanKind};
@@ -8,243 +8,243 @@
 use fastrand::Rng;
 use std::time::Duration;
 
-/// Engines of each service: two web services, and the one that runs the model.
+/// Engines of each of the two web services.
 pub const WEB_ENGINES: u8 = 2;
-/// See [`WEB_ENGINES`].
+/// Engines that run the model.
 pub const MODEL_ENGINES: u8 = 4;
-/// All engines.
+/// Total number of engines.
 pub const ENGINES: u8 = 2 * WEB_ENGINES + MODEL_ENGINES;
 
-/// Pause between the beginnings of two faults, in milliseconds.
+/// Interval between the starts of consecutive faults, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 400..2_600;
 
-/// Pause between the beginnings of two series or suspensions, in milliseconds.
+/// Interval between the starts of consecutive series or suspensions, in milliseconds.
 const OVERLAPPING_PAUSE_MS: std::ops::Range<u64> = 1_000..5_000;
 
-/// Added to a case's seed for the faults that overlap, so that the others stay as they are without them.
+/// XORed into the seed for overlapping faults, so that the other faults are the same as in a `single` plan.
 const OVERLAPPING_SEED: u64 = 0x5e_71e5;
 
-/// Most rounds of a series.
-const MOST_ROUNDS: usize = 4;
+const MAX_ROUNDS: usize = 4;
 
-/// From one signal of a round to the next, in milliseconds: up to beyond the moment at which a stopping gateway takes no
-/// more connections, half of the grace after the signal.
+/// Gap between two signals of a round, in milliseconds. Extends beyond half of the shutdown grace, when a stopping
+/// gateway closes its listener.
 const GAP_MS: std::ops::Range<u64> = 0..3_000;
 
-/// Longest time for which a process is down between two rounds, in milliseconds.
-const LONGEST_DOWN_MS: u64 = 300;
+/// Maximum downtime between two rounds, in milliseconds.
+const MAX_DOWN_MS: u64 = 300;
 
-/// Time of a suspension, in milliseconds: longer than the lease of a holder of orders, 3 s, the longest of all.
+/// Duration of a suspension, in milliseconds; exceeds the longest lease, the 3 s order lease.
 const SUSPENSION_MS: std::ops::Range<u64> = 3_500..8_000;
 
-/// Longest delay of a link, in milliseconds; a relay's lease leaves room for it.
-const LONGEST_DELAY_MS: u64 = 100;
+/// Maximum link delay, in milliseconds; small compared with a relay's lease.
+const MAX_DELAY_MS: u64 = 100;
 
-/// How a process is ended.
+/// How a process is terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// At once.
+    /// Killed.
     Kill,
-    /// At once, and its data folder is lost.
+    /// Killed, and its data folder is deleted.
     LoseDisk,
-    /// At once, while it was writing: what follows its last whole record is torn.
+    /// Killed during a write: a torn record follows the last complete one in its log.
     TearLog,
-    /// In the planned way.
+    /// Gracefully stopped.
     Stop,
 }
 
-/// How a link is harmed.
+/// Direction of a link fault, relative to a party.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// Both ways.
+    /// Both directions.
     Both,
-    /// What goes out of the party.
+    /// Traffic from the party.
     Out,
-    /// What comes in to the party.
+    /// Traffic to the party.
     In,
 }
 
-/// Signals to one process that follow each other before it has done with the first.
+/// Signals to one process, the later ones sent before the earlier ones are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Overlap {
-    /// A new routing document is sent, a reload is signalled, and a planned stop before both are done.
+    /// A new routing document, a reload signal, and a stop signal before both are handled.
     StopDuringReload,
-    /// A planned stop, and the same signal again.
+    /// A stop signal, sent twice.
     StopTwice,
-    /// A planned stop, and a reload.
+    /// A stop signal, then a reload signal.
     ReloadWhileStopping,
-    /// A planned stop that is broken off by a kill.
+    /// A stop signal, then a kill.
     KillWhileStopping,
-    /// Killed and started again at once, while what it had sent last is held back, so that its old connections stand.
+    /// A kill and immediate restart while the process's outgoing traffic is blocked, so that its peers still see the
+    /// old connections as open.
     RestartUnderOldConnections,
 }
 
-/// One round of a series: the process has ended, and runs again.
+/// One round of a series: the process ends and is started again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Round {
-    /// The signals.
+    /// Signals sent.
     pub overlap: Overlap,
-    /// From one signal to the next.
+    /// Time between the signals.
     pub gap: Duration,
-    /// How long the process is down.
+    /// Downtime before the restart.
     pub down: Duration,
 }
 
-/// What happens to the coordinator that leads.
+/// Fault of the coordinator that leads the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeaderHarm {
-    /// It is killed, and is down for this long.
+pub enum LeaderFault {
+    /// Killed, and restarted after this downtime.
     Kill(Duration),
-    /// It stands still.
+    /// Frozen for this duration.
     Freeze(Duration),
-    /// Nothing passes between it and the other processes of the product; engines are reached.
+    /// Partitioned from the product's other processes for this duration; engines stay reachable.
     CutFromProcesses(Duration),
-    /// Nothing passes between it and anyone but clients, trainers and operators.
+    /// Partitioned from all processes and engines for this duration; clients, trainers and operators still reach it.
     CutFromAll(Duration),
-    /// It can write no more to its files.
+    /// File writes fail for this duration.
     RefuseWrites(Duration),
 }
 
-/// A fault.
+/// One fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Signals overlap, round after round, at one process.
+    /// Rounds of overlapping signals at one process.
     Series {
-        /// The process.
+        /// Affected process.
         party: Party,
-        /// The rounds.
+        /// Rounds, in order.
         rounds: Vec<Round>,
     },
-    /// Processes stand still for longer than any lease lasts, as on a machine that is suspended.
+    /// Processes are frozen for longer than any lease, as on a suspended machine.
     Suspend {
-        /// The processes.
+        /// Affected processes.
         parties: Vec<Party>,
-        /// How long.
+        /// Duration.
         time: Duration,
     },
-    /// The group moves away from the coordinators that the settings name, one at a time; then every process is killed,
-    /// and comes back with the same settings.
+    /// The coordinators named in the settings are replaced one at a time; then all processes are killed and restarted
+    /// with the same settings.
     ReplaceMembers,
-    /// The zone of the coordinator that leads loses packets to all others.
+    /// The leader's zone loses packets on its links to all other zones.
     LossyZone(LossyZone),
-    /// A process ends and starts again.
+    /// A process ends and is restarted.
     Restart {
-        /// The process.
+        /// Affected process.
         party: Party,
-        /// How it ends.
+        /// How it is terminated.
         end: End,
-        /// How long it is down.
+        /// Downtime before the restart.
         down: Duration,
     },
-    /// A process ends and comes back as another build.
+    /// A process ends and is restarted with another build.
     ReplaceBuild {
-        /// The process.
+        /// Affected process.
         party: Party,
-        /// The build.
+        /// Build it is restarted with.
         build: Build,
-        /// How it ends.
+        /// How it is terminated.
         end: End,
-        /// How long it is down.
+        /// Downtime before the restart.
         down: Duration,
     },
-    /// Every coordinator is killed at the same moment.
+    /// All coordinators are killed simultaneously.
     KillAll {
-        /// How long they are down.
+        /// Downtime before the restart.
         down: Duration,
     },
-    /// A process stands still.
+    /// A process is frozen.
     Freeze {
-        /// The process.
+        /// Affected process.
         party: Party,
-        /// How long.
+        /// Duration.
         time: Duration,
     },
-    /// A party's links to the processes of the product are harmed.
+    /// A party's links to the product's processes are impaired.
     Cut {
-        /// The party.
+        /// Affected party.
         party: Party,
-        /// What happens on them.
+        /// Condition set on the links.
         condition: Condition,
-        /// Which way.
+        /// Affected direction.
         direction: Direction,
-        /// How long.
+        /// Duration.
         time: Duration,
-        /// Only its links to coordinators.
+        /// Whether only links to coordinators are affected; otherwise links to engines are, too.
         coordinators_only: bool,
     },
-    /// A coordinator can write no more to its files.
+    /// File writes of a coordinator fail.
     RefuseWrites {
-        /// The coordinator.
+        /// Affected coordinator.
         number: u8,
-        /// How long.
+        /// Duration.
         time: Duration,
     },
-    /// An engine crashes; its next instance has the same address.
+    /// An engine crashes; its next instance reuses the address.
     CrashEngine {
-        /// The engine.
+        /// Affected engine.
         number: u8,
-        /// How long nobody answers there.
+        /// Time until the next instance listens there.
         down: Duration,
     },
-    /// An engine ends for good: for long, nobody answers at its address, and none is reported there.
+    /// An engine crashes and sends no reports until its address is used again.
     EndEngine {
-        /// The engine.
+        /// Affected engine.
         number: u8,
-        /// How long its address stays empty.
+        /// Time until the next instance listens there.
         down: Duration,
     },
-    /// The coordinator that leads the group at that moment is harmed.
-    HarmLeader(LeaderHarm),
-    /// An engine leaves in the planned way.
+    /// A fault of the coordinator that leads the group when the fault begins.
+    HarmLeader(LeaderFault),
+    /// An engine is drained and replaced.
     ReplaceEngine {
-        /// The engine.
+        /// Affected engine.
         number: u8,
     },
-    /// An engine misbehaves.
+    /// An engine misbehaves on requests.
     Misconduct {
-        /// The engine.
+        /// Affected engine.
         number: u8,
-        /// How.
+        /// Misbehavior.
         conduct: crate::engine::Conduct,
-        /// How long.
+        /// Duration.
         time: Duration,
     },
-    /// An engine leaves orders unanswered and carries them out late.
+    /// An engine does not answer orders and executes them late.
     LateOrders {
-        /// The engine.
+        /// Affected engine.
         number: u8,
-        /// How much later.
+        /// Delay until an order is executed.
         delay: Duration,
-        /// How long.
+        /// Duration.
         time: Duration,
     },
 }
 
-/// A fault and when it begins, from the start of the load.
+/// A scheduled fault.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
-    /// When.
+    /// Start time, relative to the start of the load.
     pub at: Duration,
-    /// What.
+    /// Fault to inject.
     pub fault: Fault,
 }
 
-/// A time from a range of milliseconds.
+/// A random duration within a range of milliseconds.
 pub(crate) fn milliseconds(random: &mut Rng, range: std::ops::Range<u64>) -> Duration {
     Duration::from_millis(random.u64(range))
 }
 
-fn any_process(random: &mut Rng, size: Size) -> Party {
+fn random_process(random: &mut Rng, size: Size) -> Party {
     let number = random.u8(..size.coordinators + size.gateways);
     if number < size.coordinators { Party::Coordinator(number) } else { Party::Gateway(number - size.coordinators) }
 }
 
-fn any_engine(random: &mut Rng) -> u8 {
+fn random_engine(random: &mut Rng) -> u8 {
     random.u8(..ENGINES)
 }
 
 fn restart(random: &mut Rng, size: Size) -> Fault {
-    let party = any_process(random, size);
+    let party = random_process(random, size);
     let is_coordinator = matches!(party, Party::Coordinator(_));
     let end = match random.u8(..8) {
         0..2 if is_coordinator => End::LoseDisk,
@@ -258,7 +258,7 @@
 fn cut(random: &mut Rng, size: Size) -> Fault {
     let condition = match random.u8(..5) {
         0 => Condition::Reset,
-        1..3 => Condition::Delayed(milliseconds(random, 5..LONGEST_DELAY_MS)),
+        1..3 => Condition::Delayed(milliseconds(random, 5..MAX_DELAY_MS)),
         _ => Condition::Silent,
     };
     let direction = match random.u8(..4) {
@@ -266,7 +266,7 @@
         1 => Direction::In,
         _ => Direction::Both,
     };
-    let party = if random.u8(..5) == 0 { Party::Engine(any_engine(random)) } else { any_process(random, size) };
+    let party = if random.u8(..5) == 0 { Party::Engine(random_engine(random)) } else { random_process(random, size) };
     let time = milliseconds(random, 300..5_000);
     Fault::Cut { party, condition, direction, time, coordinators_only: random.bool() }
 }
@@ -281,18 +281,18 @@
         4 => Conduct::Hanging,
         _ => Conduct::Mistaken,
     };
-    Fault::Misconduct { number: any_engine(random), conduct, time: milliseconds(random, 300..4_000) }
+    Fault::Misconduct { number: random_engine(random), conduct, time: milliseconds(random, 300..4_000) }
 }
 
-pub(crate) fn any_fault(random: &mut Rng, size: Size) -> Fault {
+pub(crate) fn random_fault(random: &mut Rng, size: Size) -> Fault {
     match random.u8(..20) {
         0..5 => restart(random, size),
         5 => Fault::KillAll { down: milliseconds(random, 50..1_500) },
-        6..9 => Fault::Freeze { party: any_process(random, size), time: milliseconds(random, 200..5_000) },
+        6..9 => Fault::Freeze { party: random_process(random, size), time: milliseconds(random, 200..5_000) },
         9..13 => cut(random, size),
         13 => Fault::RefuseWrites { number: random.u8(..size.coordinators), time: milliseconds(random, 300..3_000) },
-        14 => Fault::CrashEngine { number: any_engine(random), down: milliseconds(random, 100..3_000) },
-        15..17 => Fault::ReplaceEngine { number: any_engine(random) },
+        14 => Fault::CrashEngine { number: random_engine(random), down: milliseconds(random, 100..3_000) },
+        15..17 => Fault::ReplaceEngine { number: random_engine(random) },
         17 => Fault::LateOrders {
             number: 2 * WEB_ENGINES + random.u8(..MODEL_ENGINES),
             delay: milliseconds(random, 1_000..4_000),
@@ -310,7 +310,7 @@
         3 => Overlap::KillWhileStopping,
         _ => Overlap::RestartUnderOldConnections,
     };
-    Round { overlap, gap: milliseconds(random, GAP_MS), down: milliseconds(random, 0..LONGEST_DOWN_MS) }
+    Round { overlap, gap: milliseconds(random, GAP_MS), down: milliseconds(random, 0..MAX_DOWN_MS) }
 }
 
 fn suspension(random: &mut Rng, size: Size) -> Fault {
@@ -318,21 +318,21 @@
     let parties = match random.u8(..3) {
         0 => (0..size.coordinators).map(Party::Coordinator).collect(),
         1 => (0..size.gateways).map(Party::Gateway).collect(),
-        _ => vec![any_process(random, size)],
+        _ => vec![random_process(random, size)],
     };
     Fault::Suspend { parties, time }
 }
 
-fn any_overlapping(random: &mut Rng, size: Size) -> Fault {
+fn random_overlapping(random: &mut Rng, size: Size) -> Fault {
     if random.u8(..4) == 0 {
         return suspension(random, size);
     }
-    let party = any_process(random, size);
-    let count = random.usize(1..=MOST_ROUNDS);
+    let party = random_process(random, size);
+    let count = random.usize(1..=MAX_ROUNDS);
     Fault::Series { party, rounds: (0..count).map(|_| round(random)).collect() }
 }
 
-/// Faults from one source of randomness, with pauses drawn from `pause_ms` between their beginnings.
+/// Generates faults whose starts are separated by pauses drawn from `pause_ms`.
 fn draw_from(
     mut random: Rng,
     length: Duration,
@@ -348,7 +348,7 @@
     planned
 }
 
-/// The faults of a case with this length.
+/// Generates the faults of a case for a soak of this length.
 pub fn draw(case: Case, length: Duration) -> Vec<Planned> {
     match case.kind {
         PlanKind::Paired => return crate::pairs::draw(case, length),
@@ -356,10 +356,10 @@
         PlanKind::Lossy => return crate::lossy_zone::draw(case),
         PlanKind::Single | PlanKind::Overlapping | PlanKind::Replaced => {}
     }
-    let mut planned = draw_from(Rng::with_seed(case.seed), length, PAUSE_MS, |random| any_fault(random, case.size));
+    let mut planned = draw_from(Rng::with_seed(case.seed), length, PAUSE_MS, |random| random_fault(random, case.size));
     if case.kind != PlanKind::Single {
         let random = Rng::with_seed(case.seed ^ OVERLAPPING_SEED);
-        planned.extend(draw_from(random, length, OVERLAPPING_PAUSE_MS, |random| any_overlapping(random, case.size)));
+        planned.extend(draw_from(random, length, OVERLAPPING_PAUSE_MS, |random| random_overlapping(random, case.size)));
         planned.sort_by_key(|planned| planned.at);
     }
     if case.kind == PlanKind::Replaced {
--- a/crates/soak/src/platform.rs
+++ b/crates/soak/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: takes usage reports, and sometimes fails to answer.
+//! A simulated platform that receives usage reports and sometimes does not respond in time.
 
 use crate::journal::Journal;
 use hyper::body::Incoming;
@@ -13,25 +13,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Of a hundred calls, so many are carried out and get no answer.
-const UNANSWERED_PERCENT: u32 = 15;
+/// Percentage of calls that are processed and answered only after [`HANG_TIME`].
+const LATE_RESPONSE_PERCENT: u32 = 15;
 
-/// How long a call without an answer is held.
+/// Delay of a late response.
 const HANG_TIME: Duration = Duration::from_secs(3);
 
-/// What the platform has taken.
+/// Reports and fencing tokens received.
 #[derive(Default)]
-struct Taken {
+struct Received {
     reports: BTreeMap<UsageWindow, TenantCounts>,
-    /// Who used a fence first.
+    /// First holder that used each fencing token.
     holders: BTreeMap<u64, String>,
     highest_fence: u64,
 }
 
-/// The platform.
+/// The simulated platform.
 pub struct Platform {
     journal: Journal,
-    taken: RefCell<Taken>,
+    received: RefCell<Received>,
 }
 
 fn text(headers: &HeaderMap, name: &str) -> String {
@@ -39,34 +39,35 @@
 }
 
 impl Platform {
-    /// Starts it at `address`.
+    /// Starts the platform at `address`.
     pub async fn start(address: SocketAddr, journal: Journal) -> std::io::Result<Rc<Self>> {
         let listener = compio::net::TcpListener::bind(address).await?;
-        let platform = Rc::new(Self { journal, taken: RefCell::default() });
+        let platform = Rc::new(Self { journal, received: RefCell::default() });
         compio::runtime::spawn(serve_until(listener, platform.clone(), Shutdown::default())).detach();
         Ok(platform)
     }
 
-    /// Windows whose reports it has taken.
+    /// Number of usage windows reported.
     pub fn windows(&self) -> usize {
-        self.taken.borrow().reports.len()
+        self.received.borrow().reports.len()
     }
 
-    fn take(&self, holder: String, fence: u64, report: UsageReport) -> StatusCode {
-        const PROMISE: &str = "usage is reported once, with the same counts, by one holder at a time";
-        let mut taken = self.taken.borrow_mut();
-        let first = taken.holders.entry(fence).or_insert_with(|| holder.clone());
+    fn record(&self, holder: String, fence: u64, report: UsageReport) -> StatusCode {
+        const INVARIANT: &str = "usage is reported once, with the same counts, by one holder at a time";
+        let mut received = self.received.borrow_mut();
+        let first = received.holders.entry(fence).or_insert_with(|| holder.clone());
         if *first != holder {
-            self.journal.violation(PROMISE, format!("fence {fence} is used by {first} and {holder}"));
+            self.journal.violation(INVARIANT, format!("fencing token {fence} is used by {first} and {holder}"));
         }
-        if fence < taken.highest_fence {
+        if fence < received.highest_fence {
             return StatusCode::CONFLICT;
         }
-        taken.highest_fence = fence;
-        let held = taken.reports.entry(report.window).or_insert_with(|| report.counts.clone());
-        if *held != report.counts {
-            let seen = format!("window {} has {held:?}, and was reported with {:?}", report.window.0, report.counts);
-            self.journal.violation(PROMISE, seen);
+        received.highest_fence = fence;
+        let recorded = received.reports.entry(report.window).or_insert_with(|| report.counts.clone());
+        if *recorded != report.counts {
+            let observed =
+                format!("window {} has {recorded:?}, and was reported with {:?}", report.window.0, report.counts);
+            self.journal.violation(INVARIANT, observed);
         }
         StatusCode::OK
     }
@@ -82,8 +83,8 @@
             self.journal.violation("the platform can read what it is told", format!("{} {body:?}", head.uri));
             return whole(StatusCode::BAD_REQUEST, "text/plain", "");
         };
-        let status = self.take(text(&head.headers, HOLDER_HEADER), fence, report);
-        if fastrand::u32(..100) < UNANSWERED_PERCENT {
+        let status = self.record(text(&head.headers, HOLDER_HEADER), fence, report);
+        if fastrand::u32(..100) < LATE_RESPONSE_PERCENT {
             compio::time::sleep(HANG_TIME).await;
         }
         whole(status, "text/plain", "")
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy in front of one listening address: passes connections on as the links between their two ends allow.
+//! TCP proxy for one listening address that applies the link conditions between the two ends.
 
 use crate::links::{Links, Party};
 use compio::BufResult;
@@ -11,73 +11,73 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Bytes passed on at once.
+/// Read buffer size, in bytes.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Pause before an address that is still taken is tried again.
+/// Delay before a failed bind is retried.
 const REBIND_PAUSE: Duration = Duration::from_millis(10);
 
-/// How a proxy tells who opened a connection.
+/// How a proxy identifies the party that opened a connection.
 #[derive(Clone)]
 pub enum Identify {
-    /// It is always the same one.
+    /// Always this party.
     Always(Party),
-    /// It is one of these processes; whoever is none of them is outside.
+    /// The process that owns the connection; [`Party::Outside`] if it is not in the table.
     ByProcess(ProcessTable),
 }
 
 impl Identify {
-    /// Who opened the connection from `peer` to `own`. Asked of the operating system on another thread: the answer
-    /// takes milliseconds, for which every other connection would stand still.
-    async fn caller(&self, peer: SocketAddr, own: SocketAddr) -> Party {
+    /// The party that opened the connection from `peer` to `local`. The lookup blocks for milliseconds, so it runs on
+    /// another thread.
+    async fn caller(&self, peer: SocketAddr, local: SocketAddr) -> Party {
         let processes = match self {
             Self::Always(party) => return *party,
             Self::ByProcess(table) => table.processes.borrow().clone(),
         };
         let began = Instant::now();
-        let numbers: Vec<u32> = processes.iter().map(|(number, _)| *number).collect();
-        let owner = compio::runtime::spawn_blocking(move || crate::owner::owner_of(peer, own, &numbers)).await;
+        let process_ids: Vec<u32> = processes.iter().map(|(process_id, _)| *process_id).collect();
+        let owner = compio::runtime::spawn_blocking(move || crate::owner::owner_of(peer, local, &process_ids)).await;
         let owner = owner.ok().flatten();
         if let Self::ByProcess(table) = self {
-            table.slowest_look_up.set(table.slowest_look_up.get().max(began.elapsed()));
+            table.slowest_owner_lookup.set(table.slowest_owner_lookup.get().max(began.elapsed()));
         }
-        let found = processes.iter().find(|(number, _)| Some(*number) == owner);
+        let found = processes.iter().find(|(process_id, _)| Some(*process_id) == owner);
         found.map_or(Party::Outside, |(_, party)| *party)
     }
 }
 
-/// Where a proxy stands.
+/// The party behind a proxy and how its callers are identified.
 #[derive(Clone)]
-pub struct ProxyPlace {
-    /// Who listens behind it.
+pub struct ProxyEndpoint {
+    /// Party that listens behind the proxy.
     pub party: Party,
-    /// Where that one listens.
+    /// Address that the proxy connects to.
     pub target: SocketAddr,
-    /// Tells who calls.
+    /// Identification of callers.
     pub identify: Identify,
 }
 
-/// Starts a proxy at `address`.
-pub async fn start(address: SocketAddr, place: ProxyPlace, links: Links) -> std::io::Result<()> {
+/// Binds `address` and serves connections in the background.
+pub async fn start(address: SocketAddr, endpoint: ProxyEndpoint, links: Links) -> std::io::Result<()> {
     let listener = bind(address)?;
-    compio::runtime::spawn(serve(listener, address, place, links)).detach();
+    compio::runtime::spawn(serve(listener, address, endpoint, links)).detach();
     Ok(())
 }
 
-/// Listens at an address where connections may still be closing.
+/// Binds an address, also while old connections of it are closing.
 fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
 }
 
-/// Accepts connections, but not while the party behind the proxy is down.
-async fn serve(mut listener: TcpListener, address: SocketAddr, place: ProxyPlace, links: Links) {
+/// Accepts connections; the listener is closed while the party behind the proxy is down.
+async fn serve(mut listener: TcpListener, address: SocketAddr, endpoint: ProxyEndpoint, links: Links) {
     loop {
-        let accepting = accept(&listener, address, &place, &links);
-        future::select(pin!(accepting), pin!(links.until_down_is(place.party, true))).await;
+        let accepting = accept(&listener, address, &endpoint, &links);
+        future::select(pin!(accepting), pin!(links.wait_until_down_is(endpoint.party, true))).await;
         drop(listener);
-        links.until_down_is(place.party, false).await;
+        links.wait_until_down_is(endpoint.party, false).await;
         listener = loop {
             match bind(address) {
                 Ok(listener) => break listener,
@@ -87,14 +87,14 @@
     }
 }
 
-async fn accept(listener: &TcpListener, address: SocketAddr, place: &ProxyPlace, links: &Links) {
+async fn accept(listener: &TcpListener, address: SocketAddr, endpoint: &ProxyEndpoint, links: &Links) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                let (place, links) = (place.clone(), links.clone());
+                let (endpoint, links) = (endpoint.clone(), links.clone());
                 compio::runtime::spawn(async move {
-                    let caller = place.identify.caller(peer, address).await;
-                    pass(stream, caller, place, links).await;
+                    let caller = endpoint.identify.caller(peer, address).await;
+                    forward_connection(stream, caller, endpoint, links).await;
                 })
                 .detach();
             }
@@ -103,53 +103,53 @@
     }
 }
 
-/// Closes a connection so that its other end sees a reset.
+/// Makes the close of a connection send a reset.
 fn reset(stream: &TcpStream) {
-    // One that is closed already needs no reset.
+    // Fails only if the connection is closed already.
     let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
 }
 
-async fn pass(near: TcpStream, caller: Party, place: ProxyPlace, links: Links) {
-    let party = place.party;
-    if !links.may_connect(caller, party).await || !links.may_connect(party, caller).await {
-        reset(&near);
+async fn forward_connection(downstream: TcpStream, caller: Party, endpoint: ProxyEndpoint, links: Links) {
+    let party = endpoint.party;
+    if !links.wait_to_connect(caller, party).await || !links.wait_to_connect(party, caller).await {
+        reset(&downstream);
         return;
     }
-    let far = match TcpStream::connect(place.target).await {
-        Ok(far) => far,
+    let upstream = match TcpStream::connect(endpoint.target).await {
+        Ok(upstream) => upstream,
         Err(_) => {
-            reset(&near);
+            reset(&downstream);
             return;
         }
     };
-    // Small messages must not wait for one another.
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_reader, near_writer) = near.clone().into_split();
-    let (far_reader, far_writer) = far.clone().into_split();
-    let up = pump(near_reader, far_writer, caller, party, links.clone());
-    let down = pump(far_reader, near_writer, party, caller, links.clone());
-    let ended = both(up, down);
-    let until_reset = links.until_reset(caller, party);
-    let broken = match future::select(pin!(ended), pin!(until_reset)).await {
-        Either::Left((whole, _)) => !whole,
+    // Avoids delays by the Nagle algorithm.
+    let _ = (downstream.set_nodelay(true), upstream.set_nodelay(true));
+    let (downstream_reader, downstream_writer) = downstream.clone().into_split();
+    let (upstream_reader, upstream_writer) = upstream.clone().into_split();
+    let to_upstream = pump(downstream_reader, upstream_writer, caller, party, links.clone());
+    let to_downstream = pump(upstream_reader, downstream_writer, party, caller, links.clone());
+    let ended = join_directions(to_upstream, to_downstream);
+    let wait_for_reset = links.wait_for_reset(caller, party);
+    let is_broken = match future::select(pin!(ended), pin!(wait_for_reset)).await {
+        Either::Left((closed_cleanly, _)) => !closed_cleanly,
         Either::Right(_) => true,
     };
-    if broken {
-        reset(&near);
-        reset(&far);
+    if is_broken {
+        reset(&downstream);
+        reset(&upstream);
     }
 }
 
-/// Waits until both directions have ended; `false` at once if either broke.
-async fn both(up: impl Future<Output = bool>, down: impl Future<Output = bool>) -> bool {
-    match future::select(pin!(up), pin!(down)).await {
-        Either::Left((true, down)) => down.await,
-        Either::Right((true, up)) => up.await,
+/// Waits for both directions to end cleanly; returns `false` as soon as one fails.
+async fn join_directions(to_upstream: impl Future<Output = bool>, to_downstream: impl Future<Output = bool>) -> bool {
+    match future::select(pin!(to_upstream), pin!(to_downstream)).await {
+        Either::Left((true, to_downstream)) => to_downstream.await,
+        Either::Right((true, to_upstream)) => to_upstream.await,
         Either::Left((false, _)) | Either::Right((false, _)) => false,
     }
 }
 
-/// Passes bytes on in one direction; returns whether it ended in an orderly way.
+/// Forwards bytes in one direction; returns whether it ended with an orderly shutdown.
 async fn pump<R: AsyncRead, W: AsyncWrite>(mut reader: R, mut writer: W, from: Party, to: Party, links: Links) -> bool {
     let mut buffer = Vec::with_capacity(CHUNK_BYTES);
     loop {
@@ -157,7 +157,7 @@
         let Ok(count) = count else {
             return false;
         };
-        if !links.pass(from, to).await {
+        if !links.wait_to_forward(from, to).await {
             return false;
         }
         if count == 0 {
@@ -172,26 +172,26 @@
     }
 }
 
-/// Child processes by their numbers, so that a connection's owner can be told. Clones share it.
+/// Child processes by process id, to identify a connection's owner. Clones share state.
 #[derive(Clone, Default)]
 pub struct ProcessTable {
     processes: Rc<RefCell<Vec<(u32, Party)>>>,
-    slowest_look_up: Rc<Cell<Duration>>,
+    slowest_owner_lookup: Rc<Cell<Duration>>,
 }
 
 impl ProcessTable {
-    /// A process has started.
-    pub fn insert(&self, process: u32, party: Party) {
-        self.processes.borrow_mut().push((process, party));
+    /// Adds a started process.
+    pub fn insert(&self, process_id: u32, party: Party) {
+        self.processes.borrow_mut().push((process_id, party));
     }
 
-    /// A process has ended.
-    pub fn remove(&self, process: u32) {
-        self.processes.borrow_mut().retain(|(number, _)| *number != process);
+    /// Removes an ended process.
+    pub fn remove(&self, process_id: u32) {
+        self.processes.borrow_mut().retain(|(other, _)| *other != process_id);
     }
 
-    /// The longest time for which a new connection waited until its owner was told.
-    pub fn slowest_look_up(&self) -> Duration {
-        self.slowest_look_up.get()
+    /// Longest time for which a new connection waited for the lookup of its owner.
+    pub fn slowest_owner_lookup(&self) -> Duration {
+        self.slowest_owner_lookup.get()
     }
 }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,55 +1,56 @@
-//! What a soak brought.
+//! Summary of one soak.
 
 use crate::case::Case;
-use crate::journal::{Ending, Journal, KeptEnding, Violation};
+use crate::journal::{Journal, KeepAliveOutcome, Outcome, Violation};
 use crate::waits::{ItemWait, longest_waits};
 use saddlerelay_types::job::ItemEnd;
 use std::fmt;
 use std::time::Duration;
 
-/// Beyond this lateness of the soak's own tasks, its findings about times are not judged: the soak carries every connection
-/// and reads every clock, and the shortest time that its checks allow is as long.
+/// Lag of the soak's own tasks above which violated time limits are not judged. All connections and clocks are the
+/// soak's, and its shortest time limit is as long.
 pub const LATENESS_LIMIT: Duration = crate::checks::LOSS_SLACK;
 
-/// The figures of one soak.
+/// Results of one soak.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// What it was made from.
+    /// Case.
     pub case: Case,
-    /// Faults that were caused.
+    /// Injected faults.
     pub faults: usize,
-    /// Clients' requests: all, answered whole, said not to have run, failed or broken.
+    /// Clients' requests: total, complete, not executed, and failed or broken.
     pub requests: [usize; 4],
-    /// Those of them on kept connections: all, and those whose connection had served others and ended before the answer.
-    pub kept: [usize; 2],
+    /// Requests on keep-alive connections: total, and those that closed a connection that had served earlier
+    /// requests.
+    pub keep_alive: [usize; 2],
     /// Planned stops and reloads.
     pub planned: usize,
-    /// Routing documents acknowledged, and reads of them.
+    /// Routing documents: acknowledged, and reads.
     pub documents: [usize; 2],
-    /// Batch jobs accepted, items completed and given up.
+    /// Batch jobs accepted, items completed, items aborted.
     pub jobs: [usize; 3],
-    /// Orders that engines saw.
+    /// Orders received by engines.
     pub orders: usize,
-    /// Requests and items that engines ran.
+    /// Requests and items executed by engines.
     pub runs: usize,
-    /// The most memory that one process held, in bytes.
+    /// Largest resident memory of any one process, in bytes.
     pub memory: u64,
-    /// The longest that an accepted item was at no engine while engines had room, and the item.
+    /// Longest wait of an accepted item at no engine while engines had capacity.
     pub longest_wait: Option<ItemWait>,
-    /// The latest that a task of the soak itself ran.
+    /// Maximum scheduling lag of the soak's own tasks.
     pub own_lag: Duration,
-    /// Broken promises.
+    /// Violated invariants.
     pub violations: Vec<Violation>,
-    /// Findings about times that are not judged, for the soak itself was late.
+    /// Exceeded time limits that are not judged because the soak itself was late.
     pub not_judged: Vec<Violation>,
 }
 
 impl Report {
-    /// Counts what the journal holds.
+    /// Summarizes a journal.
     pub fn new(case: Case, memory: u64, journal: &Journal) -> Self {
         journal.read(|records| {
-            let with =
-                |wanted: fn(&Ending) -> bool| records.requests.iter().filter(|request| wanted(&request.ending)).count();
+            let count_requests =
+                |test: fn(&Outcome) -> bool| records.requests.iter().filter(|request| test(&request.outcome)).count();
             let results = |end: ItemEnd| {
                 records.jobs.values().flat_map(|job| job.results.values()).filter(|result| result.end == end).count()
             };
@@ -61,13 +62,17 @@
                 faults: records.faults.len(),
                 requests: [
                     records.requests.len(),
-                    with(|ending| *ending == Ending::Whole),
-                    with(|ending| matches!(ending, Ending::NotRun(_))),
-                    with(|ending| matches!(ending, Ending::Failed(_) | Ending::Broken)),
+                    count_requests(|outcome| *outcome == Outcome::Complete),
+                    count_requests(|outcome| matches!(outcome, Outcome::NotRun(_))),
+                    count_requests(|outcome| matches!(outcome, Outcome::Failed(_) | Outcome::Broken)),
                 ],
-                kept: [
-                    records.kept.len(),
-                    records.kept.iter().filter(|kept| kept.ending == KeptEnding::Closed && !kept.is_first).count(),
+                keep_alive: [
+                    records.keep_alive.len(),
+                    records
+                        .keep_alive
+                        .iter()
+                        .filter(|keep_alive| keep_alive.outcome == KeepAliveOutcome::Closed && !keep_alive.is_first)
+                        .count(),
                 ],
                 planned: records.planned.len(),
                 documents: [
@@ -90,7 +95,7 @@
         })
     }
 
-    /// Whether every promise was kept.
+    /// Whether no judged invariant was violated.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
@@ -98,13 +103,13 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [requests, whole, not_run, failed] = self.requests;
-        let [kept, closed] = self.kept;
+        let [requests, complete, not_run, failed] = self.requests;
+        let [keep_alive, closed] = self.keep_alive;
         let [documents, reads] = self.documents;
         let [jobs, completed, aborted] = self.jobs;
         write!(
             formatter,
-            "{}: {} faults, {} planned; {requests} requests: {whole} whole, {not_run} not run, {failed} failed; {kept} on kept \
+            "{}: {} faults, {} planned; {requests} requests: {complete} whole, {not_run} not run, {failed} failed; {keep_alive} on kept \
              connections, {closed} cut; {documents} documents, {reads} reads; {jobs} jobs: {completed} items completed, {aborted} given up; {} runs, {} orders; \
              largest process {} MB; own lag {} ms; {} violations",
             self.case,
@@ -124,7 +129,7 @@
             let (limit, findings) = (LATENESS_LIMIT.as_millis(), self.not_judged.len());
             write!(
                 formatter,
-                "; checks of times not judged, for it was late by more than {limit} ms: {findings} findings"
+                "; time limits not judged, because the soak was late by more than {limit} ms: {findings} findings"
             )?;
         }
         Ok(())
