--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,23 +1,23 @@
-//! One soak: start, load, faults, proof that the deployment works again, orderly end, checks.
+//! Runs one soak: startup, load, fault injection, recovery checks, shutdown and invariant checks.
 
 use crate::builds::Builds;
 use crate::callers;
 use crate::case::{Case, PlanKind};
 use crate::checks;
+use crate::convergence::{ConvergenceCheck, RECOVERY_LIMIT};
 use crate::deployment::{Deployment, MemberKind, REPORT_INTERVAL};
 use crate::engine::Engine;
-use crate::faults::{Faults, STOP_ENDS_WELL};
+use crate::faults::{FaultInjector, STOP_ENDS_WELL};
 use crate::journal::Journal;
-use crate::kept;
+use crate::keep_alive;
 use crate::links::Party;
 use crate::operator::{self, Operator};
 use crate::plan::{self, ENGINES, MODEL_ENGINES, WEB_ENGINES};
 use crate::platform::Platform;
-use crate::proof::{Proof, RECOVERY_LIMIT};
 use crate::report::{LATENESS_LIMIT, Report};
 use crate::trainer::Trainer;
 use crate::waits;
-use crate::workload::{Demands, MODEL_SERVICE, MOVING, ONCE, REPEATABLE, STREAMS, WEB_SERVICES};
+use crate::workload::{Features, MODEL_SERVICE, MOVING, ONCE, REPEATABLE, STREAMS, WEB_SERVICES};
 use anyhow::{Result, bail};
 use compio::runtime::JoinHandle;
 use futures::future;
@@ -28,44 +28,43 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a deployment may take to come up.
-const START_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout for the deployment to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long the last tasks may take to end.
-const END_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout for the load tasks to end after they were signalled to stop.
+const END_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A lateness of the soak's own tasks that is worth telling.
-const TELLING_LAG: Duration = Duration::from_millis(100);
+/// Scheduling lag of the soak's own tasks above which a line is printed.
+const REPORTED_LAG: Duration = Duration::from_millis(100);
 
-/// Pause between looks at something.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How a soak is made.
+/// Options of one soak.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// What its faults are drawn from, and how many processes it has.
+    /// Seed, plan kind and deployment size.
     pub case: Case,
-    /// How long faults are caused.
+    /// Duration of fault injection.
     pub length: Duration,
-    /// The soak's own executable, which holds the product too.
+    /// The soak's own executable, which also contains the product under test.
     pub executable: PathBuf,
-    /// The executable of the build that runs at first, if it is another one.
+    /// Executable of an older build that all processes run initially, if any.
     pub production: Option<PathBuf>,
-    /// Where its files go.
+    /// Directory for settings, logs and data of the deployment's processes.
     pub folder: PathBuf,
 }
 
-/// Runs a soak.
+/// Runs one soak and returns its report.
 pub async fn run(options: &SoakOptions) -> Result<Report> {
     fastrand::seed(options.case.seed);
     let journal = Journal::default();
-    let _lag = compio::runtime::spawn(watch_own_lag(journal.clone()));
-    let demands = options.case.kind.demands();
+    let _lag = compio::runtime::spawn(measure_own_lag(journal.clone()));
+    let features = options.case.kind.features();
     let builds = Builds::new(options.executable.clone(), options.production.clone());
     let deployment = Deployment::start(builds, &options.folder, journal.clone(), ENGINES, options.case).await?;
     let platform = Platform::start(deployment.addresses.platform(), journal.clone()).await?;
-    let newest = Rc::new(Cell::new(1));
-    let engines = start_engines(&deployment, &journal, &newest, demands).await?;
+    let newest_version = Rc::new(Cell::new(1));
+    let engines = start_engines(&deployment, &journal, &newest_version, features).await?;
     let stop = Rc::new(Cell::new(false));
     let reports_stop = Rc::new(Cell::new(false));
     let addresses = deployment.addresses.clone();
@@ -73,8 +72,8 @@
         let report = operator::report(engine.clone(), addresses.clone(), journal.clone(), reports_stop.clone());
         compio::runtime::spawn(report).detach();
     }
-    let operator = Rc::new(Operator::new(addresses.clone(), journal.clone(), demands));
-    let trainer = Rc::new(Trainer::new(addresses.clone(), journal.clone(), newest, options.case.kind.steps()));
+    let operator = Rc::new(Operator::new(addresses.clone(), journal.clone(), features));
+    let trainer = Rc::new(Trainer::new(addresses.clone(), journal.clone(), newest_version, options.case.kind.steps()));
     wait_until_up(&deployment, &operator).await?;
     compio::runtime::spawn(waits::watch_engines(engines.clone(), deployment.links.clone(), journal.clone())).detach();
     let mut tasks = vec![
@@ -83,40 +82,40 @@
         compio::runtime::spawn(trainer.clone().run(stop.clone())),
     ];
     for client in 0..callers::CLIENTS {
-        let run = callers::run(client, addresses.clone(), journal.clone(), demands, stop.clone());
+        let run = callers::run(client, addresses.clone(), journal.clone(), features, stop.clone());
         tasks.push(compio::runtime::spawn(run));
     }
-    let kept_stop = Rc::new(Cell::new(false));
-    let kept = kept::clients(&addresses, &journal, &kept_stop);
-    let kept: Vec<_> = kept.into_iter().map(|client| compio::runtime::spawn(client.run())).collect();
-    let faults = Rc::new(Faults::new(deployment.clone(), engines.clone(), operator.clone(), journal.clone()));
+    let keep_alive_stop = Rc::new(Cell::new(false));
+    let keep_alive = keep_alive::clients(&addresses, &journal, &keep_alive_stop);
+    let keep_alive: Vec<_> = keep_alive.into_iter().map(|client| compio::runtime::spawn(client.run())).collect();
+    let faults = Rc::new(FaultInjector::new(deployment.clone(), engines.clone(), operator.clone(), journal.clone()));
     for engine in &engines {
-        compio::runtime::spawn(faults.clone().crash_by_work(engine.clone())).detach();
+        compio::runtime::spawn(faults.clone().run_crashes(engine.clone())).detach();
     }
     let crashing_stop = Rc::new(Cell::new(false));
-    if demands == Demands::All {
+    if features == Features::All {
         let crashing = callers::run_crashing(addresses.clone(), journal.clone(), crashing_stop.clone());
         tasks.push(compio::runtime::spawn(crashing));
     }
-    let memory = cause_faults(&deployment, &faults, &trainer, &journal, options).await?;
+    let memory = inject_faults(&deployment, &faults, &trainer, &journal, options).await?;
     crashing_stop.set(true);
-    prove_recovery(&deployment, &operator, &trainer, &journal).await;
+    check_recovery(&deployment, &operator, &trainer, &journal).await;
     if options.case.kind == PlanKind::Upgrade {
-        prove_newest_level(&deployment, &journal).await;
+        check_newest_level(&deployment, &journal).await;
     }
     stop.set(true);
     end_load(tasks, &journal).await;
     read_back(&operator, &trainer, &journal).await;
-    if demands == Demands::All && platform.windows() == 0 {
+    if features == Features::All && platform.windows() == 0 {
         journal.violation("the platform is told the usage", "no window was reported".to_string());
     }
     reports_stop.set(true);
     stop_processes(&deployment, &journal).await;
-    kept_stop.set(true);
-    end_load(kept, &journal).await;
-    note_slow_look_ups(&deployment, &journal);
+    keep_alive_stop.set(true);
+    end_load(keep_alive, &journal).await;
+    report_slow_owner_lookups(&deployment, &journal);
     for violation in journal.read(checks::check) {
-        journal.take_violation(violation);
+        journal.record_violation(violation);
     }
     Ok(Report::new(options.case, memory, &journal))
 }
@@ -124,8 +123,8 @@
 async fn start_engines(
     deployment: &Rc<Deployment>,
     journal: &Journal,
-    newest: &Rc<Cell<u64>>,
-    demands: Demands,
+    newest_version: &Rc<Cell<u64>>,
+    features: Features,
 ) -> Result<Vec<Engine>> {
     let mut engines = Vec::new();
     for number in 0..ENGINES {
@@ -135,37 +134,39 @@
             _ => MODEL_SERVICE,
         };
         let addresses = deployment.addresses.clone();
-        engines.push(Engine::start(number, service, addresses, journal.clone(), newest.clone(), demands).await?);
+        engines
+            .push(Engine::start(number, service, addresses, journal.clone(), newest_version.clone(), features).await?);
     }
     Ok(engines)
 }
 
 async fn is_ready(deployment: &Deployment, gateway: u8) -> bool {
     let address = deployment.addresses.readiness(gateway);
-    let answer = crate::calls::ask(address, Method::GET, "/", &[], Vec::new(), REPORT_INTERVAL).await;
-    answer.is_some_and(|answer| answer.status == StatusCode::OK)
+    let response = crate::calls::send_request(address, Method::GET, "/", &[], Vec::new(), REPORT_INTERVAL).await;
+    response.is_some_and(|response| response.status == StatusCode::OK)
 }
 
 async fn wait_until_up(deployment: &Rc<Deployment>, operator: &Operator) -> Result<()> {
-    let until = Instant::now() + START_LIMIT;
+    let until = Instant::now() + START_TIMEOUT;
     if !operator.change(|| Instant::now() < until).await {
-        bail!("the first routing document was not accepted within {START_LIMIT:?}");
+        bail!("the first routing document was not accepted within {START_TIMEOUT:?}");
     }
     for gateway in 0..deployment.addresses.size.gateways {
         while !is_ready(deployment, gateway).await {
             if Instant::now() > until {
-                bail!("gateway {gateway} was not ready within {START_LIMIT:?}");
+                bail!("gateway {gateway} was not ready within {START_TIMEOUT:?}");
             }
-            compio::time::sleep(POLL).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
     Ok(())
 }
 
-/// Causes the planned faults and waits until each has healed; returns the most memory that one process held.
-async fn cause_faults(
+/// Injects the planned faults and waits until all have healed. Returns the largest resident memory of any one
+/// process, in bytes.
+async fn inject_faults(
     deployment: &Rc<Deployment>,
-    faults: &Rc<Faults>,
+    faults: &Rc<FaultInjector>,
     trainer: &Trainer,
     journal: &Journal,
     options: &SoakOptions,
@@ -177,80 +178,81 @@
     while planned.peek().is_some() || journal.now() < started + options.length {
         while let Some(next) = planned.next_if(|next| journal.now() >= started + next.at) {
             let faults = faults.clone();
-            running.push(compio::runtime::spawn(async move { faults.cause(next.fault).await }));
+            running.push(compio::runtime::spawn(async move { faults.inject(next.fault).await }));
         }
         if planned.peek().is_none() {
             trainer.stop_crashing();
         }
         deployment.watch()?;
         memory = memory.max(deployment.largest_memory());
-        compio::time::sleep(POLL).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
     for fault in running {
-        fault.await.map_err(|_| anyhow::anyhow!("a fault's task failed"))??;
+        fault.await.map_err(|_| anyhow::anyhow!("a fault injection task panicked"))??;
     }
     faults.heal_all();
     deployment.watch()?;
     Ok(memory)
 }
 
-/// Everything works again soon after the last fault.
-async fn prove_recovery(deployment: &Rc<Deployment>, operator: &Operator, trainer: &Trainer, journal: &Journal) {
-    const PROMISE: &str = "everything works again soon after the last fault";
-    let serving = Proof::begin(PROMISE, journal);
+/// Checks that all gateways serve requests, a routing document is accepted and a training step completes in time.
+async fn check_recovery(deployment: &Rc<Deployment>, operator: &Operator, trainer: &Trainer, journal: &Journal) {
+    const INVARIANT: &str = "everything works again soon after the last fault";
+    let serving = ConvergenceCheck::begin(INVARIANT, journal);
     let gateways = 0..deployment.addresses.size.gateways;
     let probes = gateways.flat_map(|gateway| [REPEATABLE, ONCE, MOVING, STREAMS].map(|prefix| (gateway, prefix)));
-    let proofs = probes.map(|(gateway, prefix)| {
+    let serving_checks = probes.map(|(gateway, prefix)| {
         let probe = move || callers::probe(prefix, gateway, &deployment.addresses, journal);
-        serving.prove(format!("gateway {gateway} serves {prefix}"), probe)
+        serving.wait_for(format!("gateway {gateway} serves {prefix}"), probe)
     });
     let change = || operator.change(|| !serving.is_over());
-    let changed = serving.prove("a routing document is accepted".to_string(), change);
-    future::join(future::join_all(proofs), changed).await;
-    let training = Proof::begin(PROMISE, journal);
-    training.prove("a training step is whole".to_string(), || prove_step(trainer, journal)).await;
+    let changed = serving.wait_for("a routing document is accepted".to_string(), change);
+    future::join(future::join_all(serving_checks), changed).await;
+    let training = ConvergenceCheck::begin(INVARIANT, journal);
+    training.wait_for("a training step completes".to_string(), || run_probe_step(trainer, journal)).await;
 }
 
-/// All processes run the newest build: what it can do more must come into use by itself.
-async fn prove_newest_level(deployment: &Rc<Deployment>, journal: &Journal) {
-    let raised = Proof::begin("the group goes to the newest level once every process knows it", journal);
+/// Checks that the group raises its feature level to the newest once all processes run the newest build.
+async fn check_newest_level(deployment: &Rc<Deployment>, journal: &Journal) {
+    let upgraded = ConvergenceCheck::begin("the group goes to the newest level once every process knows it", journal);
     for number in 0..deployment.addresses.size.coordinators {
-        // One that is no member has no state of the group's.
+        // A coordinator outside the group has no replicated state.
         let is_member = || deployment.membership_of(number) != MemberKind::None;
-        let is_there = || async { !is_member() || deployment.feature_level(number) == FeatureLevel::NEWEST.number() };
-        raised.prove(format!("coordinator {number}"), is_there).await;
+        let is_at_newest_level =
+            || async { !is_member() || deployment.feature_level(number) == FeatureLevel::NEWEST.number() };
+        upgraded.wait_for(format!("coordinator {number}"), is_at_newest_level).await;
     }
 }
 
-async fn prove_step(trainer: &Trainer, journal: &Journal) -> bool {
-    let missing = trainer.prove_step(RECOVERY_LIMIT).await;
+async fn run_probe_step(trainer: &Trainer, journal: &Journal) -> bool {
+    let missing = trainer.run_probe_step(RECOVERY_LIMIT).await;
     if let Some(missing) = &missing {
-        println!("{:>8.3} s  a training step is not whole yet: {missing}", journal.now().as_secs_f64());
+        println!("{:>8.3} s  training step incomplete: {missing}", journal.now().as_secs_f64());
     }
     missing.is_none()
 }
 
-/// Waits until tasks of the load that were told to stop have ended.
+/// Waits for load tasks to end after they were signalled to stop.
 async fn end_load<T>(tasks: Vec<JoinHandle<T>>, journal: &Journal) {
-    if compio::time::timeout(END_LIMIT, future::join_all(tasks)).await.is_err() {
-        journal.violation("every caller gets an answer", "a task of the load did not end".to_string());
+    if compio::time::timeout(END_TIMEOUT, future::join_all(tasks)).await.is_err() {
+        journal.violation("every caller gets an answer", "a load task did not end".to_string());
     }
 }
 
-/// Reads back what was acknowledged: the configuration, and every job from its start.
+/// Reads back the acknowledged routing document and the results of every acknowledged job.
 async fn read_back(operator: &Operator, trainer: &Trainer, journal: &Journal) {
-    let reading = Proof::begin("what was acknowledged can be read back", journal);
-    reading.prove("the routing document".to_string(), || operator.read()).await;
+    let read_back_check = ConvergenceCheck::begin("what was acknowledged can be read back", journal);
+    read_back_check.wait_for("the routing document".to_string(), || operator.read()).await;
     let acknowledged: Vec<_> = journal.read(|records| {
-        let jobs = records.jobs.iter().filter(|(_, seen)| seen.acknowledged_at.is_some());
-        jobs.map(|(job, _)| job.clone()).collect()
+        let acknowledged_jobs = records.jobs.iter().filter(|(_, record)| record.acknowledged_at.is_some());
+        acknowledged_jobs.map(|(job, _)| job.clone()).collect()
     });
     for job in acknowledged {
-        reading.prove(format!("job {}", job.0), || trainer.read_page(&job, 0)).await;
+        read_back_check.wait_for(format!("job {}", job.0), || trainer.read_page(&job, 0)).await;
     }
 }
 
-/// Stops every gateway at once, and then the coordinators one by one, in the planned way.
+/// Gracefully stops all gateways concurrently, then the coordinators one by one.
 async fn stop_processes(deployment: &Rc<Deployment>, journal: &Journal) {
     let size = deployment.addresses.size;
     let gateways = (0..size.gateways).map(|number| stop_process(deployment, Party::Gateway(number), journal));
@@ -268,30 +270,35 @@
     journal.end_planned(planned);
 }
 
-/// A connection that the proxy kept waiting is a lateness of the soak too.
-fn note_slow_look_ups(deployment: &Deployment, journal: &Journal) {
-    let slowest = deployment.slowest_look_up();
-    println!("{:>8.3} s  a new connection waited for {} ms at most", journal.now().as_secs_f64(), slowest.as_millis());
+/// Counts the slowest lookup of a connection's owner as lag of the soak: the proxy delays the connection meanwhile.
+fn report_slow_owner_lookups(deployment: &Deployment, journal: &Journal) {
+    let slowest = deployment.slowest_owner_lookup();
+    println!(
+        "{:>8.3} s  slowest owner lookup of a new connection: {} ms",
+        journal.now().as_secs_f64(),
+        slowest.as_millis()
+    );
     journal.write(|records| records.own_lag = records.own_lag.max(slowest));
 }
 
-/// Watches how late this process's own tasks run: all connections pass through it, and what it delays, everyone sees late.
-async fn watch_own_lag(journal: Journal) {
+/// Measures the scheduling lag of this process's tasks. All connections pass through this process, so its lag delays
+/// every party.
+async fn measure_own_lag(journal: Journal) {
     loop {
         let began = Instant::now();
-        compio::time::sleep(POLL).await;
-        let lag = began.elapsed().saturating_sub(POLL);
+        compio::time::sleep(POLL_INTERVAL).await;
+        let lag = began.elapsed().saturating_sub(POLL_INTERVAL);
         journal.write(|records| records.own_lag = records.own_lag.max(lag));
         if lag > LATENESS_LIMIT {
-            journal.note_lateness();
+            journal.record_lateness();
         }
-        if lag > TELLING_LAG {
-            println!("{:>8.3} s  the soak itself was late by {} ms", journal.now().as_secs_f64(), lag.as_millis());
+        if lag > REPORTED_LAG {
+            println!("{:>8.3} s  the soak's own tasks lagged by {} ms", journal.now().as_secs_f64(), lag.as_millis());
         }
     }
 }
 
-/// Where a soak's files go: a folder of the system's temporary one, by its seed.
+/// The directory of a soak's files under `base`, named by process id and seed.
 pub fn folder_of(seed: u64, base: &Path) -> PathBuf {
     base.join(format!("saddlerelay-soak-{}-{seed}", std::process::id()))
 }
--- a/crates/soak/src/series.rs
+++ b/crates/soak/src/series.rs
@@ -1,23 +1,23 @@
-//! Signals, restarts and changes of one process that overlap, round after round.
+//! Series of overlapping signals, restarts and reloads of one process.
 
-use crate::faults::{Faults, STOP_ENDS_WELL};
+use crate::faults::{FaultInjector, STOP_ENDS_WELL};
 use crate::links::{Condition, Party};
 use crate::plan::{ENGINES, Overlap, Round};
 use anyhow::Result;
 use std::time::Duration;
 
-/// How long a change that overlaps with signals is sent again and again.
+/// Time limit for the routing change that overlaps with the signals.
 const CHANGE_LIMIT: Duration = Duration::from_secs(5);
 
-impl Faults {
-    /// Brings a series about; one whose process is held by another fault is left out.
+impl FaultInjector {
+    /// Injects a series; skipped if the process is reserved already.
     pub(crate) async fn series(&self, party: Party, rounds: &[Round]) -> Result<()> {
-        let Some(_hold) = self.hold_for_planned_work(party) else {
+        let Some(_reservation) = self.reserve_for_planned_work(party) else {
             return Ok(());
         };
         for round in rounds {
             let (gap, down) = (round.gap.as_millis(), round.down.as_millis());
-            self.tell(&format!("{party:?}: {:?}, {gap} ms between, down {down} ms", round.overlap));
+            self.log_fault(&format!("{party:?}: {:?}, {gap} ms between, down {down} ms", round.overlap));
             self.overlap(party, round).await?;
         }
         Ok(())
@@ -37,7 +37,7 @@
         self.start_again(party)
     }
 
-    /// A planned stop, with what comes before and after its signal.
+    /// Performs a graceful stop with the additional signals of a round.
     async fn stop_overlapping(&self, party: Party, round: &Round) -> Result<()> {
         if round.overlap == Overlap::StopDuringReload {
             let (operator, until) = (self.operator.clone(), self.journal.now() + CHANGE_LIMIT);
@@ -54,14 +54,14 @@
             compio::time::sleep(round.gap).await;
         }
         match round.overlap {
-            Overlap::StopTwice => stopping.ask_again(),
+            Overlap::StopTwice => stopping.signal_stop_again(),
             Overlap::ReloadWhileStopping => {
                 self.deployment.change_settings(party)?;
                 stopping.signal_reload();
             }
             Overlap::KillWhileStopping => {
                 self.journal.begin_disruption(party);
-                self.deployment.break_off_stop(stopping);
+                self.deployment.abort_stop(stopping);
                 return Ok(());
             }
             Overlap::StopDuringReload | Overlap::RestartUnderOldConnections => {}
@@ -69,7 +69,7 @@
         self.deployment.finish_stop(stopping).await
     }
 
-    /// Kills a process whose last bytes, the ends of its connections among them, are held back until it runs again.
+    /// Kills and restarts a process while its outgoing traffic, including connection closes, is blocked.
     async fn restart_under_old_connections(&self, party: Party, round: &Round) -> Result<()> {
         self.journal.begin_disruption(party);
         let mut others = self.deployment.processes();
@@ -81,7 +81,7 @@
         self.start_again(party)?;
         compio::time::sleep(round.gap + round.down).await;
         set(Condition::Open);
-        self.journal.woke();
+        self.journal.record_resumption();
         Ok(())
     }
 }
--- a/crates/soak/src/waits.rs
+++ b/crates/soak/src/waits.rs
@@ -1,7 +1,7 @@
-//! How long accepted items are at no engine while engines have room, from what the soak's engines and trainer see.
+//! Computes how long accepted items are not at an engine while engines have capacity.
 
 use crate::engine::Engine;
-use crate::journal::{EnginesSeen, ItemRun, ItemRunEnd, JobSeen, Journal, Moment, Records};
+use crate::journal::{EnginesSample, ItemRun, ItemRunEnd, JobRecord, Journal, Moment, Records};
 use crate::links::{Links, Party};
 use crate::workload::SLOTS;
 use saddlerelay_types::job::{ItemId, JobId};
@@ -10,37 +10,37 @@
 use std::fmt;
 use std::time::Duration;
 
-/// An accepted item may be at no engine for so long in a steady state: the users' bound.
+/// Maximum time for which an accepted item may be at no engine in a steady state.
 pub const ITEM_WAIT_BOUND: Duration = Duration::from_secs(5);
 
-/// The state is steady when nothing has been disturbed for so long: the time within which everyone has heard of a change.
-pub const CALM_TIME: Duration = crate::checks::CONTACT_TIME;
+/// Time without disturbance after which the state counts as steady.
+pub const QUIET_PERIOD: Duration = crate::checks::PROPAGATION_BOUND;
 
-/// A group has a leader when it has acknowledged a change within this time; operators change the routing every 2.5 s or
-/// sooner.
+/// The group counts as having a leader for this time after a change is acknowledged; operators change the routing at
+/// least every 2.5 s.
 const LEADER_WINDOW: Duration = Duration::from_secs(3);
 
-/// Pause between looks at the engines: a hundredth of the bound.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between samples of the engines.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The longest time for which an item was at no engine.
+/// The longest uninterrupted time for which an item was at no engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemWait {
-    /// The item.
+    /// Item id.
     pub item: ItemId,
-    /// Its job.
+    /// Job id.
     pub job: JobId,
-    /// How long, in one piece, while the state was steady and engines that could take it were less than half full.
-    pub steady: Duration,
-    /// When that was over.
+    /// Duration in a steady state, with the engines eligible for the item less than half full.
+    pub waited: Duration,
+    /// End of the wait.
     pub until: Moment,
-    /// Engines that had ended under it by then.
+    /// Engines that had crashed under the item by then.
     pub engines_ended: usize,
 }
 
 impl fmt::Display for ItemWait {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (item, waited, until) = (&self.item.0, self.steady.as_millis(), self.until.as_secs_f64());
+        let (item, waited, until) = (&self.item.0, self.waited.as_millis(), self.until.as_secs_f64());
         write!(
             formatter,
             "{item} at no engine for {waited} ms until {until:.3} s, ended under by {}",
@@ -49,110 +49,117 @@
     }
 }
 
-/// Writes down, again and again, what the engines are that run the model.
+/// Periodically records the state of the engines that run the model.
 pub async fn watch_engines(engines: Vec<Engine>, links: Links, journal: Journal) {
     loop {
         let hosts = engines.iter().filter(|engine| engine.hosts_model());
-        let seen = hosts.map(|engine| engine.seen(!links.is_down(Party::Engine(engine.number())))).collect();
-        let seen = EnginesSeen { at: journal.now(), engines: seen };
-        journal.write(|records| records.engines_seen.push(seen));
-        compio::time::sleep(LOOK_PAUSE).await;
+        let observed = hosts.map(|engine| engine.sample(!links.is_down(Party::Engine(engine.number())))).collect();
+        let observed = EnginesSample { at: journal.now(), engines: observed };
+        journal.write(|records| records.engine_samples.push(observed));
+        compio::time::sleep(SAMPLE_INTERVAL).await;
     }
 }
 
-/// The longest wait of each item that waited, the longest first.
+/// The longest wait of each item that waited, in descending order.
 pub fn longest_waits(records: &Records) -> Vec<ItemWait> {
-    let looks: Vec<Look> = records.engines_seen.iter().map(|seen| Look::new(records, seen)).collect();
+    let samples: Vec<Sample> = records.engine_samples.iter().map(|observed| Sample::new(records, observed)).collect();
     let mut runs: BTreeMap<&ItemId, Vec<&ItemRun>> = BTreeMap::new();
     for run in &records.item_runs {
         runs.entry(&run.item).or_default().push(run);
     }
     let mut waits = Vec::new();
-    for (job, seen) in &records.jobs {
-        let open: Vec<&Look> = looks.iter().filter(|look| is_open(seen, look.at)).collect();
-        let room: Vec<bool> = open.iter().map(|look| look.has_room(seen.minimum_version)).collect();
-        for item in seen.items.keys() {
+    for (job, record) in &records.jobs {
+        let open_samples: Vec<&Sample> = samples.iter().filter(|sample| is_open(record, sample.at)).collect();
+        let has_room_at: Vec<bool> =
+            open_samples.iter().map(|sample| sample.has_room(record.minimum_version)).collect();
+        for item in record.items.keys() {
             let runs = runs.get(item).map(Vec::as_slice).unwrap_or_default();
-            waits.extend(longest_wait(job, item, runs, &open, &room));
+            waits.extend(longest_wait(job, item, runs, &open_samples, &has_room_at));
         }
     }
-    waits.sort_by_key(|wait| std::cmp::Reverse(wait.steady));
+    waits.sort_by_key(|wait| std::cmp::Reverse(wait.waited));
     waits
 }
 
-/// Whether a job is accepted at `at`, and its end not asked for.
-fn is_open(seen: &JobSeen, at: Moment) -> bool {
-    seen.acknowledged_at.is_some_and(|accepted| accepted <= at) && seen.end_asked_at.is_none_or(|end| at < end)
+/// Whether a job is accepted and its cancellation not yet requested at `at`.
+fn is_open(record: &JobRecord, at: Moment) -> bool {
+    record.acknowledged_at.is_some_and(|accepted| accepted <= at) && record.end_requested_at.is_none_or(|end| at < end)
 }
 
-fn longest_wait(job: &JobId, item: &ItemId, runs: &[&ItemRun], looks: &[&Look], room: &[bool]) -> Option<ItemWait> {
+fn longest_wait(
+    job: &JobId,
+    item: &ItemId,
+    runs: &[&ItemRun],
+    samples: &[&Sample],
+    has_room_at: &[bool],
+) -> Option<ItemWait> {
     let mut longest: Option<ItemWait> = None;
     let mut since: Option<Moment> = None;
-    for (look, has_room) in looks.iter().zip(room) {
-        let state = ItemState::at(runs, look.at);
-        if state.is_settled {
+    for (sample, has_room) in samples.iter().zip(has_room_at) {
+        let state = ItemState::at(runs, sample.at);
+        if state.is_excluded {
             break;
         }
-        if !has_room || !look.is_steady || state.is_at_engine {
+        if !has_room || !sample.is_steady || state.is_at_engine {
             since = None;
             continue;
         }
-        let steady = look.at - *since.get_or_insert(look.at);
-        if !steady.is_zero() && longest.as_ref().is_none_or(|longest| longest.steady < steady) {
+        let waited = sample.at - *since.get_or_insert(sample.at);
+        if !waited.is_zero() && longest.as_ref().is_none_or(|longest| longest.waited < waited) {
             let (item, job) = (item.clone(), job.clone());
-            longest = Some(ItemWait { item, job, steady, until: look.at, engines_ended: state.engines_ended });
+            longest = Some(ItemWait { item, job, waited, until: sample.at, engines_ended: state.engines_ended });
         }
     }
     longest
 }
 
-/// What engines have done with an item.
+/// State of an item, derived from its executions.
 struct ItemState {
-    /// An engine has finished or failed it, or so many have ended under it that it is held back on purpose.
-    is_settled: bool,
+    /// Finished, failed, or quarantined because it crashed [`MOST_ENGINES_ENDED`] engines.
+    is_excluded: bool,
     is_at_engine: bool,
     engines_ended: usize,
 }
 
 impl ItemState {
     fn at(runs: &[&ItemRun], at: Moment) -> Self {
-        let begun = || runs.iter().filter(|run| run.from <= at);
-        let left = || begun().filter(|run| run.until.is_some_and(|until| until <= at));
-        let done = left().any(|run| matches!(run.end, ItemRunEnd::Finished | ItemRunEnd::Failed));
-        let ended = left().filter(|run| run.end == ItemRunEnd::EngineEnded);
+        let begun_runs = || runs.iter().filter(|run| run.from <= at);
+        let ended_runs = || begun_runs().filter(|run| run.until.is_some_and(|until| until <= at));
+        let done = ended_runs().any(|run| matches!(run.end, ItemRunEnd::Finished | ItemRunEnd::Failed));
+        let ended = ended_runs().filter(|run| run.end == ItemRunEnd::EngineEnded);
         let engines_ended = ended.map(|run| &run.instance).collect::<BTreeSet<_>>().len();
         Self {
-            is_settled: done || engines_ended >= MOST_ENGINES_ENDED,
-            is_at_engine: begun().any(|run| run.until.is_none_or(|until| at < until)),
+            is_excluded: done || engines_ended >= MOST_ENGINES_ENDED,
+            is_at_engine: begun_runs().any(|run| run.until.is_none_or(|until| at < until)),
             engines_ended,
         }
     }
 }
 
-/// A look at the engines.
-struct Look<'a> {
+/// A sample of the engines, with the disturbances at that time.
+struct Sample<'a> {
     at: Moment,
     is_steady: bool,
-    seen: &'a EnginesSeen,
-    /// Engines that nothing has harmed lately.
-    unharmed: BTreeSet<u8>,
+    observed: &'a EnginesSample,
+    /// Engines without a recent fault.
+    healthy: BTreeSet<u8>,
 }
 
-impl<'a> Look<'a> {
-    fn new(records: &Records, seen: &'a EnginesSeen) -> Self {
-        let numbers = seen.engines.iter().map(|engine| engine.number);
-        let is_unharmed = |number: &u8| !is_disturbed(records, seen.at, |party| party == Party::Engine(*number));
-        let is_steady = has_leader(records, seen.at)
-            && !records.woken.iter().chain(&records.versions_named).any(|at| is_recent(*at, seen.at))
-            && !is_disturbed(records, seen.at, |party| matches!(party, Party::Coordinator(_)));
-        Self { at: seen.at, is_steady, seen, unharmed: numbers.filter(is_unharmed).collect() }
+impl<'a> Sample<'a> {
+    fn new(records: &Records, observed: &'a EnginesSample) -> Self {
+        let engine_numbers = observed.engines.iter().map(|engine| engine.number);
+        let is_healthy = |number: &u8| !is_disturbed(records, observed.at, |party| party == Party::Engine(*number));
+        let is_steady = has_leader(records, observed.at)
+            && !records.resumptions.iter().chain(&records.versions_published).any(|at| is_recent(*at, observed.at))
+            && !is_disturbed(records, observed.at, |party| matches!(party, Party::Coordinator(_)));
+        Self { at: observed.at, is_steady, observed, healthy: engine_numbers.filter(is_healthy).collect() }
     }
 
-    /// Whether engines that can take an item, which must not be older than `version`, are less than half full.
+    /// Whether the engines eligible for an item with this minimum version are less than half full.
     fn has_room(&self, version: u64) -> bool {
         let can_take =
-            self.seen.engines.iter().filter(|engine| {
-                engine.takes_items && engine.version >= version && self.unharmed.contains(&engine.number)
+            self.observed.engines.iter().filter(|engine| {
+                engine.takes_items && engine.version >= version && self.healthy.contains(&engine.number)
             });
         let (engines, running) = can_take.fold((0, 0), |(count, sum), engine| (count + 1, sum + engine.running));
         2 * running < engines * SLOTS
@@ -160,7 +167,7 @@
 }
 
 fn is_recent(event: Moment, at: Moment) -> bool {
-    event <= at && at <= event + CALM_TIME
+    event <= at && at <= event + QUIET_PERIOD
 }
 
 fn has_leader(records: &Records, at: Moment) -> bool {
@@ -168,12 +175,12 @@
     acknowledged.into_iter().any(|acknowledged| acknowledged <= at && at <= acknowledged + LEADER_WINDOW)
 }
 
-/// Whether a fault of such a party, or planned work there, is under way or ended lately.
+/// Whether a fault or planned work of a matching party is in progress or ended recently.
 fn is_disturbed(records: &Records, at: Moment, concerns: impl Fn(Party) -> bool) -> bool {
     let mut disturbances = records.disruptions.iter().chain(&records.planned);
     disturbances.any(|disturbance| {
         concerns(disturbance.party)
             && disturbance.from <= at
-            && disturbance.until.is_none_or(|until| at <= until + CALM_TIME)
+            && disturbance.until.is_none_or(|until| at <= until + QUIET_PERIOD)
     })
 }
--- a/crates/soak/src/workload.rs
+++ b/crates/soak/src/workload.rs
@@ -1,4 +1,4 @@
-//! What is asked of the deployment, and what the whole answer to each request is.
+//! Routes and requests of the load, and the expected response to each request.
 
 use saddlerelay_types::credentials::SecretDigest;
 use saddlerelay_types::identity::TenantId;
@@ -7,71 +7,72 @@
 };
 use saddlerelay_types::tenancy::TenantAccess;
 
-/// The host of every route.
+/// Host of all routes.
 pub const HOST: &str = "clinic.example";
 
-/// The model that the trainer trains.
+/// Model that is trained.
 pub const MODEL: &str = "notes";
 
-/// The service whose engines run the model.
+/// Service whose engines run the model.
 pub const MODEL_SERVICE: &str = "llm";
 
-/// The two services between which a route moves.
+/// Services between which the [`MOVING`] route alternates.
 pub const WEB_SERVICES: [&str; 2] = ["web-a", "web-b"];
 
-/// Requests that may run again.
+/// Path prefix of idempotent requests.
 pub const REPEATABLE: &str = "/pages/";
 
-/// Requests that run at most once.
+/// Path prefix of non-idempotent requests.
 pub const ONCE: &str = "/once/";
 
-/// Requests whose service changes with the routing document.
+/// Path prefix of requests whose service changes with the routing document.
 pub const MOVING: &str = "/moving/";
 
-/// Streams that may go on at another engine.
+/// Path prefix of streams that can be resumed at another engine.
 pub const STREAMS: &str = "/talk/";
 
-/// Batch jobs and their items.
+/// Path prefix of batch jobs and their items.
 pub const ROLLOUTS: &str = "/rollouts/";
 
-/// Calls for the scores of items' texts; they go by the route of [`REPEATABLE`].
+/// Path prefix of scoring requests; they match the route of [`REPEATABLE`].
 pub const SCORES: &str = "/pages/scores/";
 
-/// The identifier of the call for an item's score.
+/// Id of an item's scoring request.
 pub fn score_request(item: &str) -> String {
     format!("{item}-score")
 }
 
-/// The tenant of every client and trainer.
+/// Tenant of all clients and trainers.
 pub const TENANT: &str = "clinic";
 
-/// Its key.
+/// The tenant's key.
 pub const KEY: &str = "key-of-the-clinic";
 
-/// A key that no tenant has.
+/// A key that belongs to no tenant.
 pub const UNKNOWN_KEY: &str = "key-of-nobody";
 
-/// Requests with an unknown key have identifiers that begin so.
-pub const STRANGER: &str = "stranger-";
+/// Id prefix of requests with an unknown key.
+pub const UNKNOWN_KEY_REQUEST: &str = "stranger-";
 
-/// A body that begins so ends the engine that begins to run it; a number follows, which tells kinds of such work apart.
-pub const CRASHES: &str = "crashes its engine ";
+/// Body prefix of work that crashes its engine; followed by the number of its kind.
+pub const CRASH_BODY_PREFIX: &str = "crashes its engine ";
 
-/// The kind of such work that a body is, if it is.
+/// The kind of crashing work of a body; `None` if it is not crashing work.
 pub fn crashing_kind(body: &[u8]) -> Option<u32> {
-    std::str::from_utf8(body).ok()?.strip_prefix(CRASHES)?.parse().ok()
+    std::str::from_utf8(body).ok()?.strip_prefix(CRASH_BODY_PREFIX)?.parse().ok()
 }
 
-/// The longest time that a routed request may be held, in milliseconds.
+/// Timeout of every route, in milliseconds.
 pub const TIMEOUT_MS: u64 = 2_000;
 
-/// Attempts of an item, and of a request.
-pub const MOST_ATTEMPTS: u32 = 3;
+/// Maximum attempts of a request or item.
+pub const MAX_ATTEMPTS: u32 = 3;
 
-/// An item may be given up so long after its job was sent, in milliseconds; longer than any soak keeps a job open.
+/// Time after a job's submission from which items may be aborted, in milliseconds; longer than a soak keeps a job
+/// open.
 pub const GIVE_UP_AFTER_MS: u64 = 120_000;
 
-/// Requests that one engine runs at once.
+/// Concurrent requests per engine.
 pub const SLOTS: u32 = 6;
 
 fn route(prefix: &str, kind: RouteKind, service: &str) -> Route {
@@ -84,7 +85,7 @@
         objective_ms: 200,
         priority: 1,
         targets: vec![WeightedTarget { service: service.to_string(), weight: 1 }],
-        max_attempts: MOST_ATTEMPTS,
+        max_attempts: MAX_ATTEMPTS,
         resumable: false,
         public: false,
         batch: BatchTerms::default(),
@@ -95,17 +96,17 @@
     Service { name: name.to_string(), health_path: "/health".to_string(), max_connections: 200, hosting, scaling: None }
 }
 
-/// What is asked of the deployment.
+/// Product features that the load uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Demands {
-    /// Whatever the newest build can do.
+pub enum Features {
+    /// All features of the newest build.
     All,
-    /// What all builds can do: no tenants with keys, and no work that ends its engines.
+    /// Features that all builds support: no tenant keys and no crashing work.
     Common,
 }
 
-/// A routing document whose moving route goes to `moving_to`, with `idle` routes that nobody asks for.
-pub fn document(demands: Demands, version: u64, moving_to: &str, idle: usize) -> RoutingDocument {
+/// Creates a routing document whose moving route targets `moving_to`, with `idle` unused routes.
+pub fn document(features: Features, version: u64, moving_to: &str, idle: usize) -> RoutingDocument {
     let batch = BatchTerms { give_up_after_ms: GIVE_UP_AFTER_MS, due_after_ms: 5_000, single_version: false };
     let mut routes = vec![
         route(REPEATABLE, RouteKind::Idempotent, WEB_SERVICES[0]),
@@ -126,23 +127,23 @@
     };
     let keys = vec![SecretDigest::of(KEY.as_bytes())];
     let tenant = TenantAccess { name: TenantId::new(TENANT), keys, priority: None };
-    let tenants = (demands == Demands::All).then(|| vec![tenant]);
+    let tenants = (features == Features::All).then(|| vec![tenant]);
     let services =
         vec![service(WEB_SERVICES[0], None), service(WEB_SERVICES[1], None), service(MODEL_SERVICE, Some(hosting))];
     RoutingDocument { version, routes, services, limits, tenants, source: Vec::new() }
 }
 
-/// The whole answer to a request.
-pub fn answer(path: &str, request: &str, body: &[u8]) -> String {
+/// The complete response body of a request.
+pub fn expected_response(path: &str, request: &str, body: &[u8]) -> String {
     format!("{path} of {request} with {}", String::from_utf8_lossy(body))
 }
 
-/// The data of one event of a stream; names the version that made it.
+/// The data of a stream event, including the model version that generated it.
 pub fn event_data(path: &str, number: u32, version: u64) -> String {
     format!("{path} {number} v{version}")
 }
 
-/// Reads the number and the version back from an event's data; `None` if it is not the path's own.
+/// Parses an event's number and model version; `None` if it belongs to another path.
 pub fn read_event_data(data: &str, path: &str) -> Option<(u32, u64)> {
     let rest = data.strip_prefix(path)?.strip_prefix(' ')?;
     let (number, version) = rest.split_once(" v")?;
--- a/crates/soak/tests/plan.rs
+++ b/crates/soak/tests/plan.rs
@@ -1,12 +1,12 @@
-//! The faults of a seed are the same every time, and all kinds come up.
+//! Fault plans are deterministic per seed, and every kind of fault occurs.
 
 use saddlerelay_soak_runner::case::Case;
 use saddlerelay_soak_runner::command_line::{Options, read_cases};
 use saddlerelay_soak_runner::deployment::Size;
 use saddlerelay_soak_runner::links::Party;
-use saddlerelay_soak_runner::plan::{End, Fault, LeaderHarm, Overlap, Planned, draw as draw_case};
+use saddlerelay_soak_runner::plan::{End, Fault, LeaderFault, Overlap, Planned, draw as draw_case};
 use saddlerelay_soak_runner::trainer::StepShape;
-use saddlerelay_soak_runner::waits::{CALM_TIME, ITEM_WAIT_BOUND};
+use saddlerelay_soak_runner::waits::{ITEM_WAIT_BOUND, QUIET_PERIOD};
 use std::ffi::OsString;
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_seed_always_has_the_same_faults_in_order_within_its_length() {
+fn a_seed_has_deterministic_faults_in_order_within_its_length() {
     let planned = draw(7, LENGTH);
     assert_eq!(planned, draw(7, LENGTH));
     assert_ne!(planned, draw(8, LENGTH));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_zone_loses_packets_once_and_all_are_killed_before_or_after_the_hand_over() {
+fn a_lossy_plan_kills_all_coordinators_before_or_after_the_leadership_change() {
     let zone = |seed: u64| {
         let planned = draw_kind("lossy", seed, LENGTH);
         assert_eq!(planned, draw_kind("lossy", seed, LENGTH));
@@ -48,12 +48,12 @@
     let zones: Vec<_> = (0..20).map(zone).collect();
     assert!(zones.iter().any(|zone| zone.killed_after_handover));
     assert!(zones.iter().any(|zone| !zone.killed_after_handover));
-    // The zone's other coordinator is never the leader itself.
+    // The other coordinator of the zone is never the leader itself.
     assert!(zones.iter().all(|zone| (1..7).contains(&zone.companion)));
 }
 
 #[test]
-fn a_longer_soak_begins_like_a_shorter_one() {
+fn the_plan_of_a_shorter_soak_is_a_prefix_of_a_longer_one() {
     let short = draw(7, LENGTH / 4);
     assert_eq!(short, draw(7, LENGTH)[..short.len()]);
 }
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn every_kind_of_plan_is_the_same_every_time() {
+fn every_kind_of_plan_is_deterministic() {
     for kind in KINDS {
         let planned = draw_kind(kind, 7, LENGTH);
         assert_eq!(planned, draw_kind(kind, 7, LENGTH), "{kind}");
@@ -112,7 +112,7 @@
     ] {
         assert!(overlaps.contains(&overlap), "{overlap:?}");
     }
-    assert!(rounds.clone().any(|rounds| rounds.len() > 1), "several in a row");
+    assert!(rounds.clone().any(|rounds| rounds.len() > 1), "several rounds");
     let suspended: Vec<usize> = planned
         .iter()
         .filter_map(|planned| match &planned.fault {
@@ -123,56 +123,56 @@
             _ => None,
         })
         .collect();
-    assert!(suspended.contains(&1) && suspended.contains(&3), "one process, and all of a kind");
+    assert!(suspended.contains(&1) && suspended.contains(&3), "one process, and all processes of a role");
 }
 
 #[test]
-fn the_members_are_replaced_at_last() {
+fn the_members_are_replaced_at_the_end() {
     let planned = draw_kind("replaced", 7, LENGTH);
     let replaced = planned.iter().filter(|planned| planned.fault == Fault::ReplaceMembers);
     assert_eq!(replaced.count(), 1);
     assert_eq!(planned.last().map(|planned| &planned.fault), Some(&Fault::ReplaceMembers));
     let size = case("replaced:7").size;
-    assert!(size.coordinators > 2 * Size::SMALL.coordinators, "voters anew, and a learner");
+    assert!(size.coordinators > 2 * Size::SMALL.coordinators, "replacement voters, and a learner");
 }
 
-/// Whether a fault concerns those who hold state.
-fn is_of_holders(fault: &Fault) -> bool {
+/// Whether a fault hits a process that holds state.
+fn is_fault_of_stateful_process(fault: &Fault) -> bool {
     matches!(fault, Fault::HarmLeader(_) | Fault::KillAll { .. } | Fault::Restart { .. })
 }
 
-/// How long a fault of those who hold state lasts.
-fn time_of(fault: &Fault) -> Duration {
+/// The duration of a fault of a process that holds state.
+fn duration_of(fault: &Fault) -> Duration {
     match fault {
         Fault::KillAll { down } | Fault::Restart { down, .. } => *down,
         Fault::HarmLeader(
-            LeaderHarm::Kill(time)
-            | LeaderHarm::Freeze(time)
-            | LeaderHarm::CutFromProcesses(time)
-            | LeaderHarm::CutFromAll(time)
-            | LeaderHarm::RefuseWrites(time),
+            LeaderFault::Kill(time)
+            | LeaderFault::Freeze(time)
+            | LeaderFault::CutFromProcesses(time)
+            | LeaderFault::CutFromAll(time)
+            | LeaderFault::RefuseWrites(time),
         ) => *time,
         other => panic!("{other:?}"),
     }
 }
 
-/// The pairs of a seed: faults of engines, and the fault of those who hold state that follows.
+/// The pairs of a seed: engine faults, and the subsequent fault of a process that holds state.
 fn pairs(seed: u64, length: Duration) -> Vec<(Vec<Planned>, Planned)> {
     let mut pairs = Vec::new();
     let mut engines = Vec::new();
     for planned in draw_kind("paired", seed, length) {
-        if is_of_holders(&planned.fault) {
+        if is_fault_of_stateful_process(&planned.fault) {
             pairs.push((std::mem::take(&mut engines), planned));
         } else {
             engines.push(planned);
         }
     }
-    assert!(engines.is_empty(), "each fault of engines has its second one");
+    assert!(engines.is_empty(), "each engine fault has a second fault");
     pairs
 }
 
 #[test]
-fn a_fault_of_engines_is_followed_by_one_of_those_who_hold_state_and_by_calm() {
+fn an_engine_fault_is_followed_by_a_stateful_process_fault_and_a_quiet_period() {
     for seed in 0..20 {
         let pairs = pairs(seed, LENGTH);
         assert!(pairs.len() > 30, "{}", pairs.len());
@@ -184,13 +184,13 @@
         }
         for pair in pairs.windows(2) {
             let (holder, next) = (&pair[0].1, &pair[1].0[0]);
-            assert!(next.at - holder.at > time_of(&holder.fault) + CALM_TIME + ITEM_WAIT_BOUND);
+            assert!(next.at - holder.at > duration_of(&holder.fault) + QUIET_PERIOD + ITEM_WAIT_BOUND);
         }
     }
 }
 
 #[test]
-fn a_short_soak_has_a_pair_and_a_longer_one_begins_like_it() {
+fn a_short_paired_plan_has_a_pair_and_is_a_prefix_of_a_longer_one() {
     for seed in 0..20 {
         let (short, long) = (Duration::from_secs(15), Duration::from_secs(60));
         let planned = draw_kind("paired", seed, short);
@@ -208,11 +208,11 @@
         |fault| matches!(fault, Fault::Misconduct { conduct: Conduct::Hanging, .. }),
         |fault| matches!(fault, Fault::Misconduct { conduct: Conduct::BreakingOff, .. }),
         |fault| matches!(fault, Fault::Cut { party: Party::Engine(_), .. }),
-        |fault| matches!(fault, Fault::HarmLeader(LeaderHarm::Kill(_))),
-        |fault| matches!(fault, Fault::HarmLeader(LeaderHarm::Freeze(_))),
-        |fault| matches!(fault, Fault::HarmLeader(LeaderHarm::CutFromProcesses(_))),
-        |fault| matches!(fault, Fault::HarmLeader(LeaderHarm::CutFromAll(_))),
-        |fault| matches!(fault, Fault::HarmLeader(LeaderHarm::RefuseWrites(_))),
+        |fault| matches!(fault, Fault::HarmLeader(LeaderFault::Kill(_))),
+        |fault| matches!(fault, Fault::HarmLeader(LeaderFault::Freeze(_))),
+        |fault| matches!(fault, Fault::HarmLeader(LeaderFault::CutFromProcesses(_))),
+        |fault| matches!(fault, Fault::HarmLeader(LeaderFault::CutFromAll(_))),
+        |fault| matches!(fault, Fault::HarmLeader(LeaderFault::RefuseWrites(_))),
         |fault| matches!(fault, Fault::KillAll { .. }),
         |fault| matches!(fault, Fault::Restart { party: Party::Gateway(_), end: End::Kill, .. }),
     ];
@@ -223,15 +223,15 @@
 }
 
 #[test]
-fn a_case_is_written_as_it_is_read() {
+fn a_case_round_trips_through_its_text() {
     for text in ["single:14", "overlapping:3", "replaced:8", "paired:4", "overlapping:3:20+60"] {
         assert_eq!(case(text).to_string(), text);
     }
-    assert_eq!(case("14"), case("single:14"), "a seed alone is one of single faults");
-    for wrong in
+    assert_eq!(case("14"), case("single:14"), "a seed alone is of the kind single");
+    for invalid in
         ["", "x", "other:3", "single:x", "single:3:2+3", "single:3:3+0", "single:3:31+3", "single:3:3", "a:b:c:d"]
     {
-        assert!(wrong.parse::<Case>().is_err(), "{wrong}");
+        assert!(invalid.parse::<Case>().is_err(), "{invalid}");
     }
 }
 
@@ -240,22 +240,24 @@
 }
 
 #[test]
-fn the_command_line_names_seeds_and_length() {
-    let options = parse(&["--seeds", "3..5", "--seed", "9", "--length", "12", "--keep"]).expect("it is right");
+fn the_command_line_sets_cases_and_length() {
+    let options = parse(&["--seeds", "3..5", "--seed", "9", "--length", "12", "--keep"]).expect("valid options");
     let cases = ["overlapping:3", "overlapping:4", "overlapping:9"].map(case).to_vec();
     assert_eq!(options, Options { cases, length: Duration::from_secs(12), keep: true, production: None });
-    let options = parse(&["--seed", "9", "--plan", "replaced", "--case", "14", "--size", "9+2"]).expect("it is right");
+    let options =
+        parse(&["--seed", "9", "--plan", "replaced", "--case", "14", "--size", "9+2"]).expect("valid options");
     assert_eq!(options.cases, ["14", "replaced:9:9+2"].map(case));
-    assert_eq!(parse(&["--count", "4"]).expect("it is right").cases.len(), 4);
-    assert_eq!(parse(&[]).expect("it is right").cases.len(), 1, "a fresh seed");
-    let wrongs = [&["--seeds", "5..5"][..], &["--seeds", "x"], &["--length", "soon"], &["--other"], &["--plan", "x"]];
-    for wrong in wrongs {
-        assert!(parse(wrong).is_err(), "{wrong:?}");
+    assert_eq!(parse(&["--count", "4"]).expect("valid options").cases.len(), 4);
+    assert_eq!(parse(&[]).expect("valid options").cases.len(), 1, "a random seed");
+    let invalid_arguments =
+        [&["--seeds", "5..5"][..], &["--seeds", "x"], &["--length", "soon"], &["--other"], &["--plan", "x"]];
+    for invalid in invalid_arguments {
+        assert!(parse(invalid).is_err(), "{invalid:?}");
     }
 }
 
 #[test]
-fn a_list_of_cases_has_a_case_and_its_cause_on_each_line() {
+fn a_case_list_has_a_case_and_a_reason_on_each_line() {
     let file = std::env::temp_dir().join(format!("saddlerelay-seeds-{}", std::process::id()));
     std::fs::write(&file, "# comment\n\n14  the cause\nreplaced:15\n").expect("a file");
     assert_eq!(read_cases(&file).expect("a list"), ["14", "replaced:15"].map(case));
@@ -265,7 +267,7 @@
 }
 
 #[test]
-fn only_long_steps_have_items_that_end_their_engines() {
+fn only_long_steps_have_crashing_items() {
     let crashing = |shape: StepShape| (0..9).filter(|step| shape.crashes_in(*step)).collect::<Vec<u64>>();
     assert_eq!(crashing(StepShape::LONG), [2, 5, 8]);
     assert!(crashing(StepShape::SHORT).is_empty());
