--- a/crates/simulator/src/backends.rs
+++ b/crates/simulator/src/backends.rs
@@ -1,4 +1,4 @@
-//! Engines and services on the simulated network: one call on each connection.
+//! Engines and services on the simulated network, with one call per connection.
 
 use crate::network::{SimReceiver, SimSender};
 use crate::platform::SimRuntime;
@@ -20,8 +20,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time to find out whether a process has ended.
-const ENDED_LIMIT: Duration = Duration::from_millis(100);
+/// Timeout of the connection attempt that checks whether a process has ended.
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A call to an engine.
 #[derive(Encode, Decode)]
@@ -31,9 +31,9 @@
     Order(EngineOrder),
 }
 
-/// An engine's answers; a generation is admitted and then followed by chunks.
+/// An engine's response; a generation request is answered by `Admitted` followed by chunks.
 #[derive(Encode, Decode)]
-enum EngineAnswer {
+enum EngineResponse {
     Admitted,
     Chunk(EngineChunk),
     Status(EngineStatus),
@@ -48,9 +48,9 @@
     Machines,
 }
 
-/// Their answers.
+/// A response of the scorer or the platform.
 #[derive(Encode, Decode)]
-enum ServiceAnswer {
+enum ServiceResponse {
     Reward(i64),
     Machines(Vec<PlatformMachine>),
 }
@@ -73,30 +73,30 @@
     let Some(call) = receive::<EngineCall>(&mut receiver).await else {
         return;
     };
-    let answer = match call {
-        EngineCall::Status => EngineAnswer::Status(engine.status()),
+    let response = match call {
+        EngineCall::Status => EngineResponse::Status(engine.status()),
         EngineCall::Order(order) => match engine.order(order) {
-            Ok(()) => EngineAnswer::Done,
-            Err(refusal) => EngineAnswer::Refused(refusal.0),
+            Ok(()) => EngineResponse::Done,
+            Err(refusal) => EngineResponse::Refused(refusal.0),
         },
         EngineCall::Generate(request) => match engine.admit(request) {
             Ok(chunks) => {
                 stream_chunks(&mut sender, chunks).await;
                 return;
             }
-            Err(refusal) => EngineAnswer::Refused(refusal.0),
+            Err(refusal) => EngineResponse::Refused(refusal.0),
         },
     };
-    // A caller that is gone misses the answer.
-    let _ = sender.send(bitcode::encode(&answer)).await;
+    // The caller may have disconnected.
+    let _ = sender.send(bitcode::encode(&response)).await;
 }
 
 async fn stream_chunks(sender: &mut SimSender, mut chunks: mpsc::UnboundedReceiver<EngineChunk>) {
-    if sender.send(bitcode::encode(&EngineAnswer::Admitted)).await.is_err() {
+    if sender.send(bitcode::encode(&EngineResponse::Admitted)).await.is_err() {
         return;
     }
     while let Some(chunk) = chunks.next().await {
-        if sender.send(bitcode::encode(&EngineAnswer::Chunk(chunk))).await.is_err() {
+        if sender.send(bitcode::encode(&EngineResponse::Chunk(chunk))).await.is_err() {
             return;
         }
     }
@@ -107,12 +107,12 @@
     bitcode::decode(&frame).ok()
 }
 
-/// What the scorer and the platform hold.
+/// State of the scorer and the platform.
 #[derive(Clone, Default)]
 pub struct Services {
-    /// The machines that the platform shows.
+    /// The platform's machine list.
     pub machines: Rc<RefCell<Vec<PlatformMachine>>>,
-    /// How long a score takes.
+    /// Time that the scorer takes for a score.
     pub score_time: Rc<Cell<Duration>>,
 }
 
@@ -122,31 +122,31 @@
         return;
     };
     while let Ok((mut sender, mut receiver)) = listener.accept().await {
-        let (services, own) = (services.clone(), platform.clone());
+        let (services, runtime) = (services.clone(), platform.clone());
         platform.spawn(async move {
             let Some(call) = receive::<ServiceCall>(&mut receiver).await else {
                 return;
             };
-            let answer = match call {
+            let response = match call {
                 ServiceCall::Score(text) => {
-                    own.sleep(services.score_time.get()).await;
-                    ServiceAnswer::Reward(saddlerelay_standins::http::services::reward_of(&text))
+                    runtime.sleep(services.score_time.get()).await;
+                    ServiceResponse::Reward(saddlerelay_standins::http::services::reward_of(&text))
                 }
-                ServiceCall::Machines => ServiceAnswer::Machines(services.machines.borrow().clone()),
+                ServiceCall::Machines => ServiceResponse::Machines(services.machines.borrow().clone()),
             };
-            let _ = sender.send(bitcode::encode(&answer)).await;
+            let _ = sender.send(bitcode::encode(&response)).await;
         });
     }
 }
 
-/// Back ends as a process of the product reaches them.
+/// Backends as reached from one process.
 #[derive(Clone)]
 pub struct SimBackends {
-    /// The process.
+    /// Runtime of the process.
     pub platform: SimRuntime,
-    /// The scorer.
+    /// Address of the scorer.
     pub scorer: SocketAddr,
-    /// The platform's list.
+    /// Address of the platform's machine list.
     pub machine_list: SocketAddr,
 }
 
@@ -157,7 +157,7 @@
     receiver: SimReceiver,
 }
 
-fn lost() -> BackendError {
+fn connection_lost() -> BackendError {
     BackendError::Unknown("the connection was lost".to_string())
 }
 
@@ -165,8 +165,8 @@
     async fn call<Q: Encode, A: bitcode::DecodeOwned>(&self, address: SocketAddr, call: &Q) -> Result<A, BackendError> {
         let connected = self.platform.connect(address).await;
         let (mut sender, mut receiver) = connected.map_err(|error| BackendError::NotSent(error.to_string()))?;
-        sender.send(bitcode::encode(call)).await.map_err(|_| lost())?;
-        receive(&mut receiver).await.ok_or_else(lost)
+        sender.send(bitcode::encode(call)).await.map_err(|_| connection_lost())?;
+        receive(&mut receiver).await.ok_or_else(connection_lost)
     }
 }
 
@@ -180,53 +180,53 @@
     }
 
     async fn has_ended(&self, engine: &EngineDescription) -> bool {
-        // While the way is cut, nothing comes back.
-        let connected = timeout(&self.platform, ENDED_LIMIT, self.platform.connect(engine.address)).await;
+        // An attempt across a partition never completes.
+        let connected = timeout(&self.platform, LIVENESS_TIMEOUT, self.platform.connect(engine.address)).await;
         matches!(connected, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
     }
 
     async fn status(&self, engine: &EngineDescription) -> Result<EngineStatus, BackendError> {
         match self.call(engine.address, &EngineCall::Status).await? {
-            EngineAnswer::Status(status) => Ok(status),
-            _ => Err(lost()),
+            EngineResponse::Status(status) => Ok(status),
+            _ => Err(connection_lost()),
         }
     }
 
     async fn order(&self, engine: &EngineDescription, order: EngineOrder) -> Result<(), BackendError> {
         match self.call(engine.address, &EngineCall::Order(order)).await? {
-            EngineAnswer::Done => Ok(()),
-            EngineAnswer::Refused(reason) => Err(BackendError::Refused(reason)),
-            _ => Err(lost()),
+            EngineResponse::Done => Ok(()),
+            EngineResponse::Refused(reason) => Err(BackendError::Refused(reason)),
+            _ => Err(connection_lost()),
         }
     }
 
     async fn score(&self, _prompt: &str, generation: &Generation) -> Result<i64, BackendError> {
         match self.call(self.scorer, &ServiceCall::Score(generation.text.clone())).await? {
-            ServiceAnswer::Reward(reward) => Ok(reward),
-            ServiceAnswer::Machines(_) => Err(lost()),
+            ServiceResponse::Reward(reward) => Ok(reward),
+            ServiceResponse::Machines(_) => Err(connection_lost()),
         }
     }
 
     async fn machines(&self) -> Result<Vec<PlatformMachine>, BackendError> {
         match self.call(self.machine_list, &ServiceCall::Machines).await? {
-            ServiceAnswer::Machines(machines) => Ok(machines),
-            ServiceAnswer::Reward(_) => Err(lost()),
+            ServiceResponse::Machines(machines) => Ok(machines),
+            ServiceResponse::Reward(_) => Err(connection_lost()),
         }
     }
 }
 
 impl EngineConnection for SimEngineConnection {
     async fn generate(mut self, request: EngineRequest) -> Result<mpsc::UnboundedReceiver<StreamEvent>, BackendError> {
-        self.sender.send(bitcode::encode(&EngineCall::Generate(request))).await.map_err(|_| lost())?;
+        self.sender.send(bitcode::encode(&EngineCall::Generate(request))).await.map_err(|_| connection_lost())?;
         match receive(&mut self.receiver).await {
-            Some(EngineAnswer::Admitted) => {}
-            Some(EngineAnswer::Refused(reason)) => return Err(BackendError::Refused(reason)),
-            _ => return Err(lost()),
+            Some(EngineResponse::Admitted) => {}
+            Some(EngineResponse::Refused(reason)) => return Err(BackendError::Refused(reason)),
+            _ => return Err(connection_lost()),
         }
         let (events, stream) = mpsc::unbounded();
         let platform = self.platform.clone();
         platform.spawn(async move {
-            while let Some(EngineAnswer::Chunk(chunk)) = receive(&mut self.receiver).await {
+            while let Some(EngineResponse::Chunk(chunk)) = receive(&mut self.receiver).await {
                 if events.unbounded_send(Ok(chunk)).is_err() {
                     return;
                 }
@@ -236,7 +236,7 @@
     }
 }
 
-/// The weight store: one fetch after another.
+/// The weight store, which serves fetches sequentially.
 #[derive(Clone)]
 pub struct SimWeights {
     platform: SimRuntime,
@@ -245,7 +245,7 @@
 }
 
 impl SimWeights {
-    /// A store whose rate allows one fetch in `fetch_time`.
+    /// Creates a store in which each fetch takes `fetch_time`.
     pub fn new(platform: SimRuntime, fetch_time: Duration) -> Self {
         Self { platform, fetch_time, busy_until: Rc::default() }
     }
--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A deployment in the machine room: starts and restarts its processes.
+//! Starts and restarts the processes of a simulated deployment.
 
 use crate::backends::{Services, SimBackends, SimWeights, serve_engine, serve_services};
 use crate::platform::SimRuntime;
@@ -37,11 +37,11 @@
 const REPORT_LAG: Duration = Duration::from_millis(200);
 const CACHED_PREFIXES: usize = 8;
 const QUEUE_LIMIT: usize = 64;
-/// Largest error of a control machine's wall clock, in milliseconds.
+/// Bound on the wall clock error of a control replica, in milliseconds.
 const CLOCK_ERROR: u64 = 400;
 
-/// Pause before a process that could not open its disk is started again.
-const SUPERVISOR_PAUSE: Duration = Duration::from_millis(500);
+/// Delay before a process that failed to start is started again.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
 const CONTROL_PORT: u16 = 1_000;
 const CONTROL_HTTP_PORT: u16 = 2_000;
@@ -54,37 +54,37 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, base + place as u16))
 }
 
-/// The running parts of a process that faults act on.
+/// The component of a process that faults are injected into.
 #[derive(Clone)]
 pub enum Running {
-    /// A control replica, once it has opened its disk.
+    /// A control replica; `None` until it has recovered its state from disk.
     Control(Rc<RefCell<Option<ControlNode<SimRuntime, SimBackends>>>>),
-    /// A relay, once it has opened its disk.
+    /// A relay; `None` until it has started.
     Relay(Rc<RefCell<Option<Relay<SimRuntime, SimBackends>>>>, Shutdown),
     /// An engine.
     Engine(Engine<SimRuntime, SimWeights>),
-    /// Nothing that faults act on besides the process.
+    /// A process without such a component; only the process itself can be killed or frozen.
     Other,
 }
 
-/// A process and its running parts.
+/// A process and its component.
 #[derive(Clone)]
 pub struct Member {
     /// The process.
     pub process: Rc<Process>,
-    /// Its parts.
+    /// The component that runs in it.
     pub running: Running,
 }
 
-/// The deployment.
+/// A simulated deployment.
 pub struct Cluster {
-    /// The machine room.
+    /// The simulated world that the processes run in.
     pub world: Rc<World>,
-    /// What is deployed.
+    /// Description of the deployment.
     pub deployment: Deployment,
-    /// The policy of relays.
+    /// Scheduling policy of all relays.
     pub policy: PolicyName,
-    /// Everything that stand-ins saw.
+    /// Records of all stand-ins, in the order in which they were made.
     pub records: Rc<RefCell<Vec<Record>>>,
     /// Processes by name.
     pub members: RefCell<BTreeMap<String, Member>>,
@@ -92,20 +92,20 @@
     pub services: Services,
     /// The engines.
     pub engines: Vec<EngineDescription>,
-    /// Tells trainers and callers to end.
+    /// Signals trainers and callers to stop.
     pub stop: StopFlag,
     /// Trainers that have ended.
     pub trainers_ended: Rc<Cell<usize>>,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub under_way: UnderWay,
-    /// When two control replicas would first have answered reads at once.
+    /// Virtual time at which two control replicas were first able to serve reads simultaneously.
     pub two_leaders_at: Cell<Option<Duration>>,
     weights: SimWeights,
     client: Rc<Process>,
 }
 
 impl Cluster {
-    /// Prepares a deployment; nothing is started yet.
+    /// Creates a deployment without starting its processes.
     pub fn new(world: Rc<World>, deployment: Deployment, policy: PolicyName) -> Rc<Self> {
         let zones = deployment.zones.len();
         world.network.set_delays(zones, deployment.zone_delay, deployment.client_delay);
@@ -129,13 +129,13 @@
         })
     }
 
-    /// Where stand-ins put what they saw.
+    /// A recorder that appends to `records`.
     pub fn recorder(&self) -> Recorder {
         let records = self.records.clone();
         Recorder::new(move |record| records.borrow_mut().push(record))
     }
 
-    /// The clients' machine.
+    /// The runtime of the process that clients run in.
     pub fn client_platform(&self) -> SimRuntime {
         SimRuntime { world: self.world.clone(), process: self.client.clone() }
     }
@@ -144,7 +144,7 @@
         SimRuntime { world: self.world.clone(), process: process.clone() }
     }
 
-    /// Access as clients have it, from `platform`.
+    /// Client access to the relays and the control replicas from `platform`.
     pub fn access(&self, platform: SimRuntime) -> SimAccess {
         SimAccess {
             platform,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// An operator.
+    /// Creates an operator stand-in with this name.
     pub fn operator(&self, name: &str) -> Operator<SimRuntime, SimAccess> {
         let platform = self.client_platform();
         Operator { access: self.access(platform.clone()), platform, recorder: self.recorder(), name: name.to_string() }
@@ -253,7 +253,7 @@
         self.insert("scorer".to_string(), process, Running::Other);
     }
 
-    /// Starts the platform's list of machines.
+    /// Starts the platform's machine list service.
     pub fn start_platform(&self) {
         let machine = |engine: &EngineDescription| PlatformMachine { engine: engine.clone(), leaving: false };
         *self.services.machines.borrow_mut() = self.engines.iter().map(machine).collect();
@@ -263,12 +263,12 @@
         self.insert("platform".to_string(), process, Running::Other);
     }
 
-    /// Tenants with a trainer.
+    /// Tenants that have a trainer.
     pub fn training_tenants(&self) -> Vec<TenantLoad> {
         self.deployment.tenants.iter().filter(|tenant| tenant.trainer.is_some()).cloned().collect()
     }
 
-    /// Starts the trainer of the tenant at this place among those with a trainer.
+    /// Starts the trainer of the tenant at index `place` in `training_tenants`.
     pub fn start_trainer(&self, place: usize) {
         let tenants = self.training_tenants();
         let Some((tenant, load)) = tenants.get(place).and_then(|tenant| Some((tenant, tenant.trainer.clone()?))) else {
@@ -302,7 +302,7 @@
         self.insert(name, process, Running::Other);
     }
 
-    /// Starts everything but the load.
+    /// Starts all processes except trainers and callers.
     pub fn start_all(&self) {
         self.start_scorer();
         self.start_platform();
@@ -311,12 +311,12 @@
         (0..self.deployment.relays as usize).for_each(|place| self.start_relay(place));
     }
 
-    /// The processes' member with this name.
+    /// The member with this process name.
     pub fn member(&self, name: &str) -> Option<Member> {
         self.members.borrow().get(name).cloned()
     }
 
-    /// The place of the control replica that leads.
+    /// Index of the control replica that is leader.
     pub fn leader_place(&self) -> Option<usize> {
         (0..self.deployment.control as usize).find(|place| {
             let member = self.member(&format!("control-{place}"));
@@ -329,24 +329,24 @@
         })
     }
 
-    /// Notes when two control replicas would both answer reads at this instant: one of them would answer from the past.
-    pub fn watch_leaders(&self) {
-        let serves = |place: &u32| {
+    /// Records the first time at which two control replicas could both serve reads, one of which would be stale.
+    pub fn record_concurrent_leaders(&self) {
+        let can_serve_reads = |place: &u32| {
             let member = self.member(&format!("control-{place}"));
-            let able = member.filter(|member| member.process.is_alive() && !member.process.is_frozen());
-            match able.map(|member| member.running) {
+            let running_member = member.filter(|member| member.process.is_alive() && !member.process.is_frozen());
+            match running_member.map(|member| member.running) {
                 Some(Running::Control(node)) => {
                     node.borrow().as_ref().is_some_and(|node| node.replica().leading_term().is_some())
                 }
                 _ => false,
             }
         };
-        if (0..self.deployment.control).filter(serves).count() > 1 && self.two_leaders_at.get().is_none() {
+        if (0..self.deployment.control).filter(can_serve_reads).count() > 1 && self.two_leaders_at.get().is_none() {
             self.two_leaders_at.set(Some(self.world.clock.now()));
         }
     }
 
-    /// How many control replicas vote, as the leader sees it.
+    /// Number of voters in the leader's view; 0 without a leader.
     pub fn voters(&self) -> usize {
         let leader = self.leader_place().and_then(|place| self.member(&format!("control-{place}")));
         match leader.map(|member| member.running) {
@@ -358,7 +358,7 @@
         }
     }
 
-    /// Whether every relay takes requests.
+    /// Whether every relay is ready to accept requests.
     pub fn relays_ready(&self) -> bool {
         (0..self.deployment.relays).all(|place| {
             let member = self.member(&format!("relay-{place}"));
@@ -377,16 +377,16 @@
     place: usize,
     slot: Rc<RefCell<Option<ControlNode<SimRuntime, SimBackends>>>>,
 ) {
-    let (own, peers, secret) = (options.address, options.peers.clone(), options.secret.clone());
-    let Ok(listener) = platform.listen(own).await else {
+    let (listen_address, peers, secret) = (options.address, options.peers.clone(), options.secret.clone());
+    let Ok(listener) = platform.listen(listen_address).await else {
         return;
     };
     let node = loop {
         let config = ControlConfig::default();
         match ControlNode::start(platform.clone(), backends.clone(), config, options.clone()).await {
             Ok(node) => break node,
-            // The process ends and whoever supervises it starts it again.
-            Err(StorageError::Io(_)) => platform.sleep(SUPERVISOR_PAUSE).await,
+            // Simulates a process that exits and is restarted by its supervisor.
+            Err(StorageError::Io(_)) => platform.sleep(RESTART_DELAY).await,
             Err(error) => panic!("control-{place}: {error}"),
         }
     };
@@ -404,15 +404,15 @@
     slot: Rc<RefCell<Option<Relay<SimRuntime, SimBackends>>>>,
     shutdown: Shutdown,
 ) {
-    let own = options.address;
+    let listen_address = options.address;
     let relay = loop {
         match Relay::start(platform.clone(), backends.clone(), options.clone()).await {
             Ok(relay) => break relay,
-            Err(_) => platform.sleep(SUPERVISOR_PAUSE).await,
+            Err(_) => platform.sleep(RESTART_DELAY).await,
         }
     };
     *slot.borrow_mut() = Some(relay.clone());
-    serve_relay(platform, own, relay, shutdown).await;
+    serve_relay(platform, listen_address, relay, shutdown).await;
 }
 
 fn describe_engines(deployment: &Deployment) -> Vec<EngineDescription> {
--- a/crates/simulator/src/command_line.rs
+++ b/crates/simulator/src/command_line.rs
@@ -30,12 +30,12 @@
 
 const DEFAULT_THREADS: usize = 8;
 
-/// Whether a command's arguments ask what it does.
+/// Whether the arguments contain `--help` or `-h`.
 pub fn asks_for_help(arguments: &[OsString]) -> bool {
     arguments.iter().any(|argument| argument == "--help" || argument == "-h")
 }
 
-/// Runs the command that `arguments` name, without the program's own name.
+/// Runs the command in `arguments`, which exclude the program name.
 pub fn main(arguments: Vec<OsString>) -> ExitCode {
     if asks_for_help(&arguments) {
         print!("{HELP}");
@@ -45,12 +45,12 @@
     exit_code("saddlerelay-sim", try_main(arguments))
 }
 
-/// Many simulated processes share this one: their log lines would say nothing of which one wrote them.
+/// Disables logging: log lines would not show which simulated process wrote them.
 pub fn silence_logs() {
     spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
 }
 
-/// How a program ends whose command brought `outcome`: whether all was well.
+/// Maps a command's outcome to the exit code: failure for `Ok(false)` and for errors, which are printed.
 pub fn exit_code(program: &str, outcome: Result<bool>) -> ExitCode {
     match outcome {
         Ok(true) => ExitCode::SUCCESS,
@@ -134,14 +134,14 @@
     Ok(from.parse()?..to.parse()?)
 }
 
-fn chosen(arguments: &Arguments) -> Result<Vec<Scenario>> {
+fn selected_scenarios(arguments: &Arguments) -> Result<Vec<Scenario>> {
     match arguments.scenario.as_deref() {
         None | Some("all") => Ok(builtin::scenarios()),
         Some(name) => Ok(vec![builtin::scenario(name).with_context(|| format!("there is no scenario `{name}`"))?]),
     }
 }
 
-/// The result of many seeds.
+/// Totals of a scenario's runs.
 #[derive(Default)]
 struct Tally {
     violations: u64,
@@ -150,8 +150,8 @@
 }
 
 fn run_all(arguments: &Arguments) -> Result<bool> {
-    let mut clean = true;
-    for scenario in chosen(arguments)? {
+    let mut all_passed = true;
+    for scenario in selected_scenarios(arguments)? {
         let started = Instant::now();
         let tally = run_seeds(&scenario, arguments);
         let seeds = arguments.seeds.end - arguments.seeds.start;
@@ -166,12 +166,12 @@
             println!("    seed {seed}: {detail}");
             println!("    reproduce: saddlerelay-sim show --scenario {} --seed {seed}", scenario.name);
         }
-        clean &= tally.violations == 0;
+        all_passed &= tally.violations == 0;
     }
-    Ok(clean)
+    Ok(all_passed)
 }
 
-/// Runs the seeds on several threads; each run is wholly inside one of them.
+/// Runs the seeds on several threads, each run on one thread.
 fn run_seeds(scenario: &Scenario, arguments: &Arguments) -> Tally {
     let next = Arc::new(AtomicU64::new(arguments.seeds.start));
     let tally = Arc::new(Mutex::new(Tally::default()));
@@ -181,7 +181,7 @@
             if seed >= arguments.seeds.end {
                 return;
             }
-            let outcome = run_caught(scenario, seed, arguments.policy);
+            let outcome = run_catching_panics(scenario, seed, arguments.policy);
             let mut tally = tally.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
             record(&mut tally, seed, outcome);
         }
@@ -196,10 +196,10 @@
     tally
 }
 
-/// A run whose panic, a broken invariant, counts against its seed and ends nothing else.
-fn run_caught(scenario: &Scenario, seed: u64, policy: PolicyName) -> Result<RunOutcome> {
+/// Runs one seed and converts a panic, which indicates a violated invariant, to an error.
+fn run_catching_panics(scenario: &Scenario, seed: u64, policy: PolicyName) -> Result<RunOutcome> {
     let caught = std::panic::catch_unwind(|| run(scenario, seed, policy));
-    caught.unwrap_or_else(|_| bail!("the run panicked: an invariant is broken"))
+    caught.unwrap_or_else(|_| bail!("the run panicked: an invariant was violated"))
 }
 
 fn record(tally: &mut Tally, seed: u64, outcome: Result<RunOutcome>) {
@@ -229,7 +229,7 @@
 }
 
 fn show(arguments: &Arguments) -> Result<bool> {
-    let scenario = chosen(arguments)?.into_iter().next().context("name a scenario")?;
+    let scenario = selected_scenarios(arguments)?.into_iter().next().context("name a scenario")?;
     let seed = arguments.seeds.start;
     let outcome = match deployment::by_name(&scenario.deployment).filter(|_| arguments.full_size) {
         Some(deployment) => run_on(&scenario, deployment, seed, arguments.policy)?,
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -1,8 +1,9 @@
-//! Disks that lose what was not synced.
+//! Simulated disks that may lose unsynced data.
 //!
-//! A process that is killed leaves its files as they were. A loss of power ([`DiskTable::crash`]) takes, each on its own,
-//! writes that no sync of their file has covered and changes of names that no sync of their folder has covered; a write may
-//! also be torn. `replace` and `append` take the same steps as on a real disk, so that a crash may come between any two.
+//! Killing a process leaves its files unchanged. A power loss ([`DiskTable::crash`]) may independently drop each write
+//! that was not followed by a file sync and each directory entry change that was not followed by a folder sync; a write
+//! may also be torn. `replace` and `append` perform the same steps as on a real disk, and a crash may occur between any
+//! two.
 
 use crate::world::{Process, Sleep, World};
 use saddlerelay_runtime::Disk;
@@ -16,13 +17,13 @@
 const WRITE_TIME: Duration = Duration::from_micros(30);
 const SYNC_TIME: Duration = Duration::from_micros(200);
 
-/// One in so many losses of power takes all writes that were not synced.
-const CRASHES_THAT_TAKE_ALL: u64 = 4;
+/// One in this many power losses drops all unsynced writes of a file.
+const FULL_LOSS_ONE_IN: u64 = 4;
 
-/// Bytes that a disk writes wholly or not at all: the smallest sector of common disks.
+/// Unit of atomic writes, in bytes: the smallest sector size of common disks.
 const SECTOR_BYTES: usize = 512;
 
-/// A change of a file's content that was not synced.
+/// An unsynced change of a file's content.
 #[derive(Clone)]
 enum Write {
     Truncate,
@@ -35,15 +36,15 @@
             Self::Truncate => content.clear(),
             Self::At { offset, bytes } => {
                 let end = offset + bytes.len();
-                // What lies between the end of the file and the write reads as zeros.
+                // Bytes between the end of the file and the offset read as zeros.
                 content.resize(content.len().max(end), 0);
                 content[*offset..end].copy_from_slice(bytes);
             }
         }
     }
 
-    /// What a loss of power leaves of it: all, nothing, a beginning, or some sectors with zeros in place of the others.
-    fn survivor(self, random: &impl Fn() -> u64) -> Option<Self> {
+    /// What remains after a power loss: the whole write, nothing, a prefix, or the write with some sectors zeroed.
+    fn after_power_loss(self, random: &impl Fn() -> u64) -> Option<Self> {
         match (random() % 4, self) {
             (0, _) => None,
             (1, Self::At { offset, mut bytes }) => {
@@ -59,7 +60,7 @@
     }
 }
 
-/// Each sector of a write at `offset` is there, or was never written.
+/// Zeroes each sector of a write at `offset` with a probability of one half.
 fn lose_sectors(offset: usize, bytes: &mut [u8], random: &impl Fn() -> u64) {
     let (mut start, length) = (0, bytes.len());
     while start < length {
@@ -71,7 +72,7 @@
     }
 }
 
-/// A file's content, whatever its name.
+/// A file's content, which directory entries refer to by number.
 #[derive(Clone, Default)]
 struct Content {
     synced: Vec<u8>,
@@ -92,21 +93,21 @@
 
     fn crash(&mut self, random: &impl Fn() -> u64) {
         let unsynced = std::mem::take(&mut self.unsynced);
-        if unsynced.is_empty() || random().is_multiple_of(CRASHES_THAT_TAKE_ALL) {
+        if unsynced.is_empty() || random().is_multiple_of(FULL_LOSS_ONE_IN) {
             return;
         }
         for write in unsynced {
-            if let Some(left) = write.survivor(random) {
-                left.apply(&mut self.synced);
+            if let Some(remaining) = write.after_power_loss(random) {
+                remaining.apply(&mut self.synced);
             }
         }
     }
 }
 
-/// A change of names that the folder's sync has not covered.
+/// An unsynced change of directory entries.
 #[derive(Clone)]
 enum NameChange {
-    Made { name: String, content: u64 },
+    Created { name: String, content: u64 },
     Renamed { from: String, to: String, content: u64 },
     Removed { name: String },
 }
@@ -114,7 +115,7 @@
 impl NameChange {
     fn apply(&self, names: &mut BTreeMap<String, u64>) {
         match self {
-            Self::Made { name, content } => {
+            Self::Created { name, content } => {
                 names.insert(name.clone(), *content);
             }
             Self::Renamed { from, to, content } => {
@@ -135,9 +136,9 @@
     synced_names: BTreeMap<String, u64>,
     unsynced_names: Vec<NameChange>,
     next_content: u64,
-    /// Changes made so far.
+    /// Number of changes made.
     steps: u64,
-    /// After so many changes the disk takes no further step.
+    /// Number of changes after which further changes block.
     last_step: Option<u64>,
 }
 
@@ -161,10 +162,10 @@
         let content = self.next_content;
         self.next_content += 1;
         self.contents.insert(content, Content::default());
-        self.unsynced_names.push(NameChange::Made { name: name.to_string(), content });
+        self.unsynced_names.push(NameChange::Created { name: name.to_string(), content });
     }
 
-    /// Makes the file, or empties the one that is there.
+    /// Creates the file, or truncates an existing one.
     fn create(&mut self, name: &str) {
         match self.content_mut(name) {
             Some(content) => content.unsynced.push(Write::Truncate),
@@ -190,8 +191,8 @@
             }
         }
         self.contents.values_mut().for_each(|content| content.crash(random));
-        let named: BTreeSet<u64> = self.synced_names.values().copied().collect();
-        self.contents.retain(|content, _| named.contains(content));
+        let referenced: BTreeSet<u64> = self.synced_names.values().copied().collect();
+        self.contents.retain(|content, _| referenced.contains(content));
     }
 
     fn is_halted(&self) -> bool {
@@ -204,15 +205,15 @@
 pub struct DiskTable {
     folders: RefCell<BTreeMap<String, Folder>>,
     full: RefCell<BTreeSet<String>>,
-    /// Processes whose syncs are refused.
+    /// Processes whose syncs fail.
     failing: RefCell<BTreeSet<String>>,
-    /// How much longer a sync takes, by process.
+    /// Additional sync latency by process.
     slow: RefCell<BTreeMap<String, Duration>>,
     syncs: Cell<u64>,
 }
 
 impl DiskTable {
-    /// A loss of power: of what was not synced, some is left.
+    /// Simulates a power loss, which drops a random part of the unsynced changes.
     pub fn crash(&self, process: &str, random: impl Fn() -> u64) {
         if let Some(folder) = self.folders.borrow_mut().get_mut(process) {
             folder.crash(&random);
@@ -226,13 +227,13 @@
         folders.get(process).into_iter().flat_map(|folder| folder.names().into_keys()).collect()
     }
 
-    /// What a process reads in one of its files.
+    /// The content of a file as the process reads it, including unsynced writes.
     pub fn content(&self, process: &str, file: &str) -> Option<Vec<u8>> {
         let folders = self.folders.borrow();
         folders.get(process)?.content(file).map(Content::visible)
     }
 
-    /// Puts a file there, synced, with its name.
+    /// Creates or overwrites a file and syncs it with its directory entry.
     pub fn put(&self, process: &str, file: &str, bytes: Vec<u8>) {
         let mut folders = self.folders.borrow_mut();
         let folder = folders.entry(process.to_string()).or_default();
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Takes a file away for good.
+    /// Removes a file and syncs the folder.
     pub fn take(&self, process: &str, file: &str) {
         if let Some(folder) = self.folders.borrow_mut().get_mut(process) {
             folder.unsynced_names.push(NameChange::Removed { name: file.to_string() });
@@ -251,7 +252,7 @@
         }
     }
 
-    /// A bit of a file turns over.
+    /// Flips one bit in the synced content of a file.
     pub fn damage(&self, process: &str, file: &str) {
         let mut folders = self.folders.borrow_mut();
         let content = folders.get_mut(process).and_then(|folder| folder.content_mut(file));
@@ -261,17 +262,17 @@
         }
     }
 
-    /// Everything is gone.
+    /// Deletes all files of a process.
     pub fn lose(&self, process: &str) {
         self.folders.borrow_mut().remove(process);
     }
 
-    /// Has each sync take so much longer.
+    /// Sets the additional latency of each sync.
     pub fn set_slow(&self, process: &str, by: Duration) {
         self.slow.borrow_mut().insert(process.to_string(), by);
     }
 
-    /// Syncs and replaced files of all processes so far.
+    /// Number of file syncs and replacements by all processes.
     pub fn syncs(&self) -> u64 {
         self.syncs.get()
     }
@@ -280,43 +281,43 @@
         self.syncs.set(self.syncs.get() + 1);
     }
 
-    /// Whether the disk takes nothing more.
+    /// Sets whether the disk is full.
     pub fn set_full(&self, process: &str, full: bool) {
-        set_member(&self.full, process, full);
+        set_membership(&self.full, process, full);
     }
 
-    /// Whether syncs are refused once they have taken their time.
+    /// Sets whether file syncs fail; a failing sync takes as long as a successful one.
     pub fn set_failing(&self, process: &str, failing: bool) {
-        set_member(&self.failing, process, failing);
+        set_membership(&self.failing, process, failing);
     }
 
-    /// How many changes a process has made to its disk: made, written, synced, renamed or removed a file, or synced the
-    /// folder.
+    /// Number of changes a process has made to its disk: files created, written, synced, renamed or removed, and folder
+    /// syncs.
     pub fn steps(&self, process: &str) -> u64 {
         self.folders.borrow().get(process).map_or(0, |folder| folder.steps)
     }
 
-    /// Has the disk take no step after this many more, until the next loss of power.
+    /// Blocks all changes after this many more, until the next power loss or `resume`.
     pub fn halt_after(&self, process: &str, steps: u64) {
         let mut folders = self.folders.borrow_mut();
         let folder = folders.entry(process.to_string()).or_default();
         folder.last_step = Some(folder.steps + steps);
     }
 
-    /// Has a halted disk go on, as for a process that was killed while it waited.
+    /// Permits changes again; a change that is already blocked never completes.
     pub fn resume(&self, process: &str) {
         if let Some(folder) = self.folders.borrow_mut().get_mut(process) {
             folder.last_step = None;
         }
     }
 
-    /// Whether the disk has taken the last step that it may take.
+    /// Whether further changes block.
     pub fn is_halted(&self, process: &str) -> bool {
         self.folders.borrow().get(process).is_some_and(Folder::is_halted)
     }
 }
 
-fn set_member(table: &RefCell<BTreeSet<String>>, process: &str, member: bool) {
+fn set_membership(table: &RefCell<BTreeSet<String>>, process: &str, member: bool) {
     let mut table = table.borrow_mut();
     if member {
         table.insert(process.to_string());
@@ -343,12 +344,12 @@
         Sleep::new(self.world.clock.clone(), until).await;
     }
 
-    /// `time` with its random part.
+    /// Adds up to 100 % of random jitter to `time`.
     fn with_jitter(&self, time: Duration) -> Duration {
         time + self.world.jitter(time)
     }
 
-    /// Changes the folder after `time`, unless the disk takes no further step.
+    /// Applies a change to the folder after `time`; never completes if the disk is halted.
     async fn step<T>(&self, time: Duration, change: impl FnOnce(&mut Folder) -> T) -> T {
         self.wait(time).await;
         if self.world.disks.is_halted(&self.process.name) {
@@ -360,7 +361,7 @@
         change(folder)
     }
 
-    /// Writes at the end of a file. A full disk takes part of it.
+    /// Appends to a file. On a full disk, half of the bytes are written and an error is returned.
     async fn write(&self, time: Duration, file: &str, bytes: &[u8]) -> io::Result<()> {
         self.step(time, |folder| {
             let full = self.world.disks.full.borrow().contains(&self.process.name);
@@ -376,7 +377,7 @@
     async fn sync_content(&self, time: Duration, file: &str) -> io::Result<()> {
         self.step(time, |folder| {
             if self.world.disks.failing.borrow().contains(&self.process.name) {
-                return Err(io::Error::other("the disk refuses to sync"));
+                return Err(io::Error::other("simulated sync failure"));
             }
             if let Some(content) = folder.content_mut(file) {
                 content.sync();
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -1,4 +1,4 @@
-//! Causes faults in a simulated deployment, and draws random ones.
+//! Injects faults into a simulated deployment and generates random faults.
 
 use crate::cluster::{Cluster, Member, Running};
 use crate::platform::SimRuntime;
@@ -11,12 +11,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the platform's list lags.
+/// Delay until the platform's machine list reports a machine as leaving.
 const PLATFORM_LAG: Duration = Duration::from_millis(800);
-/// Longest time of a randomly drawn fault, in milliseconds.
-const LONGEST_FAULT: u64 = 6_000;
+/// Upper bound of a random fault's duration, in milliseconds.
+const MAX_FAULT_MILLISECONDS: u64 = 6_000;
 
-/// Causes one fault and waits until it is over. The caller starts it at its time.
+/// Injects one fault immediately and waits until it has ended.
 pub async fn cause(cluster: Rc<Cluster>, kind: FaultKind) {
     let platform = cluster.client_platform();
     let planned = matches!(kind, FaultKind::PlannedStop { .. });
@@ -42,17 +42,17 @@
                 member.process.freeze();
                 sleep(for_ms).await;
                 member.process.thaw();
-                // Before any of its tasks has gone on.
-                cluster.watch_leaders();
+                // Must run before any task of the process resumes.
+                cluster.record_concurrent_leaders();
             }
         }
         FaultKind::CutZone { zone, for_ms, one_way } => {
-            cluster.world.network.cut(zone as usize, one_way);
+            cluster.world.network.partition(zone as usize, one_way);
             sleep(for_ms).await;
             cluster.world.network.heal(zone as usize);
         }
         FaultKind::DeafenZone { zone, for_ms } => {
-            cluster.world.network.deafen(zone as usize);
+            cluster.world.network.block_inbound(zone as usize);
             sleep(for_ms).await;
             cluster.world.network.heal(zone as usize);
         }
@@ -64,7 +64,7 @@
             }
         }
         FaultKind::PlannedStop { target, restart_after_ms } => {
-            if let Some(name) = stop_orderly(&cluster, &target).await {
+            if let Some(name) = stop_gracefully(&cluster, &target).await {
                 sleep(restart_after_ms).await;
                 restart(&cluster, &name);
             }
@@ -131,7 +131,7 @@
     }
 }
 
-/// Kills a process; of what it had not synced, only some beginning is left.
+/// Kills a process together with a power loss of its disk. Returns its name, or `None` if it was not running.
 fn kill(cluster: &Cluster, target: &Target) -> Option<String> {
     let (name, member) = find(cluster, target)?;
     if !member.process.is_alive() {
@@ -158,13 +158,13 @@
     }
 }
 
-/// Stops a process in an orderly way and returns its name: who leads is another one afterwards.
-async fn stop_orderly(cluster: &Rc<Cluster>, target: &Target) -> Option<String> {
+/// Stops a process gracefully. Returns its name, because `Target::Leader` resolves to another process afterwards.
+async fn stop_gracefully(cluster: &Rc<Cluster>, target: &Target) -> Option<String> {
     let (name, member) = find(cluster, target)?;
     let (done, ended) = futures::channel::oneshot::channel();
     let running = member.running.clone();
     let platform = SimRuntime { world: cluster.world.clone(), process: member.process.clone() };
-    // In the process itself, so that it stands still with it.
+    // Runs in the process itself, so that freezing the process also freezes the shutdown.
     cluster.world.spawn(&member.process, async move {
         match running {
             Running::Control(node) => {
@@ -185,26 +185,27 @@
         let _ = done.send(());
     });
     let _ = ended.await;
-    // Answers that are complete are still on their way.
+    // Leaves time to deliver responses that were already sent.
     cluster.client_platform().sleep(Duration::from_millis(200)).await;
     member.process.kill();
     cluster.world.disks.crash(&name, || cluster.world.random());
     Some(name)
 }
 
-/// Draws faults for a run: singly, two at once, and one right after another's repair. A quorum of control disks stays.
+/// Generates random faults: isolated, concurrent, and immediately after the previous fault has ended. At most one
+/// control replica loses its disk.
 pub fn draw(random: &mut Rng, cluster: &Cluster, count: u32, duration_ms: u64) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut disks_lost = 0;
     let mut at_ms = 1_000;
     for _ in 0..count {
-        let longest = LONGEST_FAULT.min(duration_ms / 3);
-        let length = 200 + random.u64(..longest);
-        let kind = draw_kind(random, cluster, length, &mut disks_lost);
+        let longest = MAX_FAULT_MILLISECONDS.min(duration_ms / 3);
+        let fault_duration = 200 + random.u64(..longest);
+        let kind = draw_kind(random, cluster, fault_duration, &mut disks_lost);
         faults.push(Fault { at_ms, kind });
         at_ms += match random.u32(..3) {
             0 => 0,
-            1 => length + 50,
+            1 => fault_duration + 50,
             _ => random.u64(..duration_ms / u64::from(count.max(1))),
         };
         at_ms = at_ms.min(duration_ms);
@@ -212,34 +213,42 @@
     faults
 }
 
-fn draw_kind(random: &mut Rng, cluster: &Cluster, length: u64, disks_lost: &mut u32) -> FaultKind {
+fn draw_kind(random: &mut Rng, cluster: &Cluster, fault_duration: u64, disks_lost: &mut u32) -> FaultKind {
     let deployment = &cluster.deployment;
     let control = Target::Control { place: random.u32(..deployment.control) };
     let relay = Target::Relay { place: random.u32(..deployment.relays) };
     let engine_place = random.u32(..cluster.engines.len() as u32);
     let engine = Target::Engine { place: engine_place };
     match random.u32(..19) {
-        0 => FaultKind::Crash { target: Target::Leader, restart_after_ms: length },
-        1 => FaultKind::Crash { target: control, restart_after_ms: length },
-        2 => FaultKind::Crash { target: relay, restart_after_ms: length },
-        3 => FaultKind::Crash { target: engine, restart_after_ms: length },
-        4 => FaultKind::Crash { target: Target::Trainer { place: 0 }, restart_after_ms: length },
-        5 => FaultKind::Crash { target: Target::Scorer, restart_after_ms: length },
-        6 => FaultKind::Freeze { target: Target::Leader, for_ms: length },
-        7 => FaultKind::Freeze { target: relay, for_ms: length },
-        8 => FaultKind::Freeze { target: engine, for_ms: length },
-        9 => FaultKind::CutZone { zone: random.u32(..deployment.zones.len() as u32), for_ms: length, one_way: false },
-        10 => FaultKind::CutZone { zone: random.u32(..deployment.zones.len() as u32), for_ms: length, one_way: true },
+        0 => FaultKind::Crash { target: Target::Leader, restart_after_ms: fault_duration },
+        1 => FaultKind::Crash { target: control, restart_after_ms: fault_duration },
+        2 => FaultKind::Crash { target: relay, restart_after_ms: fault_duration },
+        3 => FaultKind::Crash { target: engine, restart_after_ms: fault_duration },
+        4 => FaultKind::Crash { target: Target::Trainer { place: 0 }, restart_after_ms: fault_duration },
+        5 => FaultKind::Crash { target: Target::Scorer, restart_after_ms: fault_duration },
+        6 => FaultKind::Freeze { target: Target::Leader, for_ms: fault_duration },
+        7 => FaultKind::Freeze { target: relay, for_ms: fault_duration },
+        8 => FaultKind::Freeze { target: engine, for_ms: fault_duration },
+        9 => FaultKind::CutZone {
+            zone: random.u32(..deployment.zones.len() as u32),
+            for_ms: fault_duration,
+            one_way: false,
+        },
+        10 => FaultKind::CutZone {
+            zone: random.u32(..deployment.zones.len() as u32),
+            for_ms: fault_duration,
+            one_way: true,
+        },
         11 if *disks_lost == 0 => {
             *disks_lost += 1;
-            FaultKind::LoseDisk { target: control, restart_after_ms: length }
+            FaultKind::LoseDisk { target: control, restart_after_ms: fault_duration }
         }
         12 => FaultKind::FailSwap { place: engine_place },
         13 => FaultKind::BreakStream { place: engine_place },
         14 => FaultKind::DuplicateChunks { place: engine_place },
         15 => FaultKind::SlowEngine { place: engine_place, factor: 4 },
-        17 => FaultKind::DeafenZone { zone: random.u32(..deployment.zones.len() as u32), for_ms: length },
-        16 => FaultKind::FullDisk { target: control, for_ms: length },
-        _ => FaultKind::PlannedStop { target: relay, restart_after_ms: length },
+        17 => FaultKind::DeafenZone { zone: random.u32(..deployment.zones.len() as u32), for_ms: fault_duration },
+        16 => FaultKind::FullDisk { target: control, for_ms: fault_duration },
+        _ => FaultKind::PlannedStop { target: relay, restart_after_ms: fault_duration },
     }
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,8 +1,9 @@
 //! Runs the product's own node code in virtual time with a seeded network, disks and faults.
 //!
-//! `world` is the machine room: one thread, a virtual clock, processes that can be killed and frozen. `network` and
-//! `disk` are what processes see of it, and `platform` is the seam. `cluster` starts a deployment in it, `faults` break
-//! it, and `run` checks what the stand-ins saw. The same seed gives the same run, to the last record.
+//! `world` holds the virtual clock, the single-threaded executor and the simulated processes. `network` and `disk`
+//! simulate connections and storage, and `platform` implements the runtime traits on top of them. `cluster` starts a
+//! deployment, `faults` injects faults, and `run` checks the records of the stand-ins. Runs with the same seed produce
+//! identical records.
 
 pub mod backends;
 pub mod cluster;
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -1,4 +1,5 @@
-//! Connections between processes: ordered like TCP's, with delays, and held back while their zones are cut off.
+//! Simulated connections between processes: ordered delivery with delays. Frames between partitioned zones are buffered
+//! until the partition heals.
 
 use crate::world::{Event, Process, World};
 use futures::channel::mpsc;
@@ -12,35 +13,35 @@
 use std::task::{Poll, Waker};
 use std::time::Duration;
 
-/// Longest time until a lost first packet is sent again.
-const HANDSHAKE_RESEND: Duration = Duration::from_millis(1000);
+/// Upper bound of the delay that `lost_handshakes` adds to a connection attempt.
+const LOST_HANDSHAKE_DELAY: Duration = Duration::from_millis(1000);
 
-/// Time inside one zone.
+/// One-way delay within a zone.
 const LOCAL_DELAY: Duration = Duration::from_micros(100);
 
-/// First wait of a stream before it sends a lost packet again; it doubles with each loss in a row (Linux: 200 ms at least).
-const RESEND: Duration = Duration::from_millis(200);
+/// Initial retransmission timeout of a stream, doubled with each consecutive loss (Linux: at least 200 ms).
+const RETRANSMISSION_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// First wait before the first packet of a connection is sent again; it doubles too (RFC 6298: 1 s).
-const HANDSHAKE_FIRST_RESEND: Duration = Duration::from_secs(1);
+/// Initial retransmission timeout of a handshake, doubled with each consecutive loss (RFC 6298: 1 s).
+const HANDSHAKE_RETRANSMISSION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Doublings at most: a stream that never got through would hold a run up for ever.
-const MOST_RESENDS: u32 = 6;
+/// Maximum number of consecutive losses, which bounds the delay of a frame.
+const MAX_RETRANSMISSIONS: u32 = 6;
 
-/// What is wrong with every link between two zones. Each stream has the rate for itself.
+/// Faults of the links between zones. The bandwidth limit applies to each stream separately.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LinkTrouble {
-    /// Frames in a thousand that are lost once, and of those as many again.
+pub struct LinkFaults {
+    /// Probability per mille that a transmission is lost; retransmissions are lost with the same probability.
     pub lost_per_mille: u64,
-    /// Bytes that a stream carries in a second; 0: no limit.
+    /// Bandwidth of a stream in bytes per second; 0 means unlimited.
     pub bytes_per_second: u64,
-    /// Least additional time until a connection is open; up to `connect_jitter` more.
+    /// Additional delay until a connection is established, to which up to `connect_jitter` is added.
     pub connect_delay: Duration,
-    /// Random part of that time.
+    /// Upper bound of the random part of the connection delay.
     pub connect_jitter: Duration,
 }
 
-/// Both halves of a connection.
+/// The sending and the receiving half of a connection.
 pub type Accepted = (SimSender, SimReceiver);
 
 struct Listening {
@@ -52,25 +53,25 @@
 #[derive(Default)]
 pub struct Network {
     listeners: RefCell<BTreeMap<SocketAddr, Listening>>,
-    /// Pairs of zones between which nothing passes, in the order of travel.
-    cuts: RefCell<BTreeSet<(usize, usize)>>,
-    held: RefCell<Vec<Rc<Pipe>>>,
+    /// Partitioned pairs of zones: (sender, receiver).
+    partitions: RefCell<BTreeSet<(usize, usize)>>,
+    buffered: RefCell<Vec<Rc<Pipe>>>,
     zone_delay: Cell<Duration>,
     client_delay: Cell<Duration>,
     zones: Cell<usize>,
-    /// Connections in a thousand whose first packet is lost.
+    /// Probability per mille that the first packet of a connection is lost.
     pub lost_handshakes: Cell<u64>,
-    trouble: Cell<LinkTrouble>,
-    /// What is wrong with the links of single zones to all others, in place of what is wrong with every link.
-    zone_trouble: RefCell<BTreeMap<usize, LinkTrouble>>,
-    /// Frames that were sent from one zone to another.
+    link_faults: Cell<LinkFaults>,
+    /// Faults of the links of single zones; these override the faults of all links.
+    zone_link_faults: RefCell<BTreeMap<usize, LinkFaults>>,
+    /// Number of frames sent between zones.
     frames: Cell<u64>,
-    /// Their bytes.
+    /// Number of bytes sent between zones.
     bytes: Cell<u64>,
 }
 
 impl Network {
-    /// Sets the delays; the clients' zone is beyond the last.
+    /// Sets the one-way delays; the clients' zone has the index `zones`.
     pub fn set_delays(&self, zones: usize, zone_delay: Duration, client_delay: Duration) {
         self.zones.set(zones);
         self.zone_delay.set(zone_delay);
@@ -88,79 +89,79 @@
         }
     }
 
-    /// Sets what is wrong with every link between two zones from now on.
-    pub fn set_trouble(&self, trouble: LinkTrouble) {
-        self.trouble.set(trouble);
+    /// Sets the faults of all links between zones.
+    pub fn set_link_faults(&self, link_faults: LinkFaults) {
+        self.link_faults.set(link_faults);
     }
 
-    /// Sets what is wrong with one zone's links to all others from now on.
-    pub fn set_zone_trouble(&self, zone: usize, trouble: LinkTrouble) {
-        self.zone_trouble.borrow_mut().insert(zone, trouble);
+    /// Sets the faults of the links between one zone and all others.
+    pub fn set_zone_link_faults(&self, zone: usize, link_faults: LinkFaults) {
+        self.zone_link_faults.borrow_mut().insert(zone, link_faults);
     }
 
-    /// Frames and bytes that were sent from one zone to another so far.
+    /// Number of frames and bytes sent between zones.
     pub fn sent_between_zones(&self) -> (u64, u64) {
         (self.frames.get(), self.bytes.get())
     }
 
-    fn count(&self, from: usize, to: usize, parcel: &Parcel) {
+    fn count(&self, from: usize, to: usize, packet: &Packet) {
         if from != to {
             self.frames.set(self.frames.get() + 1);
-            self.bytes.set(self.bytes.get() + parcel.size());
+            self.bytes.set(self.bytes.get() + packet.size());
         }
     }
 
-    fn trouble_between(&self, from: usize, to: usize) -> LinkTrouble {
+    fn link_faults_between(&self, from: usize, to: usize) -> LinkFaults {
         if from == to {
-            return LinkTrouble::default();
+            return LinkFaults::default();
         }
-        let of_zones = self.zone_trouble.borrow();
-        of_zones.get(&from).or_else(|| of_zones.get(&to)).copied().unwrap_or(self.trouble.get())
+        let zone_link_faults = self.zone_link_faults.borrow();
+        zone_link_faults.get(&from).or_else(|| zone_link_faults.get(&to)).copied().unwrap_or(self.link_faults.get())
     }
 
-    fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.cuts.borrow().contains(&(from, to))
+    fn is_partitioned(&self, from: usize, to: usize) -> bool {
+        self.partitions.borrow().contains(&(from, to))
     }
 
-    /// Cuts a zone off from the other zones, or only what it sends.
-    pub fn cut(&self, zone: usize, one_way: bool) {
-        let mut cuts = self.cuts.borrow_mut();
+    /// Partitions a zone from the other zones; with `one_way`, blocks only its outbound traffic.
+    pub fn partition(&self, zone: usize, one_way: bool) {
+        let mut partitions = self.partitions.borrow_mut();
         for other in (0..self.zones.get()).filter(|other| *other != zone) {
-            cuts.insert((zone, other));
+            partitions.insert((zone, other));
             if !one_way {
-                cuts.insert((other, zone));
+                partitions.insert((other, zone));
             }
         }
     }
 
-    /// Cuts two zones off from each other only; both reach the others.
-    pub fn cut_between(&self, one: usize, other: usize) {
-        self.cuts.borrow_mut().extend([(one, other), (other, one)]);
+    /// Partitions two zones from each other; both still reach the other zones.
+    pub fn partition_between(&self, one: usize, other: usize) {
+        self.partitions.borrow_mut().extend([(one, other), (other, one)]);
     }
 
-    /// Cuts off what a zone is sent from the other zones.
-    pub fn deafen(&self, zone: usize) {
+    /// Blocks a zone's inbound traffic from the other zones.
+    pub fn block_inbound(&self, zone: usize) {
         let others = (0..self.zones.get()).filter(|other| *other != zone);
-        self.cuts.borrow_mut().extend(others.map(|other| (other, zone)));
+        self.partitions.borrow_mut().extend(others.map(|other| (other, zone)));
     }
 
-    /// Heals every cut of a zone; what was held back arrives.
+    /// Removes every partition that involves the zone and sends the buffered frames of all connections.
     pub fn heal(&self, zone: usize) {
-        self.cuts.borrow_mut().retain(|(from, to)| *from != zone && *to != zone);
-        let held = std::mem::take(&mut *self.held.borrow_mut());
-        for pipe in held {
+        self.partitions.borrow_mut().retain(|(from, to)| *from != zone && *to != zone);
+        let buffered = std::mem::take(&mut *self.buffered.borrow_mut());
+        for pipe in buffered {
             pipe.release();
         }
     }
 }
 
-/// What travels.
-enum Parcel {
+/// A unit of transmission on a pipe.
+enum Packet {
     Frame(Vec<u8>),
     End,
 }
 
-impl Parcel {
+impl Packet {
     fn size(&self) -> u64 {
         match self {
             Self::Frame(frame) => frame.len() as u64,
@@ -169,12 +170,12 @@
     }
 }
 
-/// How long losses in a row hold something up, each wait twice the one before.
-fn resend_time(world: &World, lost_per_mille: u64, first: Duration) -> Duration {
+/// Random total delay by consecutive losses, with exponential backoff.
+fn retransmission_delay(world: &World, lost_per_mille: u64, first: Duration) -> Duration {
     let mut total = Duration::ZERO;
     let mut wait = first;
-    // Without losses nothing is drawn: the other random choices of a seed stay as they are.
-    for _ in 0..MOST_RESENDS {
+    // Draws no random number without losses, so that such runs do not depend on this function.
+    for _ in 0..MAX_RETRANSMISSIONS {
         if lost_per_mille == 0 || world.random() % 1000 >= lost_per_mille {
             break;
         }
@@ -190,12 +191,12 @@
     from: usize,
     to: usize,
     last_arrival: Cell<Duration>,
-    /// When what was sent before has left, at a limited rate.
+    /// When earlier packets have been transmitted at the limited bandwidth.
     free_at: Cell<Duration>,
-    held: RefCell<VecDeque<Parcel>>,
+    buffered: RefCell<VecDeque<Packet>>,
     arrived: RefCell<VecDeque<Vec<u8>>>,
-    ended: Cell<bool>,
-    reader_gone: Cell<bool>,
+    closed: Cell<bool>,
+    receiver_dropped: Cell<bool>,
     reader: RefCell<Option<Waker>>,
 }
 
@@ -207,54 +208,54 @@
             to,
             last_arrival: Cell::default(),
             free_at: Cell::default(),
-            held: RefCell::default(),
+            buffered: RefCell::default(),
             arrived: RefCell::default(),
-            ended: Cell::default(),
-            reader_gone: Cell::default(),
+            closed: Cell::default(),
+            receiver_dropped: Cell::default(),
             reader: RefCell::default(),
         })
     }
 
-    fn send(self: &Rc<Self>, parcel: Parcel) {
-        if self.world.network.is_cut(self.from, self.to) || !self.held.borrow().is_empty() {
-            self.hold(parcel);
+    fn send(self: &Rc<Self>, packet: Packet) {
+        if self.world.network.is_partitioned(self.from, self.to) || !self.buffered.borrow().is_empty() {
+            self.buffer(packet);
             return;
         }
         let delay = self.world.network.delay(self.from, self.to);
         let jitter = self.world.jitter(delay / 2);
-        let trouble = self.world.network.trouble_between(self.from, self.to);
-        let resend = resend_time(&self.world, trouble.lost_per_mille, RESEND);
-        let carried = parcel.size() * 1_000_000;
-        let transfer = Duration::from_micros(carried.checked_div(trouble.bytes_per_second).unwrap_or(0));
-        let begins = self.world.clock.now().max(self.free_at.get());
-        self.free_at.set(begins + transfer);
-        // A stream keeps its order.
-        let at = (begins + transfer + delay + jitter + resend).max(self.last_arrival.get());
-        self.world.network.count(self.from, self.to, &parcel);
+        let link_faults = self.world.network.link_faults_between(self.from, self.to);
+        let retransmission = retransmission_delay(&self.world, link_faults.lost_per_mille, RETRANSMISSION_TIMEOUT);
+        let scaled_bytes = packet.size() * 1_000_000;
+        let transfer = Duration::from_micros(scaled_bytes.checked_div(link_faults.bytes_per_second).unwrap_or(0));
+        let transmission_start = self.world.clock.now().max(self.free_at.get());
+        self.free_at.set(transmission_start + transfer);
+        // Packets are delivered in order.
+        let at = (transmission_start + transfer + delay + jitter + retransmission).max(self.last_arrival.get());
+        self.world.network.count(self.from, self.to, &packet);
         self.last_arrival.set(at);
         let pipe = self.clone();
-        self.world.clock.schedule(at, Event::Call(Box::new(move || pipe.arrive(parcel))));
+        self.world.clock.schedule(at, Event::Call(Box::new(move || pipe.arrive(packet))));
     }
 
-    fn hold(self: &Rc<Self>, parcel: Parcel) {
-        self.held.borrow_mut().push_back(parcel);
-        self.world.network.held.borrow_mut().push(self.clone());
+    fn buffer(self: &Rc<Self>, packet: Packet) {
+        self.buffered.borrow_mut().push_back(packet);
+        self.world.network.buffered.borrow_mut().push(self.clone());
     }
 
     fn release(self: &Rc<Self>) {
-        let held = std::mem::take(&mut *self.held.borrow_mut());
-        held.into_iter().for_each(|parcel| self.send(parcel));
+        let buffered = std::mem::take(&mut *self.buffered.borrow_mut());
+        buffered.into_iter().for_each(|packet| self.send(packet));
     }
 
-    /// What was on its way when a cut came is held back too.
-    fn arrive(self: Rc<Self>, parcel: Parcel) {
-        if self.world.network.is_cut(self.from, self.to) || !self.held.borrow().is_empty() {
-            self.hold(parcel);
+    /// Delivers a packet, or buffers it if the zones were partitioned while it was in transit.
+    fn arrive(self: Rc<Self>, packet: Packet) {
+        if self.world.network.is_partitioned(self.from, self.to) || !self.buffered.borrow().is_empty() {
+            self.buffer(packet);
             return;
         }
-        match parcel {
-            Parcel::Frame(frame) => self.arrived.borrow_mut().push_back(frame),
-            Parcel::End => self.ended.set(true),
+        match packet {
+            Packet::Frame(frame) => self.arrived.borrow_mut().push_back(frame),
+            Packet::End => self.closed.set(true),
         }
         let reader = self.reader.borrow_mut().take();
         if let Some(reader) = reader {
@@ -280,17 +281,17 @@
 
 impl FrameSender for SimSender {
     async fn send(&mut self, frame: Vec<u8>) -> io::Result<()> {
-        if self.pipe.reader_gone.get() {
+        if self.pipe.receiver_dropped.get() {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
-        self.pipe.send(Parcel::Frame(frame));
+        self.pipe.send(Packet::Frame(frame));
         Ok(())
     }
 }
 
 impl Drop for SimSender {
     fn drop(&mut self) {
-        self.pipe.send(Parcel::End);
+        self.pipe.send(Packet::End);
     }
 }
 
@@ -300,7 +301,7 @@
             if let Some(frame) = self.pipe.arrived.borrow_mut().pop_front() {
                 return Poll::Ready(Ok(Some(frame)));
             }
-            if self.pipe.ended.get() {
+            if self.pipe.closed.get() {
                 return Poll::Ready(Ok(None));
             }
             *self.pipe.reader.borrow_mut() = Some(context.waker().clone());
@@ -312,12 +313,12 @@
 
 impl Drop for SimReceiver {
     fn drop(&mut self) {
-        self.pipe.reader_gone.set(true);
+        self.pipe.receiver_dropped.set(true);
     }
 }
 
 impl SimListener {
-    /// A connection that is made and not accepted yet.
+    /// Takes an established connection that has not been accepted.
     pub fn backlog(&mut self) -> Option<Accepted> {
         self.queue.try_recv().ok()
     }
@@ -344,16 +345,16 @@
     SimListener { queue: accepted }
 }
 
-/// The time that a lost first packet adds to a connection, mostly none.
+/// Random delay by a lost first packet; zero if it is not lost.
 fn lost_handshake(world: &World) -> Duration {
     if world.random() % 1000 < world.network.lost_handshakes.get() {
-        world.jitter(HANDSHAKE_RESEND)
+        world.jitter(LOST_HANDSHAKE_DELAY)
     } else {
         Duration::ZERO
     }
 }
 
-/// Connects `process` to `address`. While the way is cut, nothing comes back.
+/// Connects `process` to `address`. Never completes if the zones are partitioned in either direction.
 pub async fn connect(world: &Rc<World>, process: &Rc<Process>, address: SocketAddr) -> io::Result<Accepted> {
     let refused = || io::Error::from(io::ErrorKind::ConnectionRefused);
     let zone_of_listener = |world: &World| {
@@ -364,20 +365,21 @@
         return Err(refused());
     };
     let from = process.zone;
-    let trouble = world.network.trouble_between(from, to);
-    let late = if trouble.connect_jitter.is_zero() { Duration::ZERO } else { world.jitter(trouble.connect_jitter) };
-    let resend = resend_time(world, trouble.lost_per_mille, HANDSHAKE_FIRST_RESEND);
-    let held_up = trouble.connect_delay + late + resend;
-    let round_trip = world.network.delay(from, to) * 2 + lost_handshake(world) + held_up;
+    let link_faults = world.network.link_faults_between(from, to);
+    let connect_jitter =
+        if link_faults.connect_jitter.is_zero() { Duration::ZERO } else { world.jitter(link_faults.connect_jitter) };
+    let retransmission = retransmission_delay(world, link_faults.lost_per_mille, HANDSHAKE_RETRANSMISSION_TIMEOUT);
+    let extra_delay = link_faults.connect_delay + connect_jitter + retransmission;
+    let round_trip = world.network.delay(from, to) * 2 + lost_handshake(world) + extra_delay;
     crate::world::Sleep::new(world.clock.clone(), world.clock.now() + round_trip).await;
-    if world.network.is_cut(from, to) || world.network.is_cut(to, from) {
+    if world.network.is_partitioned(from, to) || world.network.is_partitioned(to, from) {
         return std::future::pending().await;
     }
     let listeners = world.network.listeners.borrow();
     let listening = listeners.get(&address).filter(|listening| listening.process.is_alive()).ok_or_else(refused)?;
-    let there = Pipe::new(world, from, to);
-    let back = Pipe::new(world, to, from);
-    let accepted = (SimSender { pipe: back.clone() }, SimReceiver { pipe: there.clone() });
+    let outbound = Pipe::new(world, from, to);
+    let inbound = Pipe::new(world, to, from);
+    let accepted = (SimSender { pipe: inbound.clone() }, SimReceiver { pipe: outbound.clone() });
     listening.queue.unbounded_send(accepted).map_err(|_| refused())?;
-    Ok((SimSender { pipe: there }, SimReceiver { pipe: back }))
+    Ok((SimSender { pipe: outbound }, SimReceiver { pipe: inbound }))
 }
--- a/crates/simulator/src/platform.rs
+++ b/crates/simulator/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform seam in the simulator.
+//! The runtime traits on top of the simulated world.
 
 use crate::disk::SimDisk;
 use crate::network::{self, SimListener, SimReceiver, SimSender};
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The machine as one process sees it.
+/// The runtime of one simulated process.
 #[derive(Clone)]
 pub struct SimRuntime {
-    /// The machine room.
+    /// The simulated world.
     pub world: Rc<World>,
     /// The process.
     pub process: Rc<Process>,
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs one scenario with one seed, and checks it.
+//! Runs a scenario with a seed and checks its records.
 
 use crate::cluster::{Cluster, Running};
 use crate::faults;
@@ -20,30 +20,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Virtual time for a deployment to come up.
+/// Virtual time limit for starting a deployment.
 const START_LIMIT: Duration = Duration::from_secs(60);
-/// Virtual time for everything under way to end once faults are over.
+/// Virtual time limit for the faults to end after the load, and then for requests and trainers to finish.
 const END_LIMIT: Duration = Duration::from_secs(180);
 const CHANGE_INTERVAL: Duration = Duration::from_millis(900);
 const PROBE_INTERVAL: Duration = Duration::from_millis(150);
-/// Makes the draws of faults independent of the world's.
+/// Separates the random numbers of fault generation from those of the world.
 const FAULT_SEED: u64 = 0x5EED_FA17;
 
-/// What one run brought.
+/// Result of a run.
 pub struct RunOutcome {
     /// The report.
     pub report: Report,
-    /// Hash of every record: the same seed gives the same.
+    /// Hash of all records; equal for runs with the same seed.
     pub trace_hash: u64,
-    /// Events that happened.
+    /// Number of events executed.
     pub events: u64,
-    /// Virtual time that passed.
+    /// Virtual time at the end of the run.
     pub virtual_time: Duration,
-    /// Everything that the stand-ins saw.
+    /// Records of all stand-ins.
     pub records: Vec<Record>,
-    /// The scenario with the run's faults and arrivals, to be replayed.
+    /// The scenario with the faults and arrivals of this run, for replay.
     pub recorded: Scenario,
-    /// The faults that were caused, the drawn ones included.
+    /// All injected faults, including the random ones.
     pub faults: Vec<Fault>,
 }
 
@@ -67,13 +67,13 @@
     all_faults.extend(faults::draw(&mut random, &cluster, scenario.random_faults, scenario.duration_ms));
     let faults_running = start_faults(&cluster, &all_faults);
     let load_ends = world.clock.now() + duration;
-    let watching = |done: bool| {
-        cluster.watch_leaders();
+    let observe_leaders = |done: bool| {
+        cluster.record_concurrent_leaders();
         done
     };
-    world.run(&mut pool, load_ends, || watching(false));
+    world.run(&mut pool, load_ends, || observe_leaders(false));
     let limit = world.clock.now() + END_LIMIT;
-    let faults_ended = world.run(&mut pool, limit, || watching(faults_running.get() == 0));
+    let faults_ended = world.run(&mut pool, limit, || observe_leaders(faults_running.get() == 0));
     cluster.stop.set(true);
     let trainers = cluster.training_tenants().len();
     let all_ended = || cluster.trainers_ended.get() >= trainers && cluster.under_way.get() == 0 && races_ended.get();
@@ -83,12 +83,12 @@
     let mut report = check(&records, &scenario.limits());
     scenario.judge(&mut report);
     if let Some(at) = cluster.two_leaders_at.get() {
-        let detail = format!("two control replicas would both answer reads at {at:?}");
+        let detail = format!("two control replicas could both serve reads at {at:?}");
         report.violations.push(Violation { promise: Promise::Configuration, detail });
     }
     if !ended {
         let detail = format!(
-            "did not end: {} of {trainers} trainers ended, {} requests under way, races ended: {}",
+            "load did not finish: {} of {trainers} trainers ended, {} requests in flight, concurrent changes ended: {}",
             cluster.trainers_ended.get(),
             cluster.under_way.get(),
             races_ended.get()
@@ -109,7 +109,7 @@
     })
 }
 
-/// Starts a deployment and waits until it serves.
+/// Starts and configures a deployment, and waits until every relay has applied the configuration.
 pub fn bring_up(cluster: &Rc<Cluster>, world: &Rc<World>, pool: &mut LocalPool) -> Result<()> {
     cluster.start_all();
     let initialized = Rc::new(Cell::new(false));
@@ -117,12 +117,12 @@
     let replicas = cluster.deployment.control as usize;
     let up =
         world.run(pool, START_LIMIT, || initialized.get() && cluster.voters() == replicas && cluster.relays_ready());
-    anyhow::ensure!(up, "the deployment did not come up: {} voters", cluster.voters());
+    anyhow::ensure!(up, "the deployment did not start in time: {} voters", cluster.voters());
     let configured = Rc::new(Cell::new(false));
     configure(cluster, configured.clone());
     let limit = world.clock.now() + START_LIMIT;
-    let in_force = world.run(pool, limit, || configured.get() && is_in_force(cluster));
-    anyhow::ensure!(in_force, "the configuration did not come into force");
+    let configured_everywhere = world.run(pool, limit, || configured.get() && is_configuration_applied(cluster));
+    anyhow::ensure!(configured_everywhere, "the relays did not apply the configuration in time");
     Ok(())
 }
 
@@ -154,7 +154,7 @@
     });
 }
 
-fn is_in_force(cluster: &Cluster) -> bool {
+fn is_configuration_applied(cluster: &Cluster) -> bool {
     (0..cluster.deployment.relays).all(|place| {
         let member = cluster.member(&format!("relay-{place}"));
         match member.map(|member| member.running) {
@@ -166,7 +166,8 @@
     })
 }
 
-/// Starts trainers, callers, racing operators and probes. Returns whether the races have ended.
+/// Starts trainers, callers, relay probes and two operators that make concurrent changes. The returned flag is set when
+/// the operators have ended.
 fn start_load(cluster: &Rc<Cluster>, scenario: &Scenario) -> Rc<Cell<bool>> {
     let platform = cluster.client_platform();
     (0..cluster.training_tenants().len()).for_each(|place| cluster.start_trainer(place));
@@ -208,7 +209,7 @@
     }
 }
 
-/// Callers that follow their deployment's rates.
+/// Starts callers with the request rates of the deployment.
 fn start_callers(cluster: &Rc<Cluster>) {
     let platform = cluster.client_platform();
     for tenant in &cluster.deployment.tenants {
@@ -222,7 +223,7 @@
     }
 }
 
-/// Recorded requests, each at its time. One of a tenant or caller that the deployment lacks is passed over.
+/// Replays recorded requests at their recorded times. Skips requests of tenants or callers that the deployment lacks.
 fn start_arrivals(cluster: &Rc<Cluster>, arrivals: &[Arrival]) {
     let platform = cluster.client_platform();
     for (number, arrival) in arrivals.iter().cloned().enumerate() {
@@ -233,26 +234,26 @@
             continue;
         };
         let options = caller_options(tenant, load);
-        let (cluster, own) = (cluster.clone(), platform.clone());
+        let (cluster, runtime) = (cluster.clone(), platform.clone());
         platform.spawn(async move {
-            own.sleep(Duration::from_millis(arrival.at_ms)).await;
+            runtime.sleep(Duration::from_millis(arrival.at_ms)).await;
             let under_way = cluster.under_way.clone();
             under_way.set(under_way.get() + 1);
-            let access = cluster.access(own.clone());
-            callers::run_arrival(own, access, cluster.recorder(), options, number as u64, &arrival).await;
+            let access = cluster.access(runtime.clone());
+            callers::run_arrival(runtime, access, cluster.recorder(), options, number as u64, &arrival).await;
             under_way.set(under_way.get() - 1);
         });
     }
 }
 
-/// Starts every fault at its time. Returns how many are not over.
+/// Schedules every fault at its time. Returns a counter of the faults that have not ended.
 fn start_faults(cluster: &Rc<Cluster>, faults: &[Fault]) -> Rc<Cell<usize>> {
     let running = Rc::new(Cell::new(faults.len()));
     let platform = cluster.client_platform();
     for fault in faults.iter().cloned() {
-        let (cluster, own, running) = (cluster.clone(), platform.clone(), running.clone());
+        let (cluster, runtime, running) = (cluster.clone(), platform.clone(), running.clone());
         platform.spawn(async move {
-            own.sleep(Duration::from_millis(fault.at_ms)).await;
+            runtime.sleep(Duration::from_millis(fault.at_ms)).await;
             faults::cause(cluster, fault.kind).await;
             running.set(running.get() - 1);
         });
--- a/crates/simulator/src/service.rs
+++ b/crates/simulator/src/service.rs
@@ -1,4 +1,4 @@
-//! The product's interfaces towards callers, trainers and operators on the simulated network.
+//! Interfaces for callers, trainers and operators on the simulated network.
 
 use crate::backends::SimBackends;
 use crate::network::{SimReceiver, SimSender};
@@ -23,16 +23,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time limit of a change, as in the administration API.
-const CHANGE_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a configuration change, as in the administration API.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause between looks at whether every call has ended.
-const CLOSE_POLL: Duration = Duration::from_millis(10);
+/// Interval at which shutdown checks for calls in flight.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A call to a relay.
 #[derive(Encode, Decode)]
 enum RelayCall {
-    Ask(CallerRequest),
+    Generate(CallerRequest),
     Models,
     Open(TenantId, Incarnation),
     Step(TenantId, Incarnation, StepRequest),
@@ -40,9 +40,9 @@
     Publish(TenantId, Incarnation, WeightVersion, Position),
 }
 
-/// A relay's answer; a request is followed by parts.
+/// A relay's response; a caller's request is answered by a sequence of parts.
 #[derive(Encode, Decode)]
-enum RelayAnswer {
+enum RelayResponse {
     Part(AnswerPart),
     Models(Option<Vec<ModelName>>),
     Trainer(Result<TrainerState, Option<TrainerRefusal>>),
@@ -56,25 +56,25 @@
     }
 }
 
-/// Ends a relay's service in an orderly way, as the product's HTTP server does. Clones share it.
+/// Shuts a relay's server down gracefully, as the HTTP server does. Clones share their state.
 #[derive(Clone, Default)]
 pub struct Shutdown {
     closing: Rc<Signal>,
-    open: Rc<Cell<usize>>,
+    in_flight: Rc<Cell<usize>>,
 }
 
 impl Shutdown {
-    /// Stops accepting and waits until every call in progress has ended.
+    /// Stops accepting connections and waits until no call is in flight.
     pub async fn close(&self, platform: &SimRuntime) {
         self.closing.notify();
-        platform.sleep(CLOSE_POLL).await;
-        while self.open.get() > 0 {
-            platform.sleep(CLOSE_POLL).await;
+        platform.sleep(DRAIN_POLL_INTERVAL).await;
+        while self.in_flight.get() > 0 {
+            platform.sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
 
-/// Serves a relay until `shutdown` is closed; connections in the backlog then are still served.
+/// Serves a relay until `shutdown` is closed, and then the connections in the backlog.
 pub async fn serve_relay(
     platform: SimRuntime,
     address: SocketAddr,
@@ -85,11 +85,11 @@
         return;
     };
     let start = |(sender, receiver)| {
-        let (relay, open) = (relay.clone(), shutdown.open.clone());
-        open.set(open.get() + 1);
+        let (relay, in_flight) = (relay.clone(), shutdown.in_flight.clone());
+        in_flight.set(in_flight.get() + 1);
         platform.spawn(async move {
             serve_relay_call(relay, sender, receiver).await;
-            open.set(open.get() - 1);
+            in_flight.set(in_flight.get() - 1);
         });
     };
     loop {
@@ -111,35 +111,35 @@
     let Ok(call) = bitcode::decode::<RelayCall>(&frame) else {
         return;
     };
-    let answer = match call {
-        RelayCall::Ask(request) => {
+    let response = match call {
+        RelayCall::Generate(request) => {
             let mut parts = relay.serve(request);
             while let Some(part) = parts.next().await {
-                if sender.send(bitcode::encode(&RelayAnswer::Part(part))).await.is_err() {
+                if sender.send(bitcode::encode(&RelayResponse::Part(part))).await.is_err() {
                     return;
                 }
             }
             return;
         }
-        RelayCall::Models => RelayAnswer::Models(relay.is_ready().then(|| relay.models())),
+        RelayCall::Models => RelayResponse::Models(relay.is_ready().then(|| relay.models())),
         RelayCall::Open(tenant, incarnation) => {
-            RelayAnswer::Trainer(relay.open_trainer(tenant, incarnation).await.map_err(trainer_error))
+            RelayResponse::Trainer(relay.open_trainer(tenant, incarnation).await.map_err(trainer_error))
         }
         RelayCall::Step(tenant, incarnation, request) => {
-            RelayAnswer::Trainer(relay.open_step(tenant, incarnation, request).await.map_err(trainer_error))
+            RelayResponse::Trainer(relay.open_step(tenant, incarnation, request).await.map_err(trainer_error))
         }
         RelayCall::Fetch(tenant, incarnation, cursor, limit) => {
-            RelayAnswer::Delivery(relay.fetch(tenant, incarnation, cursor, limit).await.map_err(trainer_error))
+            RelayResponse::Delivery(relay.fetch(tenant, incarnation, cursor, limit).await.map_err(trainer_error))
         }
         RelayCall::Publish(tenant, incarnation, version, cursor) => {
-            RelayAnswer::Trainer(relay.publish(tenant, incarnation, version, cursor).await.map_err(trainer_error))
+            RelayResponse::Trainer(relay.publish(tenant, incarnation, version, cursor).await.map_err(trainer_error))
         }
     };
-    // A caller that is gone misses the answer.
-    let _ = sender.send(bitcode::encode(&answer)).await;
+    // The caller may have disconnected.
+    let _ = sender.send(bitcode::encode(&response)).await;
 }
 
-/// Serves operators' changes on a control process until it ends.
+/// Serves operators' configuration changes on a control replica until its process ends.
 pub async fn serve_operators(platform: SimRuntime, address: SocketAddr, client: ControlClient<SimRuntime>) {
     let Ok(mut listener) = platform.listen(address).await else {
         return;
@@ -153,31 +153,31 @@
             let Ok(change) = bitcode::decode::<ConfigurationChange>(&frame) else {
                 return;
             };
-            let outcome = client.execute(Command::Configuration(change), CHANGE_LIMIT).await;
-            let answer = match outcome {
+            let outcome = client.execute(Command::Configuration(change), CHANGE_TIMEOUT).await;
+            let response = match outcome {
                 Ok(CommandOutcome::Configuration(outcome)) => Some(outcome),
                 _ => None,
             };
-            let _ = sender.send(bitcode::encode(&answer)).await;
+            let _ = sender.send(bitcode::encode(&response)).await;
         });
     }
 }
 
-/// Reaches the product as a client process does.
+/// Access to the deployment from a client process.
 #[derive(Clone)]
 pub struct SimAccess {
-    /// The client process.
+    /// Runtime of the client process.
     pub platform: SimRuntime,
-    /// The relays.
+    /// Addresses of the relays.
     pub relays: Rc<Vec<SocketAddr>>,
-    /// The control processes towards operators.
+    /// Addresses at which control replicas serve operators.
     pub control: Rc<Vec<SocketAddr>>,
-    /// The control process to ask next.
+    /// Counter that selects the control replica of the next change, round robin.
     pub next_control: Rc<Cell<usize>>,
 }
 
 impl SimAccess {
-    async fn call(&self, relay: usize, call: &RelayCall) -> Option<RelayAnswer> {
+    async fn call(&self, relay: usize, call: &RelayCall) -> Option<RelayResponse> {
         let (mut sender, mut receiver) = self.platform.connect(self.relays[relay]).await.ok()?;
         sender.send(bitcode::encode(call)).await.ok()?;
         let frame = receiver.receive().await.ok().flatten()?;
@@ -186,8 +186,8 @@
 
     async fn trainer_call(&self, relay: usize, call: &RelayCall) -> Result<TrainerState, TrainerCallError> {
         match self.call(relay, call).await {
-            Some(RelayAnswer::Trainer(Ok(state))) => Ok(state),
-            Some(RelayAnswer::Trainer(Err(Some(refusal)))) => Err(TrainerCallError::Refused(refusal)),
+            Some(RelayResponse::Trainer(Ok(state))) => Ok(state),
+            Some(RelayResponse::Trainer(Err(Some(refusal)))) => Err(TrainerCallError::Refused(refusal)),
             _ => Err(TrainerCallError::Again),
         }
     }
@@ -199,26 +199,26 @@
     }
 
     async fn ask(&self, relay: usize, request: &CallerRequest) -> CallerAnswer {
-        let from = self.platform.monotonic();
+        let started_at = self.platform.monotonic();
         let Ok((mut sender, mut receiver)) = self.platform.connect(self.relays[relay]).await else {
             return CallerAnswer::NotSent;
         };
-        if sender.send(bitcode::encode(&RelayCall::Ask(request.clone()))).await.is_err() {
+        if sender.send(bitcode::encode(&RelayCall::Generate(request.clone()))).await.is_err() {
             return CallerAnswer::Lost;
         }
         let mut generation = Generation::empty();
         let mut first_token_after = None;
         while let Ok(Some(frame)) = receiver.receive().await {
             match bitcode::decode(&frame) {
-                Ok(RelayAnswer::Part(AnswerPart::Tokens { tokens, text, version })) => {
-                    first_token_after.get_or_insert(self.platform.monotonic() - from);
+                Ok(RelayResponse::Part(AnswerPart::Tokens { tokens, text, version })) => {
+                    first_token_after.get_or_insert(self.platform.monotonic() - started_at);
                     generation.extend(&tokens, &text, version);
                 }
-                Ok(RelayAnswer::Part(AnswerPart::End(finish))) => {
+                Ok(RelayResponse::Part(AnswerPart::End(finish))) => {
                     generation.finish = finish;
                     return CallerAnswer::Whole { generation, first_token_after };
                 }
-                Ok(RelayAnswer::Part(AnswerPart::Failed(failure))) => return CallerAnswer::Failed(failure),
+                Ok(RelayResponse::Part(AnswerPart::Failed(failure))) => return CallerAnswer::Failed(failure),
                 _ => return CallerAnswer::Lost,
             }
         }
@@ -227,7 +227,7 @@
 
     async fn models(&self, relay: usize) -> Option<Vec<ModelName>> {
         match self.call(relay, &RelayCall::Models).await {
-            Some(RelayAnswer::Models(models)) => models,
+            Some(RelayResponse::Models(models)) => models,
             _ => None,
         }
     }
@@ -260,8 +260,8 @@
         limit: u32,
     ) -> Result<DeliveryBatch, TrainerCallError> {
         match self.call(relay, &RelayCall::Fetch(tenant.clone(), incarnation, cursor, limit)).await {
-            Some(RelayAnswer::Delivery(Ok(batch))) => Ok(batch),
-            Some(RelayAnswer::Delivery(Err(Some(refusal)))) => Err(TrainerCallError::Refused(refusal)),
+            Some(RelayResponse::Delivery(Ok(batch))) => Ok(batch),
+            Some(RelayResponse::Delivery(Err(Some(refusal)))) => Err(TrainerCallError::Refused(refusal)),
             _ => Err(TrainerCallError::Again),
         }
     }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -16,50 +16,50 @@
 /// The wall clock at the start of every run, in Unix milliseconds.
 pub const START_UNIX_MILLISECONDS: u64 = 1_700_000_000_000;
 
-/// What happens at a point in time.
+/// An event scheduled at a point of virtual time.
 pub enum Event {
-    /// A task that slept goes on.
+    /// Wakes a sleeping task.
     Wake(Waker),
-    /// Something else.
+    /// Calls a function.
     Call(Box<dyn FnOnce()>),
 }
 
-/// The virtual clock with its agenda.
+/// The virtual clock and its queue of scheduled events.
 #[derive(Default)]
 pub struct Clock {
     now: Cell<Duration>,
     sequence: Cell<u64>,
-    agenda: RefCell<BTreeMap<(Duration, u64), Event>>,
+    queue: RefCell<BTreeMap<(Duration, u64), Event>>,
 }
 
 impl Clock {
-    /// Time since the start.
+    /// Virtual time since the start of the run.
     pub fn now(&self) -> Duration {
         self.now.get()
     }
 
-    /// Puts an event on the agenda; returns its key.
+    /// Schedules an event at `at`, or now if `at` has passed. Returns its key in the queue.
     pub fn schedule(&self, at: Duration, event: Event) -> (Duration, u64) {
         let sequence = self.sequence.get();
         self.sequence.set(sequence + 1);
         let key = (at.max(self.now.get()), sequence);
-        self.agenda.borrow_mut().insert(key, event);
+        self.queue.borrow_mut().insert(key, event);
         key
     }
 
     fn cancel(&self, key: (Duration, u64)) {
-        self.agenda.borrow_mut().remove(&key);
+        self.queue.borrow_mut().remove(&key);
     }
 
-    /// Moves to the earliest event; `None` when the agenda is empty.
-    fn take_next(&self) -> Option<Event> {
-        let ((at, _), event) = self.agenda.borrow_mut().pop_first()?;
+    /// Removes the earliest event and advances the clock to its time; `None` if the queue is empty.
+    fn pop_next(&self) -> Option<Event> {
+        let ((at, _), event) = self.queue.borrow_mut().pop_first()?;
         self.now.set(at);
         Some(event)
     }
 }
 
-/// Waits on the virtual clock.
+/// Sleeps until a point of virtual time.
 pub struct Sleep {
     clock: Rc<Clock>,
     until: Duration,
@@ -67,7 +67,7 @@
 }
 
 impl Sleep {
-    /// Waits until `until`.
+    /// Sleeps until `until` on the virtual clock.
     pub fn new(clock: Rc<Clock>, until: Duration) -> Self {
         Self { clock, until, key: None }
     }
@@ -97,19 +97,19 @@
     }
 }
 
-/// Waits on a process's steady clock, which stands still while its machine is suspended: a timer goes off late by as much.
+/// Sleeps on a process's timer clock, which does not advance while its machine is suspended.
 pub struct ProcessSleep {
     clock: Rc<Clock>,
     process: Rc<Process>,
-    /// By the process's steady clock.
+    /// Time of the process's timer clock.
     until: Duration,
     wait: Option<Sleep>,
 }
 
 impl ProcessSleep {
-    /// Waits for `duration` of the process's steady clock.
+    /// Sleeps for `duration` of the process's timer clock.
     pub fn new(clock: Rc<Clock>, process: Rc<Process>, duration: Duration) -> Self {
-        let until = process.steady_time(clock.now()) + duration;
+        let until = process.timer_time(clock.now()) + duration;
         Self { clock, process, until, wait: None }
     }
 }
@@ -119,30 +119,30 @@
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
         let now = self.clock.now();
-        let left = self.until.saturating_sub(self.process.steady_time(now));
-        if left.is_zero() {
+        let remaining = self.until.saturating_sub(self.process.timer_time(now));
+        if remaining.is_zero() {
             return Poll::Ready(());
         }
-        let mut wait = Sleep::new(self.clock.clone(), now + left);
+        let mut wait = Sleep::new(self.clock.clone(), now + remaining);
         let polled = Pin::new(&mut wait).poll(context);
         self.wait = Some(wait);
         polled
     }
 }
 
-/// One start of a process.
+/// One incarnation of a process.
 pub struct Process {
-    /// Its name; a process started again keeps it, and with it its disk.
+    /// Its name, which also identifies its disk; both are kept across restarts.
     pub name: String,
-    /// Its zone's place; the clients' is beyond the last zone.
+    /// Index of its zone; the clients' zone follows the last zone of the deployment.
     pub zone: usize,
-    /// How far its wall clock is off, in milliseconds.
+    /// Offset of its wall clock, in milliseconds.
     pub clock_error: i64,
     alive: Cell<bool>,
     frozen: Cell<bool>,
-    /// Since when its machine is suspended.
+    /// When the current suspension of its machine began.
     suspended_at: Cell<Option<Duration>>,
-    /// How long its machine was suspended before.
+    /// Total duration of earlier suspensions.
     suspended_for: Cell<Duration>,
     next_task: Cell<u64>,
     tasks: RefCell<BTreeMap<u64, Waker>>,
@@ -154,24 +154,24 @@
         self.alive.get()
     }
 
-    /// Whether it stands still.
+    /// Whether its tasks are paused.
     pub fn is_frozen(&self) -> bool {
         self.frozen.get()
     }
 
-    /// The steady clock of its machine at `now`: it stands still during a suspension, as time goes on.
-    pub fn steady_time(&self, now: Duration) -> Duration {
-        let under_way = self.suspended_at.get().map_or(Duration::ZERO, |at| now.saturating_sub(at));
-        now.saturating_sub(self.suspended_for.get() + under_way)
+    /// Its timer clock at `now`, which excludes time in suspension.
+    pub fn timer_time(&self, now: Duration) -> Duration {
+        let current_suspension = self.suspended_at.get().map_or(Duration::ZERO, |at| now.saturating_sub(at));
+        now.saturating_sub(self.suspended_for.get() + current_suspension)
     }
 
-    /// Its machine is suspended: no task goes on and the steady clock stands still, though time does not.
+    /// Suspends its machine: pauses all tasks and the timer clock.
     pub fn suspend(&self, now: Duration) {
         self.suspended_at.set(Some(now));
         self.freeze();
     }
 
-    /// Its machine goes on.
+    /// Ends the suspension of its machine.
     pub fn resume(&self, now: Duration) {
         if let Some(at) = self.suspended_at.take() {
             self.suspended_for.set(self.suspended_for.get() + now.saturating_sub(at));
@@ -184,18 +184,18 @@
         wakers.into_iter().for_each(Waker::wake);
     }
 
-    /// Ends every task where it stands.
+    /// Drops all its tasks at their next poll.
     pub fn kill(&self) {
         self.alive.set(false);
         self.wake_tasks();
     }
 
-    /// Stands still: no task goes on, though time does.
+    /// Pauses all tasks; its timer clock keeps running.
     pub fn freeze(&self) {
         self.frozen.set(true);
     }
 
-    /// Goes on.
+    /// Resumes all tasks.
     pub fn thaw(&self) {
         self.frozen.set(false);
         self.wake_tasks();
@@ -235,7 +235,7 @@
     }
 }
 
-/// The machine room.
+/// The simulated environment: clock, network, disks, random numbers and executor.
 pub struct World {
     /// The clock.
     pub clock: Rc<Clock>,
@@ -249,7 +249,7 @@
 }
 
 impl World {
-    /// A machine room whose every random choice follows from `seed`, with the executor that runs it.
+    /// Creates a world whose random numbers are derived from `seed`, and the executor for its tasks.
     pub fn new(seed: u64) -> (Rc<Self>, LocalPool) {
         let pool = LocalPool::new();
         let world = Self {
@@ -273,12 +273,12 @@
         Duration::from_nanos(self.random() % limit.as_nanos().max(1) as u64)
     }
 
-    /// How many events have happened.
+    /// Number of events executed.
     pub fn events(&self) -> u64 {
         self.events.get()
     }
 
-    /// A new process.
+    /// Creates a process without tasks.
     pub fn start_process(&self, name: &str, zone: usize, clock_error: i64) -> Rc<Process> {
         Rc::new(Process {
             name: name.to_string(),
@@ -301,7 +301,8 @@
         let _ = self.spawner.spawn_local(task);
     }
 
-    /// Runs until `done`, or until nothing is left to happen or `limit` has passed. Returns whether `done` came.
+    /// Executes events until `done` returns true, the queue is empty, or virtual time reaches `limit`. Returns whether
+    /// `done` returned true.
     pub fn run(&self, pool: &mut LocalPool, limit: Duration, done: impl Fn() -> bool) -> bool {
         loop {
             pool.run_until_stalled();
@@ -311,7 +312,7 @@
             if self.clock.now() >= limit {
                 return false;
             }
-            let Some(event) = self.clock.take_next() else {
+            let Some(event) = self.clock.pop_next() else {
                 return false;
             };
             self.events.set(self.events.get() + 1);
--- a/crates/simulator/tests/concurrent_trials.rs
+++ b/crates/simulator/tests/concurrent_trials.rs
@@ -1,5 +1,5 @@
-//! Two tries of one work that ends its engines, at two relays before three engines: the client's second try arrives while
-//! the first one runs at its second engine. The last engine of a service must not be the third to end.
+//! Concurrent attempts of a request that crashes its engines, at two relays with three engines: the client's retry
+//! arrives while the first attempt runs at its second engine. The retry must not crash the last engine.
 
 use saddlerelay_control::state::suspicions::SuspicionTable;
 use saddlerelay_control_client::suspicions::{LAST_TRIAL_PAUSE, Suspicions, Verdict};
@@ -9,35 +9,35 @@
 use saddlerelay_types::work::WorkDigest;
 use std::time::Duration;
 
-/// From the start of the work to the end of its engine: the median of the users' page requests.
+/// Time from the start of the request to the crash of its engine.
 const CRASH_TIME: Duration = Duration::from_millis(60);
-/// From an engine's end to the moment at which every relay knows: a connect that is refused, a commit, an answer.
+/// Time from an engine's crash until every relay has been notified.
 const KNOWN_AFTER: Duration = Duration::from_millis(10);
-/// When the second try arrives, after the first engine's end: 44 ms were seen.
+/// Time from the first engine's crash to the arrival of the client's retry.
 const SECOND_TRY_AFTER: Duration = Duration::from_millis(44);
 
-/// How long a request may take: the users' page requests.
+/// Deadline of a request.
 const REQUEST_LIMIT: Duration = Duration::from_millis(1_500);
 
-struct Setting {
+struct Fixture {
     table: SuspicionTable,
     relays: [Suspicions; 2],
     work: WorkDigest,
-    ended: Vec<&'static str>,
+    crashed: Vec<&'static str>,
 }
 
-impl Setting {
+impl Fixture {
     fn new() -> Self {
         Self {
             table: SuspicionTable::default(),
             relays: Default::default(),
             work: WorkDigest::of_posted(None, "host", "/plans", b"guilty"),
-            ended: Vec::new(),
+            crashed: Vec::new(),
         }
     }
 
-    /// Whether `relay` may send the work to an engine at `now`: by what it knows, and once it knows that an engine has
-    /// ended, by the group's word.
+    /// Whether `relay` may send the request to an engine at `now`. Once the relay knows of a crash, this needs a trial
+    /// lease from the group.
     fn may_send(&mut self, relay: usize, now: Duration) -> bool {
         if self.relays[relay].verdict(&self.work, now, LAST_TRIAL_PAUSE) != Verdict::Send {
             return false;
@@ -50,9 +50,9 @@
         self.table.begin_trial(self.work, id, now.as_millis() as u64, limit_ms) == TrialAnswer::Granted
     }
 
-    /// An engine ends under the work that `relay` has sent it; every relay knows a little later.
-    fn end_engine(&mut self, relay: usize, engine: &'static str, now: Duration) {
-        self.ended.push(engine);
+    /// Crashes an engine that runs the request for `relay`, and notifies every relay after `KNOWN_AFTER`.
+    fn crash_engine(&mut self, relay: usize, engine: &'static str, now: Duration) {
+        self.crashed.push(engine);
         let loss = EngineLoss { work: self.work, instance: InstanceId::named(engine) };
         self.relays[relay].note_loss(loss, now);
         let evidence = self.relays[relay].evidence().clone();
@@ -65,45 +65,45 @@
 }
 
 #[test]
-fn a_second_try_of_the_same_work_does_not_take_the_last_engine() {
-    let mut setting = Setting::new();
+fn a_retry_of_a_crashing_request_does_not_crash_the_last_engine() {
+    let mut fixture = Fixture::new();
     let first_end = CRASH_TIME;
-    assert!(setting.may_send(0, Duration::ZERO));
-    setting.end_engine(0, "first", first_end);
-    // The relay tries another engine once the group knows; the client's second try comes meanwhile, to the other relay.
+    assert!(fixture.may_send(0, Duration::ZERO));
+    fixture.crash_engine(0, "first", first_end);
+    // The relay retries once the group knows of the crash; the client's retry arrives meanwhile at the other relay.
     let retried_at = first_end + KNOWN_AFTER;
-    let retried = setting.may_send(0, retried_at);
+    let retried = fixture.may_send(0, retried_at);
     let second_try_at = first_end + SECOND_TRY_AFTER;
-    let sent_at_once = setting.may_send(1, second_try_at);
-    assert!(retried, "innocent work, which is lost with an engine too, is tried again at once");
-    setting.end_engine(0, "second", retried_at + CRASH_TIME);
+    let sent_at_once = fixture.may_send(1, second_try_at);
+    assert!(retried, "a request that lost one engine is retried immediately");
+    fixture.crash_engine(0, "second", retried_at + CRASH_TIME);
     if sent_at_once {
-        setting.end_engine(1, "third", second_try_at + CRASH_TIME);
+        fixture.crash_engine(1, "third", second_try_at + CRASH_TIME);
     }
-    assert_eq!(setting.ended, ["first", "second"], "no engine is left to serve others");
+    assert_eq!(fixture.crashed, ["first", "second"], "no engine is left to serve others");
 }
 
-/// The right is given back with the request that holds it, and ends if its holder dies: when it is not renewed, not by the time in the
-/// log, which may be set forward.
+/// A trial lease ends with its request, or expires when it is not renewed. It does not expire by the wall clock in the
+/// log, which may jump forward.
 #[test]
-fn the_right_to_run_suspected_work_is_given_back_or_runs_out() {
-    let mut setting = Setting::new();
-    setting.end_engine(0, "first", CRASH_TIME);
+fn a_trial_lease_is_released_or_expires() {
+    let mut fixture = Fixture::new();
+    fixture.crash_engine(0, "first", CRASH_TIME);
     let id = |holder: u64| TrialId { holder: Incarnation(holder), number: 1 };
-    let mut ask = |holder, at| setting.table.begin_trial(setting.work, id(holder), at, 1_500);
-    assert_eq!(ask(0, 100), TrialAnswer::Granted);
-    assert_eq!(ask(0, 101), TrialAnswer::Granted, "the same question, sent again");
-    assert_eq!(ask(1, 102), TrialAnswer::Taken);
-    setting.table.end_trial(&setting.work, id(1));
-    let mut ask = |holder, at| setting.table.begin_trial(setting.work, id(holder), at, 1_500);
-    assert_eq!(ask(1, 103), TrialAnswer::Taken, "nobody gives back what another one holds");
-    assert_eq!(ask(1, 1_600), TrialAnswer::Taken, "the time in the log says nothing of its holder");
-    let unrenewed: Vec<_> = setting.table.trials().collect();
-    setting.table.expire_trials(&unrenewed);
-    let mut ask = |holder, at| setting.table.begin_trial(setting.work, id(holder), at, 1_500);
-    assert_eq!(ask(1, 1_601), TrialAnswer::Granted, "the holder has died");
-    setting.table.end_trial(&setting.work, id(1));
-    let innocent = WorkDigest::of_posted(None, "host", "/plans", b"innocent");
-    assert_eq!(setting.table.begin_trial(innocent, id(0), 1_700, 1_500), TrialAnswer::Granted);
-    assert_eq!(setting.table.begin_trial(innocent, id(1), 1_700, 1_500), TrialAnswer::Granted, "it is not suspected");
+    let mut request_trial = |holder, at| fixture.table.begin_trial(fixture.work, id(holder), at, 1_500);
+    assert_eq!(request_trial(0, 100), TrialAnswer::Granted);
+    assert_eq!(request_trial(0, 101), TrialAnswer::Granted, "a resent request");
+    assert_eq!(request_trial(1, 102), TrialAnswer::Taken);
+    fixture.table.end_trial(&fixture.work, id(1));
+    let mut request_trial = |holder, at| fixture.table.begin_trial(fixture.work, id(holder), at, 1_500);
+    assert_eq!(request_trial(1, 103), TrialAnswer::Taken, "only the holder can release a lease");
+    assert_eq!(request_trial(1, 1_600), TrialAnswer::Taken, "the time in the log does not expire the lease");
+    let unrenewed: Vec<_> = fixture.table.trials().collect();
+    fixture.table.expire_trials(&unrenewed);
+    let mut request_trial = |holder, at| fixture.table.begin_trial(fixture.work, id(holder), at, 1_500);
+    assert_eq!(request_trial(1, 1_601), TrialAnswer::Granted, "the lease has expired");
+    fixture.table.end_trial(&fixture.work, id(1));
+    let harmless = WorkDigest::of_posted(None, "host", "/plans", b"innocent");
+    assert_eq!(fixture.table.begin_trial(harmless, id(0), 1_700, 1_500), TrialAnswer::Granted);
+    assert_eq!(fixture.table.begin_trial(harmless, id(1), 1_700, 1_500), TrialAnswer::Granted, "it is not suspected");
 }
--- a/crates/simulator/tests/connection_levels.rs
+++ b/crates/simulator/tests/connection_levels.rs
@@ -1,5 +1,5 @@
-//! A caller that does not know its peer's build finds the newest level that both speak, and nothing is sent before the peer has
-//! taken the connection.
+//! Feature level negotiation: a client finds the newest level that both sides support, and sends no request before the
+//! peer has accepted the connection.
 
 use futures::executor::LocalPool;
 use saddlerelay_rpc::client::{CallError, Client, Speech};
@@ -16,23 +16,23 @@
 
 const SECRET: &str = "a secret of sixteen signs";
 
-/// Time limit of a call.
-const LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn address() -> SocketAddr {
     ([10, 0, 0, 1], 7_000).into()
 }
 
-/// Builds that a peer may be of.
+/// Builds of the peer.
 #[derive(Clone, Copy, Debug)]
 enum PeerBuild {
-    /// Knows one level, closes connections of any other without a word, and says nothing when it takes one.
+    /// Supports one level, closes connections of any other level and does not acknowledge accepted ones.
     Only(FeatureLevel),
-    /// This one.
+    /// The current build.
     Newest,
 }
 
-/// Answers each request with the level that it was written at, as this build does.
+/// Responds to each request with its body and the level at which it was decoded.
 struct Echo {
     requests: Rc<Cell<u32>>,
 }
@@ -44,8 +44,8 @@
     }
 }
 
-/// A server as released builds have it.
-async fn serve_as_released(runtime: SimRuntime, level: FeatureLevel, requests: Rc<Cell<u32>>) {
+/// Serves as builds do that support a single level.
+async fn serve_single_level(runtime: SimRuntime, level: FeatureLevel, requests: Rc<Cell<u32>>) {
     let mut listener = runtime.listen(address()).await.expect("the address is free");
     loop {
         let Ok((mut sender, mut receiver)) = listener.accept().await else {
@@ -72,28 +72,28 @@
     }
 }
 
-struct Setting {
+struct Fixture {
     world: Rc<World>,
     pool: LocalPool,
     server: Option<Rc<Process>>,
-    /// Requests that servers have read.
+    /// Number of requests received by all servers.
     requests: Rc<Cell<u32>>,
     client: Client<SimRuntime>,
     caller: Rc<Process>,
 }
 
-impl Setting {
+impl Fixture {
     fn new(build: PeerBuild) -> Self {
         let (world, pool) = World::new(7);
         let caller = world.start_process("caller", 1, 0);
         let runtime = SimRuntime { world: world.clone(), process: caller.clone() };
         let client = Client::new(runtime, address(), SECRET);
-        let mut setting = Self { world, pool, server: None, requests: Rc::default(), client, caller };
-        setting.start(build);
-        setting
+        let mut fixture = Self { world, pool, server: None, requests: Rc::default(), client, caller };
+        fixture.start(build);
+        fixture
     }
 
-    /// The peer's process ends, and another build starts in its place.
+    /// Replaces the peer's process by another build.
     fn start(&mut self, build: PeerBuild) {
         if let Some(before) = self.server.take() {
             before.kill();
@@ -103,7 +103,7 @@
         let requests = self.requests.clone();
         self.world.spawn(&process, async move {
             match build {
-                PeerBuild::Only(level) => serve_as_released(runtime, level, requests).await,
+                PeerBuild::Only(level) => serve_single_level(runtime, level, requests).await,
                 PeerBuild::Newest => {
                     let listener = runtime.listen(address()).await.expect("the address is free");
                     saddlerelay_rpc::server::serve(runtime, listener, SECRET.to_string(), Rc::new(Echo { requests }))
@@ -115,83 +115,83 @@
         self.world.run(&mut self.pool, Duration::from_millis(50), || false);
     }
 
-    /// What the peer answers: the level that it read, if it answers at all.
+    /// Makes a call and returns the level at which the peer decoded it.
     fn call(&mut self) -> Result<FeatureLevel, CallError> {
         let (client, answer) = (self.client.clone(), Rc::new(RefCell::new(None)));
-        let told = answer.clone();
+        let result = answer.clone();
         self.world.spawn(&self.caller, async move {
-            let outcome = client.call(|level: FeatureLevel| Some(vec![level.number() as u8]), LIMIT).await;
-            *told.borrow_mut() = Some(outcome);
+            let outcome = client.call(|level: FeatureLevel| Some(vec![level.number() as u8]), CALL_TIMEOUT).await;
+            *result.borrow_mut() = Some(outcome);
         });
-        let of_run = answer.clone();
-        self.world.run(&mut self.pool, LIMIT * 2, || of_run.borrow().is_some());
+        let completed = answer.clone();
+        self.world.run(&mut self.pool, CALL_TIMEOUT * 2, || completed.borrow().is_some());
         let outcome = answer.take().expect("a call ends");
         outcome.map(|answer| {
             let number = answer.level.number() as u8;
-            assert_eq!(answer.body, [number, number], "both sides speak one level");
+            assert_eq!(answer.body, [number, number], "both sides use the same level");
             answer.level
         })
     }
 }
 
 #[test]
-fn the_newest_level_that_both_know_is_spoken() {
+fn the_newest_common_level_is_negotiated() {
     for level in FeatureLevel::ALL {
-        assert_eq!(Setting::new(PeerBuild::Only(level)).call(), Ok(level));
+        assert_eq!(Fixture::new(PeerBuild::Only(level)).call(), Ok(level));
     }
-    assert_eq!(Setting::new(PeerBuild::Newest).call(), Ok(FeatureLevel::NEWEST));
+    assert_eq!(Fixture::new(PeerBuild::Newest).call(), Ok(FeatureLevel::NEWEST));
 }
 
 #[test]
-fn each_request_is_sent_once_though_an_older_peer_closes_the_first_connection() {
-    let mut setting = Setting::new(PeerBuild::Only(FeatureLevel::One));
+fn a_request_is_sent_once_when_an_older_peer_closes_the_first_connection() {
+    let mut fixture = Fixture::new(PeerBuild::Only(FeatureLevel::One));
     for sent in 1..=3 {
-        assert_eq!(setting.call(), Ok(FeatureLevel::One));
-        assert_eq!(setting.requests.get(), sent);
+        assert_eq!(fixture.call(), Ok(FeatureLevel::One));
+        assert_eq!(fixture.requests.get(), sent);
     }
 }
 
 #[test]
-fn a_peer_that_is_replaced_by_another_build_is_found_out_anew() {
-    let mut setting = Setting::new(PeerBuild::Only(FeatureLevel::One));
+fn the_level_is_negotiated_again_after_the_peer_is_replaced() {
+    let mut fixture = Fixture::new(PeerBuild::Only(FeatureLevel::One));
     let builds = [
         (PeerBuild::Newest, FeatureLevel::NEWEST),
         (PeerBuild::Only(FeatureLevel::One), FeatureLevel::One),
         (PeerBuild::Only(FeatureLevel::Two), FeatureLevel::Two),
         (PeerBuild::Only(FeatureLevel::One), FeatureLevel::One),
     ];
-    assert_eq!(setting.call(), Ok(FeatureLevel::One));
+    assert_eq!(fixture.call(), Ok(FeatureLevel::One));
     for (build, level) in builds {
-        setting.start(build);
-        // The first call may find the connection that ended.
-        let answer = (0..3).find_map(|_| setting.call().ok());
+        fixture.start(build);
+        // The first call may use the closed connection.
+        let answer = (0..3).find_map(|_| fixture.call().ok());
         assert_eq!(answer, Some(level), "{build:?}");
     }
 }
 
 #[test]
-fn a_peer_says_what_it_knows_also_on_a_connection_of_an_older_level() {
-    let mut setting = Setting::new(PeerBuild::Newest);
-    setting.client.speak(Speech::Fixed(FeatureLevel::One));
-    assert_eq!(setting.call(), Ok(FeatureLevel::One));
-    assert_eq!(setting.client.newest_of_peer(), Some(FeatureLevel::NEWEST));
-    setting.start(PeerBuild::Only(FeatureLevel::One));
-    let answer = (0..3).find_map(|_| setting.call().ok());
+fn a_peer_reports_its_newest_level_on_a_connection_of_an_older_level() {
+    let mut fixture = Fixture::new(PeerBuild::Newest);
+    fixture.client.speak(Speech::Fixed(FeatureLevel::One));
+    assert_eq!(fixture.call(), Ok(FeatureLevel::One));
+    assert_eq!(fixture.client.newest_of_peer(), Some(FeatureLevel::NEWEST));
+    fixture.start(PeerBuild::Only(FeatureLevel::One));
+    let answer = (0..3).find_map(|_| fixture.call().ok());
     assert_eq!(answer, Some(FeatureLevel::One));
-    assert_eq!(setting.client.newest_of_peer(), Some(FeatureLevel::One));
+    assert_eq!(fixture.client.newest_of_peer(), Some(FeatureLevel::One));
 }
 
 #[test]
-fn what_a_level_has_no_words_for_is_not_sent() {
-    let mut setting = Setting::new(PeerBuild::Only(FeatureLevel::One));
-    let (client, answer) = (setting.client.clone(), Rc::new(RefCell::new(None)));
-    let told = answer.clone();
-    setting.world.spawn(&setting.caller, async move {
+fn a_request_that_the_level_cannot_encode_is_not_sent() {
+    let mut fixture = Fixture::new(PeerBuild::Only(FeatureLevel::One));
+    let (client, answer) = (fixture.client.clone(), Rc::new(RefCell::new(None)));
+    let result = answer.clone();
+    fixture.world.spawn(&fixture.caller, async move {
         let newer = |level| (level > FeatureLevel::One).then(|| vec![1]);
-        *told.borrow_mut() = Some(client.call(newer, LIMIT).await);
+        *result.borrow_mut() = Some(client.call(newer, CALL_TIMEOUT).await);
     });
-    let of_run = answer.clone();
-    setting.world.run(&mut setting.pool, LIMIT * 2, || of_run.borrow().is_some());
+    let completed = answer.clone();
+    fixture.world.run(&mut fixture.pool, CALL_TIMEOUT * 2, || completed.borrow().is_some());
     assert_eq!(answer.take(), Some(Err(CallError::Unspeakable)));
-    assert_eq!(setting.requests.get(), 0);
+    assert_eq!(fixture.requests.get(), 0);
 }
--- a/crates/simulator/tests/control_group/mod.rs
+++ b/crates/simulator/tests/control_group/mod.rs
@@ -1,4 +1,4 @@
-//! Machines that serve control, more of them than a group has members, and relays that look for it, in virtual time.
+//! A control group with more machines than members, and relays that discover it.
 #![allow(dead_code)] // Each test uses a part of it.
 
 use futures::executor::LocalPool;
@@ -21,18 +21,18 @@
 
 pub const SECRET: &str = "a secret of sixteen signs";
 
-/// The machines that the settings name; they form the group.
+/// The machines listed in the settings, which are the founders.
 pub const NAMED: std::ops::RangeInclusive<u8> = 1..=3;
 
 /// All machines.
 pub const REPLICAS: u8 = 9;
 
-/// Longest time until a machine that is down is no member any more, also one that was only a learner.
+/// Time limit for replacing a member that is down, voter or learner.
 pub const REPLACED_WITHIN: Duration = Duration::from_secs(20);
 
 pub type Node = ControlNode<SimRuntime, SimBackends>;
 
-/// A machine that serves control.
+/// A machine that runs a control node.
 pub struct Replica {
     pub process: Rc<Process>,
     pub node: Rc<RefCell<Option<Node>>>,
@@ -45,16 +45,16 @@
     }
 }
 
-/// Nine machines that serve control, three of which the settings name.
+/// Nine machines that run control nodes; the settings list three of them.
 pub struct Deployment {
     pub world: Rc<World>,
     pool: LocalPool,
     pub replicas: BTreeMap<u8, Replica>,
-    /// How far the time of day is off at machines that start from now on, in milliseconds.
+    /// Wall clock offset of each machine from its next start, in milliseconds.
     pub clock_errors: BTreeMap<u8, i64>,
 }
 
-/// When a relay was answered.
+/// Times of a relay's first and latest successful responses.
 #[derive(Default)]
 pub struct Answers {
     pub first: Cell<Option<Duration>>,
@@ -62,13 +62,13 @@
 }
 
 impl Answers {
-    fn note(&self, at: Duration) {
+    fn record_response(&self, at: Duration) {
         self.first.set(self.first.get().or(Some(at)));
         self.newest.set(Some(at));
     }
 }
 
-/// Where the machine at `place` listens.
+/// Listen address of the machine at `place`.
 pub fn address(place: u8) -> SocketAddr {
     ([10, 0, 0, place], 7_000).into()
 }
@@ -91,9 +91,9 @@
         deployment
     }
 
-    /// Every machine has told the group of itself, as each does when it starts.
+    /// Registers every machine, as each does when it starts.
     fn register_machines(&mut self) {
-        let leader = self.leader().expect("the group is led");
+        let leader = self.leader().expect("there is a leader");
         let process = self.world.start_process("operator", 0, 0);
         let records: Vec<StoreRecord> = self.replicas.iter().map(|(place, replica)| replica.record(*place)).collect();
         self.world.spawn(&process, async move {
@@ -115,8 +115,8 @@
             secret: SECRET.to_string(),
             config: ReplicationConfig { target_voters: 5, ..ReplicationConfig::default() },
         };
-        let nowhere: SocketAddr = ([10, 0, 99, 9], 1).into();
-        let backends = SimBackends { platform: runtime.clone(), scorer: nowhere, machine_list: nowhere };
+        let unused_address: SocketAddr = ([10, 0, 99, 9], 1).into();
+        let backends = SimBackends { platform: runtime.clone(), scorer: unused_address, machine_list: unused_address };
         let node = Rc::new(RefCell::new(None));
         let started = node.clone();
         self.world.spawn(&process, async move {
@@ -146,7 +146,7 @@
         self.leader().map(|leader| leader.replica().member_addresses()).unwrap_or_default()
     }
 
-    /// Starts a relay that knows the addresses in its settings only.
+    /// Starts a relay that is configured with the addresses in the settings.
     pub fn start_relay(&mut self) -> Rc<Answers> {
         let process = self.world.start_process("relay", 0, 0);
         let runtime = SimRuntime { world: self.world.clone(), process: process.clone() };
@@ -156,12 +156,12 @@
     }
 }
 
-/// Follows as a relay does; notes each answer.
+/// Sends follow requests as a relay does, and records the time of each response.
 async fn follow(runtime: SimRuntime, answers: Rc<Answers>) {
     let control = ControlClient::new(runtime.clone(), &named(), SECRET);
-    let limit = Duration::from_millis(650);
+    let timeout = Duration::from_millis(650);
     loop {
-        let question = GatewayRequest::Follow(FollowRequest {
+        let follow_request = GatewayRequest::Follow(FollowRequest {
             relay: "relay".to_string(),
             zone: "north".to_string(),
             routing_version: None,
@@ -172,8 +172,8 @@
             usage: None,
             suspicion_revision: 0,
         });
-        if let Ok(GatewayReply::Followed(reply)) = control.gateway(question, limit, limit).await {
-            answers.note(runtime.monotonic());
+        if let Ok(GatewayReply::Followed(reply)) = control.gateway(follow_request, timeout, timeout).await {
+            answers.record_response(runtime.monotonic());
             control.set_replicas(reply.replicas.into_iter().chain(named()));
         } else {
             runtime.sleep(Duration::from_millis(20)).await;
--- a/crates/simulator/tests/crashing_work.rs
+++ b/crates/simulator/tests/crashing_work.rs
@@ -1,4 +1,4 @@
-//! Prompts that end the engines which run them, through the product's own interface, in virtual time over many seeds.
+//! Prompts that crash the engines that run them are quarantined.
 
 use futures::executor::LocalPool;
 use futures::future::join_all;
@@ -19,26 +19,26 @@
 
 const SEEDS: std::ops::Range<u64> = 0..24;
 
-/// A prompt that holds this ends the engine that begins to run it.
+/// Marks a prompt that crashes its engine.
 const CRASHES: &str = "crashes its engine";
 
-/// From the start of such a prompt to the engine's end, and from there to its return.
+/// Time from the start of such a prompt to the crash; `DOWN_TIME` is the time until the engine restarts.
 const RUN_TIME: Duration = Duration::from_millis(30);
 const DOWN_TIME: Duration = Duration::from_secs(2);
 
-/// Times that the work comes again, and the pause between.
+/// Number of times that the prompt is sent, `ROUND_PAUSE` apart.
 const ROUNDS: usize = 10;
 const ROUND_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Virtual time for a test.
+/// Virtual time limit of a task.
 const LIMIT: Duration = Duration::from_secs(120);
 
 struct Deployment {
     cluster: Rc<Cluster>,
     world: Rc<World>,
     pool: LocalPool,
-    /// Engines that have ended under such prompts.
-    ended: Rc<Cell<usize>>,
+    /// Number of engine crashes.
+    crashes: Rc<Cell<usize>>,
 }
 
 impl Deployment {
@@ -46,12 +46,12 @@
         let (world, mut pool) = World::new(seed);
         let cluster = Cluster::new(world.clone(), compact(andino()), PolicyName::PrefixAffinity);
         bring_up(&cluster, &world, &mut pool).expect("it comes up");
-        let ended = Rc::new(Cell::new(0));
-        cluster.client_platform().spawn(crash_engines(cluster.clone(), ended.clone()));
-        Self { cluster, world, pool, ended }
+        let crashes = Rc::new(Cell::new(0));
+        cluster.client_platform().spawn(crash_engines(cluster.clone(), crashes.clone()));
+        Self { cluster, world, pool, crashes }
     }
 
-    /// Runs a client's task to its end.
+    /// Runs a client's task to completion.
     fn run<T: 'static>(&mut self, task: impl Future<Output = T> + 'static) -> T {
         let result = Rc::new(RefCell::new(None));
         let place = result.clone();
@@ -65,8 +65,8 @@
     }
 }
 
-/// Ends each engine that begins to run such a prompt, and starts it again.
-async fn crash_engines(cluster: Rc<Cluster>, ended: Rc<Cell<usize>>) {
+/// Crashes and restarts each engine that starts to run such a prompt.
+async fn crash_engines(cluster: Rc<Cluster>, crashes: Rc<Cell<usize>>) {
     let platform = cluster.client_platform();
     let mut seen = 0;
     loop {
@@ -83,12 +83,12 @@
         };
         for engine in begun {
             let place = cluster.engines.iter().position(|known| known.id == engine).expect("an engine of the cluster");
-            platform.spawn(crash(cluster.clone(), place, ended.clone()));
+            platform.spawn(crash(cluster.clone(), place, crashes.clone()));
         }
     }
 }
 
-async fn crash(cluster: Rc<Cluster>, place: usize, ended: Rc<Cell<usize>>) {
+async fn crash(cluster: Rc<Cluster>, place: usize, crashes: Rc<Cell<usize>>) {
     let platform = cluster.client_platform();
     platform.sleep(RUN_TIME).await;
     let member = cluster.member(&format!("engine-{place}")).expect("it was started");
@@ -96,7 +96,7 @@
         return;
     }
     member.process.kill();
-    ended.set(ended.get() + 1);
+    crashes.set(crashes.get() + 1);
     platform.sleep(DOWN_TIME).await;
     cluster.start_engine(place);
 }
@@ -117,21 +117,21 @@
     }
 }
 
-/// Asks at several relays at once, round after round.
-async fn ask_again_and_again(cluster: Rc<Cluster>, at_once: usize) -> Vec<CallerAnswer> {
+/// Sends the prompt to several relays concurrently, `ROUNDS` times.
+async fn send_repeatedly(cluster: Rc<Cluster>, concurrency: usize) -> Vec<CallerAnswer> {
     let platform = cluster.client_platform();
     let access = cluster.access(platform.clone());
     let request = request(&cluster, &format!("a prompt that {CRASHES}"));
     let mut answers = Vec::new();
     for round in 0..ROUNDS {
-        let asked = (0..at_once).map(|place| access.ask((round + place) % access.relays(), &request));
-        answers.extend(join_all(asked).await);
+        let requests = (0..concurrency).map(|place| access.ask((round + place) % access.relays(), &request));
+        answers.extend(join_all(requests).await);
         platform.sleep(ROUND_PAUSE).await;
     }
     answers
 }
 
-async fn ask_innocently(cluster: Rc<Cluster>) -> Vec<CallerAnswer> {
+async fn send_harmless_prompt(cluster: Rc<Cluster>) -> Vec<CallerAnswer> {
     let platform = cluster.client_platform();
     let access = cluster.access(platform.clone());
     let request = request(&cluster, "an innocent prompt");
@@ -144,45 +144,45 @@
 }
 
 #[test]
-fn a_prompt_that_has_ended_three_engines_is_sent_to_no_more() {
+fn a_prompt_that_crashed_three_engines_is_quarantined() {
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
-        let answers = deployment.run(ask_again_and_again(deployment.cluster.clone(), 1));
-        assert_eq!(deployment.ended.get(), MOST_ENGINES_ENDED, "seed {seed}");
+        let answers = deployment.run(send_repeatedly(deployment.cluster.clone(), 1));
+        assert_eq!(deployment.crashes.get(), MOST_ENGINES_ENDED, "seed {seed}");
         assert!(answers.last().is_some_and(is_quarantined), "seed {seed}: {answers:?}");
-        let innocent = deployment.run(ask_innocently(deployment.cluster.clone()));
-        let served = innocent.iter().all(|answer| matches!(answer, CallerAnswer::Whole { .. }));
-        assert!(served, "seed {seed}: {innocent:?}");
+        let harmless = deployment.run(send_harmless_prompt(deployment.cluster.clone()));
+        let served = harmless.iter().all(|answer| matches!(answer, CallerAnswer::Whole { .. }));
+        assert!(served, "seed {seed}: {harmless:?}");
     }
 }
 
-/// Each of the relays may have sent it on before it knows of the others' losses.
+/// Each relay may forward the prompt before it is notified of the crashes at the others.
 #[test]
-fn at_three_relays_at_once_it_ends_few_more() {
-    const AT_ONCE: usize = 3;
+fn concurrent_sends_at_three_relays_crash_few_more_engines() {
+    const CONCURRENCY: usize = 3;
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
-        deployment.run(ask_again_and_again(deployment.cluster.clone(), AT_ONCE));
-        let most = MOST_ENGINES_ENDED - 1 + AT_ONCE;
-        assert!(deployment.ended.get() <= most, "seed {seed}: {} ended", deployment.ended.get());
+        deployment.run(send_repeatedly(deployment.cluster.clone(), CONCURRENCY));
+        let most = MOST_ENGINES_ENDED - 1 + CONCURRENCY;
+        assert!(deployment.crashes.get() <= most, "seed {seed}: {} ended", deployment.crashes.get());
     }
 }
 
 #[test]
-fn a_new_leader_and_relays_that_start_anew_remember_it() {
+fn the_quarantine_survives_a_new_leader_and_restarted_relays() {
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
         let cluster = deployment.cluster.clone();
-        deployment.run(ask_again_and_again(cluster.clone(), 1));
-        let ended = deployment.ended.get();
+        deployment.run(send_repeatedly(cluster.clone(), 1));
+        let crashes = deployment.crashes.get();
         let leader = cluster.leader_place().expect("there is a leader");
         cluster.member(&format!("control-{leader}")).expect("it was started").process.kill();
         for place in 0..cluster.deployment.relays as usize {
             cluster.member(&format!("relay-{place}")).expect("it was started").process.kill();
             cluster.start_relay(place);
         }
-        let answers = deployment.run(ask_again_and_again(cluster, 1));
-        assert_eq!(deployment.ended.get(), ended, "seed {seed}: {answers:?}");
+        let answers = deployment.run(send_repeatedly(cluster, 1));
+        assert_eq!(deployment.crashes.get(), crashes, "seed {seed}: {answers:?}");
         assert!(answers.last().is_some_and(is_quarantined), "seed {seed}: {answers:?}");
     }
 }
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -1,6 +1,6 @@
-//! The leader's duties towards the platform, in virtual time over many seeds: leaders are killed, frozen and woken, clocks
-//! are wrong on a third of the machines, and the platform loses answers, carries calls out late, and is down. Relays count;
-//! the platform's record is compared with the truth.
+//! The leader's calls to the platform: usage reports and engine orders. Leaders are killed, frozen and resumed, a third
+//! of the wall clocks are wrong, and the platform loses responses, executes calls late, or is down. The usage that the
+//! platform received is compared with the usage that relays counted.
 
 use futures::executor::LocalPool;
 use hyper::StatusCode;
@@ -36,10 +36,10 @@
 const REPLICAS: u8 = 3;
 const RELAYS: u8 = 9;
 
-/// Machines whose time of day is wrong, and by how much: a third of all.
+/// Wall clock offset of a third of the machines, in milliseconds, ahead or behind.
 const WRONG_CLOCK_MS: i64 = 2_000;
 
-/// Orders of two holders are apart by the lease of orders and a margin, as the settings derive it.
+/// Lease of the right to send orders; `ORDER_DISTANCE` adds a margin, as the settings derive it.
 const ORDER_LEASE: Duration = Duration::from_millis(3_000);
 const ORDER_DISTANCE: Duration = Duration::from_millis(3_400);
 
@@ -56,30 +56,30 @@
     EngineCount(EngineCountOrder),
 }
 
-/// A call that the platform has looked at.
+/// A call that the platform has executed or rejected.
 #[derive(Clone, Debug)]
 struct Record {
     at: Duration,
-    /// The machine that made it.
+    /// The machine that sent it.
     machine: String,
     fence: u64,
     call: Received,
-    taken: bool,
-    /// It was carried out long after it was sent.
-    late: bool,
+    accepted: bool,
+    /// Whether it was executed long after it was sent.
+    delayed: bool,
 }
 
-/// The platform, and how it behaves.
+/// The simulated platform and its faults.
 struct Platform {
     world: Rc<World>,
     process: Rc<Process>,
     records: RefCell<Vec<Record>>,
     highest_fence: RefCell<BTreeMap<String, u64>>,
-    /// Of a hundred calls, so many get no answer, and half of these are carried out late.
+    /// Percentage of calls without a response; half of these are executed late.
     unanswered_percent: Cell<u64>,
-    /// Longest time to reach it.
+    /// Upper bound of the time to connect to it.
     connect_time: Cell<Duration>,
-    /// It answers nothing and does nothing.
+    /// Whether it executes no calls and sends no responses.
     is_down: Cell<bool>,
 }
 
@@ -103,18 +103,18 @@
         }
     }
 
-    fn carry_out(&self, machine: &str, fence: u64, call: Received, late: bool) -> StatusCode {
+    fn execute(&self, machine: &str, fence: u64, call: Received, delayed: bool) -> StatusCode {
         let mut highest = self.highest_fence.borrow_mut();
-        let held = highest.entry(Self::subject(&call)).or_default();
-        let taken = fence >= *held;
-        *held = (*held).max(fence);
+        let highest_fence = highest.entry(Self::subject(&call)).or_default();
+        let accepted = fence >= *highest_fence;
+        *highest_fence = (*highest_fence).max(fence);
         let at = self.world.clock.now();
-        self.records.borrow_mut().push(Record { at, machine: machine.to_string(), fence, call, taken, late });
-        if taken { StatusCode::OK } else { StatusCode::CONFLICT }
+        self.records.borrow_mut().push(Record { at, machine: machine.to_string(), fence, call, accepted, delayed });
+        if accepted { StatusCode::OK } else { StatusCode::CONFLICT }
     }
 }
 
-/// The platform as one machine reaches it. Calls travel as they are: the dialect's words do not matter here.
+/// One machine's client of the platform. Calls are passed by index without being encoded.
 struct PlatformLink {
     platform: Rc<Platform>,
     machine: String,
@@ -134,32 +134,32 @@
         let pause = |limit: Duration| Sleep::new(world.clock.clone(), world.clock.now() + world.jitter(limit));
         pause(platform.connect_time.get()).await;
         if !may_send() {
-            return Err(Failure::NotSent("the right to act has ended".to_string()));
+            return Err(Failure::NotSent("the right to call has expired".to_string()));
         }
         let unanswered = world.random() % 100 < platform.unanswered_percent.get();
         if platform.is_down.get() || unanswered {
             if unanswered && world.random().is_multiple_of(2) {
-                let late = pause(Duration::from_secs(6));
+                let delayed = pause(Duration::from_secs(6));
                 let (platform, machine) = (platform.clone(), self.machine.clone());
                 let process = platform.process.clone();
                 world.spawn(&process, async move {
-                    late.await;
-                    platform.carry_out(&machine, fence, received, true);
+                    delayed.await;
+                    platform.execute(&machine, fence, received, true);
                 });
             }
             Sleep::new(world.clock.clone(), world.clock.now() + limit).await;
             return Err(Failure::MayHaveRun("no answer in time".to_string()));
         }
-        let status = platform.carry_out(&self.machine, fence, received, false);
+        let status = platform.execute(&self.machine, fence, received, false);
         pause(Duration::from_millis(4)).await;
         Ok(status)
     }
 }
 
-/// Keeps calls as they are, and names them by number.
-struct Numbered(Rc<RefCell<Vec<(u64, Received)>>>);
+/// Stores calls and refers to them by index in place of encoding them.
+struct IndexedDialect(Rc<RefCell<Vec<(u64, Received)>>>);
 
-impl Numbered {
+impl IndexedDialect {
     fn keep(&self, right: &CallRight, call: Received) -> PlatformCall {
         let mut calls = self.0.borrow_mut();
         calls.push((right.fence.0, call));
@@ -172,7 +172,7 @@
     }
 }
 
-impl PlatformDialect for Numbered {
+impl PlatformDialect for IndexedDialect {
     fn usage_report(&self, right: &CallRight, report: &UsageReport) -> PlatformCall {
         self.keep(right, Received::Usage(report.clone()))
     }
@@ -192,7 +192,7 @@
     pool: LocalPool,
     platform: Rc<Platform>,
     machines: BTreeMap<u8, Machine>,
-    /// What engines have begun, by true time.
+    /// Requests that relays counted, by true time.
     truth: Rc<RefCell<BTreeMap<UsageWindow, TenantCounts>>>,
 }
 
@@ -204,7 +204,7 @@
     TenantId(format!("tenant-{number}"))
 }
 
-/// Every third machine's clock is wrong, half of these ahead and half behind.
+/// Wall clock offset of a machine: ahead for every sixth, behind for every sixth.
 fn clock_error(place: u8, seed: u64) -> i64 {
     let turn = (u64::from(place) + seed) % 6;
     match turn {
@@ -235,7 +235,7 @@
 }
 
 impl Deployment {
-    /// Starts replicas and relays, and waits until the group has the document.
+    /// Starts the replicas, commits the routing document and starts the relays.
     fn start(seed: u64) -> Self {
         let (world, pool) = World::new(seed);
         world.network.set_delays(9, Duration::from_millis(1), Duration::from_millis(3));
@@ -265,11 +265,11 @@
             secret: SECRET.to_string(),
             config: ReplicationConfig { target_voters: 3, ..ReplicationConfig::default() },
         };
-        let nowhere: SocketAddr = ([10, 0, 9, 9], 1).into();
-        let backends = SimBackends { platform: runtime.clone(), scorer: nowhere, machine_list: nowhere };
-        // Engines of these tests report themselves once.
+        let unused_address: SocketAddr = ([10, 0, 9, 9], 1).into();
+        let backends = SimBackends { platform: runtime.clone(), scorer: unused_address, machine_list: unused_address };
+        // Engines in these tests report only once.
         let instance_silence = Duration::from_secs(600);
-        // With every other seed relays are sent to replicas that do not lead.
+        // With even seeds relays are redirected to followers.
         let leader_relays = if seed.is_multiple_of(2) { 0 } else { ControlConfig::default().leader_relays };
         let order_distance = ORDER_DISTANCE;
         let config = ControlConfig { order_distance, instance_silence, leader_relays, ..ControlConfig::default() };
@@ -287,7 +287,7 @@
         self.machines.insert(place, Machine { process, node });
     }
 
-    /// A relay that counts requests at random moments.
+    /// Starts a relay that counts requests at random times.
     fn start_relay(&self, place: u8, seed: u64) {
         let process = self.world.start_process(&format!("relay-{place}"), 0, clock_error(place, seed + 1));
         let runtime = SimRuntime { world: self.world.clone(), process: process.clone() };
@@ -321,12 +321,12 @@
     }
 
     fn commit(&mut self, command: GatewayCommand) {
-        let (_, node) = self.leader().expect("it is led");
+        let (_, node) = self.leader().expect("there is a leader");
         let done = Rc::new(Cell::new(false));
-        let told = done.clone();
+        let committed = done.clone();
         let process = self.world.start_process("operator", 0, 0);
         self.world.spawn(&process, async move {
-            told.set(node.commit_gateway(command).await.is_ok());
+            committed.set(node.commit_gateway(command).await.is_ok());
         });
         self.run_for(Duration::from_millis(300));
         assert!(done.get(), "it was not committed");
@@ -339,21 +339,21 @@
         }
     }
 
-    /// What the platform has of each window, and when the first report of it was taken.
+    /// The counts that the platform accepted for each window, and when it accepted the first report.
     fn reported(&self) -> BTreeMap<UsageWindow, (TenantCounts, Duration)> {
         let mut reported = BTreeMap::new();
-        for record in self.platform.records.borrow().iter().filter(|record| record.taken) {
+        for record in self.platform.records.borrow().iter().filter(|record| record.accepted) {
             let Received::Usage(report) = &record.call else {
                 continue;
             };
-            let held = reported.entry(report.window).or_insert((report.counts.clone(), record.at));
-            assert_eq!(held.0, report.counts, "window {} was reported with other counts", report.window.0);
+            let first_report = reported.entry(report.window).or_insert((report.counts.clone(), record.at));
+            assert_eq!(first_report.0, report.counts, "window {} was reported with other counts", report.window.0);
         }
         reported
     }
 
-    /// No fence is used by two machines about one subject, no call is sent with a lower fence than one before, and no machine
-    /// acts again about a subject within the lease of orders of another that acted since.
+    /// Checks for each subject that no two machines use the same fencing token, that no call is sent with a lower token
+    /// than an earlier one, and that two holders do not alternate within the lease of orders.
     fn check_holders(&self) {
         let mut by_subject: BTreeMap<String, Vec<Record>> = BTreeMap::new();
         for record in self.platform.records.borrow().iter() {
@@ -363,22 +363,22 @@
             let mut users: BTreeMap<u64, String> = BTreeMap::new();
             for record in &records {
                 let user = users.entry(record.fence).or_insert_with(|| record.machine.clone());
-                assert_eq!(*user, record.machine, "{subject}: fence {} is used by two", record.fence);
+                assert_eq!(*user, record.machine, "{subject}: two machines used fencing token {}", record.fence);
             }
-            let outrun = records.iter().find(|record| !record.taken && !record.late);
-            assert!(outrun.is_none(), "{subject}: sent after a higher fence: {outrun:?}");
-            let taken: Vec<&Record> = records.iter().filter(|record| record.taken && !record.late).collect();
-            for (index, first) in taken.iter().enumerate() {
-                let soon = taken[index..].iter().take_while(|record| record.at < first.at + ORDER_LEASE);
-                let machines: Vec<&str> = soon.map(|record| record.machine.as_str()).collect();
+            let stale_call = records.iter().find(|record| !record.accepted && !record.delayed);
+            assert!(stale_call.is_none(), "{subject}: sent after a higher fencing token: {stale_call:?}");
+            let accepted: Vec<&Record> = records.iter().filter(|record| record.accepted && !record.delayed).collect();
+            for (index, first) in accepted.iter().enumerate() {
+                let within_lease = accepted[index..].iter().take_while(|record| record.at < first.at + ORDER_LEASE);
+                let machines: Vec<&str> = within_lease.map(|record| record.machine.as_str()).collect();
                 let back = machines.iter().rposition(|machine| *machine == first.machine).unwrap_or(0);
-                let turns = machines[..back].iter().any(|machine| *machine != first.machine);
-                assert!(!turns, "{subject}: holders took turns: {machines:?}");
+                let alternates = machines[..back].iter().any(|machine| *machine != first.machine);
+                assert!(!alternates, "{subject}: holders alternated: {machines:?}");
             }
         }
     }
 
-    /// Every window that ended before `until` is reported, exactly as relays counted it.
+    /// Checks that every window between `from` and `until` was reported in time with the counts of the relays.
     fn check_usage(&self, from: Duration, until: Duration) {
         let reported = self.reported();
         let window_of = |at: Duration| {
@@ -389,25 +389,27 @@
         let windows = truth.range(window_of(from).next()..window_of(until));
         let mut compared = 0;
         for (window, counts) in windows {
-            let (told, at) = reported.get(window).unwrap_or_else(|| panic!("window {} is not reported", window.0));
+            let (reported_counts, at) =
+                reported.get(window).unwrap_or_else(|| panic!("window {} is not reported", window.0));
             let due_at_ms = window.ends_at_ms(TERMS.window.as_millis() as u64) + TERMS.due_after.as_millis() as u64;
             let at_ms = START_UNIX_MILLISECONDS + at.as_millis() as u64;
             assert!(at_ms <= due_at_ms, "window {} was reported {} ms late", window.0, at_ms - due_at_ms);
-            compare(window, told, counts);
+            compare(window, reported_counts, counts);
             compared += 1;
         }
         assert!(compared > 3, "only {compared} windows were compared");
     }
 }
 
-/// Requests within a few milliseconds of a window's border may be told for the other one; nothing else may differ.
-fn compare(window: &UsageWindow, told: &TenantCounts, truth: &TenantCounts) {
+/// Compares the reported counts with the true ones. Requests near a window's boundary may be counted in the adjacent
+/// window.
+fn compare(window: &UsageWindow, reported_counts: &TenantCounts, truth: &TenantCounts) {
     let all = |counts: &TenantCounts| counts.values().sum::<u64>();
-    let (told_sum, true_sum) = (all(told), all(truth));
-    let difference = told_sum.abs_diff(true_sum);
+    let (reported_sum, true_sum) = (all(reported_counts), all(truth));
+    let difference = reported_sum.abs_diff(true_sum);
     let allowed = true_sum / 20;
-    assert!(difference <= allowed, "window {}: {told_sum} were told, {true_sum} are true", window.0);
-    assert!(told.keys().all(|tenant| truth.contains_key(tenant)), "a tenant without requests is told");
+    assert!(difference <= allowed, "window {}: {reported_sum} reported, {true_sum} expected", window.0);
+    assert!(reported_counts.keys().all(|tenant| truth.contains_key(tenant)), "a tenant without requests was reported");
 }
 
 fn start_duties(runtime: &SimRuntime, node: &Node, platform: Rc<Platform>, name: String) {
@@ -417,7 +419,7 @@
         runtime: runtime.clone(),
         node: node.clone(),
         client,
-        dialect: Box::new(Numbered(calls)),
+        dialect: Box::new(IndexedDialect(calls)),
         name,
         metrics: Rc::new(DutyMetrics::default()),
     });
@@ -433,7 +435,7 @@
     let follower = NamedFollower::default();
     loop {
         let named = follower.address(runtime.monotonic());
-        let question = GatewayRequest::Follow(FollowRequest {
+        let follow_request = GatewayRequest::Follow(FollowRequest {
             suspicion_revision: 0,
             relay: format!("relay-{place}"),
             zone: "north".to_string(),
@@ -445,8 +447,8 @@
             usage: ledger.borrow_mut().difference(),
         });
         let answer = match named {
-            Some(address) => control.gateway_at(address, question, limit).await,
-            None => control.gateway(question, limit, limit).await.ok(),
+            Some(address) => control.gateway_at(address, follow_request, limit).await,
+            None => control.gateway(follow_request, limit, limit).await.ok(),
         };
         match answer {
             Some(GatewayReply::Followed(reply)) => {
@@ -455,7 +457,7 @@
                     clock.borrow_mut().hear(unix_ms, runtime.monotonic());
                 }
                 ledger.borrow_mut().taken(reply.usage_taken);
-                // A table with instances answers at once to a relay that claims to know none.
+                // The leader responds immediately to a request with instance revision 0.
                 runtime.sleep(Duration::from_millis(200)).await;
             }
             _ => {
@@ -497,7 +499,7 @@
 }
 
 #[test]
-fn windows_are_reported_in_time_and_true_although_a_third_of_the_clocks_are_wrong() {
+fn usage_is_reported_correctly_and_in_time_with_wrong_wall_clocks() {
     for_each_seed(|seed| {
         let mut deployment = Deployment::start(seed);
         let from = deployment.world.clock.now();
@@ -509,7 +511,7 @@
 }
 
 #[test]
-fn a_report_whose_answer_is_lost_is_sent_again_with_the_same_counts_whoever_leads() {
+fn a_report_with_a_lost_response_is_resent_with_the_same_counts() {
     for_each_seed(|seed| {
         let mut deployment = Deployment::start(seed);
         deployment.platform.unanswered_percent.set(40);
@@ -540,30 +542,30 @@
     });
 }
 
-/// How a machine stands still for a while.
+/// How a machine is paused.
 #[derive(Clone, Copy)]
-enum Standstill {
-    /// Its steady clock goes on.
+enum PauseKind {
+    /// Its timer clock keeps running.
     Frozen,
-    /// Its steady clock stands still too, and its timers go off late.
+    /// Its timer clock stops too, so that its timers fire late.
     Suspended,
 }
 
 #[test]
-fn a_leader_that_is_frozen_in_the_middle_of_a_call_does_not_go_on_with_it_when_it_wakes() {
-    stand_still_in_the_middle_of_a_call(Standstill::Frozen);
+fn a_leader_frozen_during_a_call_does_not_continue_it() {
+    check_pause_during_call(PauseKind::Frozen);
 }
 
 #[test]
-fn a_leader_that_is_suspended_in_the_middle_of_a_call_does_not_go_on_with_it_when_it_wakes() {
-    stand_still_in_the_middle_of_a_call(Standstill::Suspended);
+fn a_leader_suspended_during_a_call_does_not_continue_it() {
+    check_pause_during_call(PauseKind::Suspended);
 }
 
-fn stand_still_in_the_middle_of_a_call(standstill: Standstill) {
+fn check_pause_during_call(pause_kind: PauseKind) {
     for_each_seed(|seed| {
         let mut deployment = Deployment::start(seed);
         for _ in 0..4 {
-            // A call may take most of the time for which its right holds.
+            // Connecting may take most of the time for which the right to call is valid.
             deployment.platform.connect_time.set(Duration::from_millis(390));
             let pause = deployment.world.jitter(Duration::from_secs(2));
             deployment.run_for(pause);
@@ -572,15 +574,15 @@
                 continue;
             };
             let process = deployment.machines[&place].process.clone();
-            match standstill {
-                Standstill::Frozen => process.freeze(),
-                Standstill::Suspended => process.suspend(deployment.world.clock.now()),
+            match pause_kind {
+                PauseKind::Frozen => process.freeze(),
+                PauseKind::Suspended => process.suspend(deployment.world.clock.now()),
             }
             let pause = Duration::from_secs(2) + deployment.world.jitter(Duration::from_secs(3));
             deployment.run_for(pause);
-            match standstill {
-                Standstill::Frozen => process.thaw(),
-                Standstill::Suspended => process.resume(deployment.world.clock.now()),
+            match pause_kind {
+                PauseKind::Frozen => process.thaw(),
+                PauseKind::Suspended => process.resume(deployment.world.clock.now()),
             }
         }
         deployment.run_for(Duration::from_secs(16));
@@ -591,7 +593,7 @@
 }
 
 #[test]
-fn leaders_that_follow_each_other_quickly_do_not_take_turns() {
+fn frequent_leader_changes_do_not_alternate_holders() {
     let seeds_with_two_holders = Cell::new(0);
     for_each_seed(|seed| {
         let mut deployment = Deployment::start(seed);
@@ -602,7 +604,7 @@
                 deployment.run_for(Duration::from_millis(100));
                 deployment.start_replica(place, seed, false);
             }
-            // Now and then one leads for long enough to be the next holder.
+            // Every fourth leader may lead for long enough to become the holder.
             let longest = Duration::from_millis(if round % 4 == 0 { 7_000 } else { 800 });
             let pause = Duration::from_millis(400) + deployment.world.jitter(longest);
             deployment.run_for(pause);
@@ -617,11 +619,11 @@
         }
     });
     let seeds = seeds_with_two_holders.get();
-    assert!(seeds > 20, "only on {seeds} seeds did a second machine ever report");
+    assert!(seeds > 20, "a second machine reported on only {seeds} seeds");
 }
 
 #[test]
-fn a_platform_that_was_down_is_told_every_window_when_it_is_back() {
+fn all_windows_are_reported_after_an_outage_of_the_platform() {
     for_each_seed(|seed| {
         let mut deployment = Deployment::start(seed);
         deployment.platform.is_down.set(true);
@@ -651,7 +653,7 @@
 }
 
 #[test]
-fn engines_that_are_lost_are_ordered_again_and_an_older_order_changes_nothing() {
+fn lost_engines_are_ordered_again_with_increasing_fencing_tokens() {
     for_each_seed(|seed| {
         let mut deployment = Deployment::start(seed);
         for number in 0..3 {
@@ -659,7 +661,7 @@
         }
         deployment.run_for(Duration::from_secs(4));
         let place = EnginePlace { service: "llm".to_string(), zone: "north".to_string() };
-        let (_, node) = deployment.leader().expect("it is led");
+        let (_, node) = deployment.leader().expect("there is a leader");
         let wanted = node.read_applied(|state| state.engine_counts.wanted().get(&place).copied());
         assert_eq!(wanted, Some(3));
         let ordered = |deployment: &Deployment| {
@@ -678,7 +680,7 @@
         deployment.platform.unanswered_percent.set(0);
         deployment.run_for(Duration::from_secs(16));
         let orders = ordered(&deployment);
-        assert!(orders.iter().any(|record| record.taken), "nothing was ordered");
+        assert!(orders.iter().any(|record| record.accepted), "nothing was ordered");
         for record in &orders {
             let Received::EngineCount(order) = &record.call else { continue };
             assert_eq!((&order.place, order.count, order.withdrawable), (&place, 3, false));
@@ -686,7 +688,7 @@
         let mut fences: Vec<u64> = orders.iter().map(|record| record.fence).collect();
         fences.sort_unstable();
         fences.dedup();
-        assert_eq!(fences.len(), orders.len(), "two orders share a fence");
+        assert_eq!(fences.len(), orders.len(), "two orders have the same fencing token");
         deployment.check_holders();
     });
 }
--- a/crates/simulator/tests/elections.rs
+++ b/crates/simulator/tests/elections.rs
@@ -1,5 +1,5 @@
-//! Five voters lose power, two of them their disks too: the other three are all of the quorum, and their disks or links are
-//! slow. In virtual time, over the same seeds for each kind of trouble: a leader that lasts is found, and goes on serving.
+//! Five voters lose power and two of them their disks, so that all three others are needed for a quorum, and these have
+//! slow disks or links. Checks that a stable leader is elected and keeps its lease.
 
 use futures::executor::LocalPool;
 use saddlerelay_replication::config::ReplicationConfig;
@@ -7,7 +7,7 @@
 use saddlerelay_replication::{Replica, ReplicaOptions, StateMachine};
 use saddlerelay_rpc::server::Handler;
 use saddlerelay_runtime::Runtime;
-use saddlerelay_simulator::network::LinkTrouble;
+use saddlerelay_simulator::network::LinkFaults;
 use saddlerelay_simulator::platform::SimRuntime;
 use saddlerelay_simulator::world::{Process, Sleep, World};
 use saddlerelay_types::feature_level::FeatureLevel;
@@ -19,34 +19,34 @@
 
 const SEEDS: std::ops::Range<u64> = 0..30;
 
-/// Threads that play seeds of one kind of trouble: the longest kind takes a minute of processor time.
+/// Threads that run the seeds of one test.
 const THREADS: usize = 5;
 
-/// A leader that has led for so long has settled.
-const LASTING: Duration = Duration::from_secs(5);
+/// A leader counts as stable after this time.
+const STABLE_AFTER: Duration = Duration::from_secs(5);
 
-/// After that a group without a lasting leader is given up on.
-const GIVEN_UP: Duration = Duration::from_secs(60);
+/// Time after which a run without a stable leader ends.
+const SEARCH_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// By then a leader that lasts must have begun: the tightest deployment's bound for serving again.
-const LONGEST_SEARCH: Duration = Duration::from_secs(15);
+/// Time limit for the election of a stable leader.
+const SEARCH_LIMIT: Duration = Duration::from_secs(15);
 
-/// Pause between two proposals.
-const PROPOSAL_PAUSE: Duration = Duration::from_millis(100);
+/// Interval between proposals.
+const PROPOSAL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Frames between zones in ten calm seconds of five voters with a hundred proposals: an append and its answer for each of four
-/// peers, twice for each proposal (its entry, then what is committed).
+/// Limit of frames between zones for a hundred proposals in 10 s without faults: an append and its response for each of
+/// four peers, twice per proposal (the entry, then the commit index).
 const CALM_FRAMES: u64 = 1_600;
 
-/// Their bytes: a hundred proposals of 1,000 bytes to four peers, and some 30 bytes of each frame's own.
+/// Limit of their bytes: a hundred proposals of 1,000 bytes to four peers, and about 30 bytes of overhead per frame.
 const CALM_BYTES: u64 = 452_000;
 
-/// Syncs meanwhile: one of each voter for each proposal.
+/// Limit of syncs: one per voter and proposal.
 const CALM_SYNCS: u64 = 500;
 
 const SECRET: &str = "a secret of sixteen signs";
 
-/// Counts what it is sent.
+/// Counts applied commands.
 #[derive(Default)]
 struct Counter(u64);
 
@@ -69,9 +69,9 @@
 
 type Node = Replica<SimRuntime, Counter>;
 
-struct Answering(Node);
+struct RequestHandler(Node);
 
-impl Handler for Answering {
+impl Handler for RequestHandler {
     async fn handle(self: Rc<Self>, level: FeatureLevel, body: Vec<u8>) -> Option<Vec<u8>> {
         let request = message_codec::decode_call(&body, level)?;
         let reply = self.0.handle(request, level).await;
@@ -91,26 +91,26 @@
     acknowledged: Rc<Cell<u64>>,
 }
 
-/// What is slow once the power is back.
+/// Faults after the power loss.
 #[derive(Clone, Copy, Default)]
-struct Trouble {
-    /// Time of a sync; a third less or more at random.
+struct Faults {
+    /// Mean time of a sync; the actual time varies by a third.
     sync: Duration,
-    links: LinkTrouble,
-    /// Entries that one of the three lacks.
+    links: LinkFaults,
+    /// Number of entries that one of the three voters lacks.
     entries_behind: u64,
 }
 
-/// How a group fared after the power came back.
+/// Result of a run after the power loss.
 #[derive(Clone, Copy, Debug)]
-struct Fared {
-    /// Until the leader that lasted first held the lease; `None` if none did in time.
+struct RunResult {
+    /// Time until the stable leader first held the lease; `None` without a stable leader.
     searched: Option<Duration>,
-    /// Terms that were used up.
+    /// Number of claims to leadership.
     terms: u64,
-    /// Share of its first seconds after that, in percent, in which it held the lease.
+    /// Percentage of the following `STABLE_AFTER` in which it held the lease.
     leased_percent: u64,
-    /// Proposals that it committed meanwhile.
+    /// Proposals that it committed in this time.
     committed: u64,
 }
 
@@ -118,7 +118,7 @@
     ([10, 0, 0, place], 7_000).into()
 }
 
-/// The timing of deployments whose processes find their own members.
+/// Timing of deployments with automatic membership.
 fn config() -> ReplicationConfig {
     ReplicationConfig {
         heartbeat_interval: Duration::from_millis(70),
@@ -134,7 +134,7 @@
 }
 
 impl Group {
-    /// Five voters with a leader.
+    /// Starts five voters and waits for a leader.
     fn formed(seed: u64) -> Self {
         spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
         let (world, pool) = World::new(seed);
@@ -161,14 +161,15 @@
         };
         let node = Rc::new(RefCell::new(None));
         let started = node.clone();
-        let of_task = runtime.clone();
+        let task_runtime = runtime.clone();
         self.world.spawn(&process, async move {
-            let listener = of_task.listen(options.address).await.expect("the address is free");
-            let replica = Replica::open(of_task.clone(), options, Counter::default()).await.expect("the disk is sound");
+            let listener = task_runtime.listen(options.address).await.expect("the address is free");
+            let replica =
+                Replica::open(task_runtime.clone(), options, Counter::default()).await.expect("the disk is sound");
             replica.start();
             *started.borrow_mut() = Some(replica.clone());
-            let handler = Rc::new(Answering(replica));
-            saddlerelay_rpc::server::serve(of_task, listener, SECRET.to_string(), handler).await;
+            let handler = Rc::new(RequestHandler(replica));
+            saddlerelay_rpc::server::serve(task_runtime, listener, SECRET.to_string(), handler).await;
         });
         self.machines.insert(place, Machine { process, node });
     }
@@ -196,7 +197,7 @@
         self.nodes().into_iter().find(|node| node.leading_term().is_some())
     }
 
-    /// Whoever claims the newest term.
+    /// The replica that claims leadership in the newest term.
     fn claimant(&self) -> Option<Node> {
         let claimants = self.nodes().into_iter().filter(|node| node.claimed_term().is_some());
         claimants.max_by_key(|node| node.claimed_term())
@@ -209,28 +210,28 @@
     fn propose(&self, to: Node, bytes: usize) {
         let acknowledged = self.acknowledged.clone();
         let client = self.world.start_process("client", 0, 0);
-        // Bytes that the encoding cannot make fewer.
+        // Random bytes, which the encoding cannot compress.
         let command: Vec<u8> = (0..bytes / 8).flat_map(|_| self.world.random().to_le_bytes()).collect();
         self.world.spawn(&client, async move {
-            // One that is refused or undecided is not counted.
+            // Failed proposals are not counted.
             if to.propose(command).await.is_ok() {
                 acknowledged.set(acknowledged.get() + 1);
             }
         });
     }
 
-    /// Proposes to whoever claims to lead, for `time`.
+    /// Proposes to the replica that claims leadership, for `time`.
     fn propose_for(&mut self, time: Duration) {
         let until = self.world.clock.now() + time;
         while self.world.clock.now() < until {
             if let Some(claimant) = self.claimant() {
                 self.propose(claimant, 1_000);
             }
-            self.run_for(PROPOSAL_PAUSE);
+            self.run_for(PROPOSAL_INTERVAL);
         }
     }
 
-    /// Machine 3 misses so many entries of 8 KB; 4 and 5 do not lead.
+    /// Stops machine 3 while `entries` entries of 8 KB are proposed.
     fn leave_one_behind(&mut self, entries: u64) {
         self.kill(3);
         for _ in 0..entries {
@@ -242,118 +243,118 @@
         self.run_for(Duration::from_millis(500));
     }
 
-    /// All lose power; 4 and 5 lose their disks and stay away. The others start 100 ms apart, with the trouble.
-    fn lose_power(&mut self, trouble: Trouble) {
+    /// All machines lose power, and 4 and 5 do not restart. The others start 100 ms apart with the faults.
+    fn lose_power(&mut self, faults: Faults) {
         (1..=5).for_each(|place| self.kill(place));
         self.run_for(Duration::from_secs(1));
-        self.world.network.set_trouble(trouble.links);
+        self.world.network.set_link_faults(faults.links);
         for place in 1..=3 {
-            self.world.disks.set_slow(&format!("machine-{place}"), trouble.sync * 2 / 3);
+            self.world.disks.set_slow(&format!("machine-{place}"), faults.sync * 2 / 3);
             self.start(place);
             self.run_for(Duration::from_millis(100));
         }
     }
 
-    /// Waits for a leader that lasts.
-    fn search(&mut self) -> Fared {
+    /// Waits for a stable leader.
+    fn search(&mut self) -> RunResult {
         let began = self.world.clock.now();
         let first_term = self.newest_claim();
         let mut newest_term = first_term;
         let mut claims = 0;
         let (mut claim, mut since) = (None, began);
-        let (mut leased, mut looks, mut committed_before) = (0, 0, 0);
-        while self.world.clock.now() < began + GIVEN_UP {
+        let (mut leased, mut observations, mut committed_before) = (0, 0, 0);
+        while self.world.clock.now() < began + SEARCH_TIMEOUT {
             let now_claimed = self.claimant().and_then(|node| node.claimed_term().map(|term| (term, node.id())));
             if now_claimed != claim {
                 claim = now_claimed;
                 claims += u64::from(claim.is_some());
-                looks = 0;
+                observations = 0;
             }
-            // Nobody can serve before its first commit.
-            if looks == 0 {
+            // Measures from when the leader first holds the lease.
+            if observations == 0 {
                 since = self.world.clock.now();
                 (leased, committed_before) = (0, self.acknowledged.get());
             }
             newest_term = newest_term.max(self.newest_claim());
             let is_leased = self.leader().is_some();
-            looks += u64::from(looks > 0 || is_leased);
+            observations += u64::from(observations > 0 || is_leased);
             leased += u64::from(is_leased);
             let committed = self.acknowledged.get() - committed_before;
-            if looks > 0 && self.world.clock.now() >= since + LASTING && committed > 0 {
-                let leased_percent = leased * 100 / looks;
-                return Fared { searched: Some(since - began), terms: claims, leased_percent, committed };
+            if observations > 0 && self.world.clock.now() >= since + STABLE_AFTER && committed > 0 {
+                let leased_percent = leased * 100 / observations;
+                return RunResult { searched: Some(since - began), terms: claims, leased_percent, committed };
             }
-            self.propose_for(PROPOSAL_PAUSE);
+            self.propose_for(PROPOSAL_INTERVAL);
         }
-        Fared { searched: None, terms: claims, leased_percent: 0, committed: 0 }
+        RunResult { searched: None, terms: claims, leased_percent: 0, committed: 0 }
     }
 }
 
-fn fares(seed: u64, trouble: Trouble) -> Fared {
+fn run_seed(seed: u64, faults: Faults) -> RunResult {
     let mut group = Group::formed(seed);
     group.propose_for(Duration::from_secs(1));
-    if trouble.entries_behind > 0 {
-        group.leave_one_behind(trouble.entries_behind);
+    if faults.entries_behind > 0 {
+        group.leave_one_behind(faults.entries_behind);
     }
-    group.lose_power(trouble);
+    group.lose_power(faults);
     group.search()
 }
 
-/// Plays all seeds, prints a row of the table in `docs/design/leader-elections.md`, and holds each to the bound. A leader
-/// without its lease lasts, but serves nobody: it must hold it for `least_leased` percent of its first seconds, on average.
-fn check(what: &str, trouble: Trouble, least_leased: u64) {
-    check_within(LONGEST_SEARCH, what, trouble, least_leased);
+/// Runs all seeds, prints a row of the table in `docs/design/leader-elections.md`, and checks that each finds a stable
+/// leader in time, and that leaders hold the lease for `least_leased` percent of `STABLE_AFTER` on average.
+fn check(what: &str, faults: Faults, least_leased: u64) {
+    check_within(SEARCH_LIMIT, what, faults, least_leased);
 }
 
-/// Plays every seed, some at a time: each has a world of its own, and the order is that of the seeds.
-fn play_all(trouble: Trouble) -> Vec<Fared> {
+/// Runs all seeds on several threads; the results are in the order of the seeds.
+fn run_all(faults: Faults) -> Vec<RunResult> {
     let seeds: Vec<u64> = SEEDS.collect();
     let share = seeds.len().div_ceil(THREADS);
     std::thread::scope(|scope| {
-        let play = |seeds: &[u64]| seeds.iter().map(|seed| fares(*seed, trouble)).collect::<Vec<Fared>>();
-        let threads: Vec<_> = seeds.chunks(share).map(|seeds| scope.spawn(move || play(seeds))).collect();
-        threads.into_iter().flat_map(|thread| thread.join().expect("a seed is played to its end")).collect()
+        let run_seeds = |seeds: &[u64]| seeds.iter().map(|seed| run_seed(*seed, faults)).collect::<Vec<RunResult>>();
+        let threads: Vec<_> = seeds.chunks(share).map(|seeds| scope.spawn(move || run_seeds(seeds))).collect();
+        threads.into_iter().flat_map(|thread| thread.join().expect("the thread did not panic")).collect()
     })
 }
 
-/// Like `check`, with another bound.
-fn check_within(longest_search: Duration, what: &str, trouble: Trouble, least_leased: u64) {
-    let fared = play_all(trouble);
-    let mut searches: Vec<Duration> = fared.iter().filter_map(|fared| fared.searched).collect();
+/// Like `check`, with another time limit.
+fn check_within(longest_search: Duration, what: &str, faults: Faults, least_leased: u64) {
+    let results = run_all(faults);
+    let mut searches: Vec<Duration> = results.iter().filter_map(|result| result.searched).collect();
     searches.sort_unstable();
-    let count = fared.len() as u64;
-    let mean = |value: fn(&Fared) -> u64| fared.iter().map(value).sum::<u64>() / count;
+    let count = results.len() as u64;
+    let mean = |value: fn(&RunResult) -> u64| results.iter().map(value).sum::<u64>() / count;
     println!(
         "| {what} | {} of {count} | {:.1} | {:.1} | {} | {} | {} |",
         searches.len(),
         searches.get(searches.len() / 2).copied().unwrap_or_default().as_secs_f64(),
         searches.last().copied().unwrap_or_default().as_secs_f64(),
-        fared.iter().map(|fared| fared.terms).max().unwrap_or_default(),
-        mean(|fared| fared.leased_percent),
-        mean(|fared| fared.committed),
+        results.iter().map(|result| result.terms).max().unwrap_or_default(),
+        mean(|result| result.leased_percent),
+        mean(|result| result.committed),
     );
-    let late = |fared: &&Fared| fared.searched.is_none_or(|searched| searched > longest_search);
-    let late: Vec<&Fared> = fared.iter().filter(late).collect();
+    let late = |result: &&RunResult| result.searched.is_none_or(|searched| searched > longest_search);
+    let late: Vec<&RunResult> = results.iter().filter(late).collect();
     assert!(
         late.is_empty(),
-        "{what}: {} of {count} found no lasting leader in {longest_search:?}: {late:?}",
+        "{what}: {} of {count} had no stable leader within {longest_search:?}: {late:?}",
         late.len()
     );
-    let leased = mean(|fared| fared.leased_percent);
+    let leased = mean(|result| result.leased_percent);
     assert!(leased >= least_leased, "{what}: leaders held the lease for {leased} % of the time");
 }
 
-fn syncs_of(milliseconds: u64) -> Trouble {
-    Trouble { sync: Duration::from_millis(milliseconds), ..Trouble::default() }
+fn syncs_of(milliseconds: u64) -> Faults {
+    Faults { sync: Duration::from_millis(milliseconds), ..Faults::default() }
 }
 
-fn losing(per_mille: u64) -> Trouble {
-    Trouble { links: LinkTrouble { lost_per_mille: per_mille, ..LinkTrouble::default() }, ..Trouble::default() }
+fn losing(per_mille: u64) -> Faults {
+    Faults { links: LinkFaults { lost_per_mille: per_mille, ..LinkFaults::default() }, ..Faults::default() }
 }
 
 #[test]
 fn a_leader_lasts_where_nothing_is_slow() {
-    check("nothing slow", Trouble::default(), 99);
+    check("nothing slow", Faults::default(), 99);
 }
 
 #[test]
@@ -386,10 +387,10 @@
     check("links lose 0.2", losing(200), 40);
 }
 
-/// One voter lacks so many entries of 8 KB, and links carry 250 KB/s: 30 entries a second.
-fn behind(entries: u64) -> Trouble {
-    let links = LinkTrouble { bytes_per_second: 250_000, ..LinkTrouble::default() };
-    Trouble { links, entries_behind: entries, ..Trouble::default() }
+/// One voter lacks `entries` entries of 8 KB, and links have a bandwidth of 250 KB/s.
+fn behind(entries: u64) -> Faults {
+    let links = LinkFaults { bytes_per_second: 250_000, ..LinkFaults::default() };
+    Faults { links, entries_behind: entries, ..Faults::default() }
 }
 
 #[test]
@@ -397,7 +398,7 @@
     check("one 2 MB behind, 250 KB/s", behind(250), 95);
 }
 
-/// Nothing can be committed before all has been carried, which takes 33 s.
+/// Nothing can be committed before the voter has caught up, which takes 33 s.
 #[test]
 fn a_leader_lasts_while_one_voter_is_sent_8_mb_at_250_kb_a_second() {
     check_within(Duration::from_secs(38), "one 8 MB behind, 250 KB/s", behind(1_000), 95);
@@ -405,28 +406,28 @@
 
 #[test]
 fn a_leader_lasts_where_connections_take_250_to_400_ms_to_open() {
-    let links = LinkTrouble {
+    let links = LinkFaults {
         connect_delay: Duration::from_millis(250),
         connect_jitter: Duration::from_millis(150),
-        ..LinkTrouble::default()
+        ..LinkFaults::default()
     };
-    check("connects of 250 to 400 ms", Trouble { links, ..Trouble::default() }, 95);
+    check("connects of 250 to 400 ms", Faults { links, ..Faults::default() }, 95);
 }
 
 #[test]
 fn a_leader_lasts_where_disks_are_slow_and_links_lose_frames() {
-    let links = LinkTrouble {
+    let links = LinkFaults {
         lost_per_mille: 100,
         connect_delay: Duration::from_millis(100),
         connect_jitter: Duration::from_millis(200),
-        ..LinkTrouble::default()
+        ..LinkFaults::default()
     };
-    check("syncs of 250 ms, links lose 0.1, connects of 100 to 300 ms", Trouble { links, ..syncs_of(250) }, 40);
+    check("syncs of 250 ms, links lose 0.1, connects of 100 to 300 ms", Faults { links, ..syncs_of(250) }, 40);
 }
 
-/// What ten calm seconds of five voters cost: the whole group's frames, bytes between zones and syncs.
+/// Limits the frames, bytes and syncs of the whole group in 10 s without faults.
 #[test]
-fn a_calm_group_sends_and_syncs_no_more_than_its_appends() {
+fn a_group_without_faults_sends_and_syncs_no_more_than_its_appends() {
     let mut group = Group::formed(1);
     group.run_for(Duration::from_secs(2));
     let ((frames_before, bytes_before), syncs_before) =
--- a/crates/simulator/tests/ended_jobs.rs
+++ b/crates/simulator/tests/ended_jobs.rs
@@ -1,9 +1,7 @@
-//! A job that has ended stays known for as long as it may be sent again: the same identifier never runs twice.
+//! The record of an ended job is kept for as long as the job may be retried, so that a job never runs twice.
 //!
-//! Open. An ended job is forgotten by the time of day in the log, which is that of whoever leads, and which never goes back. After a
-//! leader whose time of day is an hour ahead has taken one more job, every job that has ended is forgotten, however lately. One that
-//! is sent again, as its answer was lost, is taken for a new one and runs again. The log's entries have one leader's time only: a
-//! group that was down for an hour looks the same.
+//! Known fault: these records expire by the wall clock of the leader, which the log carries. A leader whose wall clock
+//! is an hour ahead expires all of them with the next job that it accepts, and a retried job then runs again.
 
 mod control_group;
 
@@ -21,8 +19,8 @@
 
 const HOUR_MS: i64 = 3_600_000;
 
-/// Time limit of one request.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn job(name: &str) -> JobSubmission {
     let item = JobItem {
@@ -47,28 +45,28 @@
     }
 }
 
-fn ask(deployment: &mut Deployment, request: GatewayRequest) -> Result<GatewayReply, GatewayError> {
+fn send_request(deployment: &mut Deployment, request: GatewayRequest) -> Result<GatewayReply, GatewayError> {
     let process = deployment.world.start_process("caller", 0, 0);
     let runtime = SimRuntime { world: deployment.world.clone(), process: process.clone() };
-    let answer = Rc::new(RefCell::new(None));
-    let told = answer.clone();
+    let reply = Rc::new(RefCell::new(None));
+    let result = reply.clone();
     deployment.world.spawn(&process, async move {
         let control = ControlClient::new(runtime, &named(), SECRET);
-        *told.borrow_mut() = Some(control.gateway(request, LIMIT, LIMIT).await);
+        *result.borrow_mut() = Some(control.gateway(request, REQUEST_TIMEOUT, REQUEST_TIMEOUT).await);
     });
-    let until = deployment.world.clock.now() + LIMIT;
-    while answer.borrow().is_none() && deployment.world.clock.now() < until + LIMIT {
+    let until = deployment.world.clock.now() + REQUEST_TIMEOUT;
+    while reply.borrow().is_none() && deployment.world.clock.now() < until + REQUEST_TIMEOUT {
         deployment.run_for(Duration::from_millis(20));
     }
-    answer.take().expect("a request is answered in time")
+    reply.take().expect("a request is answered in time")
 }
 
 fn open_jobs(deployment: &Deployment) -> Vec<JobId> {
-    let leader = deployment.leader().expect("the group is led");
+    let leader = deployment.leader().expect("there is a leader");
     leader.read_applied(|state| state.jobs.open().map(|(id, _)| id.clone()).collect())
 }
 
-/// Every replica ends and starts again, with a time of day that is off by `clock_error` milliseconds.
+/// Restarts every replica with a wall clock offset of `clock_error` milliseconds.
 fn restart_all(deployment: &mut Deployment, clock_error: i64) {
     for place in 1..=REPLICAS {
         deployment.replicas.remove(&place).expect("it runs").process.kill();
@@ -79,17 +77,18 @@
     deployment.run_for(Duration::from_secs(3));
 }
 
-/// Ends a job, has the time of day go wrong by `clock_error`, takes another job, and sends the first one again.
+/// Ends a job, restarts the replicas with the clock offset, submits another job and retries the first. Returns whether
+/// it is open again.
 fn is_run_again(seed: u64, clock_error: i64) -> bool {
     let mut deployment = Deployment::start(seed);
     let first = JobId("first".to_string());
     let done = Ok(GatewayReply::Done);
-    assert_eq!(ask(&mut deployment, GatewayRequest::SubmitJob(job("first"))), done);
+    assert_eq!(send_request(&mut deployment, GatewayRequest::SubmitJob(job("first"))), done);
     let end = GatewayRequest::EndJob { job: first.clone(), caller: Caller::Anyone };
-    assert_eq!(ask(&mut deployment, end), done);
+    assert_eq!(send_request(&mut deployment, end), done);
     restart_all(&mut deployment, clock_error);
-    assert_eq!(ask(&mut deployment, GatewayRequest::SubmitJob(job("second"))), done);
-    let _ = ask(&mut deployment, GatewayRequest::SubmitJob(job("first")));
+    assert_eq!(send_request(&mut deployment, GatewayRequest::SubmitJob(job("second"))), done);
+    let _ = send_request(&mut deployment, GatewayRequest::SubmitJob(job("first")));
     open_jobs(&deployment).contains(&first)
 }
 
--- a/crates/simulator/tests/followers.rs
+++ b/crates/simulator/tests/followers.rs
@@ -1,6 +1,6 @@
-//! Relays that ask replicas which do not lead, in virtual time over many seeds: such a replica stands still, is cut off from
-//! the leader, dies, or the leader does. No relay may act on what it was told for longer than the lease allows, counted from
-//! the moment at which the leader's state was still so; and news arrive.
+//! Relays that follow the state through followers: a follower is frozen, partitioned from the leader or killed, or the
+//! leader is killed. Updates arrive, and no relay acts on a state for longer than the lease, counted from when the
+//! leader confirmed that state.
 
 use futures::executor::LocalPool;
 use saddlerelay_control::config::ControlConfig;
@@ -28,15 +28,15 @@
 const SECRET: &str = "a secret of sixteen signs";
 const REPLICAS: u8 = 5;
 const RELAYS: u8 = 12;
-/// Few enough for every relay to know each.
+/// Few enough that every relay receives all of them.
 const ENGINES: u8 = 30;
-/// The lease as `ControlConfig` has it by itself.
+/// Default of `ControlConfig::follow_lease`.
 const LEASE: Duration = Duration::from_millis(1_700);
-/// From a commit to the last relay, where nothing stands still: a question of a replica, a question of a relay, and news
-/// gathered at both.
-const NEWS_TIME: Duration = Duration::from_millis(450);
-/// Until a group without its leader, and without a replica that relays ask, has told every relay again.
-const RECOVERY: Duration = Duration::from_secs(6);
+/// Time limit from a commit to the last relay without faults: a request of the follower and one of the relay, with
+/// batching at both.
+const PROPAGATION_LIMIT: Duration = Duration::from_millis(450);
+/// Time limit for every relay to have a lease again after the loss of the leader or a follower.
+const RECOVERY_LIMIT: Duration = Duration::from_secs(6);
 
 type Node = ControlNode<SimRuntime, SimBackends>;
 
@@ -48,8 +48,8 @@
 struct Relay {
     process: Rc<Process>,
     view: Rc<RefCell<View>>,
-    /// Answers of replicas that do not lead.
-    told_by_followers: Rc<Cell<u64>>,
+    /// Number of responses from followers.
+    follower_responses: Rc<Cell<u64>>,
 }
 
 struct Deployment {
@@ -105,7 +105,7 @@
         for place in 1..=REPLICAS {
             let replica = deployment.replicas[&place].node.borrow().as_ref().expect("it runs").replica().id();
             let name = format!("replica-{place}");
-            // Two in the south, where every third relay is.
+            // Two replicas are in the zone of every third relay.
             let zone = if place > 3 { "south" } else { "north" }.to_string();
             let record = StoreRecord { name, replica, address: address(place), zone };
             deployment.commit(GatewayCommand::RegisterStore(record));
@@ -128,8 +128,8 @@
             secret: SECRET.to_string(),
             config: ReplicationConfig { target_voters: 5, ..ReplicationConfig::default() },
         };
-        let nowhere: SocketAddr = ([10, 0, 9, 9], 1).into();
-        let backends = SimBackends { platform: runtime.clone(), scorer: nowhere, machine_list: nowhere };
+        let unused_address: SocketAddr = ([10, 0, 9, 9], 1).into();
+        let backends = SimBackends { platform: runtime.clone(), scorer: unused_address, machine_list: unused_address };
         let instance_silence = Duration::from_secs(600);
         let config = ControlConfig { leader_relays: 0, instance_silence, ..ControlConfig::default() };
         assert_eq!(config.follow_lease, LEASE);
@@ -148,9 +148,9 @@
         let process = self.world.start_process(&format!("relay-{number}"), 0, 0);
         let runtime = SimRuntime { world: self.world.clone(), process: process.clone() };
         let view = Rc::new(RefCell::new(View::default()));
-        let told_by_followers = Rc::new(Cell::new(0));
-        self.world.spawn(&process, follow(runtime, number, view.clone(), told_by_followers.clone()));
-        self.relays.push(Relay { process, view, told_by_followers });
+        let follower_responses = Rc::new(Cell::new(0));
+        self.world.spawn(&process, follow(runtime, number, view.clone(), follower_responses.clone()));
+        self.relays.push(Relay { process, view, follower_responses });
     }
 
     fn run_for(&mut self, time: Duration) {
@@ -175,17 +175,17 @@
         }
     }
 
-    /// Commits a command; returns when it was committed.
+    /// Commits a command; returns the time of the commit.
     fn commit(&mut self, command: GatewayCommand) -> Duration {
         self.await_leader();
-        let (_, node) = self.leader().expect("it is led");
+        let (_, node) = self.leader().expect("there is a leader");
         let done = Rc::new(Cell::new(None));
-        let told = done.clone();
+        let result = done.clone();
         let clock = self.world.clock.clone();
         let process = self.world.start_process("operator", 0, 0);
         self.world.spawn(&process, async move {
             if node.commit_gateway(command).await.is_ok() {
-                told.set(Some(clock.now()));
+                result.set(Some(clock.now()));
             }
         });
         for _ in 0..100 {
@@ -197,7 +197,7 @@
         panic!("it was not committed");
     }
 
-    /// Relays that may send to an engine at this moment.
+    /// Relays that may send requests to an engine now.
     fn senders(&self, engine: &InstanceId) -> Vec<usize> {
         let now = self.world.clock.now();
         let may_send = |relay: &Relay| {
@@ -207,7 +207,7 @@
         (0..self.relays.len()).filter(|index| may_send(&self.relays[*index])).collect()
     }
 
-    /// Relays that may act at this moment, but on an older document than `version`.
+    /// Number of relays with a lease and an older routing document than `version`.
     fn behind(&self, version: u64) -> usize {
         let now = self.world.clock.now();
         let behind = |relay: &&Relay| {
@@ -222,7 +222,7 @@
         self.relays.iter().filter(|relay| relay.view.borrow().is_leased(now)).count()
     }
 
-    /// A replica that does not lead.
+    /// A random follower.
     fn some_follower(&self) -> u8 {
         let leader = self.leader().map(|(place, _)| place);
         let others: Vec<u8> = self.replicas.keys().copied().filter(|place| Some(*place) != leader).collect();
@@ -230,16 +230,16 @@
     }
 }
 
-async fn follow(runtime: SimRuntime, number: u8, view: Rc<RefCell<View>>, told_by_followers: Rc<Cell<u64>>) {
+async fn follow(runtime: SimRuntime, number: u8, view: Rc<RefCell<View>>, follower_responses: Rc<Cell<u64>>) {
     let replicas: Vec<SocketAddr> = (1..=REPLICAS).map(address).collect();
     let control = ControlClient::new(runtime.clone(), &replicas, SECRET);
     let incarnation = Incarnation(runtime.random());
     let follower = NamedFollower::default();
     let limit = Duration::from_millis(650);
     loop {
-        let asked_at = runtime.monotonic();
-        let named = follower.address(asked_at);
-        let question = GatewayRequest::Follow(FollowRequest {
+        let requested_at = runtime.monotonic();
+        let named = follower.address(requested_at);
+        let follow_request = GatewayRequest::Follow(FollowRequest {
             relay: format!("relay-{number}"),
             zone: if number.is_multiple_of(3) { "south" } else { "north" }.to_string(),
             routing_version: view.borrow().update_base(),
@@ -251,14 +251,14 @@
             suspicion_revision: 0,
         });
         let answer = match named {
-            Some(address) => control.gateway_at(address, question, limit).await,
-            None => control.gateway(question, limit, limit).await.ok(),
+            Some(address) => control.gateway_at(address, follow_request, limit).await,
+            None => control.gateway(follow_request, limit, limit).await.ok(),
         };
         match answer {
             Some(GatewayReply::Followed(reply)) => {
-                told_by_followers.set(told_by_followers.get() + u64::from(named.is_some()));
+                follower_responses.set(follower_responses.get() + u64::from(named.is_some()));
                 follower.name(reply.follower);
-                view.borrow_mut().take(reply, asked_at, 0.0);
+                view.borrow_mut().take(reply, requested_at, 0.0);
             }
             _ => {
                 if let Some(address) = named {
@@ -275,34 +275,37 @@
 }
 
 #[test]
-fn relays_are_told_by_replicas_that_do_not_lead_and_news_arrive() {
+fn relays_receive_updates_from_followers() {
     for_each_seed(|seed, mut deployment| {
         assert_eq!(deployment.leased(), usize::from(RELAYS), "seed {seed}");
         for relay in &deployment.relays {
-            assert!(relay.told_by_followers.get() > 2, "seed {seed}: a relay asks the leader");
+            assert!(
+                relay.follower_responses.get() > 2,
+                "seed {seed}: a relay received too few responses from followers"
+            );
         }
         let leaving = engine(7).id;
         assert_eq!(deployment.senders(&leaving).len(), usize::from(RELAYS));
         deployment.commit(GatewayCommand::ReportInstances(vec![InstanceReport { leaving: true, ..engine(7) }]));
         deployment.commit(GatewayCommand::PutRouting(document(2)));
-        deployment.run_for(NEWS_TIME);
+        deployment.run_for(PROPAGATION_LIMIT);
         assert_eq!((deployment.senders(&leaving), deployment.behind(2)), (Vec::new(), 0), "seed {seed}");
     });
 }
 
-/// The lease of a relay counts from when the leader confirmed the state that it was told of, not from when it was told.
+/// A relay's lease starts when the leader confirmed the state, not when the relay received it.
 #[test]
-fn no_relay_acts_on_what_was_true_longer_ago_than_the_lease_whatever_stands_still() {
+fn no_relay_acts_on_a_state_older_than_the_lease() {
     for_each_seed(|seed, mut deployment| {
         for round in 0..6_u8 {
             let place = deployment.some_follower();
             let follower = deployment.replicas[&place].process.clone();
-            // It stands still, or hears nothing of the others but is heard by relays, from a little before the change.
+            // Before the change the follower is frozen, or its inbound traffic is blocked while relays still reach it.
             let frozen = deployment.world.random() % 2 == 0;
             if frozen {
                 follower.freeze()
             } else {
-                deployment.world.network.deafen(place.into())
+                deployment.world.network.block_inbound(place.into())
             }
             let pause = deployment.world.jitter(Duration::from_millis(700));
             deployment.run_for(pause);
@@ -311,16 +314,16 @@
             deployment.commit(GatewayCommand::PutRouting(document(version)));
             let committed_at = deployment
                 .commit(GatewayCommand::ReportInstances(vec![InstanceReport { leaving: true, ..engine.clone() }]));
-            let woken_after = deployment.world.jitter(Duration::from_millis(2_500));
-            let mut awake = false;
+            let resume_after = deployment.world.jitter(Duration::from_millis(2_500));
+            let mut resumed = false;
             while deployment.world.clock.now() < committed_at + LEASE + Duration::from_secs(2) {
-                if !awake && deployment.world.clock.now() >= committed_at + woken_after {
-                    awake = true;
+                if !resumed && deployment.world.clock.now() >= committed_at + resume_after {
+                    resumed = true;
                     if frozen { follower.thaw() } else { deployment.world.network.heal(place.into()) }
                 }
                 if deployment.world.clock.now() > committed_at + LEASE {
                     let senders = deployment.senders(&engine.id);
-                    assert!(senders.is_empty(), "seed {seed}, round {round}: {senders:?} act on an old state");
+                    assert!(senders.is_empty(), "seed {seed}, round {round}: {senders:?} act on a stale state");
                     assert_eq!(
                         deployment.behind(version),
                         0,
@@ -331,27 +334,28 @@
             }
             deployment.run_for(Duration::from_secs(1));
         }
-        deployment.run_for(RECOVERY);
+        deployment.run_for(RECOVERY_LIMIT);
         assert_eq!(deployment.leased(), usize::from(RELAYS), "seed {seed}");
     });
 }
 
 #[test]
-fn relays_go_on_when_the_replica_they_ask_or_the_leader_dies() {
+fn relays_recover_from_the_loss_of_a_follower_or_the_leader() {
     for_each_seed(|seed, mut deployment| {
-        let place = if seed % 2 == 0 { deployment.some_follower() } else { deployment.leader().expect("it is led").0 };
+        let place =
+            if seed % 2 == 0 { deployment.some_follower() } else { deployment.leader().expect("there is a leader").0 };
         deployment.replicas[&place].process.kill();
         deployment.replicas.remove(&place);
-        deployment.run_for(RECOVERY);
+        deployment.run_for(RECOVERY_LIMIT);
         assert_eq!(deployment.leased(), usize::from(RELAYS), "seed {seed}");
-        let told: Vec<u64> = deployment.relays.iter().map(|relay| relay.told_by_followers.get()).collect();
+        let responses_before: Vec<u64> = deployment.relays.iter().map(|relay| relay.follower_responses.get()).collect();
         let leaving = engine(9);
         deployment.commit(GatewayCommand::ReportInstances(vec![InstanceReport { leaving: true, ..leaving.clone() }]));
-        deployment.run_for(NEWS_TIME);
+        deployment.run_for(PROPAGATION_LIMIT);
         assert_eq!(deployment.senders(&leaving.id), Vec::<usize>::new(), "seed {seed}");
         deployment.run_for(Duration::from_secs(2));
-        for (relay, before) in deployment.relays.iter().zip(told) {
-            assert!(relay.process.is_alive() && relay.told_by_followers.get() > before, "seed {seed}");
+        for (relay, before) in deployment.relays.iter().zip(responses_before) {
+            assert!(relay.process.is_alive() && relay.follower_responses.get() > before, "seed {seed}");
         }
     });
 }
