--- a/crates/simulator/tests/granted_rights.rs
+++ b/crates/simulator/tests/granted_rights.rs
@@ -1,5 +1,5 @@
-//! What relays are granted in the log, claims of keyed requests and samples, when the relay ends, comes back, stands still,
-//! or cannot give it back: nobody waits for it longer than the group takes to notice, in virtual time over some seeds.
+//! Grants to relays in the log (claims of keyed requests, and samples) when the relay is killed, restarted or frozen,
+//! or cannot release them: they become available again within the group's detection time.
 
 use futures::executor::LocalPool;
 use saddlerelay_checker::record::Record;
@@ -21,48 +21,48 @@
 
 const SEEDS: std::ops::Range<u64> = 0..4;
 
-/// Virtual time for a test's task.
+/// Virtual time limit of a task.
 const LIMIT: Duration = Duration::from_secs(300);
 
-/// From a relay's last renewal to the moment at which the group takes back what it holds: its silence (4 s), the pause
-/// between two looks, a commit, and a waiting caller's next look.
-const NOTICED_WITHIN: Duration = Duration::from_millis(4_800);
+/// Time limit from a relay's last renewal until its grants are revoked and usable: the silence limit (4 s), an expiry
+/// check, a commit and a waiting caller's next poll.
+const DETECTION_LIMIT: Duration = Duration::from_millis(4_800);
 
-/// The same where the leader ends too: its successor is elected first and grants every relay a whole silence.
-const NOTICED_BY_NEW_LEADER_WITHIN: Duration = Duration::from_millis(7_500);
+/// The same if the leader fails too: the new leader is elected first and restarts the silence limit of every relay.
+const DETECTION_LIMIT_WITH_ELECTION: Duration = Duration::from_millis(7_500);
 
-/// From a relay's start under its name to the moment at which what its last start held is taken back.
-const REPLACED_WITHIN: Duration = Duration::from_millis(2_000);
+/// Time limit from a relay's restart until the grants of its previous incarnation are revoked.
+const REVOCATION_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// Until a group that has come back has a leader, which has given every relay a lease.
-const BACK_WITHIN: Duration = Duration::from_secs(8);
+/// Time limit until a restarted group has a leader and every relay has a lease.
+const RECOVERY_LIMIT: Duration = Duration::from_secs(8);
 
-/// A group without a leader, or a step without a scorer, for longer than relays try any one thing.
+/// Outage of the group or the scorer that exceeds all retry periods of relays.
 const LONG_OUTAGE: Duration = Duration::from_secs(80);
 
-/// From a request's arrival until its claim is granted, and well before its relay gives up looking for an engine.
+/// Time until a request's claim is granted, well below the time for which its relay waits for an engine.
 const CLAIM_TIME: Duration = Duration::from_millis(300);
 
-/// Until samples are taken back from a relay that the scorer does not answer, and scored elsewhere: its patience, a call's
-/// limit, and another run.
-const UNSCORED_WITHIN: Duration = Duration::from_secs(60);
+/// Time limit until samples of a relay that cannot reach the scorer are scored elsewhere: the relay's retry period, a
+/// call timeout and another run.
+const RESCORING_LIMIT: Duration = Duration::from_secs(60);
 
-/// The scorer's zone, which has control replicas 0 and 3, and relay 0.
+/// Zone of the scorer, control replicas 0 and 3, and relay 0.
 const SCORER_ZONE: usize = 0;
 const REPLICAS_IN_SCORER_ZONE: [&str; 2] = ["control-0", "control-3"];
 
-/// From the end of every engine until relays are told of no able one.
-const ENGINES_MISSED_WITHIN: Duration = Duration::from_secs(5);
+/// Time limit from the end of all engines until relays have been notified.
+const ENGINE_LOSS_DETECTION_LIMIT: Duration = Duration::from_secs(5);
 
-/// A relay stands still for so long.
+/// Duration of a relay's freeze.
 const FROZEN_FOR: Duration = Duration::from_secs(20);
 
-/// What a sample of the steps here takes on an engine that runs several, with its score and its way to the trainer.
+/// Time for a sample on an engine that runs several, with its scoring and delivery.
 const SAMPLE_TIME: Duration = Duration::from_secs(4);
 
-/// Commands that are proposed at once so that the leader's queue of proposals is full.
+/// Number of concurrent proposals that fill the leader's proposal queue.
 const FLOOD: usize = 17_000;
-/// The queue is filled up again and again for so long, with so many at this pace.
+/// Time for which the queue is kept full by `TOP_UP` proposals every `FLOOD_PAUSE`.
 const FLOOD_TIME: Duration = Duration::from_millis(120);
 const TOP_UP: usize = 600;
 const FLOOD_PAUSE: Duration = Duration::from_micros(100);
@@ -81,9 +81,9 @@
         Self { cluster, world, pool }
     }
 
-    /// Runs a client's task to its end.
+    /// Runs a client's task to completion.
     fn run<T: 'static>(&mut self, task: impl Future<Output = T> + 'static) -> T {
-        let result = begin(&self.cluster, task);
+        let result = spawn_task(&self.cluster, task);
         let limit = self.world.clock.now() + LIMIT;
         assert!(self.world.run(&mut self.pool, limit, || result.borrow().is_some()), "the task did not end");
         result.take().expect("it has ended")
@@ -92,8 +92,8 @@
 
 type Slot<T> = Rc<RefCell<Option<T>>>;
 
-/// Begins a client's task.
-fn begin<T: 'static>(cluster: &Cluster, task: impl Future<Output = T> + 'static) -> Slot<T> {
+/// Starts a client's task; the returned cell receives its result.
+fn spawn_task<T: 'static>(cluster: &Cluster, task: impl Future<Output = T> + 'static) -> Slot<T> {
     let slot: Slot<T> = Rc::default();
     let place = slot.clone();
     cluster.client_platform().spawn(async move {
@@ -116,40 +116,40 @@
     cluster.leader_place().expect("there is a leader")
 }
 
-/// Something that befalls a relay.
+/// A fault of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
-    /// It ends for good.
-    Ends,
-    /// It ends and starts again at once.
-    StartsAgain,
-    /// It stands still for a while.
-    Freezes,
-    /// It ends for good, and the group's leader with it.
-    EndsWithLeader,
+enum RelayFault {
+    /// It is killed and not restarted.
+    Killed,
+    /// It is killed and restarted immediately.
+    Restarted,
+    /// It is frozen for `FROZEN_FOR`.
+    Frozen,
+    /// It is killed together with the group's leader.
+    KilledWithLeader,
 }
 
-impl Trouble {
-    const ALL: [Self; 4] = [Self::Ends, Self::StartsAgain, Self::Freezes, Self::EndsWithLeader];
+impl RelayFault {
+    const ALL: [Self; 4] = [Self::Killed, Self::Restarted, Self::Frozen, Self::KilledWithLeader];
 
-    /// How long others may wait for what the relay held.
-    fn noticed_within(self) -> Duration {
+    /// Time limit until the relay's grants are available to others.
+    fn detection_limit(self) -> Duration {
         match self {
-            Self::Ends | Self::Freezes => NOTICED_WITHIN,
-            Self::StartsAgain => REPLACED_WITHIN,
-            Self::EndsWithLeader => NOTICED_BY_NEW_LEADER_WITHIN,
+            Self::Killed | Self::Frozen => DETECTION_LIMIT,
+            Self::Restarted => REVOCATION_LIMIT,
+            Self::KilledWithLeader => DETECTION_LIMIT_WITH_ELECTION,
         }
     }
 
-    fn befall(self, cluster: &Rc<Cluster>, place: usize) {
+    fn inject(self, cluster: &Rc<Cluster>, place: usize) {
         let name = format!("relay-{place}");
         match self {
-            Self::Ends => kill(cluster, &name),
-            Self::StartsAgain => {
+            Self::Killed => kill(cluster, &name),
+            Self::Restarted => {
                 kill(cluster, &name);
                 cluster.start_relay(place);
             }
-            Self::Freezes => {
+            Self::Frozen => {
                 let (platform, frozen) = (cluster.client_platform(), process(cluster, &name));
                 frozen.freeze();
                 platform.clone().spawn(async move {
@@ -157,7 +157,7 @@
                     frozen.thaw();
                 });
             }
-            Self::EndsWithLeader => {
+            Self::KilledWithLeader => {
                 kill(cluster, &name);
                 kill(cluster, &format!("control-{}", leader(cluster)));
             }
@@ -165,7 +165,7 @@
     }
 }
 
-/// A keyed request of about a second.
+/// A keyed request that takes about a second.
 fn request(cluster: &Cluster, repeatability: Repeatability) -> CallerRequest {
     let tenant = &cluster.deployment.tenants[0];
     CallerRequest {
@@ -185,32 +185,32 @@
     }
 }
 
-/// How often engines have begun `request`.
+/// Number of times that engines have started `request`.
 fn executions(cluster: &Cluster, request: &CallerRequest) -> usize {
     let records = cluster.records.borrow();
     let of_request = |record: &&Record| matches!(record, Record::Execution { prompt, .. } if *prompt == request.prompt);
     records.iter().filter(of_request).count()
 }
 
-/// Asks at relay 0 and returns once an engine runs the request.
-async fn ask_until_begun(cluster: &Rc<Cluster>, request: &CallerRequest) -> Slot<CallerAnswer> {
+/// Sends the request to relay 0 and returns once an engine runs it.
+async fn send_until_running(cluster: &Rc<Cluster>, request: &CallerRequest) -> Slot<CallerAnswer> {
     let platform = cluster.client_platform();
     let (access, first) = (cluster.access(platform.clone()), request.clone());
-    let answer = begin(cluster, async move { access.ask(0, &first).await });
+    let answer = spawn_task(cluster, async move { access.ask(0, &first).await });
     while executions(cluster, request) == 0 {
         platform.sleep(Duration::from_millis(1)).await;
     }
     answer
 }
 
-/// Asks at relay 1; the answer and how long it took to its first token or refusal.
-async fn ask_again(cluster: &Rc<Cluster>, request: &CallerRequest) -> (CallerAnswer, Duration) {
+/// Sends the request to relay 1. Returns the response and the time to its first token or failure.
+async fn send_again(cluster: &Rc<Cluster>, request: &CallerRequest) -> (CallerAnswer, Duration) {
     let platform = cluster.client_platform();
-    let asked_at = platform.monotonic();
+    let sent_at = platform.monotonic();
     let answer = cluster.access(platform.clone()).ask(1, request).await;
     let took = match &answer {
         CallerAnswer::Whole { first_token_after: Some(after), .. } => *after,
-        _ => platform.monotonic() - asked_at,
+        _ => platform.monotonic() - sent_at,
     };
     (answer, took)
 }
@@ -224,61 +224,61 @@
 }
 
 #[test]
-fn a_request_whose_relay_is_lost_is_granted_anew_once_the_group_notices() {
-    for (seed, trouble) in SEEDS.flat_map(|seed| Trouble::ALL.map(|trouble| (seed, trouble))) {
+fn the_claim_of_a_lost_relay_is_granted_again_after_detection() {
+    for (seed, fault) in SEEDS.flat_map(|seed| RelayFault::ALL.map(|fault| (seed, fault))) {
         let mut deployment = Deployment::start(seed);
         let cluster = deployment.cluster.clone();
         let (answer, took) = deployment.run(async move {
             let request = request(&cluster, Repeatability::Repeatable);
-            ask_until_begun(&cluster, &request).await;
-            trouble.befall(&cluster, 0);
-            ask_again(&cluster, &request).await
+            send_until_running(&cluster, &request).await;
+            fault.inject(&cluster, 0);
+            send_again(&cluster, &request).await
         });
-        assert!(is_whole(&answer), "seed {seed}, {trouble:?}: {answer:?}");
-        assert!(took <= trouble.noticed_within(), "seed {seed}, {trouble:?}: waited {took:?}");
+        assert!(is_whole(&answer), "seed {seed}, {fault:?}: {answer:?}");
+        assert!(took <= fault.detection_limit(), "seed {seed}, {fault:?}: waited {took:?}");
     }
 }
 
 #[test]
-fn one_that_must_not_be_repeated_is_refused_once_the_group_notices_and_runs_once() {
-    for (seed, trouble) in SEEDS.flat_map(|seed| Trouble::ALL.map(|trouble| (seed, trouble))) {
+fn a_non_repeatable_request_of_a_lost_relay_is_refused_and_runs_once() {
+    for (seed, fault) in SEEDS.flat_map(|seed| RelayFault::ALL.map(|fault| (seed, fault))) {
         let mut deployment = Deployment::start(seed);
         let cluster = deployment.cluster.clone();
         let (answer, took, runs) = deployment.run(async move {
             let request = request(&cluster, Repeatability::NotRepeatable);
-            ask_until_begun(&cluster, &request).await;
-            trouble.befall(&cluster, 0);
-            let (answer, took) = ask_again(&cluster, &request).await;
-            // A relay that stood still goes on meanwhile.
+            send_until_running(&cluster, &request).await;
+            fault.inject(&cluster, 0);
+            let (answer, took) = send_again(&cluster, &request).await;
+            // Lets a frozen relay resume.
             cluster.client_platform().sleep(FROZEN_FOR).await;
             (answer, took, executions(&cluster, &request))
         });
-        assert!(has_code(&answer, FailureCode::EarlierAttemptLost), "seed {seed}, {trouble:?}: {answer:?}");
-        assert!(took <= trouble.noticed_within(), "seed {seed}, {trouble:?}: waited {took:?}");
-        assert_eq!(runs, 1, "seed {seed}, {trouble:?}");
+        assert!(has_code(&answer, FailureCode::EarlierAttemptLost), "seed {seed}, {fault:?}: {answer:?}");
+        assert!(took <= fault.detection_limit(), "seed {seed}, {fault:?}: waited {took:?}");
+        assert_eq!(runs, 1, "seed {seed}, {fault:?}");
     }
 }
 
 #[test]
-fn an_answer_survives_the_leader_that_granted_its_claim() {
+fn a_response_survives_the_loss_of_the_leader_that_granted_its_claim() {
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
         let cluster = deployment.cluster.clone();
         let (first, (again, took), runs) = deployment.run(async move {
             let request = request(&cluster, Repeatability::NotRepeatable);
-            let first = ask_until_begun(&cluster, &request).await;
+            let first = send_until_running(&cluster, &request).await;
             kill(&cluster, &format!("control-{}", leader(&cluster)));
-            let again = ask_again(&cluster, &request).await;
+            let again = send_again(&cluster, &request).await;
             (first, again, executions(&cluster, &request))
         });
         assert!(is_whole(&again) && first.borrow().as_ref().is_some_and(is_whole), "seed {seed}: {again:?}");
-        assert!(took <= BACK_WITHIN, "seed {seed}: waited {took:?}");
+        assert!(took <= RECOVERY_LIMIT, "seed {seed}: waited {took:?}");
         assert_eq!(runs, 1, "seed {seed}");
     }
 }
 
-/// Ends every control replica, and starts them again after a while.
-async fn lose_group(cluster: &Rc<Cluster>, down: Duration) {
+/// Kills every control replica and restarts all of them after `down`.
+async fn restart_group(cluster: &Rc<Cluster>, down: Duration) {
     let replicas = cluster.deployment.control as usize;
     (0..replicas).for_each(|place| kill(cluster, &format!("control-{place}")));
     cluster.client_platform().sleep(down).await;
@@ -286,27 +286,27 @@
 }
 
 #[test]
-fn an_answer_that_no_leader_could_take_for_long_is_stored_once_there_is_one() {
+fn a_response_is_stored_after_a_long_outage_of_the_group() {
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
         let cluster = deployment.cluster.clone();
         let (first, (again, took), runs) = deployment.run(async move {
             let request = request(&cluster, Repeatability::NotRepeatable);
-            let first = ask_until_begun(&cluster, &request).await;
-            lose_group(&cluster, LONG_OUTAGE).await;
-            cluster.client_platform().sleep(BACK_WITHIN).await;
-            let again = ask_again(&cluster, &request).await;
+            let first = send_until_running(&cluster, &request).await;
+            restart_group(&cluster, LONG_OUTAGE).await;
+            cluster.client_platform().sleep(RECOVERY_LIMIT).await;
+            let again = send_again(&cluster, &request).await;
             (first, again, executions(&cluster, &request))
         });
         assert!(first.borrow().as_ref().is_some_and(is_whole), "seed {seed}: {first:?}");
         assert!(is_whole(&again), "seed {seed}: after {took:?} {again:?}");
-        assert!(took <= REPLACED_WITHIN, "seed {seed}: waited {took:?}");
+        assert!(took <= REVOCATION_LIMIT, "seed {seed}: waited {took:?}");
         assert_eq!(runs, 1, "seed {seed}");
     }
 }
 
 #[test]
-fn a_key_that_no_leader_could_seal_for_long_is_sealed_once_there_is_one() {
+fn a_key_is_sealed_after_a_long_outage_of_the_group() {
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
         let cluster = deployment.cluster.clone();
@@ -314,26 +314,26 @@
             let platform = cluster.client_platform();
             let engines = 0..cluster.engines.len();
             engines.clone().for_each(|place| kill(&cluster, &format!("engine-{place}")));
-            platform.sleep(ENGINES_MISSED_WITHIN).await;
+            platform.sleep(ENGINE_LOSS_DETECTION_LIMIT).await;
             let request = request(&cluster, Repeatability::NotRepeatable);
-            let (access, asked) = (cluster.access(platform.clone()), request.clone());
-            let first = begin(&cluster, async move { access.ask(0, &asked).await });
+            let (access, sent_request) = (cluster.access(platform.clone()), request.clone());
+            let first = spawn_task(&cluster, async move { access.ask(0, &sent_request).await });
             platform.sleep(CLAIM_TIME).await;
-            lose_group(&cluster, LONG_OUTAGE).await;
+            restart_group(&cluster, LONG_OUTAGE).await;
             engines.for_each(|place| cluster.start_engine(place));
-            platform.sleep(BACK_WITHIN).await;
-            let again = ask_again(&cluster, &request).await;
+            platform.sleep(RECOVERY_LIMIT).await;
+            let again = send_again(&cluster, &request).await;
             (first, again, executions(&cluster, &request))
         });
         let undecided = first.borrow().as_ref().is_some_and(|answer| has_code(answer, FailureCode::Undecided));
         assert!(undecided, "seed {seed}: {first:?}");
         assert!(has_code(&again, FailureCode::KeySealed), "seed {seed}: after {took:?} {again:?}");
-        assert!(took <= REPLACED_WITHIN, "seed {seed}: waited {took:?}");
+        assert!(took <= REVOCATION_LIMIT, "seed {seed}: waited {took:?}");
         assert_eq!(runs, 0, "seed {seed}");
     }
 }
 
-/// Keeps the leader's queue of proposals full for a while.
+/// Keeps the leader's proposal queue full for `FLOOD_TIME`.
 async fn flood(cluster: &Rc<Cluster>) {
     let member = cluster.member(&format!("control-{}", leader(cluster))).expect("it was started");
     let Running::Control(node) = member.running else {
@@ -356,27 +356,27 @@
 }
 
 #[test]
-fn an_answer_that_the_group_had_no_room_for_is_stored_once_it_has() {
+fn a_response_is_stored_after_the_proposal_queue_was_full() {
     let mut deployment = Deployment::start(SEEDS.start);
     let cluster = deployment.cluster.clone();
     let (first, (again, took), runs) = deployment.run(async move {
         let request = CallerRequest { max_tokens: 16, ..request(&cluster, Repeatability::NotRepeatable) };
-        let first = ask_until_begun(&cluster, &request).await;
+        let first = send_until_running(&cluster, &request).await;
         flood(&cluster).await;
-        cluster.client_platform().sleep(BACK_WITHIN).await;
-        let again = ask_again(&cluster, &request).await;
+        cluster.client_platform().sleep(RECOVERY_LIMIT).await;
+        let again = send_again(&cluster, &request).await;
         (first, again, executions(&cluster, &request))
     });
     assert!(first.borrow().as_ref().is_some_and(is_whole), "{first:?}");
     assert!(is_whole(&again), "after {took:?} {again:?}");
-    assert!(took <= REPLACED_WITHIN, "waited {took:?}");
+    assert!(took <= REVOCATION_LIMIT, "waited {took:?}");
     assert_eq!(runs, 1);
 }
 
-/// The relay by which the trainer reaches the group.
-const VIA: usize = 2;
+/// The relay that the trainer uses.
+const TRAINER_RELAY: usize = 2;
 
-/// A step of one trainer, handed out to the relays.
+/// A trainer's step whose samples are assigned to the relays.
 struct OpenStep {
     cluster: Rc<Cluster>,
     incarnation: Incarnation,
@@ -389,10 +389,10 @@
         let step = Self { cluster: cluster.clone(), incarnation: Incarnation(1), samples: 64 };
         let access = cluster.access(cluster.client_platform());
         let tenant = cluster.training_tenants()[0].id.clone();
-        access.open_trainer(VIA, &tenant, step.incarnation).await.expect("the trainer opens");
+        access.open_trainer(TRAINER_RELAY, &tenant, step.incarnation).await.expect("the trainer opens");
         let prompts = (0..16).map(|number| format!("prompt {number}")).collect();
         let request = StepRequest { step: StepNumber(1), prompts, group_size: 4, max_tokens: 100 };
-        access.open_step(VIA, &tenant, step.incarnation, &request).await.expect("the step opens");
+        access.open_step(TRAINER_RELAY, &tenant, step.incarnation, &request).await.expect("the step opens");
         while step.running_at_relay(holder) == 0 {
             cluster.client_platform().sleep(Duration::from_millis(1)).await;
         }
@@ -406,15 +406,15 @@
         }
     }
 
-    /// Fetches until the step is whole; returns how long that took.
-    async fn fetch_whole(&self) -> Duration {
+    /// Fetches until all samples of the step have arrived; returns how long that took.
+    async fn fetch_all(&self) -> Duration {
         let platform = self.cluster.client_platform();
         let access = self.cluster.access(platform.clone());
         let tenant = self.cluster.training_tenants()[0].id.clone();
         let from = platform.monotonic();
         let mut cursor = Position(0);
         while (cursor.0 as usize) < self.samples {
-            match access.fetch(VIA, &tenant, self.incarnation, cursor, 16).await {
+            match access.fetch(TRAINER_RELAY, &tenant, self.incarnation, cursor, 16).await {
                 Ok(batch) => cursor = batch.samples.last().map_or(cursor, |sample| sample.position),
                 Err(_) => platform.sleep(Duration::from_millis(20)).await,
             }
@@ -424,31 +424,31 @@
 }
 
 #[test]
-fn samples_of_a_relay_that_is_lost_run_elsewhere_once_the_group_notices() {
-    for (seed, trouble) in SEEDS.flat_map(|seed| Trouble::ALL.map(|trouble| (seed, trouble))) {
+fn samples_of_a_lost_relay_run_elsewhere_after_detection() {
+    for (seed, fault) in SEEDS.flat_map(|seed| RelayFault::ALL.map(|fault| (seed, fault))) {
         let mut deployment = Deployment::start(seed);
         let cluster = deployment.cluster.clone();
         let took = deployment.run(async move {
             let step = OpenStep::open(cluster.clone(), 0).await;
-            trouble.befall(&cluster, 0);
-            step.fetch_whole().await
+            fault.inject(&cluster, 0);
+            step.fetch_all().await
         });
-        let limit = trouble.noticed_within() + SAMPLE_TIME;
-        assert!(took <= limit, "seed {seed}, {trouble:?}: the step was whole after {took:?}");
+        let limit = fault.detection_limit() + SAMPLE_TIME;
+        assert!(took <= limit, "seed {seed}, {fault:?}: the step was whole after {took:?}");
     }
 }
 
 #[test]
-fn samples_that_no_leader_could_take_for_long_are_taken_once_there_is_one() {
+fn samples_are_accepted_after_a_long_outage_of_the_group() {
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
         let cluster = deployment.cluster.clone();
         let took = deployment.run(async move {
             let step = OpenStep::open(cluster.clone(), 0).await;
-            lose_group(&cluster, LONG_OUTAGE).await;
-            step.fetch_whole().await
+            restart_group(&cluster, LONG_OUTAGE).await;
+            step.fetch_all().await
         });
-        assert!(took <= BACK_WITHIN, "seed {seed}: the step was whole after {took:?}");
+        assert!(took <= RECOVERY_LIMIT, "seed {seed}: the step was whole after {took:?}");
     }
 }
 
@@ -459,20 +459,20 @@
         let mut deployment = Deployment::start(seed);
         let cluster = deployment.cluster.clone();
         let took = deployment.run(async move {
-            // The relay that is cut off from the scorer goes on reaching the leader.
+            // Keeps the leader out of the scorer's zone, so that the partitioned relay still reaches it.
             REPLICAS_IN_SCORER_ZONE.iter().for_each(|name| kill(&cluster, name));
-            cluster.client_platform().sleep(BACK_WITHIN).await;
+            cluster.client_platform().sleep(RECOVERY_LIMIT).await;
             let step = OpenStep::open(cluster.clone(), HOLDER).await;
-            cluster.world.network.cut_between(SCORER_ZONE, HOLDER);
-            step.fetch_whole().await
+            cluster.world.network.partition_between(SCORER_ZONE, HOLDER);
+            step.fetch_all().await
         });
-        assert!(took <= UNSCORED_WITHIN, "seed {seed}: the step was whole after {took:?}");
+        assert!(took <= RESCORING_LIMIT, "seed {seed}: the step was whole after {took:?}");
     }
 }
 
-/// Relays that have given their samples back find out that the scorer is there again.
+/// Relays that released their samples must detect that the scorer is available again.
 #[test]
-fn samples_are_scored_soon_after_a_scorer_that_was_gone_for_long_comes_back() {
+fn samples_are_scored_soon_after_a_long_outage_of_the_scorer() {
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
         let cluster = deployment.cluster.clone();
@@ -481,7 +481,7 @@
             kill(&cluster, "scorer");
             cluster.client_platform().sleep(LONG_OUTAGE).await;
             cluster.start_scorer();
-            step.fetch_whole().await
+            step.fetch_all().await
         });
         assert!(took <= SAMPLE_TIME * 3, "seed {seed}: the step was whole after {took:?}");
     }
--- a/crates/simulator/tests/group/mod.rs
+++ b/crates/simulator/tests/group/mod.rs
@@ -1,6 +1,6 @@
-//! A group of replicas of a small state machine, whose machines may be killed, lose power or lose their disks.
+//! A replication group of a small state machine, with machines that can be killed, lose power or lose their disks.
 
-// Each test file uses a part of it.
+// Each test file uses a part of this module.
 #![allow(dead_code)]
 
 use futures::executor::LocalPool;
@@ -23,26 +23,26 @@
 
 const SECRET: &str = "a secret of sixteen signs";
 
-/// Pause between two proposals.
+/// Interval between proposals.
 const PROPOSAL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Every so many proposals one comes with a load of several sectors.
-const HEAVY_EVERY: u64 = 5;
+/// One in this many proposals has a payload of several sectors.
+const LARGE_PAYLOAD_EVERY: u64 = 5;
 
-/// Bytes of such a load.
-const HEAVY_BYTES: usize = 1_700;
+/// Size of such a payload.
+const LARGE_PAYLOAD_BYTES: usize = 1_700;
 
-/// Numbers that are sealed together.
+/// Numbers in a sealed segment.
 const NUMBERS_PER_SEGMENT: usize = 8;
 
-/// Segments that the state refers to; earlier ones expire.
+/// Newest segments that the state refers to; older ones expire.
 const SEGMENTS_KEPT: usize = 4;
 
-/// A command's layout is another one at each level.
-fn encode(number: u64, load: Vec<u8>, level: FeatureLevel) -> Vec<u8> {
+/// Encodes a command; the layout depends on the feature level.
+fn encode(number: u64, payload: Vec<u8>, level: FeatureLevel) -> Vec<u8> {
     match level {
-        FeatureLevel::One => bitcode::encode(&(load, number)),
-        FeatureLevel::Two => bitcode::encode(&(number, load)),
+        FeatureLevel::One => bitcode::encode(&(payload, number)),
+        FeatureLevel::Two => bitcode::encode(&(number, payload)),
     }
 }
 
@@ -54,10 +54,10 @@
     number.expect("a number was proposed")
 }
 
-/// A set of numbers. Whenever enough have come, they also go into a segment.
+/// A set of numbers, which are also sealed into segments of `NUMBERS_PER_SEGMENT`.
 pub struct Numbers {
     level: FeatureLevel,
-    pub held: BTreeSet<u64>,
+    pub applied: BTreeSet<u64>,
     unsealed: Vec<u64>,
     sealed: Vec<Segment>,
     unreleased: BTreeMap<u64, Rc<Vec<u8>>>,
@@ -67,7 +67,7 @@
     fn default() -> Self {
         Self {
             level: FeatureLevel::NEWEST,
-            held: BTreeSet::new(),
+            applied: BTreeSet::new(),
             unsealed: Vec::new(),
             sealed: Vec::new(),
             unreleased: BTreeMap::new(),
@@ -76,7 +76,7 @@
 }
 
 impl Numbers {
-    /// The newest segment that memory no longer holds.
+    /// The newest segment that has been released from memory.
     pub fn newest_released(&self) -> Option<u64> {
         let released = self.segments().into_iter().filter(|segment| !self.unreleased.contains_key(&segment.number));
         released.map(|segment| segment.number).next_back()
@@ -92,7 +92,7 @@
 
     fn apply(&mut self, command: &[u8]) {
         let number = decode(command, self.level);
-        self.held.insert(number);
+        self.applied.insert(number);
         self.unsealed.push(number);
         if self.unsealed.len() >= NUMBERS_PER_SEGMENT {
             let segment = self.sealed.len() as u64;
@@ -103,10 +103,10 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        let (held, unsealed, sealed) = (self.held.clone(), self.unsealed.clone(), self.sealed.clone());
+        let (applied, unsealed, sealed) = (self.applied.clone(), self.unsealed.clone(), self.sealed.clone());
         match self.level {
-            FeatureLevel::One => bitcode::encode(&(sealed, unsealed, held)),
-            FeatureLevel::Two => bitcode::encode(&(held, unsealed, sealed)),
+            FeatureLevel::One => bitcode::encode(&(sealed, unsealed, applied)),
+            FeatureLevel::Two => bitcode::encode(&(applied, unsealed, sealed)),
         }
     }
 
@@ -131,10 +131,10 @@
         self.level = level;
         match level {
             FeatureLevel::One => {
-                (self.sealed, self.unsealed, self.held) = bitcode::decode(bytes).expect("a snapshot can be read");
+                (self.sealed, self.unsealed, self.applied) = bitcode::decode(bytes).expect("a snapshot can be read");
             }
             FeatureLevel::Two => {
-                (self.held, self.unsealed, self.sealed) = bitcode::decode(bytes).expect("a snapshot can be read");
+                (self.applied, self.unsealed, self.sealed) = bitcode::decode(bytes).expect("a snapshot can be read");
             }
         }
         self.unreleased.clear();
@@ -143,15 +143,15 @@
 
 pub type Node = Replica<SimRuntime, Numbers>;
 
-struct Answering {
+struct RequestHandler {
     node: Node,
-    loses_take_overs: Rc<Cell<bool>>,
+    drops_take_over_requests: Rc<Cell<bool>>,
 }
 
-impl Handler for Answering {
+impl Handler for RequestHandler {
     async fn handle(self: Rc<Self>, level: FeatureLevel, body: Vec<u8>) -> Option<Vec<u8>> {
         let request = message_codec::decode_call(&body, level)?;
-        if matches!(request, ReplicaRequest::TakeOver { .. }) && self.loses_take_overs.get() {
+        if matches!(request, ReplicaRequest::TakeOver { .. }) && self.drops_take_over_requests.get() {
             return None;
         }
         let reply = self.node.handle(request, level).await;
@@ -164,28 +164,28 @@
     node: Rc<RefCell<Option<Node>>>,
 }
 
-/// Machines at places from 1 on.
+/// Machines with indexes from 1.
 pub struct Group {
     pub world: Rc<World>,
     pool: LocalPool,
     machines: BTreeMap<u8, Machine>,
     pub config: ReplicationConfig,
     founders: Vec<SocketAddr>,
-    /// The zones of machines that share one; each other machine has its own, of the number of its place.
+    /// Zones of machines that share one; any other machine has the zone of its own index.
     pub zones: BTreeMap<u8, usize>,
-    /// Numbers whose commitment was told to who proposed them.
+    /// Numbers whose commit was acknowledged to the client.
     pub acknowledged: Rc<RefCell<BTreeSet<u64>>>,
-    /// Why replicas refused their files.
+    /// Errors of replicas that failed to open their storage.
     pub refusals: Rc<RefCell<Vec<String>>>,
-    /// Whether no replica hears that it should take over.
-    pub loses_take_overs: Rc<Cell<bool>>,
+    /// Whether replicas drop `TakeOver` requests, which transfer leadership.
+    pub drops_take_over_requests: Rc<Cell<bool>>,
     next: u64,
 }
 
-/// Bytes that do not shrink when they are encoded.
-fn load_of(number: u64) -> Vec<u8> {
+/// Random bytes, which the encoding cannot compress.
+fn random_payload(number: u64) -> Vec<u8> {
     let mut random = fastrand::Rng::with_seed(number);
-    (0..HEAVY_BYTES).map(|_| random.u8(1..)).collect()
+    (0..LARGE_PAYLOAD_BYTES).map(|_| random.u8(1..)).collect()
 }
 
 pub fn name(place: u8) -> String {
@@ -197,7 +197,7 @@
 }
 
 impl Group {
-    /// A group of five voters that takes snapshots often.
+    /// Configures a group of five voters that takes snapshots often.
     pub fn new(seed: u64) -> Self {
         let (world, pool) = World::new(seed);
         world.network.set_delays(12, Duration::from_millis(1), Duration::from_millis(3));
@@ -222,17 +222,17 @@
             zones: BTreeMap::new(),
             acknowledged: Rc::default(),
             refusals: Rc::default(),
-            loses_take_overs: Rc::default(),
+            drops_take_over_requests: Rc::default(),
             next: 0,
         }
     }
 
-    /// A group whose five machines vote.
+    /// Creates a group and waits until its five machines are voters.
     pub fn formed(seed: u64) -> Self {
         Self::new(seed).form()
     }
 
-    /// Starts five machines and waits until they vote.
+    /// Starts five machines and waits until they are voters.
     pub fn form(self) -> Self {
         let mut group = self;
         (1..=3).for_each(|place| group.start(place, true));
@@ -242,7 +242,7 @@
         group
     }
 
-    /// Starts the machine at `place`; with `founding`, as one of the three that form the group.
+    /// Starts the machine at `place`; with `founding`, as one of the three founders of the group.
     pub fn start(&mut self, place: u8, founding: bool) {
         let zone = self.zones.get(&place).copied().unwrap_or(place.into());
         let process = self.world.start_process(&name(place), zone, 0);
@@ -257,7 +257,7 @@
         let node = Rc::new(RefCell::new(None));
         let started = node.clone();
         let refusals = self.refusals.clone();
-        let loses_take_overs = self.loses_take_overs.clone();
+        let drops_take_over_requests = self.drops_take_over_requests.clone();
         self.world.spawn(&process, async move {
             let listener = runtime.listen(options.address).await.expect("the address is free");
             let replica = match Replica::open(runtime.clone(), options, Numbers::default()).await {
@@ -269,13 +269,13 @@
             };
             replica.start();
             *started.borrow_mut() = Some(replica.clone());
-            let handler = Rc::new(Answering { node: replica, loses_take_overs });
+            let handler = Rc::new(RequestHandler { node: replica, drops_take_over_requests });
             saddlerelay_rpc::server::serve(runtime, listener, SECRET.to_string(), handler).await;
         });
         self.machines.insert(place, Machine { process, node });
     }
 
-    /// The process ends; its files stay as it left them.
+    /// Kills the process and keeps its files, including unsynced writes.
     pub fn kill(&mut self, place: u8) {
         if let Some(machine) = self.machines.remove(&place) {
             machine.process.kill();
@@ -283,13 +283,13 @@
         self.world.disks.resume(&name(place));
     }
 
-    /// The machine loses power.
+    /// Kills the process and drops a random part of the unsynced writes.
     pub fn power_off(&mut self, place: u8) {
         self.kill(place);
         self.world.disks.crash(&name(place), || self.world.random());
     }
 
-    /// The machine loses its disk.
+    /// Kills the process and deletes its disk.
     pub fn lose_disk(&mut self, place: u8) {
         self.kill(place);
         self.world.disks.lose(&name(place));
@@ -303,7 +303,7 @@
         self.machines[&place].process.thaw();
     }
 
-    /// Runs until `done`; returns whether that came within `limit`.
+    /// Runs until `done` returns true; returns whether it did within `limit`.
     pub fn run_until(&mut self, limit: Duration, done: impl Fn() -> bool) -> bool {
         let until = self.world.clock.now() + limit;
         let timer = self.world.start_process("timer", 0, 0);
@@ -325,39 +325,39 @@
         self.machines.get(&place)?.node.borrow().clone()
     }
 
-    /// What the replica at `place` answers to a message of another.
-    pub fn ask(&mut self, place: u8, request: ReplicaRequest) -> Option<ReplicaReply> {
+    /// Sends a request to the replica at `place` and returns its reply.
+    pub fn send_request(&mut self, place: u8, request: ReplicaRequest) -> Option<ReplicaReply> {
         let node = self.node(place)?;
         let answer = Rc::new(RefCell::new(None));
-        let told = answer.clone();
+        let result = answer.clone();
         let process = self.machines[&place].process.clone();
         self.world.spawn(&process, async move {
             let reply = node.handle(request, FeatureLevel::NEWEST).await;
-            *told.borrow_mut() = Some(reply);
+            *result.borrow_mut() = Some(reply);
         });
-        let of_run = answer.clone();
-        self.run_until(Duration::from_secs(1), move || of_run.borrow().is_some());
+        let completed = answer.clone();
+        self.run_until(Duration::from_secs(1), move || completed.borrow().is_some());
         answer.take()
     }
 
-    /// Reads a segment so many times at once at a replica; returns how many got it.
-    pub fn read_at_once(&mut self, node: &Node, segment: u64, readers: usize) -> usize {
+    /// Reads a segment concurrently at a replica; returns the number of successful reads.
+    pub fn read_concurrently(&mut self, node: &Node, segment: u64, readers: usize) -> usize {
         let answers = Rc::new(RefCell::new(Vec::new()));
         let process = self.world.start_process("reader", 0, 0);
         for _ in 0..readers {
-            let (node, told) = (node.clone(), answers.clone());
+            let (node, result) = (node.clone(), answers.clone());
             self.world.spawn(&process, async move {
                 let read = node.read_segment(segment).await.is_ok();
-                told.borrow_mut().push(read);
+                result.borrow_mut().push(read);
             });
         }
-        let of_run = answers.clone();
-        self.run_until(Duration::from_secs(2), move || of_run.borrow().len() == readers);
+        let completed = answers.clone();
+        self.run_until(Duration::from_secs(2), move || completed.borrow().len() == readers);
         let answers = answers.borrow();
         answers.iter().filter(|read| **read).count()
     }
 
-    /// Has the machine at `place` hand its leadership over; it goes on running.
+    /// Starts a leadership transfer at the machine at `place`, which keeps running.
     pub fn hand_over(&mut self, place: u8) {
         let (Some(node), Some(machine)) = (self.node(place), self.machines.get(&place)) else {
             return;
@@ -377,13 +377,13 @@
         self.machines.iter().find(|(_, machine)| leads(machine)).map(|(place, _)| *place)
     }
 
-    /// The places whose machines run, without the leader's.
+    /// Indexes of the running machines except the leader.
     pub fn followers(&self) -> Vec<u8> {
-        let led = self.leader_place();
-        self.machines.keys().copied().filter(|place| Some(*place) != led).collect()
+        let leader = self.leader_place();
+        self.machines.keys().copied().filter(|place| Some(*place) != leader).collect()
     }
 
-    /// Proposes the next number to whoever leads.
+    /// Proposes the next number to the leader, if there is one.
     pub fn propose(&mut self) {
         let Some(leader) = self.leader() else {
             return;
@@ -391,17 +391,17 @@
         let number = self.next;
         self.next += 1;
         let acknowledged = self.acknowledged.clone();
-        let load = if number.is_multiple_of(HEAVY_EVERY) { load_of(number) } else { Vec::new() };
+        let payload = if number.is_multiple_of(LARGE_PAYLOAD_EVERY) { random_payload(number) } else { Vec::new() };
         let process = self.world.start_process("client", 0, 0);
         self.world.spawn(&process, async move {
-            // Only what was acknowledged counts.
-            if leader.propose_as(|level| Some(vec![encode(number, load, level)])).await.is_ok() {
+            // Only acknowledged proposals must survive.
+            if leader.propose_as(|level| Some(vec![encode(number, payload, level)])).await.is_ok() {
                 acknowledged.borrow_mut().insert(number);
             }
         });
     }
 
-    /// Proposes numbers until `done`; returns whether that came within `limit`.
+    /// Proposes numbers until `done` returns true; returns whether it did within `limit`.
     pub fn propose_until(&mut self, limit: Duration, done: impl Fn() -> bool) -> bool {
         let until = self.world.clock.now() + limit;
         while self.world.clock.now() < until {
@@ -431,13 +431,13 @@
         view.map_or(0, |view| view.replicas.iter().filter(|replica| replica.voter).count())
     }
 
-    /// The members as whoever leads sees them: each with whether it votes.
+    /// The members in the leader's view, each with whether it is a voter.
     pub fn members(&self) -> Vec<(ReplicaId, bool)> {
         let view = self.leader().and_then(|leader| leader.view());
         view.into_iter().flat_map(|view| view.replicas).map(|replica| (replica.id, replica.voter)).collect()
     }
 
-    /// Runs until the leader has written `changes` further changes of members, or `limit` has passed.
+    /// Runs until the leader's view has changed its members `changes` times, or `limit` has passed.
     pub fn await_member_changes(&mut self, changes: usize, limit: Duration) {
         let Some(leader) = self.leader() else {
             return;
@@ -449,13 +449,13 @@
         let until = self.world.clock.now() + limit;
         for _ in 0..changes {
             let before = members();
-            let left = until.saturating_sub(self.world.clock.now());
-            let seen = &members;
-            self.run_until(left, || seen() != before);
+            let remaining = until.saturating_sub(self.world.clock.now());
+            let current_members = &members;
+            self.run_until(remaining, || current_members() != before);
         }
     }
 
-    /// Waits until so many vote, all of them machines that run.
+    /// Waits until there are `count` voters, all of them running; fails the test after `limit`.
     pub fn await_voters(&mut self, count: usize, limit: Duration, what: &str) {
         let until = self.world.clock.now() + limit;
         loop {
@@ -475,13 +475,13 @@
         }
     }
 
-    /// Nobody refused its files, and whoever leads holds everything that was acknowledged.
+    /// Checks that every replica opened its storage and that the leader has applied all acknowledged numbers.
     pub fn check(&mut self, what: &str) {
         self.await_leader(Duration::from_secs(5), what);
         assert!(self.refusals.borrow().is_empty(), "{what}: refused {:?}", self.refusals.borrow());
-        let held = self.leader().and_then(|leader| leader.read(|numbers| numbers.held.clone()));
-        let held = held.expect("a leader reads");
-        let lost: Vec<u64> = self.acknowledged.borrow().difference(&held).copied().collect();
-        assert!(lost.is_empty(), "{what}: lost {lost:?}");
+        let applied = self.leader().and_then(|leader| leader.read(|numbers| numbers.applied.clone()));
+        let applied = applied.expect("a leader reads");
+        let missing: Vec<u64> = self.acknowledged.borrow().difference(&applied).copied().collect();
+        assert!(missing.is_empty(), "{what}: lost {missing:?}");
     }
 }
--- a/crates/simulator/tests/lease_safety.rs
+++ b/crates/simulator/tests/lease_safety.rs
@@ -1,5 +1,5 @@
-//! What a leader's lease rests on: a replica that has acknowledged a leader votes for nobody else within an election timeout,
-//! and one that votes acknowledges no older leader. One real replica; its two peers are played by the test.
+//! Safety of the leader lease: a replica that acknowledged a leader grants no vote within the election timeout, and one
+//! that voted does not acknowledge an older leader. The test simulates the two peers of one real replica.
 
 use futures::executor::LocalPool;
 use saddlerelay_replication::config::ReplicationConfig;
@@ -21,14 +21,14 @@
 
 const SECRET: &str = "a secret of sixteen signs";
 
-/// How long a played peer takes to answer a candidate.
+/// Delay of a simulated peer's response to a vote request.
 const VOTE_DELAY: Duration = Duration::from_millis(100);
 
 const STEP: Duration = Duration::from_millis(5);
 
-struct Nothing;
+struct EmptyStateMachine;
 
-impl StateMachine for Nothing {
+impl StateMachine for EmptyStateMachine {
     type Outcome = ();
 
     fn apply(&mut self, _command: &[u8]) {}
@@ -40,21 +40,21 @@
     fn restore(&mut self, _bytes: &[u8], _level: FeatureLevel) {}
 }
 
-type Node = Replica<SimRuntime, Nothing>;
+type Node = Replica<SimRuntime, EmptyStateMachine>;
 
-/// A request for a vote.
+/// A received vote request.
 #[derive(Clone, Copy, Debug)]
-struct AskedVote {
+struct VoteRequest {
     pre_vote: bool,
 }
 
-/// Gives every vote after a while, and notes what it was asked.
-struct PlayedPeer {
+/// Grants every pre-vote and no vote, after `VOTE_DELAY`, and records the requests.
+struct SimulatedPeer {
     world: Rc<World>,
-    asked: Rc<RefCell<Vec<AskedVote>>>,
+    vote_requests: Rc<RefCell<Vec<VoteRequest>>>,
 }
 
-impl Handler for PlayedPeer {
+impl Handler for SimulatedPeer {
     async fn handle(self: Rc<Self>, _level: FeatureLevel, body: Vec<u8>) -> Option<Vec<u8>> {
         let ControlRequest::Replication(bytes) = bitcode::decode(&body).ok()? else {
             return None;
@@ -62,7 +62,7 @@
         let reply = match bitcode::decode(&bytes).ok()? {
             ReplicaRequest::Vote { header, pre_vote, .. } => {
                 let at = self.world.clock.now();
-                self.asked.borrow_mut().push(AskedVote { pre_vote });
+                self.vote_requests.borrow_mut().push(VoteRequest { pre_vote });
                 Sleep::new(self.world.clock.clone(), at + VOTE_DELAY).await;
                 ReplicaReply::Vote { term: header.term, granted: pre_vote }
             }
@@ -72,13 +72,13 @@
     }
 }
 
-struct Bench {
+struct Fixture {
     world: Rc<World>,
     pool: LocalPool,
     _process: Rc<Process>,
     node: Node,
     group: u64,
-    asked: Rc<RefCell<Vec<AskedVote>>>,
+    vote_requests: Rc<RefCell<Vec<VoteRequest>>>,
     peer_ids: [ReplicaId; 2],
 }
 
@@ -107,35 +107,36 @@
     }
 }
 
-/// Opens the replica at `place` and reads the group's number back from its files.
+/// Opens the replica at `place` and reads the group's identifier from its storage.
 async fn open(runtime: SimRuntime, place: u8) -> (Node, u64) {
-    let replica = Replica::open(runtime.clone(), options(place), Nothing).await.expect("the disk is sound");
+    let replica = Replica::open(runtime.clone(), options(place), EmptyStateMachine).await.expect("the disk is sound");
     let (_, recovered) =
         Storage::open(runtime.disk(), ReplicaId(1), FileFormat::Raised).await.expect("the disk is sound");
     (replica, recovered.identity.group.expect("it founds a group"))
 }
 
-impl Bench {
+impl Fixture {
     fn new(seed: u64) -> Self {
         spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
         let (world, mut pool) = World::new(seed);
         world.network.set_delays(4, Duration::from_millis(1), Duration::from_millis(3));
-        let asked: Rc<RefCell<Vec<AskedVote>>> = Rc::default();
+        let vote_requests: Rc<RefCell<Vec<VoteRequest>>> = Rc::default();
         let opened: Rc<RefCell<Vec<(Node, u64)>>> = Rc::default();
         let mut processes = Vec::new();
         for place in 1..=3_u8 {
             let process = world.start_process(&format!("machine-{place}"), place.into(), 0);
             let runtime = SimRuntime { world: world.clone(), process: process.clone() };
-            let (told, peer) = (opened.clone(), PlayedPeer { world: world.clone(), asked: asked.clone() });
+            let (result, peer) =
+                (opened.clone(), SimulatedPeer { world: world.clone(), vote_requests: vote_requests.clone() });
             world.spawn(&process, async move {
-                // The played peers' replicas are opened for their identifiers only.
+                // The replicas of the simulated peers are opened only for their identifiers.
                 let node = open(runtime.clone(), place).await;
                 if place == 1 {
                     node.0.start();
-                    told.borrow_mut().insert(0, node);
+                    result.borrow_mut().insert(0, node);
                     return;
                 }
-                told.borrow_mut().push(node);
+                result.borrow_mut().push(node);
                 let listener = runtime.listen(address(place)).await.expect("the address is free");
                 saddlerelay_rpc::server::serve(runtime, listener, SECRET.to_string(), Rc::new(peer)).await;
             });
@@ -146,7 +147,7 @@
         let opened = opened.borrow();
         let (node, group) = opened[0].clone();
         let peer_ids = [opened[1].0.id(), opened[2].0.id()];
-        Self { world, pool, _process: processes.remove(0), node, group, asked, peer_ids }
+        Self { world, pool, _process: processes.remove(0), node, group, vote_requests, peer_ids }
     }
 
     fn run_for(&mut self, time: Duration) {
@@ -161,26 +162,26 @@
         Header { group: self.group, from: self.peer_ids[peer], to: self.node.id(), term }
     }
 
-    /// Hands a request to the replica; its answer comes into the cell.
-    fn begin(&mut self, request: ReplicaRequest) -> Rc<RefCell<Option<ReplicaReply>>> {
+    /// Sends a request to the replica; the returned cell receives the reply.
+    fn start_request(&mut self, request: ReplicaRequest) -> Rc<RefCell<Option<ReplicaReply>>> {
         let reply = Rc::new(RefCell::new(None));
-        let (told, node) = (reply.clone(), self.node.clone());
+        let (result, node) = (reply.clone(), self.node.clone());
         let process = self.world.start_process("asks", 0, 0);
         self.world.spawn(&process, async move {
-            *told.borrow_mut() = Some(node.handle(request, FeatureLevel::NEWEST).await);
+            *result.borrow_mut() = Some(node.handle(request, FeatureLevel::NEWEST).await);
         });
         reply
     }
 
-    fn ask(&mut self, request: ReplicaRequest) -> ReplicaReply {
-        let reply = self.begin(request);
+    fn send_request(&mut self, request: ReplicaRequest) -> ReplicaReply {
+        let reply = self.start_request(request);
         while reply.borrow().is_none() {
             self.run_for(STEP);
         }
-        reply.take().expect("it has come")
+        reply.take().expect("the reply was received")
     }
 
-    /// An append without entries, behind the entry that forms the group.
+    /// An empty append that follows the founding entry.
     fn append(&self, peer: usize, term: u64) -> ReplicaRequest {
         let header = self.header(peer, term);
         ReplicaRequest::Append { header, previous_index: 1, previous_term: 0, entries: Vec::new(), commit: 0 }
@@ -193,68 +194,69 @@
 
     fn heartbeat(&mut self, peer: usize, term: u64) -> ReplicaReply {
         let header = self.header(peer, term);
-        self.ask(ReplicaRequest::Heartbeat { header })
+        self.send_request(ReplicaRequest::Heartbeat { header })
     }
 }
 
-fn heard(reply: ReplicaReply) -> bool {
+fn is_acknowledged(reply: ReplicaReply) -> bool {
     matches!(reply, ReplicaReply::Heartbeat { heard: true, .. })
 }
 
 #[test]
-fn a_replica_that_acknowledged_a_heartbeat_gives_no_vote_within_an_election_timeout() {
-    let mut bench = Bench::new(1);
-    let append = bench.append(0, 3);
-    assert!(matches!(bench.ask(append), ReplicaReply::Append { accepted: true, .. }));
-    bench.run_for(Duration::from_millis(400));
-    assert!(heard(bench.heartbeat(0, 3)));
-    bench.run_for(Duration::from_millis(450));
-    let vote = bench.vote(1, 4);
-    assert_eq!(bench.ask(vote), ReplicaReply::Vote { term: 3, granted: false });
+fn a_replica_grants_no_vote_within_an_election_timeout_of_a_heartbeat() {
+    let mut fixture = Fixture::new(1);
+    let append = fixture.append(0, 3);
+    assert!(matches!(fixture.send_request(append), ReplicaReply::Append { accepted: true, .. }));
+    fixture.run_for(Duration::from_millis(400));
+    assert!(is_acknowledged(fixture.heartbeat(0, 3)));
+    fixture.run_for(Duration::from_millis(450));
+    let vote = fixture.vote(1, 4);
+    assert_eq!(fixture.send_request(vote), ReplicaReply::Vote { term: 3, granted: false });
 }
 
 #[test]
-fn a_replica_that_writes_its_vote_acknowledges_no_older_leader() {
-    let mut bench = Bench::new(2);
-    let append = bench.append(0, 3);
-    assert!(matches!(bench.ask(append), ReplicaReply::Append { accepted: true, .. }));
-    bench.run_for(Duration::from_millis(510));
-    bench.world.disks.set_slow("machine-1", Duration::from_millis(400));
-    let vote = bench.vote(1, 9);
-    let granted = bench.begin(vote);
-    bench.run_for(Duration::from_millis(100));
-    assert!(granted.borrow().is_none(), "the vote is on its way to the disk");
-    assert_eq!(bench.heartbeat(0, 3), ReplicaReply::Heartbeat { term: 9, heard: false });
-    bench.run_for(Duration::from_secs(1));
+fn a_replica_persisting_a_vote_acknowledges_no_older_leader() {
+    let mut fixture = Fixture::new(2);
+    let append = fixture.append(0, 3);
+    assert!(matches!(fixture.send_request(append), ReplicaReply::Append { accepted: true, .. }));
+    fixture.run_for(Duration::from_millis(510));
+    fixture.world.disks.set_slow("machine-1", Duration::from_millis(400));
+    let vote = fixture.vote(1, 9);
+    let granted = fixture.start_request(vote);
+    fixture.run_for(Duration::from_millis(100));
+    assert!(granted.borrow().is_none(), "the vote is being written to disk");
+    assert_eq!(fixture.heartbeat(0, 3), ReplicaReply::Heartbeat { term: 9, heard: false });
+    fixture.run_for(Duration::from_secs(1));
     assert_eq!(granted.take(), Some(ReplicaReply::Vote { term: 9, granted: true }));
-    assert!(!heard(bench.heartbeat(0, 3)));
+    assert!(!is_acknowledged(fixture.heartbeat(0, 3)));
 }
 
 #[test]
-fn a_replica_acknowledges_a_newer_term_by_heartbeat_only_once_it_has_entered_it() {
-    let mut bench = Bench::new(3);
-    assert!(!heard(bench.heartbeat(0, 3)));
-    let append = bench.append(0, 3);
-    assert!(matches!(bench.ask(append), ReplicaReply::Append { accepted: true, .. }));
-    assert!(heard(bench.heartbeat(0, 3)));
-    assert!(!heard(bench.heartbeat(1, 2)), "an older leader");
-    assert!(!heard(bench.heartbeat(1, 3)), "another in the leader's term");
+fn a_heartbeat_is_acknowledged_only_in_the_current_term() {
+    let mut fixture = Fixture::new(3);
+    assert!(!is_acknowledged(fixture.heartbeat(0, 3)));
+    let append = fixture.append(0, 3);
+    assert!(matches!(fixture.send_request(append), ReplicaReply::Append { accepted: true, .. }));
+    assert!(is_acknowledged(fixture.heartbeat(0, 3)));
+    assert!(!is_acknowledged(fixture.heartbeat(1, 2)), "an older leader");
+    assert!(!is_acknowledged(fixture.heartbeat(1, 3)), "another in the leader's term");
 }
 
 #[test]
-fn a_candidate_that_hears_the_leader_again_does_not_vote_for_itself() {
+fn a_pre_candidate_that_receives_an_append_does_not_campaign() {
     for seed in 0..20 {
-        let mut bench = Bench::new(seed);
-        // It asks whether it would be given votes, and the leader is heard before the answers come.
-        while bench.asked.borrow().is_empty() {
-            bench.run_for(STEP);
+        let mut fixture = Fixture::new(seed);
+        // The leader's append arrives between the pre-vote requests and their responses.
+        while fixture.vote_requests.borrow().is_empty() {
+            fixture.run_for(STEP);
         }
-        let append = bench.append(0, 0);
-        assert!(matches!(bench.ask(append), ReplicaReply::Append { accepted: true, .. }));
-        let heard_at = bench.world.clock.now();
-        bench.run_for(Duration::from_millis(450));
-        let asked = bench.asked.borrow();
-        let early: Vec<&AskedVote> = asked.iter().filter(|asked| !asked.pre_vote).collect();
-        assert!(early.is_empty(), "seed {seed}: heard at {heard_at:?}, then {early:?}");
+        let append = fixture.append(0, 0);
+        assert!(matches!(fixture.send_request(append), ReplicaReply::Append { accepted: true, .. }));
+        let append_at = fixture.world.clock.now();
+        fixture.run_for(Duration::from_millis(450));
+        let vote_requests = fixture.vote_requests.borrow();
+        let premature_votes: Vec<&VoteRequest> =
+            vote_requests.iter().filter(|vote_requests| !vote_requests.pre_vote).collect();
+        assert!(premature_votes.is_empty(), "seed {seed}: append received at {append_at:?}, then {premature_votes:?}");
     }
 }
--- a/crates/simulator/tests/level_raise.rs
+++ b/crates/simulator/tests/level_raise.rs
@@ -1,5 +1,5 @@
-//! A group's feature level is raised while machines are killed, lose power or their disks, are away or come new: every replica
-//! reads each entry and snapshot at the level at which it was written, and nothing that was acknowledged is lost.
+//! Raising a group's feature level while machines are killed, lose power or their disks, are down or join: replicas
+//! decode each entry and snapshot at the level at which it was written, and no acknowledged entry is lost.
 
 mod group;
 
@@ -8,19 +8,20 @@
 use saddlerelay_types::feature_level::FeatureLevel;
 use std::time::Duration;
 
-/// Operations of one disk before the power is lost: those of a raise, the appends around it and a snapshot behind it.
+/// Maximum number of disk operations before the power loss: those of a raise, its adjacent appends and a later
+/// snapshot.
 const STEPS: u64 = 40;
 
-/// Time within which a running group's disk makes so many operations.
+/// Time limit for a disk to make that many operations.
 const STEPS_LIMIT: Duration = Duration::from_secs(2);
 
-/// Time for the replicas that are left to elect a leader.
+/// Time limit for the remaining replicas to elect a leader.
 const ELECTION_LIMIT: Duration = Duration::from_secs(4);
 
-/// Time for a replica to catch up, or for one with an empty disk to become a voter.
+/// Time limit for a replica to catch up, or for one with an empty disk to become a voter.
 const REJOIN_LIMIT: Duration = Duration::from_secs(6);
 
-/// Time in which some snapshots are taken.
+/// Time in which several snapshots are taken.
 const SOME_SNAPSHOTS: Duration = Duration::from_millis(1_500);
 
 fn new_at_level_one(seed: u64) -> Group {
@@ -33,7 +34,7 @@
     new_at_level_one(seed).form()
 }
 
-/// A small log that no snapshot has cut yet.
+/// A group whose log is never compacted.
 fn formed_without_snapshots(seed: u64) -> Group {
     let mut group = new_at_level_one(seed);
     group.config.snapshot_entries = 1_000_000;
@@ -45,7 +46,7 @@
 
 fn raise(group: &Group) {
     if let Some(leader) = group.leader() {
-        // One that stops leading at this moment proposes nothing.
+        // Fails if the replica has lost leadership.
         let _ = leader.raise_level(FeatureLevel::Two);
     }
 }
@@ -54,7 +55,7 @@
     group.nodes().iter().all(|node: &Node| node.level() == Some(level))
 }
 
-/// Raises the level, again if the entry was lost with its leader, until every machine that runs is there.
+/// Raises the level and retries until every running machine has reached it.
 fn raise_and_await(group: &mut Group, what: &str) {
     let until = group.world.clock.now() + REJOIN_LIMIT;
     while !all_are_at(group, FeatureLevel::Two) {
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn files_stay_as_an_older_build_reads_them_until_the_level_is_raised() {
+fn files_keep_the_old_format_until_the_level_is_raised() {
     let mut group = formed_at_level_one(1);
     group.propose_for(SOME_SNAPSHOTS);
     assert!(all_are_at(&group, FeatureLevel::One));
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn a_leader_that_ends_while_it_raises_the_level_is_followed_by_one_that_may_go_on() {
+fn a_raise_completes_after_the_loss_of_the_leader() {
     for seed in 0..40 {
         let what = format!("seed {seed}");
         let mut group = formed_at_level_one(seed);
@@ -146,9 +147,9 @@
     }
 }
 
-/// It has files of level one; the others have compacted the log that led from there.
+/// The machine has files of level one, and the others have compacted the log up to the raise.
 #[test]
-fn a_machine_that_was_away_since_before_the_raise_comes_back_with_its_old_files() {
+fn a_machine_down_during_the_raise_rejoins_with_its_old_files() {
     for seed in 0..20 {
         let what = format!("seed {seed}");
         let mut group = formed_at_level_one(seed);
@@ -160,7 +161,7 @@
         group.start(away, false);
         group.await_voters(5, REJOIN_LIMIT, &what);
         raise_and_await(&mut group, &what);
-        // What it was sent it finds again on its own disk.
+        // The state that it received must be on its disk.
         group.power_off(away);
         group.start(away, false);
         group.await_voters(5, REJOIN_LIMIT, &what);
@@ -169,7 +170,7 @@
     }
 }
 
-/// Sent the log from its first entry on, it goes through both levels as the others did.
+/// The machine receives the log from its first entry and applies entries of both levels.
 #[test]
 fn a_new_machine_is_sent_a_log_that_begins_before_the_raise() {
     for seed in 0..10 {
@@ -191,9 +192,8 @@
     }
 }
 
-/// A group of the newest level has no use for a raise.
 #[test]
-fn a_group_that_is_at_the_level_already_does_not_raise_it() {
+fn raising_to_the_current_level_has_no_effect() {
     let mut group = Group::formed(3);
     raise(&group);
     group.propose_for(Duration::from_millis(200));
--- a/crates/simulator/tests/lossy_leader.rs
+++ b/crates/simulator/tests/lossy_leader.rs
@@ -1,42 +1,41 @@
-//! The leader's zone loses packets to all others, and the other zones hear each other well. In virtual time, over the same
-//! seeds: the lead goes to a machine that hears the others, and the group's members stay where they are.
+//! Packet loss between the leader's zone and all others: leadership moves to another zone, and voters do not.
 
 mod group;
 
 use group::{Group, address};
 use saddlerelay_replication::config::ReplicationConfig;
-use saddlerelay_simulator::network::LinkTrouble;
+use saddlerelay_simulator::network::LinkFaults;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 const SEEDS: std::ops::Range<u64> = 0..30;
 
-/// Machines: three in each of four zones.
+/// Number of machines: three in each of four zones.
 const MACHINES: u8 = 12;
 
-/// Zones, of the numbers 1 to 4.
+/// Number of zones, with indexes from 1.
 const ZONES: u8 = 4;
 
-/// How long the links are watched once packets are lost.
-const WATCHED: Duration = Duration::from_secs(20);
+/// Observation time after the packet loss begins.
+const OBSERVATION_TIME: Duration = Duration::from_secs(20);
 
-/// By then the lead has gone to another zone, on nine of ten seeds: a trainer's step lasts 10 s on the tightest deployment.
-const LATEST_HANDOVER: Duration = Duration::from_secs(6);
+/// Time limit for leadership to move to another zone, for nine of ten seeds.
+const HANDOVER_LIMIT: Duration = Duration::from_secs(6);
 
-/// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between observations.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A leader and its lease, and where the members are.
-struct Watched {
-    /// Until the lead went to a machine in another zone, to stay there to the end.
+/// Observations of one run.
+struct Observed {
+    /// Time until leadership left the zone for the rest of the run.
     left_after: Option<Duration>,
-    /// Leaders that followed each other.
+    /// Number of changes of leader.
     leaders: usize,
-    /// Share of the looks at which somebody held the lease, in percent.
+    /// Percentage of observations with a leader that holds the lease.
     leased_percent: usize,
-    /// Most voters in the zone of the first leader.
-    most_voters_there: usize,
+    /// Maximum number of voters in the zone of the first leader.
+    most_voters_in_zone: usize,
 }
 
 fn zone_of(place: u8) -> usize {
@@ -47,12 +46,12 @@
     (1..=MACHINES).find(|place| address(*place) == wanted).expect("it is one of the machines")
 }
 
-/// Five voters, a learner at hand and six machines more, which all know of each other.
+/// A group of five voters and a learner, and six other machines, all of which receive announcements.
 fn formed(seed: u64) -> Group {
     let mut group = Group::new(seed);
     group.zones = (1..=MACHINES).map(|place| (place, zone_of(place))).collect::<BTreeMap<u8, usize>>();
     group.config = ReplicationConfig {
-        // Snapshots of a few entries would be all that is measured.
+        // Avoids frequent snapshots, which would dominate the traffic.
         snapshot_entries: 40_000,
         memory_bytes: 512 * 1024,
         memory_bytes_behind: 3 * 1024 * 1024,
@@ -68,22 +67,22 @@
     group
 }
 
-fn losing(per_mille: u64) -> LinkTrouble {
-    LinkTrouble { lost_per_mille: per_mille, ..LinkTrouble::default() }
+fn losing(per_mille: u64) -> LinkFaults {
+    LinkFaults { lost_per_mille: per_mille, ..LinkFaults::default() }
 }
 
-/// Watches a group after `trouble` has come; told the first leader's zone.
-fn watch(seed: u64, trouble: impl FnOnce(&Group, usize)) -> Watched {
+/// Observes a group after `apply_faults` was called with the first leader's zone.
+fn observe(seed: u64, apply_faults: impl FnOnce(&Group, usize)) -> Observed {
     let mut group = formed(seed);
     let zone = zone_of(group.leader_place().expect("there is a leader"));
-    trouble(&group, zone);
+    apply_faults(&group, zone);
     let began = group.world.clock.now();
-    let (mut looks, mut leased, mut leaders, mut most_voters_there) = (0, 0, 0, 0);
+    let (mut observations, mut leased, mut leaders, mut most_voters_in_zone) = (0, 0, 0, 0);
     let (mut last, mut left_after) = (group.leader().map(|leader| leader.id()), None);
-    while group.world.clock.now() < began + WATCHED {
+    while group.world.clock.now() < began + OBSERVATION_TIME {
         group.propose();
-        group.run_for(LOOK);
-        looks += 1;
+        group.run_for(OBSERVATION_INTERVAL);
+        observations += 1;
         let holders = group.nodes().iter().filter(|node| node.leading_term().is_some()).count();
         assert!(holders <= 1, "seed {seed}: {holders} replicas hold the lease");
         let Some(leader) = group.leader() else {
@@ -100,72 +99,66 @@
             left_after = Some(group.world.clock.now() - began);
         }
         let view = leader.view().expect("it leads");
-        let there = |address: SocketAddr| zone_of(place_of(address)) == zone;
-        let voters = view.replicas.iter().filter(|replica| replica.voter && there(replica.address)).count();
-        most_voters_there = most_voters_there.max(voters);
+        let in_zone = |address: SocketAddr| zone_of(place_of(address)) == zone;
+        let voters = view.replicas.iter().filter(|replica| replica.voter && in_zone(replica.address)).count();
+        most_voters_in_zone = most_voters_in_zone.max(voters);
     }
     group.check(&format!("seed {seed}"));
-    Watched { left_after, leaders, leased_percent: leased * 100 / looks, most_voters_there }
+    Observed { left_after, leaders, leased_percent: leased * 100 / observations, most_voters_in_zone }
 }
 
-/// Watches every seed and prints a row of the table in `docs/design/lossy-leader.md`.
-fn watch_all(what: &str, trouble: impl Fn(&Group, usize)) -> Vec<Watched> {
+/// Observes a group for each seed and prints a row of the table in `docs/design/lossy-leader.md`.
+fn observe_all(what: &str, apply_faults: impl Fn(&Group, usize)) -> Vec<Observed> {
     spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
-    let watched: Vec<Watched> = SEEDS.map(|seed| watch(seed, &trouble)).collect();
-    let mut left: Vec<Duration> = watched.iter().filter_map(|one| one.left_after).collect();
+    let observed: Vec<Observed> = SEEDS.map(|seed| observe(seed, &apply_faults)).collect();
+    let mut left: Vec<Duration> = observed.iter().filter_map(|one| one.left_after).collect();
     left.sort_unstable();
     println!(
         "| {what} | {} of {} | {:.1}, {:.1} | {} | {}, {} | {} |",
         left.len(),
-        watched.len(),
+        observed.len(),
         left.get(left.len() / 2).copied().unwrap_or_default().as_secs_f64(),
         left.last().copied().unwrap_or_default().as_secs_f64(),
-        watched.iter().map(|one| one.leased_percent).sum::<usize>() / watched.len(),
-        watched.iter().map(|one| one.leaders).sum::<usize>(),
-        watched.iter().map(|one| one.leaders).max().unwrap_or_default(),
-        watched.iter().map(|one| one.most_voters_there).max().unwrap_or_default(),
+        observed.iter().map(|one| one.leased_percent).sum::<usize>() / observed.len(),
+        observed.iter().map(|one| one.leaders).sum::<usize>(),
+        observed.iter().map(|one| one.leaders).max().unwrap_or_default(),
+        observed.iter().map(|one| one.most_voters_in_zone).max().unwrap_or_default(),
     );
-    watched
+    observed
 }
 
-/// A leader whose zone loses packets kept the lead: it was heard late, but often enough to keep its lease, and nobody else
-/// judged it. All writes and orders passed over its links. The lines `leader heard late` and `offer to lead considered` show what
-/// both sides measure: of twelve messages in a second a voter outside the zone has ten or more answered late by the leader and
-/// none by two other voters, and the leader reaches its own zone alone (`reached=2 quorum=3`).
+/// Guards against a leader that keeps its lease over lossy links while voters in other zones have better ones.
 #[test]
-fn a_leader_whose_zone_loses_a_fifth_hands_its_lead_over() {
-    let watched =
-        watch_all("its zone loses 0.2", |group, zone| group.world.network.set_zone_trouble(zone, losing(200)));
-    let in_time = |one: &&Watched| one.left_after.is_some_and(|after| after <= LATEST_HANDOVER);
-    let count = watched.iter().filter(in_time).count();
-    assert!(count * 10 >= watched.len() * 9, "{count} of {} left the zone that loses packets", watched.len());
-    assert!(watched.iter().all(|one| one.left_after.is_some()), "one stayed there to the end");
-    assert!(watched.iter().all(|one| one.leaders <= 2), "the lead went on from one to the next");
+fn a_leader_with_lossy_links_transfers_leadership() {
+    let observed =
+        observe_all("its zone loses 0.2", |group, zone| group.world.network.set_zone_link_faults(zone, losing(200)));
+    let in_time = |one: &&Observed| one.left_after.is_some_and(|after| after <= HANDOVER_LIMIT);
+    let count = observed.iter().filter(in_time).count();
+    assert!(count * 10 >= observed.len() * 9, "{count} of {} left the zone that loses packets", observed.len());
+    assert!(observed.iter().all(|one| one.left_after.is_some()), "leadership stayed in the lossy zone");
+    assert!(observed.iter().all(|one| one.leaders <= 2), "leadership changed more than twice");
 }
 
-/// A leader in the zone that loses packets took sound voters of other zones for lost and gave their places to learners of
-/// its own zone, until a quorum of the voters was there. It judged by answers to appends alone. An append waits behind a lost
-/// packet on its one connection, for longer than the 1.5 s that a voter may be silent, while heartbeats on a connection of
-/// their own were answered. The line `voter removed` showed it, at the moments of removal: `disk_silent_ms=1542
-/// silent_ms=29` and alike; where both were silent, `own_links_bad=true`.
+/// Guards against a leader with lossy links that replaces reachable voters by learners of its own zone because their
+/// append responses are delayed.
 #[test]
-fn members_do_not_gather_in_a_zone_that_loses_packets() {
-    let watched = watch_all("the same, members", |group, zone| {
-        group.world.network.set_zone_trouble(zone, losing(200));
+fn voters_do_not_move_to_a_lossy_zone() {
+    let observed = observe_all("the same, members", |group, zone| {
+        group.world.network.set_zone_link_faults(zone, losing(200));
     });
-    let gathered = watched.iter().filter(|one| one.most_voters_there > 2).count();
-    assert!(gathered == 0, "in {gathered} of {} a quorum of the voters was in that zone", watched.len());
+    let gathered = observed.iter().filter(|one| one.most_voters_in_zone > 2).count();
+    assert!(gathered == 0, "in {gathered} of {} a quorum of the voters was in that zone", observed.len());
 }
 
 #[test]
-fn leaders_seldom_hand_over_where_all_zones_lose_packets_alike() {
-    let watched = watch_all("all zones lose 0.2", |group, _| group.world.network.set_trouble(losing(200)));
-    let leaders = watched.iter().map(|one| one.leaders).sum::<usize>();
-    assert!(leaders * 3 <= watched.len(), "{leaders} leaders followed in {} runs", watched.len());
+fn leadership_is_seldom_transferred_under_uniform_loss() {
+    let observed = observe_all("all zones lose 0.2", |group, _| group.world.network.set_link_faults(losing(200)));
+    let leaders = observed.iter().map(|one| one.leaders).sum::<usize>();
+    assert!(leaders * 3 <= observed.len(), "{leaders} leaders followed in {} runs", observed.len());
 }
 
 #[test]
-fn nobody_hands_over_where_nothing_is_lost() {
-    let watched = watch_all("nothing lost", |_, _| {});
-    assert!(watched.iter().all(|one| one.leaders == 0), "a calm leader was followed by another");
+fn leadership_is_stable_without_loss() {
+    let observed = observe_all("nothing lost", |_, _| {});
+    assert!(observed.iter().all(|one| one.leaders == 0), "leadership changed without faults");
 }
--- a/crates/simulator/tests/member_changes.rs
+++ b/crates/simulator/tests/member_changes.rs
@@ -1,5 +1,5 @@
-//! Between any two changes of members the group bears that the lost machine and one more of five are gone for good: at no
-//! moment does it need a vote of one that only just took a lost one's place.
+//! During the replacement of a lost voter the group of five tolerates the permanent loss of the replaced machine and
+//! one more: at no point does it depend on the vote of the replacement.
 
 mod group;
 
@@ -10,13 +10,13 @@
 
 const SEEDS: std::ops::Range<u64> = 0..6;
 
-/// Changes of members that a replacement takes: one joins, votes, and the lost one goes; and one more.
+/// Membership changes of a replacement (a learner joins, is promoted, and the lost voter is removed), and one more.
 const CHANGES: usize = 4;
 
-/// Time for the replicas that are left to elect a leader.
+/// Time limit for the remaining replicas to elect a leader.
 const ELECTION_LIMIT: Duration = Duration::from_secs(4);
 
-/// Time for a replacement: a voter is missed after 1.5 s.
+/// Time limit of a replacement, which starts after a voter has been silent for 1.5 s.
 const REPLACEMENT_LIMIT: Duration = Duration::from_secs(4);
 
 fn for_each_moment(test: impl Fn(u64, usize, u8)) {
@@ -27,9 +27,10 @@
     }
 }
 
-/// The disks at `gone` are lost. Those that are left lead and hold everything.
-fn lose(group: &mut Group, gone: &[u8], what: &str) {
-    gone.iter().for_each(|place| group.lose_disk(*place));
+/// Loses the disks at `lost_places` and checks that the remaining replicas elect a leader with all acknowledged
+/// entries.
+fn lose(group: &mut Group, lost_places: &[u8], what: &str) {
+    lost_places.iter().for_each(|place| group.lose_disk(*place));
     group.run_for(Duration::from_millis(600));
     group.await_leader(ELECTION_LIMIT, what);
     group.propose_for(Duration::from_millis(100));
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn the_machine_that_lost_its_disk_and_another_are_lost_at_any_moment_of_its_return() {
+fn loss_of_a_rejoining_machine_and_another_at_any_point_is_tolerated() {
     for_each_moment(|seed, changes, victim| {
         let what = format!("seed {seed}, after {changes} changes, victim {victim}");
         let mut group = Group::formed(seed);
@@ -54,25 +55,25 @@
 }
 
 #[test]
-fn a_machine_gone_for_good_is_replaced_and_another_is_lost_at_any_moment_of_it() {
+fn loss_of_a_machine_at_any_point_of_a_replacement_is_tolerated() {
     for_each_moment(|seed, changes, victim| {
         let what = format!("seed {seed}, after {changes} changes, victim {victim}");
         let mut group = Group::formed(seed);
         group.start(6, false);
         group.propose_for(Duration::from_millis(500));
         let followers = group.followers();
-        let gone =
+        let replaced_place =
             followers.iter().copied().filter(|place| *place != 6).nth(seed as usize % 4).expect("four followers");
-        group.lose_disk(gone);
+        group.lose_disk(replaced_place);
         group.await_member_changes(changes, REPLACEMENT_LIMIT);
-        let others: Vec<u8> = (1..=6).filter(|place| *place != gone).collect();
+        let others: Vec<u8> = (1..=6).filter(|place| *place != replaced_place).collect();
         lose(&mut group, &[others[usize::from(victim)]], &what);
     });
 }
 
-/// Two disks are lost and both machines come back empty; at any moment both are lost once more.
+/// Two machines restart with empty disks, and lose these again at any point of their return.
 #[test]
-fn two_machines_that_lost_their_disks_are_lost_again_at_any_moment_of_their_return() {
+fn loss_of_two_rejoining_machines_at_any_point_is_tolerated() {
     for_each_moment(|seed, changes, victim| {
         let what = format!("seed {seed}, after {changes} changes, victim {victim}");
         let mut group = Group::formed(seed);
@@ -87,9 +88,9 @@
     });
 }
 
-/// At no moment of a replacement do more than five vote, or two at one address.
+/// At no point of a replacement are there more than five voters.
 #[test]
-fn nobody_votes_beside_the_one_whose_place_it_takes() {
+fn a_replacement_never_exceeds_five_voters() {
     for seed in SEEDS {
         let mut group = Group::formed(seed);
         group.propose_for(Duration::from_millis(200));
@@ -106,9 +107,9 @@
     }
 }
 
-/// The segments of the snapshot that it was sent expire while it stands still, and the voters take further snapshots.
+/// The segments of the snapshot that a frozen replica received expire while the voters take further snapshots.
 #[test]
-fn a_replica_that_stands_still_while_it_fetches_segments_votes_in_the_end() {
+fn a_replica_frozen_while_fetching_segments_becomes_a_voter() {
     for seed in 0..20 {
         let mut group = Group::formed(seed);
         group.propose_for(Duration::from_millis(500));
@@ -116,7 +117,7 @@
         group.lose_disk(empty);
         group.propose_for(Duration::from_millis(100));
         group.start(empty, false);
-        // It asks to be added and is sent the snapshot in this time.
+        // The replica requests to join and receives the snapshot in this time.
         let pause = group.world.jitter(Duration::from_millis(60));
         group.propose_for(Duration::from_millis(140) + pause);
         group.freeze(empty);
--- a/crates/simulator/tests/members.rs
+++ b/crates/simulator/tests/members.rs
@@ -1,5 +1,5 @@
-//! Groups whose members come, go, lose their disks and are exchanged, in virtual time over many seeds. Whatever was
-//! acknowledged stays, and the group serves again soon after each change.
+//! Membership changes: members join, leave, lose their disks and are replaced. Acknowledged entries survive, and the
+//! group has a leader again within a time limit after each change.
 
 use futures::executor::LocalPool;
 use saddlerelay_replication::config::ReplicationConfig;
@@ -24,37 +24,37 @@
 
 const SEEDS: std::ops::Range<u64> = 0..40;
 
-/// For what few seeds bring about.
+/// Number of seeds for events that occur with few of them.
 const MANY_SEEDS: u64 = 400;
-/// From the moment at which a leader stands still: an election timeout with its jitter, and one more try.
-const LONGEST_ELECTION: Duration = Duration::from_millis(1_500);
+/// Time limit for a new leader after the old one is frozen: an election timeout with its jitter, and a second round.
+const ELECTION_LIMIT: Duration = Duration::from_millis(1_500);
 
 const SECRET: &str = "a secret of sixteen signs";
 
 thread_local! {
-    /// The replica that should rather lead than others.
+    /// The replica that the state machine prefers as leader.
     static PREFERRED: Cell<Option<ReplicaId>> = const { Cell::new(None) };
-    /// Snapshots that replicas have read.
+    /// Number of snapshots restored.
     static RESTORED: Cell<u32> = const { Cell::new(0) };
-    /// How many of the first segments the state no longer refers to.
+    /// Number of oldest segments that the state no longer refers to.
     static EXPIRED_SEGMENTS: Cell<usize> = const { Cell::new(0) };
-    /// Bytes of a segment beside its numbers.
+    /// Padding bytes in each segment.
     static SEGMENT_PADDING: Cell<usize> = const { Cell::new(2_000) };
 }
 
-/// Numbers that are sealed together.
+/// Numbers in a sealed segment.
 const NUMBERS_PER_SEGMENT: usize = 16;
 
-/// A set of numbers. Whenever enough have come, they also go into a segment, by which a replica that lacks one is found.
+/// A set of numbers, which are also sealed into segments of `NUMBERS_PER_SEGMENT`.
 #[derive(Default)]
 struct Numbers {
-    held: BTreeSet<u64>,
-    /// Makes a snapshot larger than one part.
-    weight: Vec<u8>,
-    /// Numbers that no segment holds yet.
+    applied: BTreeSet<u64>,
+    /// Makes a snapshot larger than one transfer chunk.
+    padding_bytes: Vec<u8>,
+    /// Numbers that are not in a segment.
     unsealed: Vec<u64>,
     sealed: Vec<Segment>,
-    /// Segments that are not released.
+    /// Contents of the segments that memory still holds.
     unreleased: BTreeMap<u64, Rc<Vec<u8>>>,
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// The numbers in a segment.
+/// Decodes the numbers in a segment.
 fn numbers_in(segment: &[u8]) -> Vec<u64> {
     let (numbers, _): (Vec<u64>, Vec<u8>) = bitcode::decode(segment).expect("a segment can be read");
     numbers
@@ -79,17 +79,17 @@
 
     fn apply(&mut self, command: &[u8]) -> usize {
         let number: u64 = bitcode::decode(command).expect("a number was proposed");
-        self.held.insert(number);
+        self.applied.insert(number);
         self.unsealed.push(number);
         if self.unsealed.len() >= NUMBERS_PER_SEGMENT {
             self.seal();
         }
-        self.weight.resize(self.held.len() * 4_096, 7);
-        self.held.len()
+        self.padding_bytes.resize(self.applied.len() * 4_096, 7);
+        self.applied.len()
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        bitcode::encode(&(self.held.clone(), self.weight.clone(), self.unsealed.clone(), self.sealed.clone()))
+        bitcode::encode(&(self.applied.clone(), self.padding_bytes.clone(), self.unsealed.clone(), self.sealed.clone()))
     }
 
     fn segments(&self) -> Vec<Segment> {
@@ -116,16 +116,17 @@
 
     fn restore(&mut self, bytes: &[u8], _level: FeatureLevel) {
         RESTORED.with(|restored| restored.set(restored.get() + 1));
-        (self.held, self.weight, self.unsealed, self.sealed) = bitcode::decode(bytes).expect("a snapshot can be read");
+        (self.applied, self.padding_bytes, self.unsealed, self.sealed) =
+            bitcode::decode(bytes).expect("a snapshot can be read");
         self.unreleased.clear();
     }
 }
 
 type Node = Replica<SimRuntime, Numbers>;
 
-struct Answering(Node);
+struct RequestHandler(Node);
 
-impl Handler for Answering {
+impl Handler for RequestHandler {
     async fn handle(self: Rc<Self>, level: FeatureLevel, body: Vec<u8>) -> Option<Vec<u8>> {
         let request = message_codec::decode_call(&body, level)?;
         let reply = self.0.handle(request, level).await;
@@ -173,7 +174,7 @@
         Self { world, pool, machines: BTreeMap::new(), config: config(), acknowledged: Rc::default(), next: 0 }
     }
 
-    /// Starts the machine at `place`; with `founding`, as one of the three that form the group.
+    /// Starts the machine at `place`; with `founding`, as one of the three founders of the group.
     fn start(&mut self, place: u8, founding: bool) {
         let name = format!("machine-{place}");
         let process = self.world.start_process(&name, place.into(), 0);
@@ -188,14 +189,15 @@
         };
         let node = Rc::new(RefCell::new(None));
         let started = node.clone();
-        let of_task = runtime.clone();
+        let task_runtime = runtime.clone();
         self.world.spawn(&process, async move {
-            let listener = of_task.listen(options.address).await.expect("the address is free");
-            let replica = Replica::open(of_task.clone(), options, Numbers::default()).await.expect("the disk is sound");
+            let listener = task_runtime.listen(options.address).await.expect("the address is free");
+            let replica =
+                Replica::open(task_runtime.clone(), options, Numbers::default()).await.expect("the disk is sound");
             replica.start();
             *started.borrow_mut() = Some(replica.clone());
-            let handler = Rc::new(Answering(replica));
-            saddlerelay_rpc::server::serve(of_task, listener, SECRET.to_string(), handler).await;
+            let handler = Rc::new(RequestHandler(replica));
+            saddlerelay_rpc::server::serve(task_runtime, listener, SECRET.to_string(), handler).await;
         });
         self.machines.insert(place, Machine { process, node });
     }
@@ -234,7 +236,7 @@
         self.machines.iter().find(|(_, machine)| leads(machine)).map(|(place, _)| *place)
     }
 
-    /// Proposes the next numbers to whoever leads, for `time`, one each 20 ms.
+    /// Proposes a number to the leader every 20 ms for `time`.
     fn propose_for(&mut self, time: Duration) {
         let until = self.world.clock.now() + time;
         while self.world.clock.now() < until {
@@ -272,7 +274,7 @@
         self.machines.get(&place)?.node.borrow().as_ref().map(Node::id)
     }
 
-    /// Waits until exactly the machines at `places` vote.
+    /// Waits until exactly the machines at `places` are voters; fails the test after `limit`.
     fn await_voters(&mut self, places: &[u8], limit: Duration, what: &str) {
         let until = self.world.clock.now() + limit;
         loop {
@@ -285,13 +287,13 @@
         }
     }
 
-    /// Everything that was acknowledged is held by whoever leads.
+    /// Checks that the leader has applied every acknowledged number and that every replica can read its segments.
     fn check(&mut self, what: &str) {
         self.await_leader(Duration::from_secs(5), what);
-        let held = self.leader().and_then(|leader| leader.read(|numbers| numbers.held.clone()));
-        let held = held.expect("a leader reads");
-        let lost: Vec<u64> = self.acknowledged.borrow().difference(&held).copied().collect();
-        assert!(lost.is_empty(), "{what}: lost {lost:?}");
+        let applied = self.leader().and_then(|leader| leader.read(|numbers| numbers.applied.clone()));
+        let applied = applied.expect("a leader reads");
+        let lost_numbers: Vec<u64> = self.acknowledged.borrow().difference(&applied).copied().collect();
+        assert!(lost_numbers.is_empty(), "{what}: lost {lost_numbers:?}");
         assert!(!self.acknowledged.borrow().is_empty(), "{what}: nothing was acknowledged");
         for node in self.nodes() {
             let unread = self.numbers_not_in_segments(&node);
@@ -299,15 +301,15 @@
         }
     }
 
-    /// Numbers that a replica holds and that none of its segments brings back.
+    /// Sealed numbers of a replica that cannot be read from its segments.
     fn numbers_not_in_segments(&mut self, node: &Node) -> BTreeSet<u64> {
         let (mut missing, segments) = node.peek(|numbers| {
             let unsealed: BTreeSet<u64> = numbers.unsealed.iter().copied().collect();
-            let sealed: BTreeSet<u64> = numbers.held.difference(&unsealed).copied().collect();
+            let sealed: BTreeSet<u64> = numbers.applied.difference(&unsealed).copied().collect();
             (sealed, numbers.segments())
         });
         let read = Rc::new(RefCell::new(None));
-        let told = read.clone();
+        let result = read.clone();
         let reader = node.clone();
         let process = self.world.start_process("reader", 0, 0);
         self.world.spawn(&process, async move {
@@ -317,7 +319,7 @@
                     found.extend(numbers_in(&bytes));
                 }
             }
-            *told.borrow_mut() = Some(found);
+            *result.borrow_mut() = Some(found);
         });
         while read.borrow().is_none() {
             self.run_for(Duration::from_millis(5));
@@ -350,7 +352,7 @@
 }
 
 #[test]
-fn the_founders_form_one_group_whoever_starts_when_and_dies_in_the_first_second() {
+fn founders_form_one_group_with_any_start_order_and_an_early_restart() {
     for_each_seed(|seed| {
         let mut group = Group::new(seed);
         for place in 1..=3 {
@@ -363,7 +365,7 @@
         let place = 1 + (group.world.random() % 3) as u8;
         group.kill(place, false);
         group.propose_for(Duration::from_millis(400));
-        // It is told once more that this is the first start.
+        // It is started as a founder again.
         group.start(place, true);
         group.propose_for(Duration::from_secs(2));
         group.await_voters(&[1, 2, 3], Duration::from_secs(4), "founders");
@@ -390,10 +392,10 @@
 }
 
 #[test]
-fn one_that_is_far_behind_is_brought_up_from_the_leaders_log_file() {
+fn a_lagging_replica_catches_up_from_the_leaders_log_file() {
     for_each_seed(|seed| {
         let mut group = Group::new(seed);
-        // Memory holds a few entries only, and nobody takes a snapshot.
+        // Memory holds few entries, and no snapshots are taken.
         group.config =
             ReplicationConfig { snapshot_entries: 100_000, memory_bytes: 200, memory_bytes_behind: 400, ..config() };
         let mut group = formed_of(group);
@@ -405,7 +407,7 @@
         group.start(behind, false);
         group.propose_for(Duration::from_millis(1_500));
         group.await_voters(&[1, 2, 3], Duration::from_secs(2), "one that was far behind");
-        // It holds everything: it may lead when the others lose what they have.
+        // The replica has caught up, and can be elected when another one ends.
         let last = group.leader_place().filter(|place| *place != behind).unwrap_or(1 + behind % 3);
         group.kill(last, false);
         group.check("far behind");
@@ -414,9 +416,9 @@
     });
 }
 
-/// Large segments come in parts beside the log, and a transfer that a new leader takes over keeps what has come.
+/// Large segments are transferred in chunks; after a change of leader a transfer resumes.
 #[test]
-fn an_empty_replica_is_sent_every_segment_also_when_the_leader_goes_in_the_middle() {
+fn segment_transfer_to_an_empty_replica_survives_a_change_of_leader() {
     SEGMENT_PADDING.with(|padding| padding.set(700_000));
     for seed in SEEDS.step_by(4) {
         let mut group = formed(seed);
@@ -424,10 +426,10 @@
         group.start(4, false);
         let pause = group.world.jitter(Duration::from_millis(400));
         group.propose_for(pause);
-        let led = group.leader_place().expect("there is a leader");
-        group.kill(led, false);
+        let leader_place = group.leader_place().expect("there is a leader");
+        group.kill(leader_place, false);
         group.propose_for(Duration::from_secs(1));
-        group.start(led, false);
+        group.start(leader_place, false);
         group.propose_for(Duration::from_secs(2));
         group.check("segments");
         assert_eq!(group.nodes().len(), 4);
@@ -454,20 +456,20 @@
     });
 }
 
-/// A segment that is damaged at one replica is taken from another, by that replica and by one that joins.
+/// A replica with a corrupt segment, and one that joins, fetch the segment from another replica.
 #[test]
-fn a_damaged_segment_is_taken_from_another_replica() {
+fn a_corrupt_segment_is_fetched_from_another_replica() {
     for_each_seed(|seed| {
         let mut group = formed(seed);
         group.propose_for(Duration::from_secs(2));
         let place = 1 + (seed % 3) as u8;
         group.world.disks.damage(&format!("machine-{place}"), "segment-1");
-        let lost = 1 + ((seed + 1) % 3) as u8;
-        group.kill(lost, true);
-        group.start(lost, false);
+        let lost_place = 1 + ((seed + 1) % 3) as u8;
+        group.kill(lost_place, true);
+        group.start(lost_place, false);
         group.propose_for(Duration::from_secs(1));
         group.await_voters(&[1, 2, 3], Duration::from_secs(5), "beside a damaged segment");
-        // Every replica brings back all that it holds.
+        // Checks that every replica can read its segments.
         group.check("damaged segment");
     });
 }
@@ -480,7 +482,7 @@
         let segments = node.peek(|numbers| numbers.segments());
         assert!(segments.len() > 3 && group.numbers_not_in_segments(&node).is_empty());
     }
-    // Seals go on, and the first segments are dropped as the numbers in them expire.
+    // The first two segments expire while new ones are sealed.
     EXPIRED_SEGMENTS.with(|expired| expired.set(2));
     group.propose_for(Duration::from_secs(4));
     for place in 1..=3 {
@@ -491,7 +493,7 @@
     EXPIRED_SEGMENTS.with(|expired| expired.set(0));
 }
 
-/// Two of five are lost and one takes the place of one of them: the group then bears the loss of another.
+/// Two of five voters are lost and one is replaced: the group then tolerates the loss of another.
 #[test]
 fn a_replacement_makes_up_for_one_loss_while_another_is_still_open() {
     for_each_seed(|seed| {
@@ -501,8 +503,8 @@
         (4..=5).for_each(|place| group.start(place, false));
         group.await_voters(&[1, 2, 3, 4, 5], Duration::from_secs(4), "five voters");
         group.propose_for(Duration::from_millis(500));
-        let led = group.leader_place().expect("there is a leader");
-        let others: Vec<u8> = (1..=5).filter(|place| *place != led).collect();
+        let leader_place = group.leader_place().expect("there is a leader");
+        let others: Vec<u8> = (1..=5).filter(|place| *place != leader_place).collect();
         group.kill(others[0], true);
         group.kill(others[1], true);
         group.start(7, false);
@@ -514,9 +516,9 @@
     });
 }
 
-/// Many replicas that ask to be added while the leader's disk is busy bring about one change of members at a time.
+/// Many concurrent requests to join while disks are slow must not cause more membership changes than needed.
 #[test]
-fn many_that_ask_at_once_are_added_one_change_after_the_other() {
+fn concurrent_join_requests_cause_one_membership_change() {
     for_each_seed(|seed| {
         let mut group = formed(seed);
         group.run_for(Duration::from_secs(1));
@@ -531,7 +533,7 @@
         group.run_for(Duration::from_millis(500));
         let numbers = group.next - first_number;
         let written = committed(&group).expect("there is a leader") - before - numbers;
-        // The group wants one learner beside its three voters.
+        // The group adds one learner to its three voters.
         assert_eq!(written, 1, "entries that changed the members, seed {seed}");
     });
 }
@@ -541,15 +543,15 @@
     for_each_seed(|seed| {
         let mut group = formed(seed);
         group.propose_for(Duration::from_secs(1));
-        let gone = group.leader_place().unwrap_or(1);
-        group.kill(gone, true);
+        let lost_leader = group.leader_place().unwrap_or(1);
+        group.kill(lost_leader, true);
         group.propose_for(Duration::from_secs(1));
         group.start(7, false);
         group.propose_for(Duration::from_millis(300));
-        let mut places: Vec<u8> = (1..=3).filter(|place| *place != gone).collect();
+        let mut places: Vec<u8> = (1..=3).filter(|place| *place != lost_leader).collect();
         places.push(7);
         group.await_voters(&places, Duration::from_millis(4_300), "after a replacement");
-        // The next loss comes right then.
+        // Another voter is lost immediately.
         let next = places[0];
         group.kill(next, true);
         group.propose_for(Duration::from_secs(1));
@@ -565,17 +567,17 @@
         group.propose_for(Duration::from_secs(2));
         let away = (1..=3).find(|place| Some(*place) != group.leader_place()).unwrap_or(1);
         group.machines[&away].process.freeze();
-        // The spare takes its place.
+        // The learner replaces it.
         group.propose_for(Duration::from_secs(4));
         let mut places: Vec<u8> = (1..=4).filter(|place| *place != away).collect();
         group.await_voters(&places, Duration::from_secs(3), "the spare");
         group.machines[&away].process.thaw();
         group.propose_for(Duration::from_secs(3));
-        // It can take the place of the next one that is lost.
-        let lost = places.iter().copied().find(|place| Some(*place) != group.leader_place()).unwrap_or(4);
-        group.kill(lost, true);
+        // It must be able to replace the next lost voter.
+        let lost_place = places.iter().copied().find(|place| Some(*place) != group.leader_place()).unwrap_or(4);
+        group.kill(lost_place, true);
         group.propose_for(Duration::from_secs(4));
-        places.retain(|place| *place != lost);
+        places.retain(|place| *place != lost_place);
         places.push(away);
         group.await_voters(&places, Duration::from_secs(4), "the one that came back");
         group.check("came back");
@@ -583,23 +585,23 @@
 }
 
 #[test]
-fn an_unwanted_replica_leaves_only_when_others_hold_everything() {
+fn an_unwanted_replica_leaves_only_after_it_has_been_replaced() {
     for_each_seed(|seed| {
         let mut group = formed(seed);
         group.propose_for(Duration::from_secs(1));
         let unwanted_place = 1 + (seed % 3) as u8;
         let unwanted = group.id(unwanted_place).expect("it runs");
-        let tell = |group: &Group| {
+        let mark_unwanted = |group: &Group| {
             for node in group.nodes() {
                 node.set_unwanted([unwanted].into());
             }
         };
-        tell(&group);
+        mark_unwanted(&group);
         group.propose_for(Duration::from_secs(1));
-        assert!(group.voters().contains(&unwanted), "nobody can take its place yet");
+        assert!(group.voters().contains(&unwanted), "there is no replacement yet");
         group.start(5, false);
         for _ in 0..60 {
-            tell(&group);
+            mark_unwanted(&group);
             let leader = group.leader();
             if let Some(leader) = leader.filter(|leader| leader.id() == unwanted && leader.may_leave()) {
                 let process = group.machines[&unwanted_place].process.clone();
@@ -612,8 +614,11 @@
                 break;
             }
         }
-        assert!(group.leader().is_some_and(|leader| leader.is_whole_without(unwanted)), "it does not leave");
-        // It is taken away at once, and another disk is lost right after.
+        assert!(
+            group.leader().is_some_and(|leader| leader.is_whole_without(unwanted)),
+            "the unwanted replica was not replaced"
+        );
+        // The machine is removed, and another loses its disk immediately.
         group.kill(unwanted_place, true);
         let other = (1..=3).find(|place| *place != unwanted_place).unwrap_or(1);
         group.kill(other, true);
@@ -622,9 +627,8 @@
     });
 }
 
-/// A group that loses power as a whole goes on with everything it acknowledged.
 #[test]
-fn a_group_that_loses_power_keeps_what_it_acknowledged() {
+fn acknowledged_entries_survive_a_power_loss_of_the_whole_group() {
     for_each_seed(|seed| {
         let mut group = formed(seed);
         for _ in 0..3 {
@@ -643,9 +647,9 @@
     });
 }
 
-/// After the power was lost, the preferred replica leads again, unless the others had not started when it asked them.
+/// After a power loss the preferred replica is elected, unless the others start after its vote requests.
 #[test]
-fn the_preferred_replica_usually_leads_again() {
+fn the_preferred_replica_is_usually_elected_again() {
     let leads_again = |seed: u64| {
         PREFERRED.with(|preferred| preferred.set(None));
         let mut group = formed(seed);
@@ -653,7 +657,7 @@
         group.run_for(Duration::from_millis(500));
         let place = 1 + (seed % 3) as u8;
         let preferred = group.id(place);
-        PREFERRED.with(|held| held.set(preferred));
+        PREFERRED.with(|cell| cell.set(preferred));
         for place in 1..=3 {
             group.kill(place, false);
         }
@@ -661,20 +665,20 @@
             group.start(place, false);
         }
         group.await_leader(Duration::from_secs(4), "after the power was lost");
-        PREFERRED.with(|held| held.set(None));
+        PREFERRED.with(|cell| cell.set(None));
         group.leader().map(|leader| leader.id()) == preferred
     };
     let count = SEEDS.filter(|seed| leads_again(*seed)).count();
     assert!(count >= 30, "{count} of {} seeds", SEEDS.count());
 }
 
-/// After the power was lost, whoever led leads again, though no snapshot says so: its work need not be taken over.
+/// After a power loss the previous leader is usually elected again.
 #[test]
-fn whoever_led_usually_leads_again() {
+fn the_previous_leader_is_usually_elected_again() {
     let leads_again = |seed: u64| {
         let mut group = formed(seed);
         group.propose_for(Duration::from_millis(300));
-        let led = group.leader().map(|leader| leader.id());
+        let leader_id = group.leader().map(|leader| leader.id());
         for place in 1..=3 {
             group.kill(place, false);
         }
@@ -682,13 +686,13 @@
             group.start(place, false);
         }
         group.await_leader(Duration::from_secs(4), "after the power was lost");
-        led.is_some() && group.leader().map(|leader| leader.id()) == led
+        leader_id.is_some() && group.leader().map(|leader| leader.id()) == leader_id
     };
     let count = SEEDS.filter(|seed| leads_again(*seed)).count();
     assert!(count >= 34, "{count} of {} seeds", SEEDS.count());
 }
 
-/// Two that start in the same moment do not go on asking for votes in the same moment.
+/// Replicas that start simultaneously must not repeat split votes.
 #[test]
 fn two_machines_that_start_together_soon_have_a_leader() {
     for_each_seed(|seed| {
@@ -704,11 +708,10 @@
     });
 }
 
-/// A program that reads another format does not touch the files, and says what it found.
 #[test]
-fn when_the_leader_stands_still_the_other_two_soon_agree_on_one_of_them() {
+fn a_frozen_leader_is_replaced_within_the_election_limit() {
     let mut waits = Vec::new();
-    // Votes are split in a few of a hundred seeds.
+    // Few seeds lead to split votes.
     for seed in 0..MANY_SEEDS {
         let mut group = formed(seed);
         group.propose_for(Duration::from_millis(200));
@@ -727,17 +730,17 @@
         waits.push(group.world.clock.now() - frozen_at);
     }
     let longest = waits.iter().max().expect("there are seeds");
-    assert!(*longest < LONGEST_ELECTION, "the longest took {longest:?}");
+    assert!(*longest < ELECTION_LIMIT, "the longest took {longest:?}");
 }
 
 #[test]
-fn files_of_another_format_are_refused() {
+fn files_of_an_unknown_format_are_rejected_unchanged() {
     const FORMAT_FILE: &str = "format";
     let (world, mut pool) = World::new(1);
     let process = world.start_process("machine-1", 1, 0);
     let runtime = SimRuntime { world: world.clone(), process: process.clone() };
     let opened = Rc::new(RefCell::new(Vec::new()));
-    let told = opened.clone();
+    let results = opened.clone();
     world.spawn(&process, async move {
         let disk = runtime.disk();
         let open = async || {
@@ -749,10 +752,10 @@
         let unknown = wal::frame(&bitcode::encode(&2_u32));
         disk.replace(FORMAT_FILE, unknown.clone()).await.expect("a sound disk");
         let refused = open().await;
-        assert_eq!(disk.read(FORMAT_FILE).await.expect("a sound disk"), Some(unknown), "what is refused is kept");
+        assert_eq!(disk.read(FORMAT_FILE).await.expect("a sound disk"), Some(unknown), "rejected files are unchanged");
         disk.replace(FORMAT_FILE, own_format).await.expect("a sound disk");
         let again = open().await;
-        told.borrow_mut().extend([first, refused, again]);
+        results.borrow_mut().extend([first, refused, again]);
     });
     world.run(&mut pool, Duration::from_secs(1), || opened.borrow().len() == 3);
     let refused = "the files are in format 2, this build reads 4, 9 and 10; keep the data folder and start the build that wrote \
--- a/crates/simulator/tests/power_loss.rs
+++ b/crates/simulator/tests/power_loss.rs
@@ -1,5 +1,5 @@
-//! Power is lost at every operation of a replica's disk, also together with two of five disks: the others come back by
-//! themselves and hold everything that was acknowledged.
+//! Power loss at every disk operation of a replica, also with the loss of two of five disks: the others recover without
+//! intervention and have all acknowledged entries.
 
 mod group;
 
@@ -7,16 +7,16 @@
 use saddlerelay_replication::wal::{self, WalRecord};
 use std::time::Duration;
 
-/// Operations of one disk before the power is lost: those of several appends and of a whole snapshot with its segments.
+/// Maximum number of disk operations before the power loss: those of several appends and a snapshot with its segments.
 const STEPS: u64 = 48;
 
-/// Time within which a running group's disk makes so many operations.
+/// Time limit for a disk to make that many operations.
 const STEPS_LIMIT: Duration = Duration::from_secs(2);
 
-/// Time for the replicas that are left to elect a leader.
+/// Time limit for the remaining replicas to elect a leader.
 const ELECTION_LIMIT: Duration = Duration::from_secs(4);
 
-/// Time for replicas with empty disks to become voters in place of those they were.
+/// Time limit for replicas with empty disks to become voters again.
 const REJOIN_LIMIT: Duration = Duration::from_secs(6);
 
 fn for_each_step(seeds: std::ops::Range<u64>, steps: u64, mut test: impl FnMut(u64, u64)) {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Two of `places` by `choice`, and the others.
+/// Selects two of `places` by `choice`; also returns the others.
 fn choose_two(places: &[u8], choice: u64) -> (Vec<u8>, Vec<u8>) {
     let mut others = places.to_vec();
     let first = others.remove(choice as usize % others.len());
@@ -33,8 +33,8 @@
     (vec![first, second], others)
 }
 
-/// Everybody loses power, those at `lost` their disks too. The others are started and must lead and hold everything; then
-/// come those at `lost`, with empty disks.
+/// All machines lose power, and those at `lost` their disks. Those at `left` must elect a leader with all acknowledged
+/// entries; then those at `lost` start with empty disks and must become voters.
 fn lose_power(group: &mut Group, lost: &[u8], left: &[u8], what: &str) {
     lost.iter().for_each(|place| group.lose_disk(*place));
     left.iter().for_each(|place| group.power_off(*place));
@@ -62,8 +62,8 @@
     });
 }
 
-/// Where no snapshot was taken yet, replicas that joined have made their logs by appending: the folder's sync makes them last.
-/// One founder is down, and the disks of the two others are lost: only those that joined hold what is acknowledged then.
+/// Before the first snapshot, the log files of replicas that joined are durable only by the folder sync. One founder is
+/// down and the disks of the two others are lost, so that only the replicas that joined have the acknowledged entries.
 #[test]
 fn two_disks_lost_while_all_others_lose_power_before_the_first_snapshot() {
     for seed in 0..40 {
@@ -80,8 +80,7 @@
     }
 }
 
-/// A voter was away for so long that it is sent a snapshot; at any operation of its disk from its start on the power is lost,
-/// with two disks of others.
+/// Power loss at any disk operation of a voter that restarts and installs a snapshot, with the loss of two other disks.
 #[test]
 fn two_disks_lost_while_a_voter_that_was_away_installs_a_snapshot() {
     for_each_step(0..4, STEPS, |seed, step| {
@@ -101,7 +100,7 @@
     });
 }
 
-/// A replica with an empty disk joins; at any operation of its disk the power is lost, with one more disk.
+/// Power loss at any disk operation of a replica that joins with an empty disk, with the loss of another disk.
 #[test]
 fn one_more_disk_lost_while_an_empty_replica_joins() {
     for_each_step(0..4, STEPS, |seed, step| {
@@ -122,13 +121,13 @@
     });
 }
 
-/// Operations of a disk from the first start until a founder belongs to its group: those of its format, of its identity
-/// twice, and of its first entry.
+/// Disk operations of a founder until it has joined its group: those of the format file, of two versions of the
+/// identity file and of the first entry.
 const FOUNDING_STEPS: u64 = 20;
 
-/// A founder loses power at any operation of its first start, and is told that it is not the first any more.
+/// A founder loses power at any disk operation of its first start, and restarts without the founding option.
 #[test]
-fn a_founder_that_loses_power_at_any_operation_of_its_first_start_votes_in_the_end() {
+fn a_founder_that_loses_power_at_its_first_start_becomes_a_voter() {
     for_each_step(0..10, FOUNDING_STEPS, |seed, step| {
         let what = format!("seed {seed}, step {step}");
         let mut group = Group::new(seed * FOUNDING_STEPS + step);
@@ -148,7 +147,7 @@
     });
 }
 
-/// All founders lose power at any operation of the first start of one of them. They are started with the same settings again.
+/// All founders lose power at any disk operation of the first start of one of them, and restart as founders.
 #[test]
 fn founders_that_all_lose_power_at_their_first_start_form_their_group_at_the_next() {
     for_each_step(0..10, FOUNDING_STEPS, |seed, step| {
@@ -168,17 +167,17 @@
     });
 }
 
-/// Whether a founder's log holds its first entry after a loss of power.
+/// Whether a founder's log contains its first entry after a power loss.
 fn holds_founding_entry(group: &Group, place: u8) -> bool {
     let bytes = group.world.disks.content(&name(place), "wal").unwrap_or_default();
     let content = wal::read(&bytes).expect("a loss of power leaves a log that can be read");
     content.records.iter().any(|record| matches!(record, WalRecord::Entry(_)))
 }
 
-/// All founders lose power at any operation of their first start and are told that it is not the first any more. Where two of
-/// three have written the group's first entry, it is formed; before that there is no group, and nothing was acknowledged.
+/// All founders lose power at any disk operation of their first start, and restart without the founding option. The
+/// group must form if two of three have written its first entry; otherwise nothing was acknowledged.
 #[test]
-fn founders_that_have_written_their_first_entry_form_their_group_without_being_told_again() {
+fn founders_with_their_first_entry_form_the_group_without_the_founding_option() {
     let mut formed = 0;
     for_each_step(0..10, FOUNDING_STEPS, |seed, step| {
         let what = format!("seed {seed}, step {step}");
@@ -199,10 +198,10 @@
     assert!(formed > 20, "{formed} runs with a group");
 }
 
-/// Two followers are killed with an entry written and not synced, and started again: what they then acknowledge must be on
-/// their disks when the power is lost with the leader's disk. The other two followers were down all the while.
+/// Two followers are killed with a written but unsynced entry and restart: entries that they then acknowledge must
+/// survive a power loss with the loss of the leader's disk. The other two followers are down throughout.
 #[test]
-fn what_a_killed_process_left_unsynced_is_synced_before_the_next_one_acknowledges_it() {
+fn unsynced_entries_of_a_killed_process_are_synced_before_acknowledgement() {
     for_each_step(0..4, 12, |seed, step| {
         let what = format!("seed {seed}, step {step}");
         let mut group = Group::formed(seed * STEPS + step);
@@ -216,7 +215,7 @@
         group.propose_until(STEPS_LIMIT, move || watched.iter().all(|name| disks.disks.is_halted(name)));
         up.iter().for_each(|place| group.kill(*place));
         up.iter().for_each(|place| group.start(*place, false));
-        // The leader is not deposed meanwhile, and sends again what it has no answer for.
+        // The leader keeps its term and resends unacknowledged entries.
         let known = group.acknowledged.borrow().len();
         let acknowledged = group.acknowledged.clone();
         group.run_until(Duration::from_secs(1), move || acknowledged.borrow().len() > known);
@@ -225,13 +224,14 @@
     });
 }
 
-/// Operations of a replacement from the moment at which the new file is there until it has its name: write, sync, rename.
+/// Disk operations of a file replacement from the creation of the new file to its rename: write, sync, rename.
 const STEPS_TO_RENAME: u64 = 3;
 
-/// A follower is killed with its log renamed and its folder not synced. What the next process appends goes to the new file: the
-/// name must last before anything in it is acknowledged. Two are down, and the disks of the two others that held it are lost.
+/// A follower is killed after renaming its log and before syncing the folder. The restarted process must make the
+/// rename durable before it acknowledges entries in the new file. Two others are down, and the other two disks with the
+/// entries are lost.
 #[test]
-fn a_log_whose_new_name_a_killed_process_left_unsynced_keeps_it() {
+fn an_unsynced_rename_of_the_log_is_made_durable_after_a_restart() {
     for seed in 0..40 {
         let what = format!("seed {seed}");
         let mut group = Group::formed(seed);
@@ -242,7 +242,7 @@
         let killed = up[0];
         let disks = group.world.clone();
         let cuts_log = move || disks.disks.names(&name(killed)).contains(&"wal.new".to_string());
-        assert!(group.propose_until(STEPS_LIMIT, cuts_log), "{what}: the log is never cut");
+        assert!(group.propose_until(STEPS_LIMIT, cuts_log), "{what}: the log was never compacted");
         group.world.disks.halt_after(&name(killed), STEPS_TO_RENAME);
         let disks = group.world.clone();
         group.run_until(STEPS_LIMIT, move || disks.disks.is_halted(&name(killed)));
@@ -255,10 +255,10 @@
     }
 }
 
-/// A process is killed with an entry written and not synced; what the next process writes behind it may be there after a
-/// loss of power when the first is not, and must not make the files unreadable.
+/// A process is killed with an unsynced entry. A power loss may drop that entry and keep a later one of the next
+/// process, which must not make the log unreadable.
 #[test]
-fn what_a_killed_process_left_unsynced_leaves_no_hole_before_what_the_next_one_writes() {
+fn unsynced_entries_of_a_killed_process_leave_no_gap_in_the_log() {
     for_each_step(0..6, 12, |seed, step| {
         let what = format!("seed {seed}, step {step}");
         let mut group = Group::formed(seed * STEPS + step);
@@ -273,7 +273,7 @@
         stop(&mut group, step);
         group.kill(killed);
         group.start(killed, false);
-        // Its first write of entries is there and not synced.
+        // The restarted process stops with unsynced writes.
         stop(&mut group, 1 + step % 4);
         lose_power(&mut group, &[], &[1, 2, 3, 4, 5], &what);
     });
--- a/crates/simulator/tests/refused_writes.rs
+++ b/crates/simulator/tests/refused_writes.rs
@@ -1,4 +1,5 @@
-//! Disks that refuse writes after some time: a replica takes part again once its disk does, with what was committed meanwhile.
+//! A replica whose disk syncs fail rejoins after the disk has recovered, with the entries that were committed
+//! meanwhile.
 
 mod group;
 
@@ -7,27 +8,27 @@
 
 const SEEDS: std::ops::Range<u64> = 0..40;
 
-/// The leader's disk stands still and then refuses, while the other voters commit what it has sent them.
+/// The leader's syncs are slow and then fail, while the other voters commit the entries that it sent.
 #[test]
-fn a_leader_whose_disk_refuses_what_others_have_committed_follows_again() {
+fn a_leader_with_failed_syncs_of_committed_entries_rejoins() {
     for seed in SEEDS {
         let mut group = Group::formed(seed);
         group.propose_for(Duration::from_millis(300));
-        let led = name(group.leader_place().expect("there is a leader"));
-        group.world.disks.set_slow(&led, Duration::from_millis(60));
-        group.world.disks.set_failing(&led, true);
+        let leader_name = name(group.leader_place().expect("there is a leader"));
+        group.world.disks.set_slow(&leader_name, Duration::from_millis(60));
+        group.world.disks.set_failing(&leader_name, true);
         group.propose_for(Duration::from_millis(200));
-        group.world.disks.set_slow(&led, Duration::ZERO);
-        group.world.disks.set_failing(&led, false);
+        group.world.disks.set_slow(&leader_name, Duration::ZERO);
+        group.world.disks.set_failing(&leader_name, false);
         group.propose_for(Duration::from_secs(2));
         group.await_voters(5, Duration::from_secs(4), &format!("seed {seed}"));
         group.check(&format!("seed {seed}"));
     }
 }
 
-/// Several readers find the same damaged segment at once, and each takes another replica's.
+/// Concurrent readers that find the same corrupt segment each repair it from another replica.
 #[test]
-fn readers_that_repair_one_segment_at_once_do_not_cost_the_replica_its_disk() {
+fn concurrent_repairs_of_a_segment_leave_the_replica_ready() {
     for seed in SEEDS {
         let mut group = Group::formed(seed);
         group.propose_for(Duration::from_millis(800));
@@ -35,9 +36,9 @@
         let node = group.node(follower).expect("it runs");
         let segment = node.peek(|numbers| numbers.newest_released()).expect("segments were sealed");
         group.world.disks.damage(&name(follower), &format!("segment-{segment}"));
-        let read = group.read_at_once(&node, segment, 3);
+        let read = group.read_concurrently(&node, segment, 3);
         assert_eq!(read, 3, "seed {seed}: readers that got the segment");
-        assert!(node.is_ready(), "seed {seed}: the replica takes part");
+        assert!(node.is_ready(), "seed {seed}: the replica is not ready");
         let files = group.world.disks.names(&name(follower));
         assert!(!files.iter().any(|file| file.ends_with(".new")), "seed {seed}: {files:?}");
     }
--- a/crates/simulator/tests/relay_search.rs
+++ b/crates/simulator/tests/relay_search.rs
@@ -1,11 +1,5 @@
-//! A relay that starts finds the group wherever its members have gone.
-//!
-//! Seen: after all processes had ended at once and come back, no relay had a lease any more, for as long as anyone looked; every
-//! request was refused, and results that had been accepted could not be read. The group itself was led the whole time. How it came
-//! about: a relay keeps nothing and starts with the addresses in its settings. Each of the three machines there had been down for a
-//! while, one after the other, and other machines had taken their places in the group. They were back and answered, but a replica that
-//! is no member hears of no leader, and said so and nothing else. What proved it: the relays' own lines, in which each of the three "knows
-//! no leader" while a member leads.
+//! A relay that starts with the addresses in its settings finds the group after other machines have replaced all the
+//! members listed there. Replicas that are no longer members must be able to report the leader.
 
 mod control_group;
 
@@ -19,10 +13,10 @@
 
 const SEEDS: std::ops::Range<u64> = 0..24;
 
-/// From the start of all processes until a relay may act: an election, and a search through every machine that serves control.
+/// Time limit for a relay's first response after all processes start: an election and a search through all machines.
 const FOUND_WITHIN: Duration = Duration::from_secs(4);
 
-/// What becomes of the disks of the machines that the settings name.
+/// Whether the machines listed in the settings keep their disks.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Disks {
     Kept,
@@ -37,8 +31,7 @@
         }
     }
 
-    /// Each machine that the settings name goes down, one after the other, until others have taken its place; then all of
-    /// them are back.
+    /// Stops each machine listed in the settings, one at a time, until it has been replaced; then restarts all of them.
     fn move_group_away(&mut self, disks: Disks) {
         for place in NAMED {
             self.kill(place);
@@ -51,12 +44,12 @@
                 self.run_for(Duration::from_millis(200));
             }
         }
-        // The learner that is kept at hand has come, so that no place is left.
+        // A learner has been added, so that the restarted machines cannot join.
         self.run_for(Duration::from_secs(2));
         NAMED.for_each(|place| self.start_replica(place, false));
         self.run_for(Duration::from_secs(3));
         let members = self.members();
-        assert!(!members.is_empty(), "the group is led");
+        assert!(!members.is_empty(), "there is a leader");
         assert!(named().iter().all(|address| !members.contains(address)), "{members:?}");
     }
 
@@ -67,7 +60,7 @@
     }
 }
 
-/// Has all machines end and come back, or none, and looks for a relay's first answer.
+/// Moves the group, restarts all machines if `all_end` is set, and waits for a relay's first response.
 fn find_group(disks: Disks, all_end: bool) {
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
@@ -78,7 +71,7 @@
         let started_at = deployment.world.clock.now();
         let answers = deployment.start_relay();
         deployment.run_for(FOUND_WITHIN);
-        assert!(!deployment.members().is_empty(), "seed {seed}: the group is led");
+        assert!(!deployment.members().is_empty(), "seed {seed}: there is no leader");
         let took = answers.first.get().map(|at| at.saturating_sub(started_at));
         assert!(took.is_some(), "seed {seed}: the relay finds no leader within {FOUND_WITHIN:?}");
         println!("seed {seed}: found after {} ms", took.unwrap_or_default().as_millis());
@@ -90,23 +83,23 @@
     find_group(Disks::Kept, true);
 }
 
-/// No loss of everything is needed: one relay that is replaced while the group stands elsewhere finds it no better.
+/// The same for a relay that starts while the group keeps running.
 #[test]
 fn a_relay_that_starts_alone_finds_a_group_that_has_moved_away_from_its_settings() {
     find_group(Disks::Kept, false);
 }
 
-/// Machines that have lost their disks, and whose settings name each other, know nobody.
+/// Machines with empty disks know only the addresses in the settings.
 #[test]
-fn a_relay_finds_the_group_through_machines_that_know_nothing() {
+fn a_relay_finds_the_group_through_machines_with_empty_disks() {
     find_group(Disks::Lost, true);
 }
 
-/// A leader of another deployment, or one of another group at an address that has changed hands, is no help to anyone here.
+/// An announcement of another group, for example at a reused address, must be rejected.
 #[test]
 fn an_announcement_of_another_group_is_not_passed_on() {
     let mut deployment = Deployment::start(1);
-    let leader = deployment.leader().expect("the group is led");
+    let leader = deployment.leader().expect("there is a leader");
     let stranger: SocketAddr = ([10, 0, 77, 7], 7_000).into();
     let other_group = 4_711;
     let announcement = ReplicaRequest::Announce { group: other_group, leader: stranger, members: vec![stranger] };
--- a/crates/simulator/tests/removed_voter.rs
+++ b/crates/simulator/tests/removed_voter.rs
@@ -1,9 +1,5 @@
-//! A voter that is removed while nobody reaches it learns so once it is reached again.
-//!
-//! A replica that was dropped while its links were bad held a log in which it still votes. From then on to the end it asked for
-//! votes each second, was refused by all (`votes would not be given`, `leader lost .. standing=voter`), and named no leader to the
-//! machines that asked it (`no leader to name`): nobody sends a replica that is no member the entry that removes it. The leader
-//! did tell it each second where the group is (`group announced`), and it did not see that it is not among the members told.
+//! A voter that is removed while it is partitioned learns of its removal from the leader's announcements. It never
+//! receives the log entry that removes it, and would otherwise campaign for ever and report no leader.
 
 mod group;
 
@@ -14,14 +10,14 @@
 
 const SEEDS: std::ops::Range<u64> = 0..20;
 
-/// A machine of each number; five vote, one learns and one waits.
+/// Five voters, a learner and a machine that is not a member.
 const MACHINES: u8 = 7;
 
-/// A voter that is silent is replaced after 1.5 s.
+/// Time limit for removing an unreachable voter, which is replaced after 1.5 s.
 const REMOVED_WITHIN: Duration = Duration::from_secs(6);
 
-/// Announcements come once a second, on connections that may have to be opened again.
-const TOLD_WITHIN: Duration = Duration::from_secs(4);
+/// Time limit for an announcement to arrive: one is sent each second, possibly on a new connection.
+const ANNOUNCED_WITHIN: Duration = Duration::from_secs(4);
 
 fn formed(seed: u64) -> Group {
     let mut group = Group::formed(seed);
@@ -32,60 +28,60 @@
     group
 }
 
-/// A group one of whose voters was removed while it was cut off; returns that one's place.
+/// A group that removed one of its voters during a partition, and the index of that voter.
 fn with_removed_voter(seed: u64) -> (Group, u8) {
     let mut group = formed(seed);
     let leader = group.leader_place().expect("there is a leader");
     let removed = (1..=5).find(|place| *place != leader).expect("others vote");
     let id = group.node(removed).expect("it runs").id();
-    group.world.network.cut(usize::from(removed), false);
+    group.world.network.partition(usize::from(removed), false);
     let until = group.world.clock.now() + REMOVED_WITHIN;
     while group.members().iter().any(|(member, _)| *member == id) {
-        assert!(group.world.clock.now() < until, "seed {seed}: a silent voter stays a member");
+        assert!(group.world.clock.now() < until, "seed {seed}: the unreachable voter was not removed");
         group.propose_for(Duration::from_millis(50));
     }
     (group, removed)
 }
 
 #[test]
-fn a_removed_voter_names_the_leader_that_the_group_has_without_it() {
+fn a_removed_voter_reports_the_current_leader() {
     for seed in SEEDS {
         let (mut group, removed) = with_removed_voter(seed);
-        // It takes no further place.
+        // Prevents the removed voter from joining again.
         let leader = group.leader().expect("there is a leader");
         leader.set_unwanted([group.node(removed).expect("it runs").id()].into());
         group.world.network.heal(usize::from(removed));
         let node = group.node(removed).expect("it runs");
         let seen = node.clone();
         let expected = Some(leader.address());
-        let told = group.run_until(TOLD_WITHIN, move || seen.leader_address() == expected && !seen.is_member());
-        assert!(told, "seed {seed}: it names {:?}, is a member: {}", node.leader_address(), node.is_member());
+        let updated = group.run_until(ANNOUNCED_WITHIN, move || seen.leader_address() == expected && !seen.is_member());
+        assert!(updated, "seed {seed}: reported leader {:?}, is a member: {}", node.leader_address(), node.is_member());
         let until = group.world.clock.now() + Duration::from_secs(3);
         while group.world.clock.now() < until {
             group.run_for(Duration::from_millis(100));
-            assert_eq!(node.leader_address(), expected, "seed {seed}: it goes on naming the leader");
+            assert_eq!(node.leader_address(), expected, "seed {seed}: it no longer reports the leader");
         }
         group.check(&format!("seed {seed}"));
     }
 }
 
-/// An announcement is an old one's word for some seconds only: a voter whose group is gone seeks votes again.
+/// An announcement expires: a voter that it excluded campaigns again once announcements stop.
 #[test]
-fn a_voter_that_an_announcement_left_out_seeks_votes_once_nobody_announces() {
+fn a_voter_excluded_by_an_announcement_campaigns_after_announcements_stop() {
     for seed in SEEDS {
         let mut group = Group::formed(seed);
         let leader = group.leader_place().expect("there is a leader");
-        let told = (1..=5).find(|place| *place != leader).expect("others vote");
-        let others: Vec<SocketAddr> = (1..=5).filter(|place| *place != told).map(address).collect();
-        let group_number = group.node(told).expect("it runs").group().expect("it belongs to a group");
+        let excluded = (1..=5).find(|place| *place != leader).expect("others vote");
+        let others: Vec<SocketAddr> = (1..=5).filter(|place| *place != excluded).map(address).collect();
+        let group_number = group.node(excluded).expect("it runs").group().expect("it belongs to a group");
         let announcement = saddlerelay_replication::message::ReplicaRequest::Announce {
             group: group_number,
             leader: address(leader),
             members: others,
         };
-        group.ask(told, announcement);
-        let last: Vec<u8> = (1..=5).filter(|place| *place != told).take(2).collect();
-        last.iter().for_each(|place| group.kill(*place));
+        group.send_request(excluded, announcement);
+        let stopped: Vec<u8> = (1..=5).filter(|place| *place != excluded).take(2).collect();
+        stopped.iter().for_each(|place| group.kill(*place));
         group.await_leader(Duration::from_secs(10), &format!("seed {seed}: three of five are left"));
         group.check(&format!("seed {seed}"));
     }
--- a/crates/simulator/tests/reports.rs
+++ b/crates/simulator/tests/reports.rs
@@ -1,5 +1,5 @@
-//! Engines' reports on their way through one machine to the leader, in virtual time: many engines, few messages; that one
-//! leaves is not acknowledged before it is committed, and nothing for long while the leader is not reached.
+//! Batching of engine reports from one machine to the leader: many engines need few messages, an engine's departure is
+//! acknowledged only after its commit, and reports are not acknowledged for long while the leader is unreachable.
 
 use futures::executor::LocalPool;
 use saddlerelay_control_client::ControlClient;
@@ -20,23 +20,23 @@
 
 const SECRET: &str = "a secret of sixteen signs";
 const SEEDS: std::ops::Range<u64> = 0..10;
-/// Engines that report at one of twenty machines, of 10,000, and the pause between two reports of one.
+/// Number of engines that report to the machine, each every `REPORT_INTERVAL`.
 const ENGINES: usize = 500;
-const REPORT_PAUSE: Duration = Duration::from_secs(5);
-/// How long the leader takes to commit a message.
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
+/// Time that the leader takes to commit a message.
 const COMMIT_TIME: Duration = Duration::from_millis(8);
 
-/// Whether a report was acknowledged and when, once that is known.
-type Answer = Option<(bool, Duration)>;
+/// Whether a report was acknowledged, and when it completed; `None` while it is pending.
+type ReportResult = Option<(bool, Duration)>;
 
-/// A leader that keeps what it has committed.
+/// A simulated leader that stores committed reports.
 struct Leader {
     runtime: SimRuntime,
     committed: RefCell<BTreeMap<InstanceId, InstanceReport>>,
-    /// All that have ever been reported whole.
-    heard: RefCell<BTreeSet<InstanceId>>,
+    /// Engines that have been reported in full.
+    reported_in_full: RefCell<BTreeSet<InstanceId>>,
     messages: Cell<usize>,
-    /// Reports that were sent whole.
+    /// Number of full reports received.
     news: Cell<usize>,
     answers: Cell<bool>,
 }
@@ -55,12 +55,15 @@
         let mut missing = Vec::new();
         for heartbeat in reports.heartbeats {
             match committed.get_mut(&heartbeat.id) {
-                Some(held) => held.sequence = heartbeat.sequence,
+                Some(stored) => stored.sequence = heartbeat.sequence,
                 None => missing.push(heartbeat.id),
             }
         }
-        assert!(missing.iter().all(|id| self.heard.borrow().contains(id)), "what only says that it is there is known");
-        self.heard.borrow_mut().extend(reports.news.iter().map(|report| report.id.clone()));
+        assert!(
+            missing.iter().all(|id| self.reported_in_full.borrow().contains(id)),
+            "a heartbeat of an engine that was never reported in full"
+        );
+        self.reported_in_full.borrow_mut().extend(reports.news.iter().map(|report| report.id.clone()));
         self.news.set(self.news.get() + reports.news.len());
         committed.extend(reports.news.into_iter().map(|report| (report.id.clone(), report)));
         drop(committed);
@@ -69,7 +72,7 @@
     }
 }
 
-struct Setting {
+struct Fixture {
     world: Rc<World>,
     pool: LocalPool,
     leader: Rc<Leader>,
@@ -90,7 +93,7 @@
     }
 }
 
-impl Setting {
+impl Fixture {
     fn start(seed: u64) -> Self {
         spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
         let (world, pool) = World::new(seed);
@@ -101,7 +104,7 @@
         let leader = Rc::new(Leader {
             runtime: runtime.clone(),
             committed: RefCell::default(),
-            heard: RefCell::default(),
+            reported_in_full: RefCell::default(),
             messages: Cell::new(0),
             news: Cell::new(0),
             answers: Cell::new(true),
@@ -114,25 +117,25 @@
         let machine = world.start_process("machine", 2, 0);
         let runtime = SimRuntime { world: world.clone(), process: machine.clone() };
         let control = ControlClient::new(runtime.clone(), &[address], SECRET);
-        let gatherer = ReportGatherer::start(runtime, control, REPORT_PAUSE);
+        let gatherer = ReportGatherer::start(runtime, control, REPORT_INTERVAL);
         Self { world, pool, leader, machine, gatherer }
     }
 
-    /// An engine reports; returns whether that was acknowledged, and when, once it is known.
-    fn report(&self, report: InstanceReport) -> Rc<Cell<Answer>> {
+    /// Sends an engine's report; the returned cell receives the result.
+    fn report(&self, report: InstanceReport) -> Rc<Cell<ReportResult>> {
         let answer = Rc::new(Cell::new(None));
-        let told = answer.clone();
+        let result = answer.clone();
         let (gatherer, clock, leader) = (self.gatherer.clone(), self.world.clock.clone(), self.leader.clone());
         let leaving = report.leaving;
         let id = report.id.clone();
-        let first = leader.committed.borrow().get(&id).is_none_or(|held| held.leaving != leaving);
+        let first = leader.committed.borrow().get(&id).is_none_or(|stored| stored.leaving != leaving);
         self.world.spawn(&self.machine, async move {
             let acknowledged = gatherer.report(report).await == Ok(GatewayReply::Done);
             if acknowledged && leaving && first {
-                let committed = leader.committed.borrow().get(&id).is_some_and(|held| held.leaving == leaving);
+                let committed = leader.committed.borrow().get(&id).is_some_and(|stored| stored.leaving == leaving);
                 assert!(committed, "{id:?} was acknowledged before it was committed");
             }
-            told.set(Some((acknowledged, clock.now())));
+            result.set(Some((acknowledged, clock.now())));
         });
         answer
     }
@@ -145,15 +148,15 @@
         self.world.run(&mut self.pool, until + Duration::from_secs(1), move || clock.now() >= until);
     }
 
-    /// Every engine reports once, spread over the pause; returns how many were not acknowledged within a second.
+    /// Sends a report of every engine, spread over the interval; returns the number not acknowledged within a second.
     fn round(&mut self, sequence: u64) -> usize {
         let mut answers = Vec::new();
         for number in 0..ENGINES {
             answers.push((self.world.clock.now(), self.report(report(number, sequence))));
-            self.run_for(REPORT_PAUSE / ENGINES as u32);
+            self.run_for(REPORT_INTERVAL / ENGINES as u32);
         }
         self.run_for(Duration::from_secs(1));
-        let in_time = |(at, answer): &&(Duration, Rc<Cell<Answer>>)| {
+        let in_time = |(at, answer): &&(Duration, Rc<Cell<ReportResult>>)| {
             answer.get().is_some_and(|(acknowledged, told_at)| acknowledged && told_at < *at + Duration::from_secs(1))
         };
         ENGINES - answers.iter().filter(in_time).count()
@@ -161,112 +164,116 @@
 }
 
 #[test]
-fn reports_without_news_reach_the_leader_some_times_a_second_whatever_their_number() {
+fn heartbeats_are_batched_into_few_messages() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
-        assert_eq!(setting.round(1), 0, "seed {seed}");
-        assert_eq!(setting.leader.committed.borrow().len(), ENGINES);
-        let before = setting.leader.messages.get();
-        assert_eq!(setting.leader.news.get(), ENGINES);
-        assert_eq!(setting.round(2), 0, "seed {seed}");
-        let messages = setting.leader.messages.get() - before;
+        let mut fixture = Fixture::start(seed);
+        assert_eq!(fixture.round(1), 0, "seed {seed}");
+        assert_eq!(fixture.leader.committed.borrow().len(), ENGINES);
+        let before = fixture.leader.messages.get();
+        assert_eq!(fixture.leader.news.get(), ENGINES);
+        assert_eq!(fixture.round(2), 0, "seed {seed}");
+        let messages = fixture.leader.messages.get() - before;
         assert!(messages <= 18, "seed {seed}: {messages} messages for {ENGINES} reports in 6 s");
-        let heard = setting.leader.committed.borrow().values().filter(|held| held.sequence == 2).count();
-        assert_eq!(heard, ENGINES, "seed {seed}: every report is handed over");
-        assert_eq!(setting.leader.news.get(), ENGINES, "seed {seed}: what is known is not sent whole again");
+        let updated = fixture.leader.committed.borrow().values().filter(|stored| stored.sequence == 2).count();
+        assert_eq!(updated, ENGINES, "seed {seed}: every report reaches the leader");
+        assert_eq!(fixture.leader.news.get(), ENGINES, "seed {seed}: a known engine was reported in full again");
     }
 }
 
-/// All engines of a machine at once, as after a start, and before there is a leader: they are answered in time, so that they
-/// do not come again elsewhere; one message is under way at a time, and carries what has come.
+/// Concurrent registrations without a responding leader are acknowledged in time, so that engines do not retry at
+/// another machine, and are batched into few messages.
 #[test]
-fn a_herd_of_registrations_is_answered_at_once_and_takes_few_messages() {
+fn concurrent_registrations_are_acknowledged_in_time_and_batched() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
-        setting.leader.answers.set(false);
-        let answers: Vec<_> = (0..3 * ENGINES).map(|number| setting.report(report(number, 1))).collect();
-        setting.run_for(Duration::from_millis(900));
+        let mut fixture = Fixture::start(seed);
+        fixture.leader.answers.set(false);
+        let answers: Vec<_> = (0..3 * ENGINES).map(|number| fixture.report(report(number, 1))).collect();
+        fixture.run_for(Duration::from_millis(900));
         let acknowledged = answers.iter().filter(|answer| answer.get().is_some_and(|(done, _)| done)).count();
-        assert_eq!(acknowledged, 3 * ENGINES, "seed {seed}: an engine waits a second for its answer");
-        setting.leader.answers.set(true);
-        setting.run_for(Duration::from_millis(2_500));
-        assert_eq!(setting.leader.committed.borrow().len(), 3 * ENGINES, "seed {seed}: none is forgotten");
-        assert!(setting.leader.messages.get() <= 8, "seed {seed}: {} messages", setting.leader.messages.get());
+        assert_eq!(acknowledged, 3 * ENGINES, "seed {seed}: an engine was not acknowledged within a second");
+        fixture.leader.answers.set(true);
+        fixture.run_for(Duration::from_millis(2_500));
+        assert_eq!(fixture.leader.committed.borrow().len(), 3 * ENGINES, "seed {seed}: a report was lost");
+        assert!(fixture.leader.messages.get() <= 8, "seed {seed}: {} messages", fixture.leader.messages.get());
     }
 }
 
 #[test]
-fn a_leaving_engine_is_acknowledged_when_that_is_committed() {
+fn a_leaving_engine_is_acknowledged_after_the_commit() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
-        setting.report(report(1, 1));
-        setting.run_for(Duration::from_millis(100));
-        let leaving = setting.report(InstanceReport { leaving: true, ..report(1, 2) });
-        setting.run_for(Duration::from_millis(100));
+        let mut fixture = Fixture::start(seed);
+        fixture.report(report(1, 1));
+        fixture.run_for(Duration::from_millis(100));
+        let leaving = fixture.report(InstanceReport { leaving: true, ..report(1, 2) });
+        fixture.run_for(Duration::from_millis(100));
         assert!(leaving.get().is_some_and(|(done, _)| done), "seed {seed}");
-        let held = setting.leader.committed.borrow().get(&report(1, 1).id).cloned();
-        assert!(held.is_some_and(|held| held.leaving), "seed {seed}");
+        let stored = fixture.leader.committed.borrow().get(&report(1, 1).id).cloned();
+        assert!(stored.is_some_and(|stored| stored.leaving), "seed {seed}");
     }
 }
 
-/// An engine whose machine does not reach the leader goes to another one, after as long as engines pause between reports:
-/// an election does not have all of them come again elsewhere, and none is kept where nobody hears of it.
+/// A machine without a connection to the leader acknowledges reports during an election, but stops after a report
+/// interval, so that its engines move to another machine.
 #[test]
-fn a_machine_that_does_not_reach_the_leader_acknowledges_nothing_for_long() {
+fn a_machine_without_a_leader_stops_acknowledging_reports() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
-        assert_eq!(setting.round(1), 0);
-        setting.leader.answers.set(false);
-        let during = setting.report(report(1, 2));
-        setting.run_for(Duration::from_millis(1_600));
-        assert!(during.get().is_some_and(|(acknowledged, _)| acknowledged), "seed {seed}: an election is sat out");
-        setting.run_for(REPORT_PAUSE);
-        assert_eq!(setting.round(2), ENGINES, "seed {seed}");
-        setting.leader.answers.set(true);
-        setting.run_for(Duration::from_millis(1_500));
-        assert_eq!(setting.round(3), 0, "seed {seed}");
+        let mut fixture = Fixture::start(seed);
+        assert_eq!(fixture.round(1), 0);
+        fixture.leader.answers.set(false);
+        let during = fixture.report(report(1, 2));
+        fixture.run_for(Duration::from_millis(1_600));
+        assert!(
+            during.get().is_some_and(|(acknowledged, _)| acknowledged),
+            "seed {seed}: not acknowledged during an election"
+        );
+        fixture.run_for(REPORT_INTERVAL);
+        assert_eq!(fixture.round(2), ENGINES, "seed {seed}");
+        fixture.leader.answers.set(true);
+        fixture.run_for(Duration::from_millis(1_500));
+        assert_eq!(fixture.round(3), 0, "seed {seed}");
     }
 }
 
-/// A leader that holds nothing of an engine of which only heartbeats come asks for its report, and gets it with the engine's
-/// next one.
+/// A leader that receives heartbeats of an unknown engine requests a full report, which follows with the next
+/// heartbeat.
 #[test]
-fn an_engine_that_the_leader_has_lost_is_reported_whole_again() {
+fn an_engine_unknown_to_the_leader_is_reported_in_full_again() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
+        let mut fixture = Fixture::start(seed);
         let lost = report(1, 1).id;
         for number in 1..=2 {
-            setting.report(report(number, 1));
+            fixture.report(report(number, 1));
         }
-        setting.run_for(Duration::from_secs(1));
-        assert_eq!(setting.leader.news.get(), 2, "seed {seed}");
-        setting.leader.committed.borrow_mut().remove(&lost);
+        fixture.run_for(Duration::from_secs(1));
+        assert_eq!(fixture.leader.news.get(), 2, "seed {seed}");
+        fixture.leader.committed.borrow_mut().remove(&lost);
         for sequence in 2..=3 {
             for number in 1..=2 {
-                let answer = setting.report(report(number, sequence));
-                setting.run_for(Duration::from_secs(1));
+                let answer = fixture.report(report(number, sequence));
+                fixture.run_for(Duration::from_secs(1));
                 assert!(answer.get().is_some_and(|(acknowledged, _)| acknowledged), "seed {seed}");
             }
         }
-        assert!(setting.leader.committed.borrow().contains_key(&lost), "seed {seed}");
-        assert_eq!(setting.leader.news.get(), 3, "seed {seed}: the other one's heartbeats are enough");
+        assert!(fixture.leader.committed.borrow().contains_key(&lost), "seed {seed}");
+        assert_eq!(fixture.leader.news.get(), 3, "seed {seed}: the known engine was reported in full again");
     }
 }
 
-/// Two starts under one name are two engines on their way: the counts of neither hide the other's reports.
+/// Two incarnations of an engine have separate sequence numbers.
 #[test]
-fn an_engine_that_starts_again_is_news_whatever_its_count() {
+fn a_new_incarnation_is_reported_regardless_of_its_sequence_number() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
+        let mut fixture = Fixture::start(seed);
         let start =
             |at_ms, sequence| InstanceReport { id: InstanceId::started("engine", at_ms), ..report(1, sequence) };
-        setting.report(start(1_000, 40));
-        setting.run_for(Duration::from_secs(1));
-        setting.report(start(1_000, 41));
-        setting.report(start(2_000, 1));
-        setting.run_for(Duration::from_secs(1));
-        let committed = setting.leader.committed.borrow();
-        let held = |at_ms| committed.get(&InstanceId::started("engine", at_ms)).map(|held| held.sequence);
-        assert_eq!((held(1_000), held(2_000)), (Some(41), Some(1)), "seed {seed}");
+        fixture.report(start(1_000, 40));
+        fixture.run_for(Duration::from_secs(1));
+        fixture.report(start(1_000, 41));
+        fixture.report(start(2_000, 1));
+        fixture.run_for(Duration::from_secs(1));
+        let committed = fixture.leader.committed.borrow();
+        let committed_sequence =
+            |at_ms| committed.get(&InstanceId::started("engine", at_ms)).map(|stored| stored.sequence);
+        assert_eq!((committed_sequence(1_000), committed_sequence(2_000)), (Some(41), Some(1)), "seed {seed}");
     }
 }
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Every scenario of the repository, in virtual time with fixed seeds.
+//! Runs every built-in scenario with fixed seeds.
 
 use saddlerelay_policies::PolicyName;
 use saddlerelay_scenarios::builtin::{scenario, scenarios};
@@ -11,7 +11,7 @@
 const THREADS: usize = 8;
 
 #[test]
-fn no_scenario_breaks_a_promise() {
+fn no_scenario_has_violations() {
     let scenarios = scenarios();
     let runs: Vec<(&Scenario, u64)> =
         scenarios.iter().flat_map(|scenario| SEEDS.map(move |seed| (scenario, seed))).collect();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn every_policy_keeps_the_promises() {
+fn no_policy_has_violations() {
     let steady = scenario("double-fault").expect("the scenario exists");
     for policy in PolicyName::ALL {
         let outcome = run(&steady, 1, policy).expect("it ran");
@@ -51,7 +51,7 @@
     }
 }
 
-/// A stated outcome that is missed is told: a run cannot pass by doing nothing.
+/// A run that misses the scenario's stated outcome must not pass.
 #[test]
 fn a_missed_outcome_is_a_violation() {
     let mut steady = scenario("steady").expect("the scenario exists");
@@ -60,7 +60,7 @@
     assert_eq!(outcome.report.violations.len(), 1);
 }
 
-/// A recorded run can be replayed: the same faults, and the same number of requests of each caller.
+/// Replaying a recorded run makes the same number of requests.
 #[test]
 fn a_recorded_run_is_replayed() {
     let scenario = scenario("double-fault").expect("the scenario exists");
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn traces_are_written_and_read_back_alike() {
+fn traces_round_trip() {
     for scenario in scenarios() {
         let text = scenario.write().expect("a trace can be written");
         assert_eq!(Scenario::parse(&text).expect("what was written can be read"), scenario);
--- a/crates/simulator/tests/suspicion_ways.rs
+++ b/crates/simulator/tests/suspicion_ways.rs
@@ -1,8 +1,9 @@
-//! Ways to keep work from engines that ends them, compared on the same seeds with the product's own tables: how many engines
-//! such work ends, and how many innocent requests are refused with it.
+//! Compares quarantine policies for requests that crash their engines: how many engines these crash, and how many
+//! harmless requests are refused as suspects.
 //!
-//! A model of relays, engines and a group, event by event: engines end by themselves too, take what they run with them, and
-//! come back; innocent clients try twice, guilty work comes back for as long as the run lasts.
+//! A discrete-event model of relays, engines and a group that uses the real suspicion tables. Engines also crash by
+//! themselves and lose the requests that they run; harmless clients retry once, and crashing requests recur during the
+//! whole run.
 
 use fastrand::Rng;
 use saddlerelay_control::state::suspicions::SuspicionTable;
@@ -17,47 +18,47 @@
 const REQUESTS: usize = 200_000;
 const SEEDS: std::ops::Range<u64> = 0..1;
 
-/// Mean pause between innocent requests at three relays; less at more relays.
+/// Mean interval between harmless requests with three relays; inversely proportional to the number of relays.
 const ARRIVAL_PAUSE: Duration = Duration::from_millis(4);
-/// Mean time for which an engine runs an innocent request.
+/// Mean execution time of a harmless request.
 const RUN_TIME: Duration = Duration::from_millis(25);
-/// From the start of guilty work to the end of its engine.
+/// Time from the start of a crashing request to the crash.
 const CRASH_TIME: Duration = Duration::from_millis(60);
-/// From an engine's end to its return.
+/// Time from an engine's crash to its restart.
 const DOWN_TIME: Duration = Duration::from_secs(3);
-/// Mean time between an engine's ends by itself.
-const OWN_END_PAUSE: Duration = Duration::from_secs(120);
-/// From a relay to the group's commit, and from there to each relay.
+/// Mean time between spontaneous crashes of an engine.
+const SPONTANEOUS_CRASH_INTERVAL: Duration = Duration::from_secs(120);
+/// Time from a relay's request to the commit; `NOTIFICATION_TIME` is the time from there to each relay.
 const COMMIT_TIME: Duration = Duration::from_millis(6);
-const TELL_TIME: Duration = Duration::from_millis(2);
-/// Pause before a client's second try, at another relay.
+const NOTIFICATION_TIME: Duration = Duration::from_millis(2);
+/// Delay before a client's retry at another relay.
 const CLIENT_PAUSE: Duration = Duration::from_millis(15);
-/// Engines that one try may go to.
+/// Maximum number of engines per client attempt.
 const ATTEMPTS: usize = 2;
-/// Kinds of guilty work, and the mean pause until one comes back.
-const GUILTY_KINDS: u32 = 8;
-const GUILTY_PAUSE: Duration = Duration::from_secs(6);
+/// Number of distinct crashing requests, each sent at a mean interval of `CRASHING_REQUEST_INTERVAL`.
+const CRASHING_REQUESTS: u32 = 8;
+const CRASHING_REQUEST_INTERVAL: Duration = Duration::from_secs(6);
 const LAST_TRIAL_PAUSE: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// Nothing keeps work from engines: the code before inc1.
+enum Policy {
+    /// No quarantine.
     Nothing,
-    /// Three engines make a quarantine.
+    /// Quarantine after three crashed engines.
     Counting,
-    /// Likewise, and the third only after a pause.
+    /// Quarantine after three crashed engines, with a pause before the third attempt.
     CountingWithPause,
-    /// Two engines make a quarantine.
+    /// Quarantine after two crashed engines.
     TwoEngines,
-    /// Likewise; and once an engine has ended under it, work runs at one engine at a time anywhere: what stands.
+    /// As `CountingWithPause`, and a request that has crashed an engine needs a trial lease: the implemented policy.
     OneAtATime,
-    /// Likewise, and not at the last engine there is.
+    /// As `OneAtATime`, and suspected requests are not sent to the last running engine.
     OneAtATimeNotAtTheLast,
-    /// As with the pause, and not at the last engine there is.
+    /// As `CountingWithPause`, and suspected requests are not sent to the last running engine.
     NotAtTheLast,
 }
 
-impl Way {
+impl Policy {
     fn allows(self, suspicions: &Suspicions, work: &WorkDigest, now: Duration) -> bool {
         let verdict = |pause| suspicions.verdict(work, now, pause) == Verdict::Send;
         match self {
@@ -72,24 +73,24 @@
 }
 
 #[derive(Clone, Debug)]
-struct Try {
+struct Attempt {
     work: u32,
-    guilty: bool,
+    crashing: bool,
     relay: usize,
-    /// Which of the client's tries it is, from 0.
+    /// Index of the client's attempt, from 0.
     number: u32,
     attempts: usize,
-    /// The number under which it holds the right to run suspected work.
+    /// Number of the trial lease that it holds.
     trial: Option<u64>,
 }
 
 #[derive(Clone, Debug)]
 enum Event {
-    Arrive(Try),
-    Send(Try),
-    /// A relay's question for the right to run suspected work reaches the group.
-    AskTrial(Try),
-    /// A run ends at an engine that may have ended before it.
+    Arrive(Attempt),
+    Send(Attempt),
+    /// A relay's request for a trial lease reaches the group.
+    RequestTrial(Attempt),
+    /// An execution completes, unless its engine has crashed before.
     Finish {
         run: u64,
         engine: usize,
@@ -103,31 +104,31 @@
         engine: usize,
     },
     Commit(WorkEvidence),
-    Tell,
+    NotifyRelays,
 }
 
 #[derive(Default)]
 struct Engine {
     is_up: bool,
     start: u32,
-    running: BTreeMap<u64, Try>,
+    running: BTreeMap<u64, Attempt>,
 }
 
 #[derive(Debug, Default)]
 struct Outcome {
-    innocent: usize,
-    /// Innocent clients refused at their last try because their work was suspected.
+    harmless: usize,
+    /// Harmless requests whose last attempt was refused because they were suspected.
     refused_as_suspects: usize,
-    /// Innocent clients whose last try failed with its engine, or found none.
+    /// Harmless requests whose last attempt failed with its engine or found no engine.
     failed: usize,
-    /// Engines that each kind of guilty work has ended.
-    ended_by: BTreeMap<u32, usize>,
-    /// Time for which no engine was up.
+    /// Number of engines crashed by each crashing request.
+    crashed_by: BTreeMap<u32, usize>,
+    /// Total time without a running engine.
     none_up: Duration,
 }
 
 struct Model {
-    way: Way,
+    policy: Policy,
     random: Rng,
     now: Duration,
     queue: BTreeMap<(Duration, u64), Event>,
@@ -143,10 +144,10 @@
 }
 
 impl Model {
-    fn new(way: Way, relays: usize, engines: usize, seed: u64) -> Self {
+    fn new(policy: Policy, relays: usize, engines: usize, seed: u64) -> Self {
         let up = || Engine { is_up: true, ..Engine::default() };
         Self {
-            way,
+            policy,
             random: Rng::with_seed(seed),
             now: Duration::ZERO,
             queue: BTreeMap::new(),
@@ -163,30 +164,36 @@
         self.queue.insert((self.now + pause, self.sequence), event);
     }
 
-    fn about(&mut self, mean: Duration) -> Duration {
+    fn exponential(&mut self, mean: Duration) -> Duration {
         mean.mul_f64(-(1.0 - self.random.f64()).ln())
     }
 
-    fn run(mut self, guilty_kinds: u32) -> Outcome {
+    fn run(mut self, crashing_requests: u32) -> Outcome {
         let relays = self.relays.len();
         let pause = ARRIVAL_PAUSE * 3 / relays as u32;
         let mut arrival = Duration::ZERO;
         for work in 0..REQUESTS as u32 {
-            arrival += self.about(pause);
+            arrival += self.exponential(pause);
             let relay = self.random.usize(..relays);
-            self.after(arrival, Event::Arrive(Try { work, guilty: false, relay, number: 0, attempts: 0, trial: None }));
+            self.after(
+                arrival,
+                Event::Arrive(Attempt { work, crashing: false, relay, number: 0, attempts: 0, trial: None }),
+            );
         }
-        for kind in 0..guilty_kinds {
+        for kind in 0..crashing_requests {
             let mut at = arrival.mul_f64(self.random.f64() / 2.0);
             while at < arrival {
                 let relay = self.random.usize(..relays);
                 let work = u32::MAX - kind;
-                self.after(at, Event::Arrive(Try { work, guilty: true, relay, number: 0, attempts: 0, trial: None }));
-                at += self.about(GUILTY_PAUSE);
+                self.after(
+                    at,
+                    Event::Arrive(Attempt { work, crashing: true, relay, number: 0, attempts: 0, trial: None }),
+                );
+                at += self.exponential(CRASHING_REQUEST_INTERVAL);
             }
         }
         for engine in 0..self.engines.len() {
-            let pause = self.about(OWN_END_PAUSE);
+            let pause = self.exponential(SPONTANEOUS_CRASH_INTERVAL);
             self.after(pause, Event::Crash { engine, start: 0 });
         }
         while let Some(((at, _), event)) = self.queue.pop_first() {
@@ -204,82 +211,83 @@
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::Arrive(one) => {
-                self.outcome.innocent += usize::from(!one.guilty && one.number == 0);
-                self.send(one);
+            Event::Arrive(attempt) => {
+                self.outcome.harmless += usize::from(!attempt.crashing && attempt.number == 0);
+                self.send(attempt);
             }
-            Event::Send(one) => self.send(one),
-            Event::AskTrial(one) => self.answer_trial(one),
+            Event::Send(attempt) => self.send(attempt),
+            Event::RequestTrial(attempt) => self.grant_trial(attempt),
             Event::Finish { run, engine, start } => self.finish(run, engine, start),
             Event::Crash { engine, start } => self.crash(engine, start),
-            Event::Return { engine } => self.bring_back(engine),
+            Event::Return { engine } => self.restart_engine(engine),
             Event::Commit(evidence) => {
                 self.table.take(evidence, self.now.as_millis() as u64);
-                self.after(TELL_TIME, Event::Tell);
+                self.after(NOTIFICATION_TIME, Event::NotifyRelays);
             }
-            Event::Tell => {
+            Event::NotifyRelays => {
                 let now = self.now;
                 self.relays.iter_mut().for_each(|relay| relay.take(self.table.list(), now));
             }
         }
     }
 
-    fn send(&mut self, mut one: Try) {
-        if !self.way.allows(&self.relays[one.relay], &digest(one.work), self.now) {
-            return self.give_up(one, true);
+    fn send(&mut self, mut attempt: Attempt) {
+        if !self.policy.allows(&self.relays[attempt.relay], &digest(attempt.work), self.now) {
+            return self.fail_attempt(attempt, true);
         }
         let up: Vec<usize> = (0..self.engines.len()).filter(|engine| self.engines[*engine].is_up).collect();
-        if up.is_empty() || one.attempts == ATTEMPTS {
-            return self.give_up(one, false);
+        if up.is_empty() || attempt.attempts == ATTEMPTS {
+            return self.fail_attempt(attempt, false);
         }
-        let relay = &self.relays[one.relay];
-        let work = digest(one.work);
+        let relay = &self.relays[attempt.relay];
+        let work = digest(attempt.work);
         let suspected = relay.engines_ended(&work) > 0;
-        let spares_last = matches!(self.way, Way::NotAtTheLast | Way::OneAtATimeNotAtTheLast);
+        let spares_last = matches!(self.policy, Policy::NotAtTheLast | Policy::OneAtATimeNotAtTheLast);
         if suspected && spares_last && up.len() == 1 {
-            return self.give_up(one, true);
+            return self.fail_attempt(attempt, true);
         }
-        let takes_trials = matches!(self.way, Way::OneAtATime | Way::OneAtATimeNotAtTheLast);
-        if suspected && takes_trials && one.trial.is_none() {
-            return self.after(COMMIT_TIME, Event::AskTrial(one));
+        let takes_trials = matches!(self.policy, Policy::OneAtATime | Policy::OneAtATimeNotAtTheLast);
+        if suspected && takes_trials && attempt.trial.is_none() {
+            return self.after(COMMIT_TIME, Event::RequestTrial(attempt));
         }
-        one.attempts += 1;
+        attempt.attempts += 1;
         let engine = up[self.random.usize(..up.len())];
         self.sequence += 1;
         let (run, start) = (self.sequence, self.engines[engine].start);
-        let event = match one.guilty {
+        let event = match attempt.crashing {
             true => (CRASH_TIME, Event::Crash { engine, start }),
-            false => (self.about(RUN_TIME), Event::Finish { run, engine, start }),
+            false => (self.exponential(RUN_TIME), Event::Finish { run, engine, start }),
         };
-        self.engines[engine].running.insert(run, one);
+        self.engines[engine].running.insert(run, attempt);
         self.after(event.0, event.1);
     }
 
-    fn answer_trial(&mut self, mut one: Try) {
+    fn grant_trial(&mut self, mut attempt: Attempt) {
         self.sequence += 1;
-        let id = TrialId { holder: Incarnation(one.relay as u64), number: self.sequence };
-        match self.table.begin_trial(digest(one.work), id, self.now.as_millis() as u64, 1_500) {
+        let id = TrialId { holder: Incarnation(attempt.relay as u64), number: self.sequence };
+        match self.table.begin_trial(digest(attempt.work), id, self.now.as_millis() as u64, 1_500) {
             TrialAnswer::Granted => {
-                one.trial = Some(id.number);
-                self.send(one);
+                attempt.trial = Some(id.number);
+                self.send(attempt);
             }
-            TrialAnswer::Taken => self.give_up(one, true),
+            TrialAnswer::Taken => self.fail_attempt(attempt, true),
         }
     }
 
-    fn end_trial(&mut self, one: &Try) {
-        if let Some(number) = one.trial {
-            self.table.end_trial(&digest(one.work), TrialId { holder: Incarnation(one.relay as u64), number });
+    fn end_trial(&mut self, attempt: &Attempt) {
+        if let Some(number) = attempt.trial {
+            self.table.end_trial(&digest(attempt.work), TrialId { holder: Incarnation(attempt.relay as u64), number });
         }
     }
 
-    fn give_up(&mut self, one: Try, suspected: bool) {
-        self.end_trial(&one);
-        if one.number == 0 {
+    fn fail_attempt(&mut self, attempt: Attempt, suspected: bool) {
+        self.end_trial(&attempt);
+        if attempt.number == 0 {
             let relay = self.random.usize(..self.relays.len());
-            return self.after(CLIENT_PAUSE, Event::Arrive(Try { relay, number: 1, attempts: 0, trial: None, ..one }));
+            return self
+                .after(CLIENT_PAUSE, Event::Arrive(Attempt { relay, number: 1, attempts: 0, trial: None, ..attempt }));
         }
-        if !one.guilty {
+        if !attempt.crashing {
             self.outcome.refused_as_suspects += usize::from(suspected);
             self.outcome.failed += usize::from(!suspected);
         }
@@ -289,10 +297,10 @@
         if self.engines[engine].start != start || !self.engines[engine].is_up {
             return;
         }
-        let one = self.engines[engine].running.remove(&run).expect("it runs there");
-        self.end_trial(&one);
-        if self.relays[one.relay].note_served(&digest(one.work)) {
-            self.hand_over(one.relay);
+        let attempt = self.engines[engine].running.remove(&run).expect("it runs there");
+        self.end_trial(&attempt);
+        if self.relays[attempt.relay].note_served(&digest(attempt.work)) {
+            self.hand_over(attempt.relay);
         }
     }
 
@@ -302,24 +310,25 @@
         }
         self.engines[engine].is_up = false;
         let lost = std::mem::take(&mut self.engines[engine].running);
-        let guilty: BTreeSet<u32> = lost.values().filter(|one| one.guilty).map(|one| one.work).collect();
-        guilty.into_iter().for_each(|work| *self.outcome.ended_by.entry(work).or_default() += 1);
+        let crashing: BTreeSet<u32> =
+            lost.values().filter(|attempt| attempt.crashing).map(|attempt| attempt.work).collect();
+        crashing.into_iter().for_each(|work| *self.outcome.crashed_by.entry(work).or_default() += 1);
         let instance = InstanceId::named(format!("{engine}/{start}"));
-        for one in lost.into_values() {
-            let loss = EngineLoss { work: digest(one.work), instance: instance.clone() };
-            self.relays[one.relay].note_loss(loss, self.now);
-            self.hand_over(one.relay);
-            // Another engine is tried when the group has answered.
-            self.after(COMMIT_TIME + TELL_TIME + Duration::from_millis(1), Event::Send(one));
+        for attempt in lost.into_values() {
+            let loss = EngineLoss { work: digest(attempt.work), instance: instance.clone() };
+            self.relays[attempt.relay].note_loss(loss, self.now);
+            self.hand_over(attempt.relay);
+            // The relay retries after the group has committed the evidence.
+            self.after(COMMIT_TIME + NOTIFICATION_TIME + Duration::from_millis(1), Event::Send(attempt));
         }
         self.after(DOWN_TIME, Event::Return { engine });
     }
 
-    fn bring_back(&mut self, engine: usize) {
+    fn restart_engine(&mut self, engine: usize) {
         self.engines[engine].is_up = true;
         self.engines[engine].start += 1;
         let start = self.engines[engine].start;
-        let pause = self.about(OWN_END_PAUSE);
+        let pause = self.exponential(SPONTANEOUS_CRASH_INTERVAL);
         self.after(pause, Event::Crash { engine, start });
     }
 
@@ -330,64 +339,66 @@
     }
 }
 
-/// What one way brought, over all seeds.
-struct Measured {
-    innocent: usize,
+/// Results of one policy over all seeds.
+struct PolicyResult {
+    harmless: usize,
     refused_as_suspects: usize,
     failed: usize,
-    /// Engines ended by a kind of guilty work: mean and most.
-    mean_ended: f64,
-    most_ended: usize,
+    /// Mean number of engines crashed by one crashing request; `most_crashed` is the maximum.
+    mean_crashed: f64,
+    most_crashed: usize,
     none_up: Duration,
 }
 
-fn measure(way: Way, relays: usize, engines: usize) -> Measured {
-    let outcomes: Vec<Outcome> = SEEDS.map(|seed| Model::new(way, relays, engines, seed).run(GUILTY_KINDS)).collect();
+fn measure(policy: Policy, relays: usize, engines: usize) -> PolicyResult {
+    let outcomes: Vec<Outcome> =
+        SEEDS.map(|seed| Model::new(policy, relays, engines, seed).run(CRASHING_REQUESTS)).collect();
     let sum = |of: fn(&Outcome) -> usize| outcomes.iter().map(of).sum::<usize>();
-    let ended: Vec<usize> = outcomes.iter().flat_map(|outcome| outcome.ended_by.values().copied()).collect();
-    Measured {
-        innocent: sum(|outcome| outcome.innocent),
+    let ended: Vec<usize> = outcomes.iter().flat_map(|outcome| outcome.crashed_by.values().copied()).collect();
+    PolicyResult {
+        harmless: sum(|outcome| outcome.harmless),
         refused_as_suspects: sum(|outcome| outcome.refused_as_suspects),
         failed: sum(|outcome| outcome.failed),
-        mean_ended: ended.iter().sum::<usize>() as f64 / ended.len().max(1) as f64,
-        most_ended: ended.into_iter().max().unwrap_or(0),
+        mean_crashed: ended.iter().sum::<usize>() as f64 / ended.len().max(1) as f64,
+        most_crashed: ended.into_iter().max().unwrap_or(0),
         none_up: outcomes.iter().map(|outcome| outcome.none_up).sum(),
     }
 }
 
 #[test]
-fn what_stands_ends_few_engines_and_refuses_hardly_an_innocent_request() {
+fn the_implemented_policy_limits_crashes_and_refuses_few_harmless_requests() {
     println!("way, relays, engines: innocent, refused as suspects, failed, engines ended (mean, most), none up");
     for (relays, engines) in [(3, 3), (7, 9), (67, 30)] {
-        for way in [
-            Way::Nothing,
-            Way::Counting,
-            Way::CountingWithPause,
-            Way::TwoEngines,
-            Way::NotAtTheLast,
-            Way::OneAtATimeNotAtTheLast,
-            Way::OneAtATime,
+        for policy in [
+            Policy::Nothing,
+            Policy::Counting,
+            Policy::CountingWithPause,
+            Policy::TwoEngines,
+            Policy::NotAtTheLast,
+            Policy::OneAtATimeNotAtTheLast,
+            Policy::OneAtATime,
         ] {
-            let Measured { innocent, refused_as_suspects, failed, mean_ended, most_ended, none_up } =
-                measure(way, relays, engines);
+            let PolicyResult { harmless, refused_as_suspects, failed, mean_crashed, most_crashed, none_up } =
+                measure(policy, relays, engines);
             println!(
-                "{way:?}, {relays}, {engines}: {innocent}, {refused_as_suspects}, {failed}, {mean_ended:.2}, {most_ended}, \
+                "{policy:?}, {relays}, {engines}: {harmless}, {refused_as_suspects}, {failed}, {mean_crashed:.2}, {most_crashed}, \
                  {:.1} s",
                 none_up.as_secs_f64()
             );
-            if matches!(way, Way::CountingWithPause | Way::OneAtATime) {
-                assert!(refused_as_suspects * 10_000 < innocent, "{refused_as_suspects} of {innocent} refused");
-                assert!(most_ended <= 4, "one kind of work ended {most_ended} engines");
+            if matches!(policy, Policy::CountingWithPause | Policy::OneAtATime) {
+                assert!(refused_as_suspects * 10_000 < harmless, "{refused_as_suspects} of {harmless} refused");
+                assert!(most_crashed <= 4, "one kind of work ended {most_crashed} engines");
             }
         }
     }
 }
 
-/// Engines that end by themselves, and no such work in the mix.
+/// Spontaneous crashes alone must not cause refusals.
 #[test]
-fn without_such_work_no_request_is_refused_for_it() {
+fn spontaneous_crashes_alone_cause_no_refusals() {
     for (relays, engines) in [(3, 3), (67, 30)] {
-        let refused = SEEDS.map(|seed| Model::new(Way::OneAtATime, relays, engines, seed).run(0).refused_as_suspects);
+        let refused =
+            SEEDS.map(|seed| Model::new(Policy::OneAtATime, relays, engines, seed).run(0).refused_as_suspects);
         assert_eq!(refused.sum::<usize>(), 0, "{relays} relays, {engines} engines");
     }
 }
--- a/crates/simulator/tests/trial_leases.rs
+++ b/crates/simulator/tests/trial_leases.rs
@@ -1,8 +1,5 @@
-//! The right to run suspected work is one process's at a time, and does not outlive it for long.
-//!
-//! Accepted items waited for the right that a leader held which had ended (see `abandoned_rights` of the gateways' interface).
-//! Here two holders ask a whole group for the same right, in virtual time, while the one that has it ends, stands still, is cut off or
-//! lives through the loss of the leader.
+//! Trial leases: at most one process at a time may run suspected work, and its lease expires soon after the process
+//! ends. Two processes request the same lease while the holder is killed, frozen or partitioned, or the leader is lost.
 
 mod control_group;
 
@@ -24,93 +21,94 @@
 
 const SEEDS: std::ops::Range<u64> = 0..24;
 
-/// Seeds whose cuts come at moments all over the time between two renewals.
+/// Seeds that spread the time of a partition over the interval between renewals.
 const CUT_SEEDS: std::ops::Range<u64> = 0..200;
 
-/// How long a try of the work may last: an item of a step.
+/// Time limit of an attempt.
 const LIMIT: Duration = Duration::from_secs(40);
 
-/// From the end of a holder to the next one's start: a lease, a look, a pause between two questions, a commit.
-const TAKEN_OVER_WITHIN: Duration = Duration::from_millis(2_600);
+/// Time limit from the end of a holder to the grant to the next: a lease, an expiry check, a retry interval and a
+/// commit.
+const GRANT_LIMIT: Duration = Duration::from_millis(2_600);
 
-/// The same from the restart of the whole group, with an election.
-const TAKEN_OVER_AFTER_RESTART: Duration = Duration::from_secs(5);
+/// The same with an election.
+const GRANT_LIMIT_AFTER_ELECTION: Duration = Duration::from_secs(5);
 
-/// The zone of the first holder, which a cut takes from all others but one replica.
+/// Zone of the first holder and of replica 8.
 const FIRST_ZONE: usize = 8;
 
-/// The zone of the second.
+/// Zone of the second holder and of replica 9.
 const SECOND_ZONE: usize = 9;
 
 fn work() -> WorkDigest {
     WorkDigest::of_posted(None, "host", "/rollouts", b"an item")
 }
 
-/// What a holder does with the right.
+/// State of a holder.
 #[derive(Default)]
-struct Conduct {
-    /// It has the right, and runs the work at an engine since then.
-    runs_since: Cell<Option<Duration>>,
-    /// It was told that the right is another's.
+struct HolderState {
+    /// When it was granted the lease and started the work; `None` while it does not hold the lease.
+    running_since: Cell<Option<Duration>>,
+    /// Whether it was notified of the loss of its lease.
     lost: Cell<bool>,
-    /// It is to give the right back and ask no more.
-    ends: Cell<bool>,
-    /// It has the right and would begin a run with it.
-    may_begin: Cell<bool>,
+    /// Set by the test to release the lease and stop.
+    stops: Cell<bool>,
+    /// Whether its lease permits it to start an attempt.
+    may_start_attempt: Cell<bool>,
 }
 
 struct Holder {
     process: Rc<Process>,
-    conduct: Rc<Conduct>,
+    state: Rc<HolderState>,
 }
 
 impl Holder {
     fn start(deployment: &Deployment, name: &str, zone: usize) -> Self {
         let process = deployment.world.start_process(name, zone, 0);
         let runtime = SimRuntime { world: deployment.world.clone(), process: process.clone() };
-        let conduct = Rc::new(Conduct::default());
-        deployment.world.spawn(&process, run_work(runtime, conduct.clone()));
-        Self { process, conduct }
+        let state = Rc::new(HolderState::default());
+        deployment.world.spawn(&process, run_work(runtime, state.clone()));
+        Self { process, state }
     }
 
-    /// Whether an engine runs the work for it: one that has been killed has no connection any more.
+    /// Whether an engine runs the work for it; killing the process ends the work.
     fn runs(&self) -> bool {
-        self.process.is_alive() && self.conduct.runs_since.get().is_some()
+        self.process.is_alive() && self.state.running_since.get().is_some()
     }
 }
 
-/// Asks for the right again and again, and runs the work while it has it.
-async fn run_work(runtime: SimRuntime, conduct: Rc<Conduct>) {
+/// Requests the lease repeatedly and runs the work while holding it.
+async fn run_work(runtime: SimRuntime, state: Rc<HolderState>) {
     let control = ControlClient::new(runtime.clone(), &(1..=REPLICAS).map(address).collect::<Vec<_>>(), SECRET);
     let keeper = TrialKeeper::start(runtime.clone(), control);
-    while !conduct.ends.get() {
+    while !state.stops.get() {
         if let Some(guard) = keeper.begin(work(), LIMIT).await {
-            conduct.runs_since.set(Some(runtime.monotonic()));
-            let ends = async {
-                while !conduct.ends.get() {
-                    conduct.may_begin.set(guard.holds());
+            state.running_since.set(Some(runtime.monotonic()));
+            let stops = async {
+                while !state.stops.get() {
+                    state.may_start_attempt.set(guard.holds());
                     runtime.sleep(Duration::from_millis(10)).await;
                 }
             };
-            if let Either::Left(_) = future::select(pin!(guard.lost()), pin!(ends)).await {
-                conduct.lost.set(true);
+            if let Either::Left(_) = future::select(pin!(guard.lost()), pin!(stops)).await {
+                state.lost.set(true);
             }
-            conduct.may_begin.set(false);
-            conduct.runs_since.set(None);
+            state.may_start_attempt.set(false);
+            state.running_since.set(None);
         }
         runtime.sleep(TRIAL_RETRY_AFTER).await;
     }
 }
 
-/// A group that suspects the work, a holder that has the right, and a second one that asks for it.
-struct Setting {
+/// A group that suspects the work, the holder of its trial lease, and a second process that requests it.
+struct Fixture {
     deployment: Deployment,
     first: Holder,
     second: Holder,
     seed: u64,
 }
 
-impl Setting {
+impl Fixture {
     fn start(seed: u64) -> Self {
         Self::start_in(Deployment::start(seed), seed)
     }
@@ -123,36 +121,44 @@
             let loss = EngineLoss { work: work(), instance: InstanceId::named("engine") };
             let evidence = GatewayRequest::TakeEvidence(WorkEvidence { losses: vec![loss], served: Vec::new() });
             let limit = Duration::from_secs(5);
-            control.gateway(evidence, limit, limit).await.expect("the group takes it");
+            control.gateway(evidence, limit, limit).await.expect("the group commits the evidence");
         });
         deployment.run_for(Duration::from_millis(500));
         let first = Holder::start(&deployment, "first", FIRST_ZONE);
         deployment.run_for(Duration::from_millis(500));
-        assert!(first.runs(), "seed {seed}: nobody else asks for the right");
+        assert!(first.runs(), "seed {seed}: the lease was not granted without contention");
         let second = Holder::start(&deployment, "second", SECOND_ZONE);
-        // Rights are renewed by then, at a moment that differs from seed to seed.
+        // The lease has been renewed by now; the phase of the renewals depends on the seed.
         deployment.run_for(Duration::from_millis(1_000 + seed * 40));
         Self { deployment, first, second, seed }
     }
 
-    /// Waits until the second holder has the right; returns how long that took.
-    fn await_second(&mut self, within: Duration) -> Duration {
+    /// Waits until the second process is granted the lease; returns how long that took.
+    fn await_second_grant(&mut self, within: Duration) -> Duration {
         let since = self.now();
         while !self.second.runs() {
-            assert!(self.now() < since + within, "seed {}: the right outlives its holder by {within:?}", self.seed);
+            assert!(
+                self.now() < since + within,
+                "seed {}: the lease was not granted to the second process within {within:?}",
+                self.seed
+            );
             self.deployment.run_for(Duration::from_millis(20));
         }
         self.now().saturating_sub(since)
     }
 
-    /// The first holder keeps the right for `time`.
-    fn first_keeps_it(&mut self, time: Duration) {
+    /// Checks that the first holder keeps the lease for `time`.
+    fn check_first_keeps_lease(&mut self, time: Duration) {
         let until = self.now() + time;
         while self.now() < until {
             self.deployment.run_for(Duration::from_millis(20));
-            assert!(self.first.runs() && !self.second.runs(), "seed {}: two run the work, or none", self.seed);
+            assert!(
+                self.first.runs() && !self.second.runs(),
+                "seed {}: the first holder is not the only one that runs the work",
+                self.seed
+            );
         }
-        assert!(!self.first.conduct.lost.get(), "seed {}", self.seed);
+        assert!(!self.first.state.lost.get(), "seed {}", self.seed);
     }
 
     fn now(&self) -> Duration {
@@ -160,7 +166,7 @@
     }
 
     fn leader_place(&self) -> u8 {
-        let leader = self.deployment.leader().expect("the group is led").replica().id();
+        let leader = self.deployment.leader().expect("there is a leader").replica().id();
         let led_by = |place: &u8| {
             let node = self.deployment.replicas[place].node.borrow();
             node.as_ref().is_some_and(|node| node.replica().id() == leader)
@@ -176,88 +182,89 @@
 }
 
 #[test]
-fn a_right_whose_holder_has_ended_is_anothers_soon() {
+fn the_lease_of_a_killed_holder_is_granted_to_another() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
-        setting.first_keeps_it(Duration::from_secs(3));
-        setting.first.process.kill();
-        setting.await_second(TAKEN_OVER_WITHIN);
+        let mut fixture = Fixture::start(seed);
+        fixture.check_first_keeps_lease(Duration::from_secs(3));
+        fixture.first.process.kill();
+        fixture.await_second_grant(GRANT_LIMIT);
     }
 }
 
 #[test]
-fn a_right_whose_holder_ends_with_the_leader_is_anothers_soon() {
+fn the_lease_of_a_holder_killed_with_the_leader_is_granted_to_another() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
-        setting.first.process.kill();
-        setting.kill_leader();
-        setting.await_second(TAKEN_OVER_AFTER_RESTART);
+        let mut fixture = Fixture::start(seed);
+        fixture.first.process.kill();
+        fixture.kill_leader();
+        fixture.await_second_grant(GRANT_LIMIT_AFTER_ELECTION);
     }
 }
 
 #[test]
-fn a_right_whose_holder_ends_with_the_whole_group_is_anothers_soon() {
+fn the_lease_of_a_holder_killed_with_the_group_is_granted_to_another() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
-        setting.first.process.kill();
+        let mut fixture = Fixture::start(seed);
+        fixture.first.process.kill();
         for place in 1..=REPLICAS {
-            if let Some(replica) = setting.deployment.replicas.remove(&place) {
+            if let Some(replica) = fixture.deployment.replicas.remove(&place) {
                 replica.process.kill();
             }
         }
-        setting.deployment.run_for(Duration::from_secs(1));
-        (1..=REPLICAS).for_each(|place| setting.deployment.start_replica(place, false));
-        setting.await_second(TAKEN_OVER_AFTER_RESTART);
+        fixture.deployment.run_for(Duration::from_secs(1));
+        (1..=REPLICAS).for_each(|place| fixture.deployment.start_replica(place, false));
+        fixture.await_second_grant(GRANT_LIMIT_AFTER_ELECTION);
     }
 }
 
-/// A holder that lives keeps the right for as long as it runs the work, also while nobody leads.
+/// A running holder keeps its lease also while there is no leader.
 #[test]
-fn a_holder_that_lives_keeps_its_right_over_the_loss_of_the_leader() {
+fn a_running_holder_keeps_its_lease_across_the_loss_of_the_leader() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
-        setting.kill_leader();
-        setting.first_keeps_it(Duration::from_secs(8));
-        setting.first.conduct.ends.set(true);
-        let took = setting.await_second(TAKEN_OVER_WITHIN);
-        assert!(took < TRIAL_LEASE, "seed {seed}: it was given back, no lease had to run out: {took:?}");
+        let mut fixture = Fixture::start(seed);
+        fixture.kill_leader();
+        fixture.check_first_keeps_lease(Duration::from_secs(8));
+        fixture.first.state.stops.set(true);
+        let took = fixture.await_second_grant(GRANT_LIMIT);
+        assert!(took < TRIAL_LEASE, "seed {seed}: the lease was released, but the next grant took {took:?}");
     }
 }
 
-/// A holder that stands still leaves the work running at its engine. Nobody else runs it before that has gone on for a lease; a holder
-/// that wakes ends it at once.
+/// The work of a frozen holder keeps running at its engine. The lease is granted to another only after it has expired,
+/// and the holder stops its work when it resumes.
 #[test]
-fn a_holder_that_stands_still_loses_its_right_after_a_lease_and_ends_its_run_when_it_wakes() {
+fn a_frozen_holder_loses_its_lease_and_stops_its_work_on_resuming() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
-        let renewed_before = setting.now();
-        setting.first.process.freeze();
-        let took = setting.await_second(TAKEN_OVER_WITHIN);
-        let run_for = setting.now().saturating_sub(setting.first.conduct.runs_since.get().expect("it runs"));
+        let mut fixture = Fixture::start(seed);
+        let renewed_before = fixture.now();
+        fixture.first.process.freeze();
+        let took = fixture.await_second_grant(GRANT_LIMIT);
+        let run_for = fixture.now().saturating_sub(fixture.first.state.running_since.get().expect("it runs"));
         assert!(run_for > TRIAL_LEASE, "seed {seed}");
         assert!(took + Duration::from_secs(1) > TRIAL_LEASE, "seed {seed}: {took:?} after {renewed_before:?}");
-        setting.deployment.run_for(Duration::from_secs(3));
-        setting.first.process.thaw();
-        setting.deployment.run_for(Duration::from_millis(700));
-        assert!(setting.first.conduct.lost.get(), "seed {seed}: it was told that the right is another's");
-        assert!(setting.second.runs() && !setting.first.runs(), "seed {seed}");
+        fixture.deployment.run_for(Duration::from_secs(3));
+        fixture.first.process.thaw();
+        fixture.deployment.run_for(Duration::from_millis(700));
+        assert!(fixture.first.state.lost.get(), "seed {seed}: the holder was not notified of the loss of its lease");
+        assert!(fixture.second.runs() && !fixture.first.runs(), "seed {seed}");
     }
 }
 
-/// Giving back is the one message that is lost.
+/// The partition drops the request that releases the lease.
 #[test]
-fn a_right_that_cannot_be_given_back_is_anothers_soon() {
+fn a_lease_that_cannot_be_released_is_granted_to_another() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
-        setting.deployment.world.network.cut(FIRST_ZONE, false);
-        setting.first.conduct.ends.set(true);
-        setting.await_second(TAKEN_OVER_WITHIN);
+        let mut fixture = Fixture::start(seed);
+        fixture.deployment.world.network.partition(FIRST_ZONE, false);
+        fixture.first.state.stops.set(true);
+        fixture.await_second_grant(GRANT_LIMIT);
     }
 }
 
-/// The time in the log never goes back: after a leader whose time of day was an hour ahead it stands still for an hour.
+/// The time in the log never decreases: after a leader whose wall clock is an hour ahead it does not advance for an
+/// hour.
 #[test]
-fn times_of_day_that_differ_by_an_hour_do_not_keep_a_right() {
+fn wall_clocks_that_differ_by_an_hour_do_not_extend_a_lease() {
     const HOUR_MS: i64 = 3_600_000;
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
@@ -268,74 +275,74 @@
         deployment.run_for(Duration::from_secs(1));
         (1..=REPLICAS).for_each(|place| deployment.start_replica(place, false));
         deployment.run_for(Duration::from_secs(3));
-        let mut setting = Setting::start_in(deployment, seed);
-        setting.first.process.kill();
-        setting.kill_leader();
-        setting.await_second(TAKEN_OVER_AFTER_RESTART);
+        let mut fixture = Fixture::start_in(deployment, seed);
+        fixture.first.process.kill();
+        fixture.kill_leader();
+        fixture.await_second_grant(GRANT_LIMIT_AFTER_ELECTION);
     }
 }
 
-/// A leader that stands still is replaced as one that has ended, but calls to it hang instead of being refused.
+/// Calls to a frozen leader time out, whereas calls to a killed one are refused.
 #[test]
-fn a_holder_that_lives_keeps_its_right_when_the_leader_stands_still() {
+fn a_running_holder_keeps_its_lease_when_the_leader_is_frozen() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
-        let place = setting.leader_place();
-        setting.deployment.replicas[&place].process.freeze();
-        setting.first_keeps_it(Duration::from_secs(8));
+        let mut fixture = Fixture::start(seed);
+        let place = fixture.leader_place();
+        fixture.deployment.replicas[&place].process.freeze();
+        fixture.check_first_keeps_lease(Duration::from_secs(8));
     }
 }
 
 #[test]
-fn a_holder_that_lives_keeps_its_right_when_the_leader_is_cut_off() {
+fn a_running_holder_keeps_its_lease_when_the_leader_is_partitioned() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
-        let place = setting.leader_place();
-        setting.deployment.world.network.cut(place.into(), false);
-        setting.first_keeps_it(Duration::from_secs(8));
+        let mut fixture = Fixture::start(seed);
+        let place = fixture.leader_place();
+        fixture.deployment.world.network.partition(place.into(), false);
+        fixture.check_first_keeps_lease(Duration::from_secs(8));
     }
 }
 
-/// A leader that wakes has renewals on its way that it has not seen.
+/// A leader that resumes has unprocessed renewals in its queue.
 #[test]
-fn a_holder_that_lives_keeps_its_right_when_the_leader_stands_still_for_a_moment() {
+fn a_running_holder_keeps_its_lease_when_the_leader_is_frozen_briefly() {
     for stands_still_ms in [900, 1_300, 1_700, 2_500] {
         for seed in SEEDS {
-            let mut setting = Setting::start(seed);
-            let place = setting.leader_place();
-            setting.deployment.replicas[&place].process.freeze();
-            setting.first_keeps_it(Duration::from_millis(stands_still_ms));
-            setting.deployment.replicas[&place].process.thaw();
-            setting.first_keeps_it(Duration::from_secs(4));
+            let mut fixture = Fixture::start(seed);
+            let place = fixture.leader_place();
+            fixture.deployment.replicas[&place].process.freeze();
+            fixture.check_first_keeps_lease(Duration::from_millis(stands_still_ms));
+            fixture.deployment.replicas[&place].process.thaw();
+            fixture.check_first_keeps_lease(Duration::from_secs(4));
         }
     }
 }
 
-/// A machine that was suspended does not know by its steady clock that its lease is over.
+/// The timers of a suspended machine fire late, and must not let it use an expired lease.
 #[test]
-fn a_holder_that_was_suspended_begins_nothing_with_a_right_that_is_anothers() {
+fn a_suspended_holder_starts_nothing_with_an_expired_lease() {
     for seed in SEEDS {
-        let mut setting = Setting::start(seed);
-        let now = setting.now();
-        setting.first.process.suspend(now);
-        setting.await_second(TAKEN_OVER_WITHIN);
-        setting.deployment.run_for(Duration::from_secs(3));
-        let now = setting.now();
-        setting.first.process.resume(now);
+        let mut fixture = Fixture::start(seed);
+        let now = fixture.now();
+        fixture.first.process.suspend(now);
+        fixture.await_second_grant(GRANT_LIMIT);
+        fixture.deployment.run_for(Duration::from_secs(3));
+        let now = fixture.now();
+        fixture.first.process.resume(now);
         let mut both = Duration::ZERO;
         for _ in 0..150 {
-            setting.deployment.run_for(Duration::from_millis(10));
-            let (first, second) = (&setting.first, &setting.second);
-            both += Duration::from_millis(10) * u32::from(first.conduct.may_begin.get() && second.runs());
+            fixture.deployment.run_for(Duration::from_millis(10));
+            let (first, second) = (&fixture.first, &fixture.second);
+            both += Duration::from_millis(10) * u32::from(first.state.may_start_attempt.get() && second.runs());
         }
-        assert!(setting.first.conduct.lost.get(), "seed {seed}: it was told that the right is another's");
-        assert!(both < Duration::from_millis(20), "seed {seed}: it would have begun runs for {both:?}");
+        assert!(fixture.first.state.lost.get(), "seed {seed}: the holder was not notified of the loss of its lease");
+        assert!(both < Duration::from_millis(20), "seed {seed}: two holders could start attempts for {both:?}");
     }
 }
 
-/// A leader whose time of day is ahead follows one whose is not; the holder lives.
+/// The new leader's wall clock is an hour ahead of the old one's.
 #[test]
-fn a_holder_that_lives_keeps_its_right_when_the_next_leaders_time_of_day_is_an_hour_ahead() {
+fn a_running_holder_keeps_its_lease_when_the_next_leaders_clock_is_an_hour_ahead() {
     const HOUR_MS: i64 = 3_600_000;
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
@@ -347,40 +354,40 @@
         deployment.run_for(Duration::from_secs(1));
         (1..=REPLICAS).for_each(|place| deployment.start_replica(place, false));
         deployment.run_for(Duration::from_secs(3));
-        let mut setting = Setting::start_in(deployment, seed);
-        setting.kill_leader();
-        setting.first_keeps_it(Duration::from_secs(8));
+        let mut fixture = Fixture::start_in(deployment, seed);
+        fixture.kill_leader();
+        fixture.check_first_keeps_lease(Duration::from_secs(8));
     }
 }
 
-/// A request whose client reads nothing any more is never looked at again; its right is held as long as the connection stays.
+/// Guards against a stalled request that holds its lease for as long as its connection stays open.
 #[test]
-fn a_right_is_not_renewed_beyond_the_time_that_it_was_asked_for() {
+fn a_lease_is_not_renewed_beyond_its_requested_time() {
     for seed in SEEDS.take(4) {
-        let mut setting = Setting::start(seed);
-        setting.await_second(LIMIT + TAKEN_OVER_WITHIN);
+        let mut fixture = Fixture::start(seed);
+        fixture.await_second_grant(LIMIT + GRANT_LIMIT);
     }
 }
 
-/// Work that ends its engines does so within 60 ms of its start (`deadly`). A holder that is cut off from the group, not from
-/// engines, begins its last run so long before another may that the first engine has shown what the work does.
-///
-/// Seen: cut off some 100 ms after a renewal, a holder might begin a run until 110 ms before another did. Cause: it counted on the whole of a
-/// lease that the group counts from almost the same moment; where the cut came later, a renewal whose answer was lost hid that.
+/// A holder that is partitioned from the group must start its last attempt long enough before the lease is granted to
+/// another that a crash caused by the attempt is observed first.
 #[test]
-fn a_holder_that_is_cut_off_begins_its_last_run_long_before_another_may() {
+fn a_partitioned_holder_stops_starting_work_before_the_next_grant() {
     const SHOWN_AFTER: Duration = Duration::from_millis(200);
     for seed in CUT_SEEDS {
-        let mut setting = Setting::start(seed);
-        setting.deployment.world.network.cut(FIRST_ZONE, false);
-        let mut last_begin = setting.now();
-        while !setting.second.runs() {
-            setting.deployment.run_for(Duration::from_millis(5));
-            if setting.first.conduct.may_begin.get() {
-                last_begin = setting.now();
+        let mut fixture = Fixture::start(seed);
+        fixture.deployment.world.network.partition(FIRST_ZONE, false);
+        let mut last_begin = fixture.now();
+        while !fixture.second.runs() {
+            fixture.deployment.run_for(Duration::from_millis(5));
+            if fixture.first.state.may_start_attempt.get() {
+                last_begin = fixture.now();
             }
         }
-        let apart = setting.now().saturating_sub(last_begin);
-        assert!(apart > SHOWN_AFTER, "seed {seed}: the second begins {apart:?} after the first still may");
+        let apart = fixture.now().saturating_sub(last_begin);
+        assert!(
+            apart > SHOWN_AFTER,
+            "seed {seed}: the next grant came only {apart:?} after the first holder's last possible start"
+        );
     }
 }
