--- a/crates/simulator/tests/trial_renewals.rs
+++ b/crates/simulator/tests/trial_renewals.rs
@@ -1,4 +1,4 @@
-//! A holder's renewals: one that is lost costs no right.
+//! Renewal of trial leases: the loss of one renewal does not expire a lease.
 
 use futures::executor::LocalPool;
 use saddlerelay_control_client::trials::{NoAnswer, TrialGroup, TrialKeeper};
@@ -13,22 +13,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// From a question to its answer: a commit and the network.
-const ANSWERED_AFTER: Duration = Duration::from_millis(10);
+/// Time from a request to its response, with a commit.
+const RESPONSE_TIME: Duration = Duration::from_millis(10);
 
-/// What the group sees, by its clock.
+/// Renewals as the group observes them.
 #[derive(Default)]
-struct Seen {
-    /// When each right was granted or renewed last.
+struct Renewals {
+    /// Time of the latest grant or renewal of each lease.
     at: RefCell<BTreeMap<u64, Duration>>,
-    /// The longest time without a renewal.
+    /// Longest time between renewals of a lease.
     longest: Cell<Duration>,
-    /// The first renewal of this right is lost on its way.
+    /// Lease whose first renewal is lost.
     loses: Cell<Option<u64>>,
 }
 
-impl Seen {
-    fn note(&self, number: u64, now: Duration) {
+impl Renewals {
+    fn record_renewal(&self, number: u64, now: Duration) {
         if let Some(before) = self.at.borrow_mut().insert(number, now) {
             self.longest.set(self.longest.get().max(now.saturating_sub(before)));
         }
@@ -37,25 +37,25 @@
 
 struct Group {
     runtime: SimRuntime,
-    seen: Rc<Seen>,
+    renewals: Rc<Renewals>,
 }
 
 impl TrialGroup for Group {
     async fn begin(&self, request: TrialRequest) -> Result<TrialAnswer, NoAnswer> {
-        self.runtime.sleep(ANSWERED_AFTER).await;
-        self.seen.note(request.id.number, self.runtime.monotonic());
+        self.runtime.sleep(RESPONSE_TIME).await;
+        self.renewals.record_renewal(request.id.number, self.runtime.monotonic());
         Ok(TrialAnswer::Granted)
     }
 
-    async fn renew(&self, held: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, NoAnswer> {
-        let is_lost = held.iter().any(|right| Some(right.id.number) == self.seen.loses.get());
+    async fn renew(&self, leases: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, NoAnswer> {
+        let is_lost = leases.iter().any(|lease| Some(lease.id.number) == self.renewals.loses.get());
         if is_lost {
-            self.seen.loses.set(None);
+            self.renewals.loses.set(None);
             self.runtime.sleep(TRIAL_RENEWAL).await;
             return Err("no answer in time".to_string());
         }
-        self.runtime.sleep(ANSWERED_AFTER).await;
-        held.iter().for_each(|right| self.seen.note(right.id.number, self.runtime.monotonic()));
+        self.runtime.sleep(RESPONSE_TIME).await;
+        leases.iter().for_each(|lease| self.renewals.record_renewal(lease.id.number, self.runtime.monotonic()));
         Ok(Vec::new())
     }
 
@@ -64,15 +64,15 @@
     }
 }
 
-/// The longest time for which the group hears of no renewal of a right, when a process that holds one asks for a second `later`,
-/// and `loses` is the right whose first renewal is lost.
-fn longest_silence(later: Duration, loses: Option<u64>) -> Duration {
+/// Longest time between renewals when a process requests a second lease `later` after the first. The first renewal of
+/// the lease `loses` is lost.
+fn longest_renewal_gap(later: Duration, loses: Option<u64>) -> Duration {
     let (world, mut pool): (Rc<World>, LocalPool) = World::new(1);
     let process = world.start_process("holder", 0, 0);
     let runtime = SimRuntime { world: world.clone(), process: process.clone() };
-    let seen = Rc::new(Seen::default());
-    seen.loses.set(loses);
-    let group = Group { runtime: runtime.clone(), seen: seen.clone() };
+    let renewals = Rc::new(Renewals::default());
+    renewals.loses.set(loses);
+    let group = Group { runtime: runtime.clone(), renewals: renewals.clone() };
     world.spawn(&process, async move {
         let keeper = TrialKeeper::start(runtime.clone(), group);
         let limit = Duration::from_secs(40);
@@ -82,24 +82,24 @@
         runtime.sleep(Duration::from_secs(10)).await;
     });
     world.run(&mut pool, Duration::from_secs(8), || false);
-    seen.longest.get()
+    renewals.longest.get()
 }
 
 #[test]
-fn a_renewal_that_is_lost_costs_no_right() {
+fn a_lost_renewal_does_not_expire_a_lease() {
     for step in 0..50 {
         let later = Duration::from_millis(1_000 + step * 20);
-        let silence = longest_silence(later, Some(2));
-        // The replicas look every 100 ms, and a holder does not use a right beyond its lease.
-        assert!(silence < TRIAL_LEASE, "asked for {later:?} after the first: not renewed for {silence:?}");
+        let gap = longest_renewal_gap(later, Some(2));
+        // Replicas check for expiry every 100 ms, and a holder does not use an expired lease.
+        assert!(gap < TRIAL_LEASE, "asked for {later:?} after the first: not renewed for {gap:?}");
     }
 }
 
 #[test]
-fn a_right_is_renewed_four_times_in_a_lease() {
+fn a_lease_is_renewed_four_times_per_lease_duration() {
     for step in 0..50 {
         let later = Duration::from_millis(1_000 + step * 20);
-        let silence = longest_silence(later, None);
-        assert!(silence < TRIAL_LEASE / 4 + TRIAL_RENEWAL / 4, "{later:?}: not renewed for {silence:?}");
+        let gap = longest_renewal_gap(later, None);
+        assert!(gap < TRIAL_LEASE / 4 + TRIAL_RENEWAL / 4, "{later:?}: not renewed for {gap:?}");
     }
 }
