--- a/crates/standins/src/callers.rs
+++ b/crates/standins/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: applications that send requests as a schedule says and resend as they are told.
+//! Callers: applications that send requests on a schedule and retry them.
 
 use crate::access::{Access, CallerAnswer};
 use crate::recorder::Recorder;
@@ -15,55 +15,55 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Most sends of one request.
-const MOST_SENDS: u32 = 12;
+/// Maximum number of sends of one request.
+const MAXIMUM_SENDS: u32 = 12;
 
-/// Shortest pause before a resend.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum delay before a retry.
+const MINIMUM_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How much longer than its deadline a caller waits before it takes an answer for lost.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Time after the deadline at which a caller treats a response as lost.
+const RESPONSE_GRACE: Duration = Duration::from_secs(2);
 
-/// Share of the repeatable requests that carry a key all the same, in percent.
+/// Percentage of the repeatable requests that carry an idempotency key.
 const KEYED_PERCENT: u64 = 25;
 
-/// Share of the requests with a key that are sent to two relays at nearly the same time, in percent.
-const DOUBLED_PERCENT: u64 = 10;
+/// Percentage of the keyed requests that are sent twice almost concurrently.
+const DUPLICATED_PERCENT: u64 = 10;
 
-/// Longest time between the two copies.
-const DOUBLED_WITHIN: Duration = Duration::from_millis(60);
+/// Maximum time between the two sends.
+const MAXIMUM_DUPLICATE_DELAY: Duration = Duration::from_millis(60);
 
-/// How long a key is accepted.
+/// Lifetime of an idempotency key.
 const KEY_LIFETIME: Duration = Duration::from_secs(600);
 
-/// One kind of caller.
+/// Options of one calling application.
 #[derive(Clone, Debug)]
 pub struct CallerOptions {
     /// The tenant.
     pub tenant: TenantId,
     /// The application's name.
     pub name: String,
-    /// The model it asks for.
+    /// The requested model.
     pub model: ModelName,
-    /// The caller's class.
+    /// The priority class of its requests.
     pub class: Priority,
     /// Mean time between requests.
     pub interval: Duration,
-    /// Most tokens in an answer.
+    /// Maximum number of tokens in a response.
     pub max_tokens: u32,
-    /// Time allowed for an answer.
+    /// Deadline of a request, relative to its send.
     pub deadline: Duration,
-    /// Share of requests that must run at most once, in percent; these carry a key.
+    /// Percentage of the requests that must be executed at most once; these carry an idempotency key.
     pub not_repeatable_percent: u64,
-    /// Prompt prefixes that the requests share.
+    /// Number of distinct prompt prefixes.
     pub prefixes: u64,
 }
 
-/// Counts requests under way, so that a run can wait for their ends.
+/// Number of requests in flight.
 pub type UnderWay = Rc<Cell<u64>>;
 
-/// One request with what the caller knows of it.
-struct Asked {
+/// The state of one request.
+struct RequestState {
     request: CallerRequest,
     from: Duration,
     sends: u32,
@@ -71,9 +71,9 @@
     first_token_after: Option<u64>,
 }
 
-/// What a request is drawn or recorded to be.
+/// The random or recorded properties of a request.
 #[derive(Clone, Copy, Debug)]
-struct Drawn {
+struct RequestProperties {
     once: bool,
     prefix: u64,
 }
@@ -87,9 +87,9 @@
     number: u64,
     arrival: &Arrival,
 ) {
-    let drawn = Drawn { once: arrival.once, prefix: arrival.prefix };
-    let request = make_request(&platform, &options, number, drawn);
-    ask(platform, access, recorder, Asking { request, prefix: drawn.prefix, doubled: false }).await;
+    let properties = RequestProperties { once: arrival.once, prefix: arrival.prefix };
+    let request = make_request(&platform, &options, number, properties);
+    submit(platform, access, recorder, Submission { request, prefix: properties.prefix, duplicated: false }).await;
 }
 
 /// Sends requests until `stop` is set.
@@ -103,19 +103,19 @@
 ) {
     let mut number = 0;
     while !stop.get() {
-        // Between half and one and a half of the mean.
+        // Uniform in 0.5 to 1.5 times the mean.
         let pause = options.interval / 2 + platform.jitter(options.interval);
         platform.sleep(pause).await;
         number += 1;
-        let drawn = Drawn {
+        let properties = RequestProperties {
             once: platform.random() % 100 < options.not_repeatable_percent,
             prefix: platform.random() % options.prefixes.max(1),
         };
-        let request = make_request(&platform, &options, number, drawn);
+        let request = make_request(&platform, &options, number, properties);
         under_way.set(under_way.get() + 1);
-        let doubled = request.key.is_some() && platform.random() % 100 < DOUBLED_PERCENT;
-        let asking = Asking { request, prefix: drawn.prefix, doubled };
-        let task = ask(platform.clone(), access.clone(), recorder.clone(), asking);
+        let duplicated = request.key.is_some() && platform.random() % 100 < DUPLICATED_PERCENT;
+        let submission = Submission { request, prefix: properties.prefix, duplicated };
+        let task = submit(platform.clone(), access.clone(), recorder.clone(), submission);
         let under_way = under_way.clone();
         platform.spawn(async move {
             task.await;
@@ -124,8 +124,13 @@
     }
 }
 
-fn make_request<P: Runtime>(platform: &P, options: &CallerOptions, number: u64, drawn: Drawn) -> CallerRequest {
-    let Drawn { once, prefix } = drawn;
+fn make_request<P: Runtime>(
+    platform: &P,
+    options: &CallerOptions,
+    number: u64,
+    properties: RequestProperties,
+) -> CallerRequest {
+    let RequestProperties { once, prefix } = properties;
     let keyed = once || platform.random() % 100 < KEYED_PERCENT;
     let unique = platform.random();
     let prompt = format!("{} prefix {prefix} {} request {number}-{unique:x}", "context ".repeat(40), options.name);
@@ -148,55 +153,55 @@
     }
 }
 
-/// What to do after an answer.
+/// What follows a response.
 enum Next {
     End(CallerResult),
-    ResendAfter(Duration),
+    RetryAfter(Duration),
 }
 
-/// A request with how it is sent.
-struct Asking {
+/// A request and how it is sent.
+struct Submission {
     request: CallerRequest,
     prefix: u64,
-    doubled: bool,
+    duplicated: bool,
 }
 
-/// Sends one request, resends as told, and records its end. With `doubled` a second copy goes to any relay soon after the
-/// first, as a proxy that repeats what it believes lost would send it; a whole answer to either must be right.
-async fn ask<P: Runtime, A: Access>(platform: P, access: A, recorder: Recorder, asking: Asking) {
-    let Asking { request, prefix, doubled } = asking;
+/// Sends one request with retries and records its outcome. With `duplicated`, a second copy goes to a random relay soon
+/// after the first, as a retrying proxy would send it, and a complete response to the copy is verified too.
+async fn submit<P: Runtime, A: Access>(platform: P, access: A, recorder: Recorder, submission: Submission) {
+    let Submission { request, prefix, duplicated } = submission;
     let from = platform.monotonic();
     let from_unix = platform.unix_milliseconds();
     let copy = request.clone();
-    let mut asked = Asked { request, from, sends: 0, broken: 0, first_token_after: None };
+    let mut state = RequestState { request, from, sends: 0, broken: 0, first_token_after: None };
     let first = async {
         loop {
-            let answer = send(&platform, &access, &asked.request).await;
-            asked.sends += 1;
-            asked.broken += u32::from(answer == CallerAnswer::Lost);
-            let told_not_executed = matches!(
+            let answer = send(&platform, &access, &state.request).await;
+            state.sends += 1;
+            state.broken += u32::from(answer == CallerAnswer::Lost);
+            let not_executed = matches!(
                 &answer,
                 CallerAnswer::Failed(failure) if failure.outcome == ExecutionOutcome::NotExecuted
             );
-            match next(&platform, &mut asked, answer) {
+            match next(&platform, &mut state, answer) {
                 Next::End(result) => break result,
-                Next::ResendAfter(pause) => platform.sleep(pause).await,
+                Next::RetryAfter(pause) => platform.sleep(pause).await,
             }
-            if asked.request.key.is_none() {
-                if told_not_executed {
-                    let (at, prompt) = (platform.unix_milliseconds(), asked.request.prompt.clone());
-                    recorder.record(Record::ToldNotExecuted { at, prompt });
+            if state.request.key.is_none() {
+                if not_executed {
+                    let (at, prompt) = (platform.unix_milliseconds(), state.request.prompt.clone());
+                    recorder.record(Record::ReportedNotExecuted { at, prompt });
                 }
-                // Without a key nobody can tell a resend from another request: each send has a prompt of its own.
-                asked.request.prompt = format!("{} send {}", copy.prompt, asked.sends + 1);
+                // Without an idempotency key each send is a separate request, so it gets a prompt of its own.
+                state.request.prompt = format!("{} send {}", copy.prompt, state.sends + 1);
             }
         }
     };
     let second = async {
-        if !doubled {
+        if !duplicated {
             return None;
         }
-        platform.sleep(platform.jitter(DOUBLED_WITHIN)).await;
+        platform.sleep(platform.jitter(MAXIMUM_DUPLICATE_DELAY)).await;
         match send(&platform, &access, &copy).await {
             CallerAnswer::Whole { generation, .. } => answer_fault(&copy, &generation),
             _ => None,
@@ -209,66 +214,67 @@
     recorder.record(Record::Caller {
         from: from_unix,
         to: platform.unix_milliseconds(),
-        tenant: asked.request.tenant.clone(),
-        class: asked.request.priority,
-        caller: asked.request.caller.clone(),
+        tenant: state.request.tenant.clone(),
+        class: state.request.priority,
+        caller: state.request.caller.clone(),
         prefix,
-        prompt: asked.request.prompt.clone(),
-        repeatable: asked.request.repeatability == Repeatability::Repeatable,
-        sends: asked.sends,
-        broken: asked.broken,
-        first_token_after: asked.first_token_after,
+        prompt: state.request.prompt.clone(),
+        repeatable: state.request.repeatability == Repeatability::Repeatable,
+        sends: state.sends,
+        broken: state.broken,
+        first_token_after: state.first_token_after,
         result,
     });
 }
 
 async fn send<P: Runtime, A: Access>(platform: &P, access: &A, request: &CallerRequest) -> CallerAnswer {
     let relay = platform.random() as usize % access.relays().max(1);
-    let limit = Duration::from_millis(request.deadline_milliseconds) + PATIENCE;
+    let limit = Duration::from_millis(request.deadline_milliseconds) + RESPONSE_GRACE;
     timeout(platform, limit, access.ask(relay, request)).await.unwrap_or(CallerAnswer::Lost)
 }
 
-fn next<P: Runtime>(platform: &P, asked: &mut Asked, answer: CallerAnswer) -> Next {
-    let can_resend = asked.sends < MOST_SENDS;
+fn next<P: Runtime>(platform: &P, state: &mut RequestState, answer: CallerAnswer) -> Next {
+    let retries_left = state.sends < MAXIMUM_SENDS;
     match answer {
         CallerAnswer::Whole { generation, first_token_after } => {
-            let before = platform.monotonic().saturating_sub(asked.from);
-            asked.first_token_after =
-                first_token_after.map(|after| after.as_millis() as u64).filter(|_| asked.sends == 1);
-            asked.first_token_after = asked.first_token_after.or(Some(before.as_millis() as u64));
-            Next::End(CallerResult::Answered { fault: answer_fault(&asked.request, &generation) })
+            let elapsed = platform.monotonic().saturating_sub(state.from);
+            state.first_token_after =
+                first_token_after.map(|after| after.as_millis() as u64).filter(|_| state.sends == 1);
+            state.first_token_after = state.first_token_after.or(Some(elapsed.as_millis() as u64));
+            Next::End(CallerResult::Answered { fault: answer_fault(&state.request, &generation) })
         }
-        CallerAnswer::Failed(failure) => after_failure(asked, &failure, can_resend),
-        CallerAnswer::NotSent if can_resend => Next::ResendAfter(SHORTEST_PAUSE),
-        // A lost answer: a request that may run again, or has a key, is simply sent again.
-        CallerAnswer::Lost if can_resend && may_resend(&asked.request) => Next::ResendAfter(SHORTEST_PAUSE),
+        CallerAnswer::Failed(failure) => after_failure(state, &failure, retries_left),
+        CallerAnswer::NotSent if retries_left => Next::RetryAfter(MINIMUM_RETRY_DELAY),
+        // A repeatable or keyed request is safe to retry after a lost response.
+        CallerAnswer::Lost if retries_left && is_safe_to_retry(&state.request) => Next::RetryAfter(MINIMUM_RETRY_DELAY),
         CallerAnswer::NotSent | CallerAnswer::Lost => Next::End(CallerResult::Lost),
     }
 }
 
-fn may_resend(request: &CallerRequest) -> bool {
+fn is_safe_to_retry(request: &CallerRequest) -> bool {
     request.key.is_some() || request.repeatability == Repeatability::Repeatable
 }
 
-fn after_failure(asked: &Asked, failure: &RequestFailure, can_resend: bool) -> Next {
-    let told_when = failure.retry_after_milliseconds > 0;
-    let pause = Duration::from_millis(failure.retry_after_milliseconds).max(SHORTEST_PAUSE);
-    // A proof that the request did not run is a final answer under its key; a new request would carry a new key.
-    let final_by_key = asked.request.key.is_some() && failure.outcome == ExecutionOutcome::NotExecuted;
-    if can_resend && told_when && !final_by_key && may_resend(&asked.request) {
-        return Next::ResendAfter(pause);
+fn after_failure(state: &RequestState, failure: &RequestFailure, retries_left: bool) -> Next {
+    let retry_after_given = failure.retry_after_milliseconds > 0;
+    let pause = Duration::from_millis(failure.retry_after_milliseconds).max(MINIMUM_RETRY_DELAY);
+    // "Not executed" is the final outcome of an idempotency key; a retry would need a new key.
+    let is_final_for_key = state.request.key.is_some() && failure.outcome == ExecutionOutcome::NotExecuted;
+    if retries_left && retry_after_given && !is_final_for_key && is_safe_to_retry(&state.request) {
+        return Next::RetryAfter(pause);
     }
-    Next::End(CallerResult::Failed { outcome: failure.outcome, code: failure.code, told_when })
+    Next::End(CallerResult::Failed { outcome: failure.outcome, code: failure.code, retry_after_given })
 }
 
 fn answer_fault(request: &CallerRequest, generation: &Generation) -> Option<String> {
-    let Some(shown) = tokens::tokens_of(&generation.text) else {
-        return Some("its text is not made of tokens".to_string());
+    let Some(answer_tokens) = tokens::tokens_of(&generation.text) else {
+        return Some("the text contains words that are not tokens".to_string());
     };
-    let fault = tokens::answer_fault(&request.prompt, request.seed, request.max_tokens, &shown);
+    let fault = tokens::answer_fault(&request.prompt, request.seed, request.max_tokens, &answer_tokens);
     fault.or_else(|| {
-        let named = &generation.versions;
-        let made = tokens::spans_of(&shown);
-        (!named.is_empty() && *named != made).then(|| format!("names versions {named:?}, tokens show {made:?}"))
+        let listed_versions = &generation.versions;
+        let token_versions = tokens::spans_of(&answer_tokens);
+        (!listed_versions.is_empty() && *listed_versions != token_versions)
+            .then(|| format!("lists versions {listed_versions:?}, tokens contain {token_versions:?}"))
     })
 }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,5 +1,5 @@
-//! A model engine: continuous batching with a slot limit, a bounded prefix cache, priorities, weight swaps by fenced
-//! orders, lagging reports, and faults on request.
+//! A stand-in model engine with continuous batching, a slot limit, a priority queue, a bounded prefix cache, fenced
+//! weight swaps, delayed load reports and injectable faults.
 
 use crate::recorder::Recorder;
 use crate::tokens;
@@ -20,55 +20,55 @@
 /// Tokens in one chunk.
 const CHUNK_TOKENS: u32 = 4;
 
-/// Pause between looks at whether a swap is over.
+/// Polling interval while a swap is in progress.
 const SWAP_POLL: Duration = Duration::from_millis(5);
 
-/// Characters of a prompt that make its cached prefix.
+/// Length of the cached prefix of a prompt, in characters.
 const PREFIX_CHARACTERS: usize = 256;
 
-/// Brings weights from the store to an engine.
+/// Fetches weights from the weight store.
 pub trait WeightSource: Clone + 'static {
-    /// Fetches a version; `false` when it failed.
+    /// Fetches a weight version. Returns whether it succeeded.
     fn fetch(&self, model: ModelName, version: WeightVersion) -> impl Future<Output = bool>;
 }
 
-/// How an engine behaves.
+/// Options of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// Who it is.
+    /// Identity, address and capacity.
     pub description: EngineDescription,
-    /// Time of one token when it runs alone; with all slots full a token takes twice as long.
+    /// Base time per token; it is multiplied by one plus the share of slots in use.
     pub token_time: Duration,
-    /// Time to read a prompt that is not cached.
+    /// Prefill time of a prompt whose prefix is not cached.
     pub prefill_time: Duration,
-    /// Prefixes it caches.
+    /// Maximum number of cached prefixes.
     pub cached_prefixes: usize,
-    /// Time for which generation stands still during a swap.
+    /// Time for which generation pauses during a weight swap.
     pub swap_pause: Duration,
-    /// How old its reported load is.
+    /// Age of the reported load.
     pub report_lag: Duration,
-    /// Most waiting requests.
+    /// Maximum number of queued requests.
     pub queue_limit: usize,
 }
 
-/// Faults that are caused on request.
+/// Injectable faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineFaults {
-    /// Every token takes this many times as long.
+    /// Factor on the time per token; 0 counts as 1.
     pub slowness: u32,
-    /// The next swap fails partway.
+    /// The next weight swap fails after the fetch.
     pub fail_next_swap: bool,
-    /// Refuses every request.
+    /// Rejects every request.
     pub refuse: bool,
-    /// Breaks the next stream off after its first chunk.
+    /// Ends the next stream after its first chunk.
     pub break_next_stream: bool,
-    /// Sends every chunk twice.
+    /// Sends every chunk but the last twice.
     pub duplicate_chunks: bool,
-    /// Loses one chunk out of the middle of the next stream.
+    /// Drops one chunk in the middle of the next stream.
     pub lose_chunk: bool,
 }
 
-/// Why a request was not admitted.
+/// Why a request or an order was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal(pub String);
 
@@ -86,7 +86,7 @@
     faults: EngineFaults,
 }
 
-/// An engine. Clones are the same engine.
+/// An engine. Clones share its state.
 pub struct Engine<P: Runtime, W: WeightSource> {
     inner: Rc<Inner<P, W>>,
 }
@@ -106,7 +106,7 @@
     }
 }
 
-/// Gives an engine's slot back when dropped.
+/// Releases an engine slot when dropped, and admits queued requests.
 struct Slot<P: Runtime, W: WeightSource>(Engine<P, W>);
 
 impl<P: Runtime, W: WeightSource> Drop for Slot<P, W> {
@@ -125,7 +125,7 @@
 }
 
 impl<P: Runtime, W: WeightSource> Engine<P, W> {
-    /// Starts an engine with the weights of version zero.
+    /// Starts an engine with weight version 0 confirmed.
     pub fn start(platform: P, options: EngineOptions, weights: W, recorder: Recorder) -> Self {
         let state = State {
             weights: WeightState::Confirmed(WeightVersion(0)),
@@ -151,30 +151,30 @@
         self.inner.platform.unix_milliseconds()
     }
 
-    /// Who this is.
+    /// Identity, address and capacity.
     pub fn description(&self) -> &EngineDescription {
         &self.inner.options.description
     }
 
-    /// Causes faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.inner.state.borrow_mut().faults = faults;
     }
 
-    /// Begins to leave, by the engine's own decision.
+    /// Starts draining: new requests are rejected.
     pub fn leave(&self) {
         let engine = self.description().id.clone();
         self.inner.recorder.record(Record::Leaving { at: self.now(), engine });
         self.inner.state.borrow_mut().leaving = true;
     }
 
-    /// Whether nothing runs or waits.
+    /// Whether no request is running or queued.
     pub fn is_idle(&self) -> bool {
         let state = self.inner.state.borrow();
         state.running == 0 && state.waiting.is_empty()
     }
 
-    /// The engine's own report; its load lags.
+    /// The status report, with the load as of [`EngineOptions::report_lag`] ago.
     pub fn status(&self) -> EngineStatus {
         let now = self.inner.platform.monotonic();
         let mut state = self.inner.state.borrow_mut();
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Follows a fenced order; an older one is refused.
+    /// Executes a fenced order; rejects one with an older fence.
     pub fn order(&self, order: EngineOrder) -> Result<(), Refusal> {
         let mut state = self.inner.state.borrow_mut();
         if order.fence < state.fence {
@@ -218,7 +218,7 @@
         Ok(())
     }
 
-    /// Fetches while the present version serves, then stands still and swaps.
+    /// Fetches a version while the current one serves, then pauses generation and swaps.
     async fn swap(self, version: WeightVersion) {
         let engine = self.description().id.clone();
         self.inner.recorder.record(Record::Swap { at: self.now(), engine: engine.clone(), version, loaded: None });
@@ -244,9 +244,9 @@
         self.inner.recorder.record(Record::Swap { at: self.now(), engine, version, loaded: Some(!failed) });
     }
 
-    /// Admits or refuses a generation. Dropping the receiver cancels it.
+    /// Admits or rejects a generation. Dropping the receiver cancels it.
     pub fn admit(&self, request: EngineRequest) -> Result<mpsc::UnboundedReceiver<EngineChunk>, Refusal> {
-        let waiter = self.take_slot_or_ticket(&request)?;
+        let waiter = self.acquire_slot_or_enqueue(&request)?;
         self.inner.recorder.record(Record::Execution {
             at: self.now(),
             engine: self.description().id.clone(),
@@ -260,7 +260,7 @@
         Ok(stream)
     }
 
-    fn take_slot_or_ticket(&self, request: &EngineRequest) -> Result<Option<oneshot::Receiver<()>>, Refusal> {
+    fn acquire_slot_or_enqueue(&self, request: &EngineRequest) -> Result<Option<oneshot::Receiver<()>>, Refusal> {
         let mut state = self.inner.state.borrow_mut();
         if state.leaving {
             return Err(Refusal("leaving".to_string()));
@@ -299,25 +299,25 @@
         let _slot = Slot(self.clone());
         self.prefill(&request.prompt).await;
         let length = tokens::answer_length(&request.prompt, request.seed, request.max_tokens);
-        let mut place = request.resume_tokens.len() as u32;
+        let mut position = request.resume_tokens.len() as u32;
         let mut sequence = 0;
-        while place < length {
-            let count = CHUNK_TOKENS.min(length - place);
-            let Some(version) = self.make_tokens(count).await else {
+        while position < length {
+            let count = CHUNK_TOKENS.min(length - position);
+            let Some(version) = self.generate_tokens(count).await else {
                 return;
             };
-            let end = place + count >= length;
-            let chunk = self.chunk(&request, sequence, place..place + count, version, end);
+            let end = position + count >= length;
+            let chunk = self.chunk(&request, sequence, position..position + count, version, end);
             if !self.send(chunk, sequence, &chunks) {
                 return;
             }
-            place += count;
+            position += count;
             sequence += 1;
         }
         if sequence == 0 {
-            // Everything was already made by the attempt before.
+            // The request resumes after the last token.
             let version = self.confirmed_version().unwrap_or_default();
-            let chunk = self.chunk(&request, 0, place..place, version, true);
+            let chunk = self.chunk(&request, 0, position..position, version, true);
             self.send(chunk, 0, &chunks);
         }
     }
@@ -326,15 +326,15 @@
         let prefix: String = prompt.chars().take(PREFIX_CHARACTERS).collect();
         let cached = {
             let mut state = self.inner.state.borrow_mut();
-            let known = state.cache.iter().position(|cached| *cached == prefix);
-            if let Some(place) = known {
-                state.cache.remove(place);
+            let cached_at = state.cache.iter().position(|cached| *cached == prefix);
+            if let Some(position) = cached_at {
+                state.cache.remove(position);
             }
             state.cache.push_back(prefix);
             while state.cache.len() > self.inner.options.cached_prefixes {
                 state.cache.pop_front();
             }
-            known.is_some()
+            cached_at.is_some()
         };
         if !cached {
             self.inner.platform.sleep(self.inner.options.prefill_time).await;
@@ -348,8 +348,8 @@
         }
     }
 
-    /// Takes the time that `count` tokens take; `None` when a swap failed and the generation ends.
-    async fn make_tokens(&self, count: u32) -> Option<WeightVersion> {
+    /// Waits for the time of `count` tokens; `None` if the weights are not confirmed, which ends the generation.
+    async fn generate_tokens(&self, count: u32) -> Option<WeightVersion> {
         let time = {
             let state = self.inner.state.borrow();
             let share = f64::from(state.running) / f64::from(self.inner.options.description.slots.max(1));
@@ -367,24 +367,24 @@
         &self,
         request: &EngineRequest,
         sequence: u32,
-        places: std::ops::Range<u32>,
+        positions: std::ops::Range<u32>,
         version: WeightVersion,
         end: bool,
     ) -> EngineChunk {
-        let make = |place| tokens::token(&request.prompt, request.seed, place, version);
-        let made: Vec<u32> = places.map(make).collect();
+        let token_at = |position| tokens::token(&request.prompt, request.seed, position, version);
+        let tokens_in_chunk: Vec<u32> = positions.map(token_at).collect();
         EngineChunk {
             attempt_id: request.attempt_id,
             sequence,
-            text: made.iter().map(|token| tokens::token_text(*token)).collect(),
-            tokens: made,
+            text: tokens_in_chunk.iter().map(|token| tokens::token_text(*token)).collect(),
+            tokens: tokens_in_chunk,
             version,
             finish: end.then_some(FinishReason::Stop),
             load: current_load(&self.inner.state.borrow()),
         }
     }
 
-    /// Sends a chunk; `false` when the stream is over.
+    /// Sends a chunk. Returns `false` if the stream has ended.
     fn send(&self, chunk: EngineChunk, sequence: u32, chunks: &mpsc::UnboundedSender<EngineChunk>) -> bool {
         let faults = self.inner.state.borrow().faults;
         if sequence > 0 && faults.break_next_stream {
--- a/crates/standins/src/http/access.rs
+++ b/crates/standins/src/http/access.rs
@@ -1,4 +1,4 @@
-//! Reaches the product over HTTP, as public client libraries would.
+//! HTTP client for the interfaces of the service.
 
 use crate::access::{Access, CallerAnswer, TrainerCallError};
 use hyper::{Method, StatusCode};
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The deployment's addresses.
+/// HTTP client for the relays and control replicas of a deployment.
 #[derive(Clone)]
 pub struct HttpAccess {
     relays: Rc<Vec<SocketAddr>>,
@@ -44,11 +44,11 @@
     choices: Vec<Choice>,
     #[serde(default)]
     weight_versions: Vec<VersionSpan>,
-    error: Option<ErrorPart>,
+    error: Option<ErrorDetail>,
 }
 
 #[derive(Deserialize)]
-struct ErrorPart {
+struct ErrorDetail {
     message: String,
     code: String,
     execution: Option<ExecutionOutcome>,
@@ -58,7 +58,7 @@
 
 #[derive(Deserialize)]
 struct ErrorBody {
-    error: ErrorPart,
+    error: ErrorDetail,
 }
 
 #[derive(Deserialize)]
@@ -77,7 +77,7 @@
 }
 
 impl HttpAccess {
-    /// Access to `relays`, and to the administration API on `control`.
+    /// Creates a client for `relays` and for the administration API on `control`.
     pub fn new(relays: Vec<SocketAddr>, control: Vec<SocketAddr>, operator_token: String) -> Self {
         Self { relays: Rc::new(relays), control: Rc::new(control), operator_token, next_control: Rc::default() }
     }
@@ -138,7 +138,7 @@
     }
 }
 
-fn failure(error: ErrorPart) -> RequestFailure {
+fn failure(error: ErrorDetail) -> RequestFailure {
     let code = serde_json::from_value(json!(error.code)).unwrap_or(FailureCode::InvalidRequest);
     let outcome = error.execution.unwrap_or(ExecutionOutcome::Unknown);
     RequestFailure::new(outcome, code, error.message, error.retry_after_ms)
@@ -247,7 +247,7 @@
     }
 
     async fn change(&self, change: &ConfigurationChange) -> Option<ConfigurationOutcome> {
-        let place = self.next_control.replace(self.next_control.get() + 1) % self.control.len();
+        let index = self.next_control.replace(self.next_control.get() + 1) % self.control.len();
         let (path, body) = match (&change.name, &change.value) {
             (ObjectName::Template(id), Some(ObjectValue::Template(template))) => {
                 (format!("/admin/v1/templates/{id}"), serde_json::to_vec(template).ok()?)
@@ -270,7 +270,7 @@
         if let Some(key) = &change.idempotency_key {
             headers.push(("idempotency-key", key.as_str()));
         }
-        let response = call(self.control[place], method, &path, &headers, body).await.ok()?;
+        let response = call(self.control[index], method, &path, &headers, body).await.ok()?;
         match response.status {
             StatusCode::OK => {
                 parse_json::<Accepted>(&response.body).ok().map(|body| ConfigurationOutcome::Accepted(body.revision))
--- a/crates/standins/src/http/engine.rs
+++ b/crates/standins/src/http/engine.rs
@@ -1,4 +1,4 @@
-//! An engine on the network: the OpenAI completions protocol and the engine's control endpoints.
+//! The HTTP server of a stand-in engine: OpenAI completions and control endpoints.
 
 use crate::engine::{Engine, EngineFaults, Refusal, WeightSource};
 use futures::StreamExt;
@@ -16,12 +16,12 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Where faults are asked for.
+/// Path that sets the injected faults.
 pub const FAULTS_PATH: &str = "/faults";
-/// Where an engine is told to say that it leaves.
+/// Path that makes the engine start draining.
 pub const LEAVE_PATH: &str = "/leave";
 
-/// Faults as asked for over HTTP.
+/// Request body of [`FAULTS_PATH`].
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FaultBody {
@@ -52,7 +52,7 @@
     }
 }
 
-/// The HTTP face of an engine.
+/// The HTTP server of an engine.
 pub struct EngineServer<P: Runtime, W: WeightSource> {
     /// The engine.
     pub engine: Engine<P, W>,
@@ -66,7 +66,7 @@
         }
         let bytes = match read_whole(body).await {
             Ok(bytes) => bytes,
-            Err(error) => return refused(StatusCode::BAD_REQUEST, &Refusal(format!("{error:?}"))),
+            Err(error) => return rejection(StatusCode::BAD_REQUEST, &Refusal(format!("{error:?}"))),
         };
         match (&head.method, head.uri.path()) {
             (&Method::POST, COMPLETIONS_PATH) => self.complete(&bytes),
@@ -89,7 +89,7 @@
     fn complete(&self, bytes: &[u8]) -> Reply {
         let request = match parse_json::<CompletionRequest>(bytes) {
             Ok(request) => request,
-            Err(error) => return refused(StatusCode::BAD_REQUEST, &Refusal(format!("{error:?}"))),
+            Err(error) => return rejection(StatusCode::BAD_REQUEST, &Refusal(format!("{error:?}"))),
         };
         match self.engine.admit(request.into()) {
             Ok(stream) => {
@@ -97,27 +97,27 @@
                 compio::runtime::spawn(send_chunks(stream, events)).detach();
                 parts(sse::CONTENT_TYPE, body)
             }
-            Err(refusal) => refused(StatusCode::SERVICE_UNAVAILABLE, &refusal),
+            Err(refusal) => rejection(StatusCode::SERVICE_UNAVAILABLE, &refusal),
         }
     }
 
     fn order(&self, bytes: &[u8]) -> Reply {
         let order = match parse_json::<EngineOrder>(bytes) {
             Ok(order) => order,
-            Err(error) => return refused(StatusCode::BAD_REQUEST, &Refusal(format!("{error:?}"))),
+            Err(error) => return rejection(StatusCode::BAD_REQUEST, &Refusal(format!("{error:?}"))),
         };
         match self.engine.order(order) {
             Ok(()) => json(StatusCode::OK, &"ok"),
-            Err(refusal) => refused(StatusCode::CONFLICT, &refusal),
+            Err(refusal) => rejection(StatusCode::CONFLICT, &refusal),
         }
     }
 }
 
-fn refused(status: StatusCode, refusal: &Refusal) -> Reply {
+fn rejection(status: StatusCode, refusal: &Refusal) -> Reply {
     json(status, &ErrorReply { error: ErrorDetail { message: refusal.0.clone(), admitted: Some(false) } })
 }
 
-/// Sends chunks until the stream ends or the caller is gone, which cancels the generation.
+/// Sends chunks until the stream ends or the client disconnects, which cancels the generation.
 async fn send_chunks(mut stream: mpsc::UnboundedReceiver<EngineChunk>, events: mpsc::UnboundedSender<bytes::Bytes>) {
     while let Some(chunk) = stream.next().await {
         let last = chunk.finish.is_some();
--- a/crates/standins/src/http/mod.rs
+++ b/crates/standins/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-ins on the network.
+//! HTTP servers and clients of the stand-ins.
 
 pub mod access;
 pub mod engine;
--- a/crates/standins/src/http/process.rs
+++ b/crates/standins/src/http/process.rs
@@ -1,4 +1,4 @@
-//! Stand-in processes: one subcommand each.
+//! The stand-in processes, one subcommand each.
 
 use crate::callers::{CallerOptions, UnderWay, run_callers};
 use crate::engine::{Engine, EngineOptions};
@@ -39,20 +39,20 @@
 A trainer or an application ends after SIGTERM once everything it began has ended.
 ";
 
-/// Time that reading an uncached prompt takes.
+/// Prefill time of a prompt whose prefix is not cached.
 const PREFILL_TIME: Duration = Duration::from_millis(40);
-/// Prefixes an engine caches.
+/// Maximum number of prefixes that an engine caches.
 const CACHED_PREFIXES: usize = 8;
-/// Time for which an engine stands still during a swap.
+/// Time for which an engine pauses during a weight swap.
 const SWAP_PAUSE: Duration = Duration::from_millis(120);
 /// Age of an engine's reported load.
 const REPORT_LAG: Duration = Duration::from_millis(200);
-/// Requests that wait at an engine.
+/// Maximum number of requests queued at an engine.
 const QUEUE_LIMIT: usize = 64;
-/// Pause between looks at whether a stopping application is done.
+/// Polling interval while a stopping application drains.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// The flags of every subcommand.
+/// Parsed command-line flags.
 #[derive(Default)]
 struct Flags {
     values: Vec<(String, String)>,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Runs the subcommand that `arguments` name.
+/// Runs the subcommand in `arguments`.
 pub fn run(arguments: Vec<std::ffi::OsString>) -> Result<()> {
     let mut parser = lexopt::Parser::from_args(arguments);
     let mut command = None;
@@ -104,7 +104,7 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let command = command.context("name a stand-in; see --help")?;
+    let command = command.context("the stand-in argument is missing; see --help")?;
     let runtime = compio::runtime::Runtime::new()?;
     runtime.block_on(async move {
         match command.as_str() {
@@ -126,7 +126,7 @@
             }
             "trainer" => trainer(&flags).await,
             "callers" => callers(&flags).await,
-            other => bail!("there is no stand-in `{other}`; see --help"),
+            other => bail!("unknown stand-in `{other}`; see --help"),
         }
     })
 }
@@ -163,12 +163,12 @@
     Ok(())
 }
 
-/// Set when SIGTERM comes.
+/// Returns a flag that is set on SIGTERM.
 fn stop_on_signal() -> Rc<Cell<bool>> {
     let stop = Rc::new(Cell::new(false));
     let flag = stop.clone();
     compio::runtime::spawn(async move {
-        // Without the signal the process only ends when killed, which its caller does in the end.
+        // An error also stops the process.
         let _ = compio::signal::unix::signal(SIGTERM).await;
         flag.set(true);
     })
@@ -217,9 +217,9 @@
     let platform = CompioRuntime::new(std::env::temp_dir());
     let access = HttpAccess::new(flags.addresses("relays")?, Vec::new(), String::new());
     let recorder = file_recorder(&PathBuf::from(flags.text("records")?))?;
-    let under_way = UnderWay::default();
-    run_callers(platform.clone(), access, recorder, options, stop_on_signal(), under_way.clone()).await;
-    while under_way.get() > 0 {
+    let in_flight = UnderWay::default();
+    run_callers(platform.clone(), access, recorder, options, stop_on_signal(), in_flight.clone()).await;
+    while in_flight.get() > 0 {
         platform.sleep(STOP_POLL).await;
     }
     Ok(())
--- a/crates/standins/src/http/services.rs
+++ b/crates/standins/src/http/services.rs
@@ -1,4 +1,4 @@
-//! A scorer, and the platform's lagging list of machines.
+//! The scorer, and the platform's machine list.
 
 use crate::tokens;
 use hyper::body::Incoming;
@@ -11,14 +11,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The reward of a text: the same for the same text.
+/// The reward of a text; deterministic.
 pub fn reward_of(text: &str) -> i64 {
     tokens::tokens_of(text).map_or(0, |tokens| tokens.len() as i64 * 10)
 }
 
-/// Scores samples after a while.
+/// A scorer with a fixed delay.
 pub struct Scorer {
-    /// How long a score takes.
+    /// Delay of each score.
     pub time: Duration,
 }
 
@@ -28,38 +28,38 @@
             return whole(StatusCode::NOT_FOUND, "text/plain", "no such path\n");
         }
         let body = read_whole(request.into_body()).await.unwrap_or_default();
-        let Ok(asked) = parse_json::<ScoreRequest>(&body) else {
+        let Ok(score_request) = parse_json::<ScoreRequest>(&body) else {
             return whole(StatusCode::BAD_REQUEST, "text/plain", "malformed\n");
         };
         compio::time::sleep(self.time).await;
-        json(StatusCode::OK, &ScoreReply { reward_milli: reward_of(&asked.text) })
+        json(StatusCode::OK, &ScoreReply { reward_milli: reward_of(&score_request.text) })
     }
 }
 
-/// The platform: its list shows a change only after a lag.
+/// The platform's machine list. All updates but the first become visible after a delay.
 pub struct MachineList {
     lag: Duration,
     versions: RefCell<Vec<(Instant, Vec<PlatformMachine>)>>,
 }
 
 impl MachineList {
-    /// A list that shows changes after `lag`.
+    /// Creates a list whose updates become visible after `lag`.
     pub fn new(lag: Duration) -> Self {
         Self { lag, versions: RefCell::default() }
     }
 
     fn set(&self, machines: Vec<PlatformMachine>) {
         let mut versions = self.versions.borrow_mut();
-        let first = versions.is_empty();
-        let shown_at = if first { Instant::now() } else { Instant::now() + self.lag };
-        versions.push((shown_at, machines));
+        let is_first = versions.is_empty();
+        let visible_at = if is_first { Instant::now() } else { Instant::now() + self.lag };
+        versions.push((visible_at, machines));
     }
 
-    fn shown(&self) -> Vec<PlatformMachine> {
+    fn visible(&self) -> Vec<PlatformMachine> {
         let now = Instant::now();
         let versions = self.versions.borrow();
-        let shown = versions.iter().rev().find(|(shown_at, _)| *shown_at <= now);
-        shown.map(|(_, machines)| machines.clone()).unwrap_or_default()
+        let visible = versions.iter().rev().find(|(visible_at, _)| *visible_at <= now);
+        visible.map(|(_, machines)| machines.clone()).unwrap_or_default()
     }
 }
 
@@ -75,6 +75,6 @@
             };
             self.set(machines);
         }
-        json(StatusCode::OK, &self.shown())
+        json(StatusCode::OK, &self.visible())
     }
 }
--- a/crates/standins/src/http/weights.rs
+++ b/crates/standins/src/http/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store: rate-limited, one fetch after another.
+//! The weight store, which serializes and rate-limits fetches.
 
 use crate::engine::WeightSource;
 use crate::trainer::WeightSink;
@@ -14,16 +14,16 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The store.
+/// The weight store. It stores version numbers only.
 pub struct WeightStore {
     versions: RefCell<BTreeSet<(String, u64)>>,
-    /// When the store is done with every fetch taken so far.
+    /// End of the last accepted fetch.
     busy_until: Cell<Instant>,
     fetch_time: Duration,
 }
 
 impl WeightStore {
-    /// A store whose rate allows one fetch in `fetch_time`.
+    /// Creates a store that serves one fetch per `fetch_time`.
     pub fn new(fetch_time: Duration) -> Self {
         Self { versions: RefCell::default(), busy_until: Cell::new(Instant::now()), fetch_time }
     }
@@ -46,17 +46,17 @@
         if !self.versions.borrow().contains(&name) {
             return whole(StatusCode::NOT_FOUND, "text/plain", "no such version\n");
         }
-        let done = self.busy_until.get().max(Instant::now()) + self.fetch_time;
-        self.busy_until.set(done);
-        compio::time::sleep(done.saturating_duration_since(Instant::now())).await;
+        let completes_at = self.busy_until.get().max(Instant::now()) + self.fetch_time;
+        self.busy_until.set(completes_at);
+        compio::time::sleep(completes_at.saturating_duration_since(Instant::now())).await;
         json(StatusCode::OK, &version)
     }
 }
 
-/// A client of the store.
+/// A client of the weight store.
 #[derive(Clone)]
 pub struct HttpWeights {
-    /// The store.
+    /// The address of the store.
     pub address: SocketAddr,
     /// The model whose versions a trainer stores.
     pub model: ModelName,
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the systems around saddlerelay.
+//! Stand-ins for the external systems and clients of saddlerelay.
 //!
-//! Their behaviour is generic over the platform seam, so that the simulator and the fleet use the same engines,
-//! trainers, callers and operators. `http` puts them on the network for the fleet.
+//! They are generic over the runtime, so that the simulator and the fleet share the same engines, trainers, callers and
+//! operators. [`http`] contains the HTTP servers and clients for the fleet.
 
 pub mod access;
 pub mod callers;
--- a/crates/standins/src/operators.rs
+++ b/crates/standins/src/operators.rs
@@ -1,5 +1,5 @@
-//! Operators: set the deployment up, change it, race each other and resend; and a probe that asks every relay which
-//! configuration it acts on.
+//! Operators, which configure the deployment and make concurrent changes, and a probe of the configuration that each
+//! relay applies.
 
 use crate::access::Access;
 use crate::recorder::Recorder;
@@ -19,8 +19,8 @@
 /// Time limit of one change.
 const CHANGE_LIMIT: Duration = Duration::from_secs(6);
 
-/// Pause before a change is sent again.
-const RESEND_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a change is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Time limit of one probe.
 const PROBE_LIMIT: Duration = Duration::from_millis(1000);
@@ -36,17 +36,17 @@
 /// An operator.
 #[derive(Clone)]
 pub struct Operator<P, A> {
-    /// The platform.
+    /// The runtime.
     pub platform: P,
-    /// The way to the administration API.
+    /// Client for the administration API.
     pub access: A,
-    /// Where records go.
+    /// Recorder for the outcomes of changes.
     pub recorder: Recorder,
-    /// Makes keys of different operators differ.
+    /// Prefix of the idempotency keys.
     pub name: String,
 }
 
-/// The values of a tenant.
+/// Parameter values of a tenant.
 pub type TenantValues = BTreeMap<ParameterName, ParameterValue>;
 
 impl<P: Runtime, A: Access> Operator<P, A> {
@@ -54,7 +54,7 @@
         IdempotencyKey(format!("{}-{:016x}", self.name, self.platform.random()))
     }
 
-    /// Sends a change under one key until it is answered, and records the answer.
+    /// Sends a change with one idempotency key, retries it until it has an outcome, and records the outcome.
     pub async fn change(
         &self,
         name: ObjectName,
@@ -70,7 +70,7 @@
                 self.record(&change, &key, from, &outcome);
                 return outcome;
             }
-            self.platform.sleep(RESEND_PAUSE).await;
+            self.platform.sleep(RETRY_DELAY).await;
         }
     }
 
@@ -87,7 +87,7 @@
         });
     }
 
-    /// Writes the template and a tenant, whatever was there.
+    /// Writes the template and a tenant unconditionally.
     pub async fn set_up(&self, tenant: &TenantId, values: TenantValues) {
         let template = Template { parameters: BTreeMap::new() };
         let name = ObjectName::Template(TemplateId::new(TEMPLATE));
@@ -95,7 +95,7 @@
         self.put_tenant(tenant, values, None).await;
     }
 
-    /// Writes a tenant.
+    /// Writes a tenant; with `expected`, only if that is its revision.
     pub async fn put_tenant(
         &self,
         tenant: &TenantId,
@@ -106,7 +106,7 @@
         self.change(ObjectName::Tenant(tenant.clone()), Some(value), expected).await
     }
 
-    /// Writes a probe value.
+    /// Writes a probe value; with `expected`, only if that is the revision of the probe tenant.
     pub async fn put_probe(&self, value: u64, expected: Option<Revision>) -> ConfigurationOutcome {
         let model = ParameterValue::Text(format!("{PROBE_PREFIX}{value}"));
         let values = BTreeMap::from([(ParameterName::Model, model)]);
@@ -134,7 +134,7 @@
     }
 }
 
-/// Two operators change the probe again and again, both naming the revision they saw: exactly one can win.
+/// Repeatedly makes two operators change the probe concurrently with the same expected revision, until `stop` is set.
 pub async fn race_changes<P: Runtime, A: Access>(
     first: Operator<P, A>,
     second: Operator<P, A>,
@@ -151,8 +151,8 @@
         value += 1;
         let race =
             futures::future::join(first.put_probe(value, Some(revision)), second.put_probe(value, Some(revision)));
-        let (left, right) = race.await;
-        for outcome in [left, right] {
+        let (first_outcome, second_outcome) = race.await;
+        for outcome in [first_outcome, second_outcome] {
             if let ConfigurationOutcome::Accepted(accepted) = outcome {
                 revision = revision.max(accepted);
             } else if let ConfigurationOutcome::RevisionMismatch(current) = outcome {
@@ -162,7 +162,7 @@
     }
 }
 
-/// Asks every relay again and again which probe value it acts on.
+/// Reads the probe value of every relay at each `interval`, until `stop` is set.
 pub async fn probe_relays<P: Runtime, A: Access>(
     platform: P,
     access: A,
@@ -192,7 +192,7 @@
     recorder.record(Record::Probe { from, to, relay: format!("relay-{relay}"), value });
 }
 
-/// Whether a change took effect.
+/// Whether a change was accepted.
 pub fn accepted(outcome: &ConfigurationOutcome) -> bool {
     is_accepted(outcome)
 }
--- a/crates/standins/src/recorder.rs
+++ b/crates/standins/src/recorder.rs
@@ -1,21 +1,21 @@
-//! Where stand-ins put what they saw.
+//! The destination of the records that stand-ins write.
 
 use saddlerelay_checker::record::Record;
 use std::rc::Rc;
 
-/// Takes records. Clones share the destination.
+/// Writes records. Clones share the destination.
 #[derive(Clone)]
 pub struct Recorder {
     sink: Rc<dyn Fn(Record)>,
 }
 
 impl Recorder {
-    /// A recorder that gives each record to `sink`.
+    /// Creates a recorder that passes each record to `sink`.
     pub fn new(sink: impl Fn(Record) + 'static) -> Self {
         Self { sink: Rc::new(sink) }
     }
 
-    /// Takes a record.
+    /// Writes a record.
     pub fn record(&self, record: Record) {
         (self.sink)(record);
     }
--- a/crates/standins/src/trainer.rs
+++ b/crates/standins/src/trainer.rs
@@ -1,7 +1,7 @@
-//! A trainer: asks for steps, receives samples for good, trains and publishes.
+//! A stand-in trainer, which opens steps, receives samples, trains and publishes weights.
 //!
-//! What it has received is on its disk before it counts, so a restarted trainer knows its place. Its calls are made one
-//! after another, and an answer that comes after its call was given up is never used.
+//! It persists its cursor before a sample counts as received, and resumes there after a restart. A response that arrives
+//! after the timeout of its call is ignored.
 
 use crate::access::{Access, TrainerCallError};
 use crate::recorder::Recorder;
@@ -22,48 +22,48 @@
 /// Time limit of one call.
 const CALL_LIMIT: Duration = Duration::from_secs(8);
 
-/// Pause before a call is sent again.
-const CALL_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Puts trained weights into the weight store.
+/// Stores trained weights in the weight store.
 pub trait WeightSink: Clone + 'static {
-    /// Stores a version; `false` when it failed.
+    /// Stores a weight version. Returns whether it succeeded.
     fn store(&self, tenant: TenantId, version: WeightVersion) -> impl Future<Output = bool>;
 }
 
-/// How a trainer behaves.
+/// Options of a trainer.
 #[derive(Clone, Debug)]
 pub struct TrainerOptions {
-    /// Its tenant.
+    /// The tenant that it trains for.
     pub tenant: TenantId,
-    /// Prompts in a step.
+    /// Prompts per step.
     pub prompts: u32,
-    /// Samples for each prompt.
+    /// Samples per prompt.
     pub group_size: u32,
-    /// Most tokens in a sample.
+    /// Maximum number of tokens in a sample.
     pub max_tokens: u32,
-    /// Time to train on a step's worth of samples.
+    /// Time to train one step.
     pub train_time: Duration,
-    /// Steps opened ahead of the one that is trained.
+    /// Number of steps opened ahead of the one in training.
     pub steps_ahead: u64,
 }
 
-/// What a trainer keeps on disk.
+/// The persistent state of a trainer.
 #[derive(Clone, Debug, Default, Encode, Decode)]
-struct Saved {
+struct PersistentState {
     incarnation: u64,
     cursor: Position,
     epoch: DeliveryEpoch,
     published: WeightVersion,
     opened: StepNumber,
     trained_steps: u64,
-    /// Samples received and not trained on yet.
+    /// Samples that were received, but not yet used for training.
     buffered: u64,
-    /// The newest receipts as JSON: a trainer killed between saving and recording them records them again, unchanged.
+    /// Receipt records of the last batch as JSON, rewritten unchanged after a crash between saving and recording.
     receipts: Vec<String>,
 }
 
-/// Tells a trainer to open no more steps.
+/// Once set, the trainer opens no more steps.
 pub type StopFlag = Rc<Cell<bool>>;
 
 struct Trainer<P, A, W> {
@@ -72,20 +72,20 @@
     sink: W,
     recorder: Recorder,
     options: TrainerOptions,
-    saved: Saved,
+    persisted: PersistentState,
     relay: usize,
 }
 
-/// How a trainer's run ended.
+/// Why a trainer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrainerEnd {
-    /// Every opened step was received.
+    /// It received all samples of every opened step.
     Finished,
-    /// A newer incarnation acts.
+    /// The service rejected a call, for example because a newer incarnation is active.
     Fenced,
 }
 
-/// Runs a trainer until `stop` is set and every opened step is received.
+/// Runs a trainer until `stop` is set and all samples of every opened step have been received.
 pub async fn run_trainer<P: Runtime, A: Access, W: WeightSink>(
     platform: P,
     access: A,
@@ -94,30 +94,30 @@
     options: TrainerOptions,
     stop: StopFlag,
 ) -> TrainerEnd {
-    let file = saved_file(&options.tenant);
+    let file = state_file(&options.tenant);
     let bytes = platform.disk().read(&file).await.ok().flatten();
-    let mut saved: Saved = bytes.and_then(|bytes| bitcode::decode(&bytes).ok()).unwrap_or_default();
-    saved.incarnation += 1;
-    let mut trainer = Trainer { platform, access, sink, recorder, options, saved, relay: 0 };
+    let mut persisted: PersistentState = bytes.and_then(|bytes| bitcode::decode(&bytes).ok()).unwrap_or_default();
+    persisted.incarnation += 1;
+    let mut trainer = Trainer { platform, access, sink, recorder, options, persisted, relay: 0 };
     trainer.record_receipts();
     trainer.save().await;
     let outcome = trainer.run(&stop).await;
     if outcome.is_err() { TrainerEnd::Fenced } else { TrainerEnd::Finished }
 }
 
-fn saved_file(tenant: &TenantId) -> String {
+fn state_file(tenant: &TenantId) -> String {
     format!("trainer-{tenant}")
 }
 
-/// The prompt of a sample: names its step, and shares its beginning with the step's other prompts.
+/// The prompt of a sample, which contains its step and shares a prefix with the step's other prompts.
 pub fn sample_prompt(tenant: &TenantId, step: StepNumber, prompt: u32) -> String {
     format!("{tenant} draft, shared instructions number {}. step {step} prompt {prompt}", step.0 % 3)
 }
 
 impl<P: Runtime, A: Access, W: WeightSink> Trainer<P, A, W> {
     async fn run(&mut self, stop: &StopFlag) -> Result<(), TrainerRefusal> {
-        let state = self.call_until_decided(Call::Open).await?;
-        self.saved.epoch = self.saved.epoch.max(state.epoch);
+        let state = self.call_with_retries(Call::Open).await?;
+        self.persisted.epoch = self.persisted.epoch.max(state.epoch);
         self.reconcile(&state).await;
         let mut waited = Duration::ZERO;
         loop {
@@ -125,12 +125,12 @@
             if self.outstanding() == 0 && stop.get() {
                 return Ok(());
             }
-            let since = self.platform.monotonic();
-            while self.saved.buffered < self.step_size() && self.outstanding() > 0 {
+            let wait_started = self.platform.monotonic();
+            while self.persisted.buffered < self.step_size() && self.outstanding() > 0 {
                 self.fetch().await?;
             }
-            waited += self.platform.monotonic().saturating_sub(since);
-            if self.saved.buffered >= self.step_size() {
+            waited += self.platform.monotonic().saturating_sub(wait_started);
+            if self.persisted.buffered >= self.step_size() {
                 self.train(std::mem::take(&mut waited)).await?;
             }
         }
@@ -140,26 +140,26 @@
         u64::from(self.options.prompts * self.options.group_size)
     }
 
-    /// Samples asked for and not received.
+    /// Number of samples that were requested, but not yet received.
     fn outstanding(&self) -> u64 {
-        (self.saved.opened.0 * self.step_size()).saturating_sub(self.saved.cursor.0)
+        (self.persisted.opened.0 * self.step_size()).saturating_sub(self.persisted.cursor.0)
     }
 
-    /// Takes over what the service knows and this disk does not, after a crash between a call and its save.
+    /// Merges the service's state, which is newer after a crash between a call and the save of its result.
     async fn reconcile(&mut self, state: &TrainerState) {
-        self.saved.published = self.saved.published.max(state.published);
-        self.saved.trained_steps = self.saved.trained_steps.max(state.published.0);
-        let unrecorded = self.saved.opened.0 + 1..=state.last_step.0;
-        self.saved.opened = self.saved.opened.max(state.last_step);
+        self.persisted.published = self.persisted.published.max(state.published);
+        self.persisted.trained_steps = self.persisted.trained_steps.max(state.published.0);
+        let unrecorded = self.persisted.opened.0 + 1..=state.last_step.0;
+        self.persisted.opened = self.persisted.opened.max(state.last_step);
         self.save().await;
         unrecorded.for_each(|step| self.record_step(StepNumber(step)));
     }
 
     async fn open_steps(&mut self, stop: &StopFlag) -> Result<(), TrainerRefusal> {
-        while !stop.get() && self.saved.opened.0 <= self.saved.trained_steps + self.options.steps_ahead {
-            let step = self.saved.opened.next();
-            self.call_until_decided(Call::Step(step)).await?;
-            self.saved.opened = step;
+        while !stop.get() && self.persisted.opened.0 <= self.persisted.trained_steps + self.options.steps_ahead {
+            let step = self.persisted.opened.next();
+            self.call_with_retries(Call::Step(step)).await?;
+            self.persisted.opened = step;
             self.save().await;
             self.record_step(step);
         }
@@ -171,37 +171,37 @@
         self.recorder.record(Record::StepOpened { at: self.platform.unix_milliseconds(), tenant, step, samples });
     }
 
-    /// Trains and publishes. The next samples are asked for meanwhile: what comes before the publication is received,
-    /// what comes later is received only if its epoch is not from before it.
+    /// Trains and publishes. Samples are prefetched meanwhile; a batch that arrives after the publication is received only
+    /// if its epoch is current.
     async fn train(&mut self, waited: Duration) -> Result<(), TrainerRefusal> {
-        let mut early = self.start_fetch();
+        let mut prefetch = self.start_prefetch();
         self.platform.sleep(self.options.train_time).await;
-        let before = early.try_recv().ok().flatten();
-        let answered = before.is_some();
-        self.receive_answer(before).await?;
+        let arrived_early = prefetch.try_recv().ok().flatten();
+        let answered = arrived_early.is_some();
+        self.receive_answer(arrived_early).await?;
         self.publish(waited).await?;
         if !answered {
-            self.receive_answer(early.await.ok()).await?;
+            self.receive_answer(prefetch.await.ok()).await?;
         }
         Ok(())
     }
 
-    /// Asks for samples without waiting for the answer.
-    fn start_fetch(&self) -> oneshot::Receiver<FetchAnswer> {
+    /// Starts a fetch of samples in the background.
+    fn start_prefetch(&self) -> oneshot::Receiver<FetchAnswer> {
         let (sender, answer) = oneshot::channel();
         let (platform, access, tenant) = (self.platform.clone(), self.access.clone(), self.options.tenant.clone());
-        let (relay, incarnation, cursor) = (self.relay, self.incarnation(), self.saved.cursor);
+        let (relay, incarnation, cursor) = (self.relay, self.incarnation(), self.persisted.cursor);
         let limit = self.step_size() as u32;
         self.platform.spawn(async move {
             let call = access.fetch(relay, &tenant, incarnation, cursor, limit);
             let answered = timeout(&platform, CALL_LIMIT, call).await.unwrap_or(Err(TrainerCallError::Again));
-            // A trainer that has ended needs no answer.
+            // The trainer may have ended.
             let _ = sender.send(answered);
         });
         answer
     }
 
-    /// Receives what an early fetch brought, if it brought anything.
+    /// Receives the batch of a prefetch, if it succeeded.
     async fn receive_answer(&mut self, answer: Option<FetchAnswer>) -> Result<(), TrainerRefusal> {
         match answer {
             Some(Ok(batch)) => self.receive(batch).await,
@@ -212,16 +212,16 @@
     }
 
     async fn publish(&mut self, waited: Duration) -> Result<(), TrainerRefusal> {
-        self.saved.buffered -= self.step_size();
-        self.saved.trained_steps += 1;
-        let version = self.saved.published.next();
+        self.persisted.buffered -= self.step_size();
+        self.persisted.trained_steps += 1;
+        let version = self.persisted.published.next();
         while !self.sink.store(self.options.tenant.clone(), version).await {
-            self.platform.sleep(CALL_PAUSE).await;
+            self.platform.sleep(RETRY_DELAY).await;
         }
         self.save().await;
-        let state = self.call_until_decided(Call::Publish(version)).await?;
-        self.saved.published = version;
-        self.saved.epoch = self.saved.epoch.max(state.epoch);
+        let state = self.call_with_retries(Call::Publish(version)).await?;
+        self.persisted.published = version;
+        self.persisted.epoch = self.persisted.epoch.max(state.epoch);
         self.save().await;
         let at = self.platform.unix_milliseconds();
         let tenant = self.options.tenant.clone();
@@ -233,38 +233,40 @@
 
     async fn fetch(&mut self) -> Result<(), TrainerRefusal> {
         let limit = self.step_size() as u32;
-        let call = self.access.fetch(self.relay, &self.options.tenant, self.incarnation(), self.saved.cursor, limit);
+        let call =
+            self.access.fetch(self.relay, &self.options.tenant, self.incarnation(), self.persisted.cursor, limit);
         match timeout(&self.platform, CALL_LIMIT, call).await {
             Some(Ok(batch)) => self.receive(batch).await,
             Some(Err(TrainerCallError::Refused(refusal))) => return Err(refusal),
             Some(Err(TrainerCallError::Again)) | None => {
                 self.next_relay();
-                self.platform.sleep(CALL_PAUSE).await;
+                self.platform.sleep(RETRY_DELAY).await;
             }
         }
         Ok(())
     }
 
-    /// Receives a batch for good, unless it is from before positions were withdrawn.
+    /// Receives a batch and persists the cursor, unless the delivery epoch of the batch is outdated.
     async fn receive(&mut self, batch: DeliveryBatch) {
-        if batch.epoch < self.saved.epoch {
+        if batch.epoch < self.persisted.epoch {
             return;
         }
-        self.saved.epoch = batch.epoch;
-        let fresh: Vec<_> = batch.samples.into_iter().filter(|sample| sample.position > self.saved.cursor).collect();
-        let Some(last) = fresh.last().map(|sample| sample.position) else {
+        self.persisted.epoch = batch.epoch;
+        let new_samples: Vec<_> =
+            batch.samples.into_iter().filter(|sample| sample.position > self.persisted.cursor).collect();
+        let Some(last) = new_samples.last().map(|sample| sample.position) else {
             return;
         };
-        self.saved.cursor = last;
-        self.saved.buffered += fresh.len() as u64;
-        let receipts = fresh.iter().map(|delivered| self.receipt(delivered));
-        self.saved.receipts = receipts.filter_map(|receipt| serde_json::to_string(&receipt).ok()).collect();
+        self.persisted.cursor = last;
+        self.persisted.buffered += new_samples.len() as u64;
+        let receipts = new_samples.iter().map(|delivered| self.receipt(delivered));
+        self.persisted.receipts = receipts.filter_map(|receipt| serde_json::to_string(&receipt).ok()).collect();
         self.save().await;
         self.record_receipts();
     }
 
     fn record_receipts(&self) {
-        let receipts = self.saved.receipts.iter().filter_map(|receipt| serde_json::from_str(receipt).ok());
+        let receipts = self.persisted.receipts.iter().filter_map(|receipt| serde_json::from_str(receipt).ok());
         receipts.for_each(|receipt| self.recorder.record(receipt));
     }
 
@@ -277,7 +279,7 @@
             position: delivered.position,
             sample: delivered.sample.clone(),
             oldest: versions.min().unwrap_or_default(),
-            published: self.saved.published,
+            published: self.persisted.published,
             fault: self.sample_fault(delivered),
         }
     }
@@ -286,13 +288,13 @@
         let sample = &delivered.sample;
         let generation = &delivered.payload.generation;
         let prompt = sample_prompt(&sample.tenant, sample.step, sample.prompt);
-        let whole = tokens::is_whole_under_any_seed(&prompt, self.options.max_tokens, &generation.tokens);
-        let broken = (!whole).then(|| "its tokens are not a whole answer to its prompt".to_string());
-        broken.or_else(|| tokens::version_fault(generation))
+        let is_complete = tokens::is_whole_under_any_seed(&prompt, self.options.max_tokens, &generation.tokens);
+        let token_fault = (!is_complete).then(|| "the tokens are not a complete response to the prompt".to_string());
+        token_fault.or_else(|| tokens::version_fault(generation))
     }
 
     fn incarnation(&self) -> Incarnation {
-        Incarnation(self.saved.incarnation)
+        Incarnation(self.persisted.incarnation)
     }
 
     fn next_relay(&mut self) {
@@ -300,13 +302,13 @@
     }
 
     async fn save(&self) {
-        let file = saved_file(&self.options.tenant);
-        while self.platform.disk().replace(&file, bitcode::encode(&self.saved)).await.is_err() {
-            self.platform.sleep(CALL_PAUSE).await;
+        let file = state_file(&self.options.tenant);
+        while self.platform.disk().replace(&file, bitcode::encode(&self.persisted)).await.is_err() {
+            self.platform.sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn call_until_decided(&mut self, call: Call) -> Result<TrainerState, TrainerRefusal> {
+    async fn call_with_retries(&mut self, call: Call) -> Result<TrainerState, TrainerRefusal> {
         loop {
             match timeout(&self.platform, CALL_LIMIT, self.call(&call)).await {
                 Some(Ok(state)) => return Ok(state),
@@ -315,7 +317,7 @@
                 }
                 _ => {
                     self.next_relay();
-                    self.platform.sleep(CALL_PAUSE).await;
+                    self.platform.sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -336,7 +338,7 @@
                 self.access.open_step(self.relay, tenant, incarnation, &request).await
             }
             Call::Publish(version) => {
-                self.access.publish(self.relay, tenant, incarnation, *version, self.saved.cursor).await
+                self.access.publish(self.relay, tenant, incarnation, *version, self.persisted.cursor).await
             }
         }
     }
