--- a/crates/api/src/queries/control.rs
+++ b/crates/api/src/queries/control.rs
@@ -44,7 +44,7 @@
             let message = "no leader answered in time; a change may or may not be accepted, send it again with its key";
             error_reply(StatusCode::SERVICE_UNAVAILABLE, "undecided", message, RETRY_MILLISECONDS)
         }
-        ControlError::Unspeakable => {
+        ControlError::UnsupportedByPeer => {
             let message = "older builds are still being replaced, nothing was changed";
             error_reply(StatusCode::SERVICE_UNAVAILABLE, "refused", message, RETRY_MILLISECONDS)
         }
--- a/crates/command-line/src/duties.rs
+++ b/crates/command-line/src/duties.rs
@@ -2,7 +2,7 @@
 
 use saddlerelay_control::node::ControlNode;
 use saddlerelay_duties::policies::KeepInitial;
-use saddlerelay_duties::{Duties, DutyMetrics, EngineCountTerms, HttpPlatform, PlatformDialect, UsageTerms};
+use saddlerelay_duties::{Duties, EngineCountConfig, HttpPlatform, PlatformFormat, PlatformMetrics, UsageReportConfig};
 use saddlerelay_engine_client::HttpBackends;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime_compio::CompioRuntime;
@@ -14,9 +14,9 @@
     runtime: &CompioRuntime,
     node: &ControlNode<CompioRuntime, HttpBackends>,
     settings: &MemberSettings,
-    dialect: Box<dyn PlatformDialect>,
-) -> Rc<DutyMetrics> {
-    let metrics = Rc::new(DutyMetrics::default());
+    dialect: Box<dyn PlatformFormat>,
+) -> Rc<PlatformMetrics> {
+    let metrics = Rc::new(PlatformMetrics::default());
     let Some(platform) = &settings.platform else {
         return metrics;
     };
@@ -29,13 +29,13 @@
         metrics: metrics.clone(),
     });
     if let Some(usage) = settings.usage.filter(|_| platform.reports_usage) {
-        let terms = UsageTerms { window: usage.window, due_after: usage.due_after };
-        runtime.spawn(saddlerelay_duties::usage_reports::report(duties.clone(), terms));
+        let terms = UsageReportConfig { window: usage.window, due_after: usage.due_after };
+        runtime.spawn(saddlerelay_duties::usage_reports::run(duties.clone(), terms));
     }
     if platform.orders_engines {
-        let silence = settings.bounds.control().instance_silence;
-        let terms = EngineCountTerms { settling_time: silence, missing_time: silence };
-        runtime.spawn(saddlerelay_duties::engine_counts::order(duties, terms, KeepInitial));
+        let silence = settings.bounds.control().instance_silence_timeout;
+        let terms = EngineCountConfig { discovery_time: silence, replacement_delay: silence };
+        runtime.spawn(saddlerelay_duties::engine_counts::run(duties, terms, KeepInitial));
     }
     metrics
 }
--- a/crates/command-line/src/explain.rs
+++ b/crates/command-line/src/explain.rs
@@ -58,7 +58,7 @@
 }
 
 /// The history of `id`: the lines that mention it, sorted by time. With `related`, also lines about its job, item and engines
-/// within [`RELATED_WINDOW`], indented. A line is marked `~` if, given `clock_error`, it may precede the line before it, which
+/// within `RELATED_WINDOW`, indented. A line is marked `~` if, given `clock_error`, it may precede the line before it, which
 /// another process logged.
 pub fn history_of(lines: &[LogLine], id: &str, clock_error: f64, related: bool) -> Vec<String> {
     let matching: Vec<usize> = (0..lines.len()).filter(|index| lines[*index].mentions(id)).collect();
--- a/crates/command-line/src/member.rs
+++ b/crates/command-line/src/member.rs
@@ -7,8 +7,8 @@
 use futures::future::Either;
 use saddlerelay_control::node::ControlNode;
 use saddlerelay_control_client::ControlClient;
-use saddlerelay_coordinator::{Coordinator, CoordinatorConfig, CoordinatorIdentity, EngineDialect};
-use saddlerelay_duties::PlatformDialect;
+use saddlerelay_coordinator::{Coordinator, CoordinatorConfig, CoordinatorIdentity, EngineFormat};
+use saddlerelay_duties::PlatformFormat;
 use saddlerelay_engine_client::{BackendAddresses, HttpBackends};
 use saddlerelay_gateway::{Gateway, GatewayConfig, GatewayOptions};
 use saddlerelay_gateway_api::{
@@ -112,8 +112,8 @@
 
 /// Formats of the requests that a coordinator sends to engines and to the platform.
 struct OutboundFormats {
-    engines: Box<dyn EngineDialect>,
-    platform: Box<dyn PlatformDialect>,
+    engines: Box<dyn EngineFormat>,
+    platform: Box<dyn PlatformFormat>,
 }
 
 async fn run_with_formats<F: Formats>(
@@ -191,7 +191,7 @@
     serve_metrics(&runtime, settings.metrics_address, move || metrics_source.metrics().encode()).await?;
     // Changed seeds are the only way to reach the group for a gateway that has not found it yet.
     let control = gateway.control().clone();
-    let apply_seeds = move |seeds: &[SocketAddr]| control.hear_of(seeds);
+    let apply_seeds = move |seeds: &[SocketAddr]| control.add_known_addresses(seeds);
     runtime.spawn(reload_settings(runtime.clone(), file, signals.reload, seeds, apply_seeds));
     signals.stop.received().await.map_err(failed)?;
     spdlog::info!("planned stop", kv: { grace_ms = settings.bounds.grace.as_millis() as u64 });
@@ -249,7 +249,7 @@
     let report_node = node.clone();
     // All coordinators serve control at the same port.
     let report_target = move |report: &InstanceReport| {
-        report_node.reports_go_to(report).map(|peer| SocketAddr::new(peer.ip(), control_port))
+        report_node.report_target(report).map(|peer| SocketAddr::new(peer.ip(), control_port))
     };
     let interval = settings.bounds.report_interval;
     let api = ControlApi::start(runtime.clone(), control.clone(), interval, Box::new(report_target), formats);
@@ -266,10 +266,10 @@
     runtime.spawn(register(runtime.clone(), node.clone(), control, record, seeds.clone()));
     let replica = node.replica().clone();
     runtime.spawn(reload_settings(runtime.clone(), file, signals.reload, seeds, move |seeds| {
-        replica.hear_of(seeds.iter().copied())
+        replica.add_known_addresses(seeds.iter().copied())
     }));
     signals.stop.received().await.map_err(failed)?;
-    let handed_over = node.hand_over().await;
+    let handed_over = node.transfer_leadership().await;
     spdlog::info!("planned stop", kv: { handed_over = handed_over });
     shutdown.close(settings.bounds.grace / 4).await;
     Ok(())
@@ -292,7 +292,7 @@
     // Registrations are permanent. A replica that is not a member yet cannot see its registration in its own state.
     let mut is_registered = false;
     loop {
-        is_registered = is_registered || node.replica().peek(|machine| machine.state().stores.holds(&record));
+        is_registered = is_registered || node.replica().read_local(|machine| machine.state().stores.holds(&record));
         if !is_registered {
             let request = GatewayRequest::RegisterStore(record.clone());
             let answer = control.gateway(request, REGISTER_TIMEOUT, REGISTER_TIMEOUT).await;
--- a/crates/command-line/src/serve.rs
+++ b/crates/command-line/src/serve.rs
@@ -124,7 +124,7 @@
     let shutdown = Shutdown::default();
     platform.spawn(serve_until(http_listener, Rc::new(api), shutdown.clone()));
     wait_for_stop(terminate).await?;
-    let handed_over = node.hand_over().await;
+    let handed_over = node.transfer_leadership().await;
     spdlog::info!("planned stop", kv: { handed_over = handed_over });
     shutdown.close(CLOSE_TIMEOUT).await;
     Ok(())
--- a/crates/control-client/src/lib.rs
+++ b/crates/control-client/src/lib.rs
@@ -13,7 +13,7 @@
 
 use crate::replicas::Replicas;
 use crate::search::{LastAnswer, LeaderSearch};
-use saddlerelay_layouts::level_one::follow::FollowMemory;
+use saddlerelay_layouts::level_one::follow::FollowConverter;
 use saddlerelay_layouts::messages;
 use saddlerelay_rpc::client::{Answer, CallError, Client};
 use saddlerelay_runtime::Runtime;
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlError {
     /// The replica runs an older build whose protocol cannot encode the request. The request was not sent.
-    Unspeakable,
+    UnsupportedByPeer,
     /// No leader replied before the deadline. A command may or may not be committed.
     Unavailable,
     /// The leader rejected the request; nothing was changed.
@@ -69,7 +69,7 @@
     /// Whether the client has no working leader at present.
     is_searching: Cell<bool>,
     /// State accumulated from poll replies of leaders at feature level one.
-    follow_memory: RefCell<FollowMemory>,
+    follow_memory: RefCell<FollowConverter>,
     secret: String,
 }
 
@@ -162,7 +162,7 @@
         let request = ControlRequest::Gateway(request);
         let reply = self.call_until(&request, limit, attempt_limit, &mut may_be_done).await;
         match reply {
-            Err(ControlError::Unspeakable) if !may_be_done => Err(GatewayError::NotUnderstood),
+            Err(ControlError::UnsupportedByPeer) if !may_be_done => Err(GatewayError::NotUnderstood),
             Ok(ControlReply::Gateway(GatewayReply::Unavailable)) | Err(_) if !may_be_done => Err(GatewayError::NotDone),
             Ok(ControlReply::Gateway(reply)) => Ok(reply),
             _ => Err(GatewayError::Undecided),
@@ -170,7 +170,7 @@
     }
 
     /// Sends a gateway request to one replica, whether it leads or not; `None` without a readable reply in time.
-    pub async fn gateway_at(
+    pub async fn call_replica(
         &self,
         address: SocketAddr,
         request: GatewayRequest,
@@ -198,7 +198,7 @@
 
     /// Adds addresses at which replicas may listen, for example after a change of settings. While the client searches
     /// for the leader, a new address is tried next.
-    pub fn hear_of(&self, addresses: &[SocketAddr]) {
+    pub fn add_known_addresses(&self, addresses: &[SocketAddr]) {
         let mut replicas = self.inner.replicas.borrow_mut();
         match self.inner.is_searching.get() {
             true => replicas.add_and_select_new(addresses),
@@ -237,11 +237,11 @@
             let outcome = self.send_request(&replica, request, remaining.min(attempt_limit)).await;
             // A connection that closes during the handshake looks like an older build. After an earlier attempt that
             // may have been executed, the search goes on for a replica that can report the outcome.
-            if outcome == Err(CallError::Unspeakable) && !*may_be_done {
-                return Err(ControlError::Unspeakable);
+            if outcome == Err(CallError::UnsupportedByPeer) && !*may_be_done {
+                return Err(ControlError::UnsupportedByPeer);
             }
             // A replica that sent a malformed reply may have executed the request.
-            *may_be_done |= matches!(outcome, Err(CallError::Unknown) | Ok(None));
+            *may_be_done |= matches!(outcome, Err(CallError::OutcomeUnknown) | Ok(None));
             self.inner.replicas.borrow_mut().record_answer(replica.address(), LastAnswer::of(&outcome));
             match outcome.ok().flatten() {
                 Some(ControlReply::NotLeader { leader: Some(leader), .. }) if leader != replica.address() => {
@@ -285,7 +285,7 @@
         follow: &FollowRequest,
         limit: Duration,
     ) -> Result<Option<ControlReply>, CallError> {
-        let level_one_poll = self.inner.follow_memory.borrow().question(follow);
+        let level_one_poll = self.inner.follow_memory.borrow().to_level_one(follow);
         let request = ControlRequest::Gateway(GatewayRequest::Follow(follow.clone()));
         let encode = |level| match level {
             FeatureLevel::One => Some(messages::encode_follow_one(level_one_poll.clone())),
--- a/crates/control-client/src/reports.rs
+++ b/crates/control-client/src/reports.rs
@@ -100,7 +100,7 @@
 }
 
 /// Batches reports and sends them to the leader.
-pub struct ReportGatherer<P: Runtime> {
+pub struct ReportBatcher<P: Runtime> {
     platform: P,
     control: ControlClient<P>,
     pending: RefCell<PendingReports>,
@@ -112,7 +112,7 @@
     urgent: Signal,
 }
 
-impl<P: Runtime> ReportGatherer<P> {
+impl<P: Runtime> ReportBatcher<P> {
     /// Starts sending batches to the group behind `control` until the process ends. Engines report every
     /// `report_interval`.
     pub fn start(platform: P, control: ControlClient<P>, report_interval: Duration) -> Rc<Self> {
@@ -192,7 +192,7 @@
             if delivered.get(&report.id) == Some(&DeliveredReport::of(report)) {
                 gathered.heartbeats.push(InstanceHeartbeat { id: report.id.clone(), sequence: report.sequence });
             } else {
-                gathered.news.push(report.clone());
+                gathered.changed.push(report.clone());
             }
         }
         gathered
@@ -223,7 +223,7 @@
     }
 }
 
-async fn send_batches<P: Runtime>(gatherer: Rc<ReportGatherer<P>>) {
+async fn send_batches<P: Runtime>(gatherer: Rc<ReportBatcher<P>>) {
     loop {
         gatherer.platform.sleep(MIN_BATCH_PAUSE).await;
         let notified_count = gatherer.urgent.count();
@@ -236,7 +236,7 @@
             continue;
         }
         let gathered = gatherer.classify(&reports);
-        let (news, heartbeats) = (gathered.news.len(), gathered.heartbeats.len());
+        let (news, heartbeats) = (gathered.changed.len(), gathered.heartbeats.len());
         let request = GatewayRequest::ReportInstances(gathered);
         let mut answer = gatherer.control.gateway(request, BATCH_TIMEOUT, ATTEMPT_TIMEOUT).await;
         if answer == Err(GatewayError::NotUnderstood) {
--- a/crates/control-client/src/search.rs
+++ b/crates/control-client/src/search.rs
@@ -33,8 +33,8 @@
     /// Classifies the outcome of a call.
     pub(crate) fn of(outcome: &Result<Option<ControlReply>, CallError>) -> Self {
         match outcome {
-            Err(CallError::NotSent | CallError::Unspeakable) => Self::Unreachable,
-            Err(CallError::Unknown) => Self::NoReply,
+            Err(CallError::NotSent | CallError::UnsupportedByPeer) => Self::Unreachable,
+            Err(CallError::OutcomeUnknown) => Self::NoReply,
             Ok(None) => Self::Malformed,
             Ok(Some(ControlReply::NotLeader { leader: None, .. })) => Self::LeaderUnknown,
             Ok(Some(ControlReply::NotLeader { leader: Some(leader), .. })) => Self::Redirected(*leader),
--- a/crates/control-client/src/suspicions.rs
+++ b/crates/control-client/src/suspicions.rs
@@ -1,7 +1,7 @@
 //! Suspected work at a relay: work during which engines ended unexpectedly, as listed by the control group or observed
 //! by the relay and not reported yet.
 
-use crate::trials::{NoAnswer, TrialGroup, TrialGuard, TrialKeeper};
+use crate::trials::{CallFailure, TrialLeaseGuard, TrialLeaseService, TrialLeases};
 use crate::{ControlClient, GatewayError};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::signal::Signal;
@@ -9,7 +9,7 @@
 use saddlerelay_types::gateway::{GatewayReply, GatewayRequest, TrialRequest};
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_types::suspicion::{
-    EngineLoss, HeldTrial, MOST_ENGINES_ENDED, SuspicionList, TRIAL_RENEWAL, TrialAnswer, WorkEvidence,
+    EngineLoss, HeldTrial, QUARANTINE_THRESHOLD, SuspicionList, TRIAL_RENEWAL, TrialAnswer, WorkEvidence,
 };
 use saddlerelay_types::work::WorkDigest;
 use std::cell::RefCell;
@@ -29,7 +29,7 @@
 
 /// Default pause before work that one more engine loss would quarantine is sent again; longer than an engine takes to
 /// restart.
-pub const LAST_TRIAL_PAUSE: Duration = Duration::from_secs(5);
+pub const DEFAULT_LAST_TRIAL_PAUSE: Duration = Duration::from_secs(5);
 
 /// Timeout of a request for a trial lease. When it expires, the client is told to retry.
 const TRIAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
@@ -105,14 +105,14 @@
         };
         let remaining = (suspect.recorded_at + last_trial_pause).saturating_sub(now);
         match suspect.engines.len() {
-            ended if ended >= MOST_ENGINES_ENDED => Verdict::Quarantine,
-            ended if ended + 1 == MOST_ENGINES_ENDED && !remaining.is_zero() => Verdict::Pause(remaining),
+            ended if ended >= QUARANTINE_THRESHOLD => Verdict::Quarantine,
+            ended if ended + 1 == QUARANTINE_THRESHOLD && !remaining.is_zero() => Verdict::Pause(remaining),
             _ => Verdict::Send,
         }
     }
 
     /// Records that this relay observed at `now` that an engine ended during work.
-    pub fn note_loss(&mut self, loss: EngineLoss, now: Duration) {
+    pub fn record_loss(&mut self, loss: EngineLoss, now: Duration) {
         if self.evidence.losses.len() >= MAX_PENDING_LOSSES || self.evidence.losses.contains(&loss) {
             return;
         }
@@ -121,7 +121,7 @@
     }
 
     /// Records that an engine has served `work`; returns whether it was suspected.
-    pub fn note_served(&mut self, work: &WorkDigest) -> bool {
+    pub fn record_served(&mut self, work: &WorkDigest) -> bool {
         let suspected = self.suspects.remove(work).is_some();
         if suspected {
             self.evidence.losses.retain(|loss| loss.work != *work);
@@ -136,13 +136,13 @@
     }
 
     /// Removes evidence that the group has committed.
-    pub fn handed_over(&mut self, committed: &WorkEvidence) {
+    pub fn remove_committed(&mut self, committed: &WorkEvidence) {
         self.evidence.losses.retain(|loss| !committed.losses.contains(loss));
         self.evidence.served.retain(|work| !committed.served.contains(work));
     }
 
     /// Applies the group's list at `now`, unless it is not newer than the last one.
-    pub fn take(&mut self, list: SuspicionList, now: Duration) {
+    pub fn apply_list(&mut self, list: SuspicionList, now: Duration) {
         if list.revision <= self.revision {
             return;
         }
@@ -165,12 +165,12 @@
 }
 
 /// Keeps one relay's suspicions in sync with the control group.
-pub struct SuspicionKeeper<P: Runtime> {
+pub struct SuspicionSync<P: Runtime> {
     platform: P,
     control: ControlClient<P>,
     last_trial_pause: Duration,
     /// Trial leases that this relay holds.
-    trials: Rc<TrialKeeper<P, ControlClient<P>>>,
+    trials: Rc<TrialLeases<P, ControlClient<P>>>,
     suspicions: RefCell<Suspicions>,
     /// Notified when there is evidence to report.
     evidence_added: Signal,
@@ -178,14 +178,14 @@
     evidence_reported: Signal,
 }
 
-impl<P: Runtime> SuspicionKeeper<P> {
+impl<P: Runtime> SuspicionSync<P> {
     /// Starts without suspicions, and reports evidence to the group behind `control` until the process ends.
     pub fn start(platform: P, control: ControlClient<P>, last_trial_pause: Duration) -> Rc<Self> {
         let keeper = Rc::new(Self {
             platform: platform.clone(),
             control: control.clone(),
             last_trial_pause,
-            trials: TrialKeeper::start(platform.clone(), control),
+            trials: TrialLeases::start(platform.clone(), control),
             suspicions: RefCell::default(),
             evidence_added: Signal::default(),
             evidence_reported: Signal::default(),
@@ -227,26 +227,26 @@
     }
 
     /// Records that an engine ended during work.
-    pub fn note_loss(&self, loss: EngineLoss) {
-        self.suspicions.borrow_mut().note_loss(loss, self.platform.monotonic());
+    pub fn record_loss(&self, loss: EngineLoss) {
+        self.suspicions.borrow_mut().record_loss(loss, self.platform.monotonic());
         self.evidence_added.notify();
     }
 
     /// Records that an engine has completed work.
-    pub fn note_served(&self, work: impl FnOnce() -> WorkDigest) {
+    pub fn record_served(&self, work: impl FnOnce() -> WorkDigest) {
         let mut suspicions = self.suspicions.borrow_mut();
-        if !suspicions.is_empty() && suspicions.note_served(&work()) {
+        if !suspicions.is_empty() && suspicions.record_served(&work()) {
             self.evidence_added.notify();
         }
     }
 
     /// Applies the group's list, unless it is not newer than the last one.
-    pub fn take(&self, list: SuspicionList) {
-        self.suspicions.borrow_mut().take(list, self.platform.monotonic());
+    pub fn apply_list(&self, list: SuspicionList) {
+        self.suspicions.borrow_mut().apply_list(list, self.platform.monotonic());
     }
 
-    /// Waits until this relay's evidence about `work` is committed, for at most [`MAX_EVIDENCE_WAIT`].
-    pub async fn await_known_to_group(&self, work: &WorkDigest) {
+    /// Waits until this relay's evidence about `work` is committed, for at most `MAX_EVIDENCE_WAIT`.
+    pub async fn wait_for_commit(&self, work: &WorkDigest) {
         let is_waiting = || self.suspicions.borrow().evidence().losses.iter().any(|loss| loss.work == *work);
         let committed = async {
             while is_waiting() {
@@ -259,10 +259,10 @@
 }
 
 /// The trial lease of a relay's request for suspected work.
-pub type RelayTrial<P> = TrialGuard<P, ControlClient<P>>;
+pub type RelayTrial<P> = TrialLeaseGuard<P, ControlClient<P>>;
 
-impl<P: Runtime> TrialGroup for ControlClient<P> {
-    async fn begin(&self, request: TrialRequest) -> Result<TrialAnswer, NoAnswer> {
+impl<P: Runtime> TrialLeaseService for ControlClient<P> {
+    async fn begin(&self, request: TrialRequest) -> Result<TrialAnswer, CallFailure> {
         let request = GatewayRequest::BeginTrial(request);
         match self.gateway(request, TRIAL_REQUEST_TIMEOUT, TRIAL_REQUEST_TIMEOUT).await {
             Ok(GatewayReply::Trial(answer)) => Ok(answer),
@@ -272,7 +272,7 @@
         }
     }
 
-    async fn renew(&self, trials: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, NoAnswer> {
+    async fn renew(&self, trials: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, CallFailure> {
         match self.gateway(GatewayRequest::RenewTrials(trials), TRIAL_RENEWAL, TRIAL_RENEWAL).await {
             Ok(GatewayReply::TrialsLost(lost)) => Ok(lost),
             Err(GatewayError::NotUnderstood) => Ok(Vec::new()),
@@ -280,7 +280,7 @@
         }
     }
 
-    async fn end(&self, trial: HeldTrial) -> Result<(), NoAnswer> {
+    async fn end(&self, trial: HeldTrial) -> Result<(), CallFailure> {
         let HeldTrial { work, id } = trial;
         let answer = self.gateway(GatewayRequest::EndTrial { work, id }, REPORT_TIMEOUT, REPORT_TIMEOUT).await;
         answer.map(|_| ()).map_err(|error| format!("{error:?}"))
@@ -288,7 +288,7 @@
 }
 
 /// Reports evidence to the control group until the process ends.
-async fn report_evidence<P: Runtime>(keeper: Rc<SuspicionKeeper<P>>) {
+async fn report_evidence<P: Runtime>(keeper: Rc<SuspicionSync<P>>) {
     loop {
         let notified_count = keeper.evidence_added.count();
         let evidence = keeper.suspicions.borrow().evidence().clone();
@@ -296,16 +296,16 @@
             keeper.evidence_added.changed(notified_count).await;
             continue;
         }
-        let request = GatewayRequest::TakeEvidence(evidence.clone());
+        let request = GatewayRequest::ReportEvidence(evidence.clone());
         match keeper.control.gateway(request, REPORT_TIMEOUT, REPORT_TIMEOUT).await {
             Ok(GatewayReply::Suspicions(list)) => {
-                keeper.suspicions.borrow_mut().handed_over(&evidence);
-                keeper.take(list);
+                keeper.suspicions.borrow_mut().remove_committed(&evidence);
+                keeper.apply_list(list);
                 keeper.evidence_reported.notify();
             }
             Err(GatewayError::NotUnderstood) => {
                 spdlog::info!("evidence discarded, leader runs an older build", kv: { losses = evidence.losses.len() });
-                keeper.suspicions.borrow_mut().handed_over(&evidence);
+                keeper.suspicions.borrow_mut().remove_committed(&evidence);
                 keeper.evidence_reported.notify();
             }
             other => {
--- a/crates/control-client/src/trials.rs
+++ b/crates/control-client/src/trials.rs
@@ -25,16 +25,16 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Why a call about trial leases got no reply. It may have been executed.
-pub type NoAnswer = String;
+pub type CallFailure = String;
 
 /// The control group's operations on trial leases.
-pub trait TrialGroup: 'static {
+pub trait TrialLeaseService: 'static {
     /// Requests a lease.
-    fn begin(&self, request: TrialRequest) -> impl Future<Output = Result<TrialAnswer, NoAnswer>>;
+    fn begin(&self, request: TrialRequest) -> impl Future<Output = Result<TrialAnswer, CallFailure>>;
     /// Renews leases; returns those that are no longer held.
-    fn renew(&self, trials: Vec<HeldTrial>) -> impl Future<Output = Result<Vec<HeldTrial>, NoAnswer>>;
+    fn renew(&self, trials: Vec<HeldTrial>) -> impl Future<Output = Result<Vec<HeldTrial>, CallFailure>>;
     /// Releases a lease.
-    fn end(&self, trial: HeldTrial) -> impl Future<Output = Result<(), NoAnswer>>;
+    fn end(&self, trial: HeldTrial) -> impl Future<Output = Result<(), CallFailure>>;
 }
 
 /// A held lease.
@@ -48,7 +48,7 @@
 }
 
 /// Requests, renews and releases the trial leases of one process.
-pub struct TrialKeeper<P, G> {
+pub struct TrialLeases<P, G> {
     platform: P,
     group: G,
     /// Incarnation of this process.
@@ -62,7 +62,7 @@
     lost: Signal,
 }
 
-impl<P: Runtime, G: TrialGroup> TrialKeeper<P, G> {
+impl<P: Runtime, G: TrialLeaseService> TrialLeases<P, G> {
     /// Starts without leases, and renews those granted by `group` until the process ends.
     pub fn start(platform: P, group: G) -> Rc<Self> {
         let keeper = Rc::new(Self {
@@ -80,7 +80,7 @@
 
     /// Requests the lease to run `work` for at most `limit`; `None` while another trial of it runs, or while no leader
     /// replies, as another trial may be running then.
-    pub async fn begin(self: &Rc<Self>, work: WorkDigest, limit: Duration) -> Option<TrialGuard<P, G>> {
+    pub async fn begin(self: &Rc<Self>, work: WorkDigest, limit: Duration) -> Option<TrialLeaseGuard<P, G>> {
         let number = self.requested.get() + 1;
         self.requested.set(number);
         let id = TrialId { holder: self.holder, number };
@@ -89,14 +89,14 @@
         let answer = self.group.begin(TrialRequest { work, id, limit_ms }).await;
         let granted = answer == Ok(TrialAnswer::Granted);
         spdlog::info!("trial lease requested", kv: {
-            work = work.shown().as_str(), number = number, granted = granted, limit_ms = limit_ms,
+            work = work.log_prefix().as_str(), number = number, granted = granted, limit_ms = limit_ms,
             answer = format!("{answer:?}").as_str()
         });
         if answer == Ok(TrialAnswer::Taken) {
             return None;
         }
         // A request without a reply may have been granted; dropping the guard releases the lease.
-        let guard = TrialGuard { keeper: self.clone(), trial: HeldTrial { work, id } };
+        let guard = TrialLeaseGuard { keeper: self.clone(), trial: HeldTrial { work, id } };
         if !granted {
             return None;
         }
@@ -148,7 +148,7 @@
         drop(leases);
         if !lost.is_empty() {
             spdlog::warn!("trial leases lost", kv: {
-                lost = lost.len(), work = lost[0].work.shown().as_str(), number = lost[0].id.number
+                lost = lost.len(), work = lost[0].work.log_prefix().as_str(), number = lost[0].id.number
             });
             self.lost.notify();
         }
@@ -156,12 +156,12 @@
 }
 
 /// A trial lease, released when it is dropped.
-pub struct TrialGuard<P: Runtime, G: TrialGroup> {
-    keeper: Rc<TrialKeeper<P, G>>,
+pub struct TrialLeaseGuard<P: Runtime, G: TrialLeaseService> {
+    keeper: Rc<TrialLeases<P, G>>,
     trial: HeldTrial,
 }
 
-impl<P: Runtime, G: TrialGroup> TrialGuard<P, G> {
+impl<P: Runtime, G: TrialLeaseService> TrialLeaseGuard<P, G> {
     /// Whether a run may still be started, by this process's monotonic clock.
     pub fn holds(&self) -> bool {
         let now = self.keeper.platform.monotonic();
@@ -181,7 +181,7 @@
     }
 }
 
-impl<P: Runtime, G: TrialGroup> Drop for TrialGuard<P, G> {
+impl<P: Runtime, G: TrialLeaseService> Drop for TrialLeaseGuard<P, G> {
     fn drop(&mut self) {
         let (keeper, trial) = (self.keeper.clone(), self.trial);
         keeper.leases.borrow_mut().remove(&trial.id.number);
@@ -189,7 +189,7 @@
             if let Err(reason) = keeper.group.end(trial).await {
                 // The lease expires without a release too.
                 spdlog::warn!("trial lease not released, will expire", kv: {
-                    work = trial.work.shown().as_str(), reason = reason.as_str()
+                    work = trial.work.log_prefix().as_str(), reason = reason.as_str()
                 });
             }
         });
@@ -197,7 +197,7 @@
 }
 
 /// Renews leases until the process ends.
-async fn renew<P: Runtime, G: TrialGroup>(keeper: Rc<TrialKeeper<P, G>>) {
+async fn renew<P: Runtime, G: TrialLeaseService>(keeper: Rc<TrialLeases<P, G>>) {
     loop {
         let notified_count = keeper.granted.count();
         let now = keeper.platform.monotonic();
@@ -210,7 +210,7 @@
     }
 }
 
-async fn renew_due<P: Runtime, G: TrialGroup>(keeper: &Rc<TrialKeeper<P, G>>, now: Duration) {
+async fn renew_due<P: Runtime, G: TrialLeaseService>(keeper: &Rc<TrialLeases<P, G>>, now: Duration) {
     let due = keeper.due(now);
     match keeper.group.renew(due.clone()).await {
         Ok(lost) => keeper.apply_renewal(&due, &lost, now),
--- a/crates/control-client/tests/search_order.rs
+++ b/crates/control-client/tests/search_order.rs
@@ -134,7 +134,7 @@
     });
 }
 
-/// Guards against leaving a working leader when `hear_of` adds addresses, for example after a change of settings.
+/// Guards against leaving a working leader when `add_known_addresses` adds addresses, for example after a change of settings.
 #[test]
 fn a_client_keeps_its_leader_when_addresses_are_added() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
@@ -143,7 +143,7 @@
         let client = ControlClient::new(runtime.clone(), &[leader], SECRET);
         assert!(reaches_leader(&client).await);
         let others = start_silent(&runtime, 1).await;
-        client.hear_of(&others);
+        client.add_known_addresses(&others);
         assert!(reaches_leader(&client).await && none_contacted(&client, &others), "{}", client.search());
     });
 }
--- a/crates/control-client/tests/silent_replica.rs
+++ b/crates/control-client/tests/silent_replica.rs
@@ -129,7 +129,7 @@
         let client = ControlClient::new(runtime.clone(), &[follower], SECRET);
         let send = || client.gateway(GatewayRequest::ReadRouting, ATTEMPT_LIMIT, ATTEMPT_LIMIT);
         assert!(send().await.is_err());
-        client.hear_of(&[leader]);
+        client.add_known_addresses(&[leader]);
         assert_eq!(send().await, Ok(GatewayReply::Done));
         assert_eq!(leader_count.get(), 1);
     });
--- a/crates/control/src/answering.rs
+++ b/crates/control/src/answering.rs
@@ -27,7 +27,7 @@
                 self.record_older_build_request();
                 return Some(bitcode::encode(&self.follow_level_one(follow).await));
             }
-            Request::Today(request) => request,
+            Request::Current(request) => request,
         };
         if let ControlRequest::Replication(bytes) = &request {
             return messages::encode_reply(self.answer_replica(bytes, level).await, level);
--- a/crates/control/src/commands/gateway.rs
+++ b/crates/control/src/commands/gateway.rs
@@ -11,18 +11,18 @@
             GatewayOutcome::Done
         }
         GatewayCommand::ReportInstances(reports) => {
-            reports.into_iter().for_each(|report| state.take_report(report));
+            reports.into_iter().for_each(|report| state.apply_report(report));
             GatewayOutcome::Done
         }
-        GatewayCommand::NoteSilence { silent, heard } => {
-            state.instances.note_silence(&silent, &heard);
+        GatewayCommand::RecordSilence { silent, resumed } => {
+            state.instances.record_silence(&silent, &resumed);
             GatewayOutcome::Done
         }
         GatewayCommand::RemoveInstance(id) => {
             state.remove_instance(&id);
             GatewayOutcome::Done
         }
-        GatewayCommand::NameVersion(named) => {
+        GatewayCommand::PublishVersion(named) => {
             state.weights.record(named);
             GatewayOutcome::Done
         }
@@ -30,7 +30,7 @@
             state.jobs.submit(job, state.time, keep_ms);
             GatewayOutcome::Done
         }
-        GatewayCommand::KeepTexts { job, parts } => done_or_not_found(state.jobs.append_partial_texts(&job, &parts)),
+        GatewayCommand::SaveTexts { job, parts } => done_or_not_found(state.jobs.append_partial_texts(&job, &parts)),
         GatewayCommand::ListResults { job, outcomes } => match state.jobs.list(&job, outcomes) {
             None => GatewayOutcome::NotFound,
             Some(missing) if missing.is_empty() => GatewayOutcome::Done,
@@ -44,14 +44,14 @@
         GatewayCommand::RetireStore(name) => done_or_not_found(state.stores.retire(&name)),
         GatewayCommand::StoreRetired(name) => done_or_not_found(state.stores.complete(&name)),
         GatewayCommand::NoteOrders { holder, subjects } => {
-            let taken_over = state.orders.note(holder, subjects);
+            let taken_over = state.orders.record(holder, subjects);
             GatewayOutcome::Orders { fence: state.members.issue_fence(), taken_over }
         }
         GatewayCommand::AddUsage(usage) => {
             usage.into_iter().for_each(|usage| state.usage.add(usage, state.time));
             GatewayOutcome::Done
         }
-        GatewayCommand::FixUsage(last) => {
+        GatewayCommand::CloseUsageWindows(last) => {
             state.usage.close_windows(last);
             GatewayOutcome::Done
         }
@@ -59,8 +59,8 @@
             state.usage.mark_reported(window);
             GatewayOutcome::Done
         }
-        GatewayCommand::TakeEvidence(evidence) => {
-            state.suspicions.take(evidence, state.time);
+        GatewayCommand::RecordEvidence(evidence) => {
+            state.suspicions.record_evidence(evidence, state.time);
             GatewayOutcome::Done
         }
         GatewayCommand::BeginTrial(trial) => {
@@ -80,7 +80,7 @@
             GatewayOutcome::Done
         }
         GatewayCommand::ReleaseWork(work) => done_or_not_found(state.suspicions.release(&work)),
-        GatewayCommand::WantEngines(wanted) => {
+        GatewayCommand::SetWantedEngines(wanted) => {
             state.engine_counts.set_wanted(wanted);
             GatewayOutcome::Done
         }
--- a/crates/control/src/commands/level_one.rs
+++ b/crates/control/src/commands/level_one.rs
@@ -27,7 +27,7 @@
             GatewayOutcome::Done
         }
         One::ReportInstance(report) => {
-            state.instances.take_report_level_one(report.into());
+            state.instances.apply_report_level_one(report.into());
             GatewayOutcome::Done
         }
         One::RemoveInstance(id) => {
@@ -41,14 +41,14 @@
             GatewayOutcome::Orders { fence: state.members.issue_fence(), taken_over }
         }
         One::NoteOrders { holder, instances } => {
-            state.orders.note_level_one(holder, instances);
+            state.orders.record_level_one(holder, instances);
             GatewayOutcome::Done
         }
-        One::NameVersion(named) => gateway::apply(state, GatewayCommand::NameVersion(named)),
+        One::PublishVersion(named) => gateway::apply(state, GatewayCommand::PublishVersion(named)),
         One::SubmitJob { job, keep_ms } => {
             gateway::apply(state, GatewayCommand::SubmitJob { job: job.into(), keep_ms })
         }
-        One::KeepTexts { job, parts } => gateway::apply(state, GatewayCommand::KeepTexts { job, parts }),
+        One::SaveTexts { job, parts } => gateway::apply(state, GatewayCommand::SaveTexts { job, parts }),
         One::ListResults { job, outcomes } => gateway::apply(state, GatewayCommand::ListResults { job, outcomes }),
         One::EndJob(job) => gateway::apply(state, GatewayCommand::EndJob(job)),
         One::RegisterStore(record) => gateway::apply(state, GatewayCommand::RegisterStore(record)),
--- a/crates/control/src/commands/membership.rs
+++ b/crates/control/src/commands/membership.rs
@@ -17,7 +17,7 @@
             let changed = observations.into_iter().filter(|observation| observe(state, observation)).count();
             CommandOutcome::Applied(changed > 0)
         }
-        MembershipCommand::DrawFence => CommandOutcome::Fence(state.members.issue_fence()),
+        MembershipCommand::IssueFence => CommandOutcome::Fence(state.members.issue_fence()),
     }
 }
 
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -12,35 +12,35 @@
     /// Configuration lease of a relay, counted from when it sent a renewal.
     pub relay_lease: Duration,
     /// Time without a renewal after which a relay is declared lost; must exceed `relay_lease`.
-    pub relay_loss: Duration,
+    pub relay_loss_timeout: Duration,
     /// Interval between checks for lost relays.
     pub relay_check_interval: Duration,
     /// Interval between polls of one engine.
     pub engine_poll_interval: Duration,
     /// Timeout of one poll.
-    pub engine_poll_limit: Duration,
+    pub engine_poll_timeout: Duration,
     /// Consecutive failed polls after which an engine is marked unreachable.
     pub engine_poll_failures: u32,
     /// Interval between reads of the platform's machine list.
     pub platform_interval: Duration,
     /// Maximum time that a replica holds a relay's renewal or follow request open while there are no changes (long
     /// polling).
-    pub renewal_wait: Duration,
+    pub long_poll_timeout: Duration,
     /// Maximum number of relays served by the leader; further relays are redirected to other replicas.
     pub leader_relays: usize,
     /// Time for which changes are batched before they are sent to relays.
-    pub news_interval: Duration,
+    pub update_batch_delay: Duration,
     /// Maximum time that the leader holds a relay's or trainer's sample request open while there are no samples (long
     /// polling). Must be shorter than the timeout after which clients try another replica.
-    pub idle_wait: Duration,
+    pub sample_long_poll_timeout: Duration,
     /// Lease of a relay on routes and instances, counted from when it sent its request.
     pub follow_lease: Duration,
     /// Time without reports after which an instance is marked silent.
-    pub instance_silence: Duration,
+    pub instance_silence_timeout: Duration,
     /// Minimum time that a batch job is kept after its submission; a job that has not ended is always kept.
-    pub job_keep: Duration,
+    pub job_retention: Duration,
     /// Minimum time between orders of two holders about the same subject.
-    pub order_distance: Duration,
+    pub order_separation: Duration,
     /// Maximum time between recording a note and sending its order.
     pub order_validity: Duration,
 }
@@ -49,20 +49,20 @@
     fn default() -> Self {
         Self {
             relay_lease: Duration::from_millis(2000),
-            relay_loss: Duration::from_millis(4000),
+            relay_loss_timeout: Duration::from_millis(4000),
             relay_check_interval: Duration::from_millis(250),
             engine_poll_interval: Duration::from_millis(250),
-            engine_poll_limit: Duration::from_millis(600),
+            engine_poll_timeout: Duration::from_millis(600),
             engine_poll_failures: 3,
             platform_interval: Duration::from_millis(500),
-            renewal_wait: Duration::from_millis(400),
+            long_poll_timeout: Duration::from_millis(400),
             leader_relays: DEFAULT_LEADER_RELAYS,
-            news_interval: Duration::from_millis(40),
-            idle_wait: Duration::from_millis(800),
+            update_batch_delay: Duration::from_millis(40),
+            sample_long_poll_timeout: Duration::from_millis(800),
             follow_lease: Duration::from_millis(1700),
-            instance_silence: Duration::from_millis(4000),
-            job_keep: Duration::from_secs(150),
-            order_distance: Duration::from_millis(3_400),
+            instance_silence_timeout: Duration::from_millis(4000),
+            job_retention: Duration::from_secs(150),
+            order_separation: Duration::from_millis(3_400),
             order_validity: Duration::from_millis(400),
         }
     }
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -8,11 +8,11 @@
 
 use crate::node::ControlNode;
 use crate::state::ControlState;
-use crate::state::engine_subset::{RelayPlace, position};
+use crate::state::engine_subset::{RelayLocation, position};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_runtime::timeout::timeout;
-use saddlerelay_types::gateway::{FollowReply, FollowRequest, GatewayReply, RelayClock, RelayWords};
+use saddlerelay_types::gateway::{FollowReply, FollowRequest, GatewayReply, RelayClock, RelayData};
 use saddlerelay_types::protocol::ControlReply;
 use saddlerelay_types::usage::RelayUsage;
 use std::collections::BTreeMap;
@@ -84,12 +84,12 @@
     }
 
     /// The clocks and usage counts received from relays since the last call.
-    pub fn take_relay_data(&mut self, now: Duration) -> RelayWords {
+    pub fn take_relay_data(&mut self, now: Duration) -> RelayData {
         let clocks = std::mem::take(&mut self.clocks).into_iter().map(|(relay, (unix_ms, received_at))| {
             let age_ms = now.saturating_sub(received_at).as_millis() as u64;
             RelayClock { relay, unix_ms: unix_ms.saturating_add(age_ms) }
         });
-        RelayWords { clocks: clocks.collect(), usage: std::mem::take(&mut self.usage) }
+        RelayData { clocks: clocks.collect(), usage: std::mem::take(&mut self.usage) }
     }
 
     /// The newest confirmation, unless it is older than [`MAX_CONFIRMATION_AGE`].
@@ -99,7 +99,7 @@
 }
 
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
-    /// Serves a poll of a relay: replies when there is an update for it, or after `renewal_wait`.
+    /// Serves a poll of a relay: replies when there is an update for it, or after `long_poll_timeout`.
     pub(crate) async fn follow(&self, follow: FollowRequest) -> ControlReply {
         if self.inner.replica.leading_term().is_none() && follow.at_follower {
             return self.serve_as_follower(follow).await;
@@ -109,11 +109,11 @@
 
     async fn serve_as_leader(&self, mut follow: FollowRequest) -> ControlReply {
         let platform = &self.inner.platform;
-        self.inner.group_clock.borrow_mut().hear(&follow.relay, follow.unix_ms, platform.monotonic());
+        self.inner.group_clock.borrow_mut().record_sample(&follow.relay, follow.unix_ms, platform.monotonic());
         if let Some(difference) = follow.usage.take() {
             self.queue_usage(RelayUsage { relay: follow.incarnation, difference });
         }
-        let deadline = platform.monotonic() + self.inner.config.renewal_wait;
+        let deadline = platform.monotonic() + self.inner.config.long_poll_timeout;
         let lease = self.inner.config.follow_lease;
         loop {
             let notified_count = self.inner.relay_updates.count();
@@ -129,8 +129,8 @@
                 reply.retry_pause_ms = retry_pause_ms(self.relay_count());
                 if self.leads_at_level_one() {
                     // Marks of silence do not increase the revision at this level, so all instances are sent.
-                    let place = RelayPlace::new(&follow.relay, &follow.zone);
-                    reply.instances = self.read_applied(|state| state.instances.news_for(place, 0));
+                    let place = RelayLocation::new(&follow.relay, &follow.zone);
+                    reply.instances = self.read_applied(|state| state.instances.changes_for_relay(place, 0));
                 }
                 return ControlReply::Gateway(GatewayReply::Followed(reply));
             }
@@ -138,7 +138,7 @@
                 && self.has_many_relays()
             {
                 // Batches changes: each reply would go to every relay.
-                platform.sleep(self.inner.config.news_interval).await;
+                platform.sleep(self.inner.config.update_batch_delay).await;
             }
         }
     }
@@ -146,7 +146,7 @@
     async fn serve_as_follower(&self, mut follow: FollowRequest) -> ControlReply {
         let platform = &self.inner.platform;
         self.inner.follower_reads.borrow_mut().record_poll(&mut follow, platform.monotonic());
-        let deadline = platform.monotonic() + self.inner.config.renewal_wait;
+        let deadline = platform.monotonic() + self.inner.config.long_poll_timeout;
         loop {
             let notified_count = self.inner.relay_updates.count();
             let Some(confirmation) = self.wait_for_confirmation().await else {
@@ -192,13 +192,13 @@
     }
 
     /// Confirms the state of a follower that serves relays: returns the read position, group time and number of relays.
-    pub(crate) fn confirm(&self, relay_data: RelayWords) -> ControlReply {
+    pub(crate) fn confirm(&self, relay_data: RelayData) -> ControlReply {
         let Some(position) = self.inner.replica.read_position() else {
             return self.not_leader();
         };
         let now = self.inner.platform.monotonic();
         for clock in relay_data.clocks {
-            self.inner.group_clock.borrow_mut().hear(&clock.relay, clock.unix_ms, now);
+            self.inner.group_clock.borrow_mut().record_sample(&clock.relay, clock.unix_ms, now);
         }
         relay_data.usage.into_iter().for_each(|usage| self.queue_usage(usage));
         ControlReply::Gateway(GatewayReply::Confirmed {
@@ -214,7 +214,7 @@
             // The relay sends the counts again once the level has been raised.
             return;
         }
-        let committed = self.read(|state| state.usage.taken_from(usage.relay) >= usage.difference.sequence);
+        let committed = self.read(|state| state.usage.last_sequence(usage.relay) >= usage.difference.sequence);
         let mut inbox = self.inner.usage_inbox.borrow_mut();
         if committed == Some(false) && !inbox.contains(&usage) {
             inbox.push(usage);
@@ -245,13 +245,15 @@
         FollowReply {
             lease_ms: lease.as_millis() as u64,
             routing,
-            instances: state.instances.news_for(RelayPlace::new(&follow.relay, &follow.zone), follow.instance_revision),
+            instances: state
+                .instances
+                .changes_for_relay(RelayLocation::new(&follow.relay, &follow.zone), follow.instance_revision),
             follower: None,
             retry_pause_ms: 0,
             replicas,
             nearest_replica,
             group_unix_ms: None,
-            usage_taken: state.usage.taken_from(follow.incarnation),
+            usage_taken: state.usage.last_sequence(follow.incarnation),
             suspicions: state.suspicions.newer_than(follow.suspicion_revision),
         }
     }
--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -10,7 +10,7 @@
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_runtime::signal::Signal;
 use saddlerelay_types::gateway::{
-    DutyOverview, EnginePlace, EngineStanding, GatewayCommand, GatewayOutcome, GatewayReply, GatewayRequest,
+    DutyOverview, EngineCountStatus, EnginePlace, GatewayCommand, GatewayOutcome, GatewayReply, GatewayRequest,
     StoreRecord,
 };
 use saddlerelay_types::instance::{
@@ -34,9 +34,9 @@
         command,
         GatewayCommand::PutRouting(_)
             | GatewayCommand::ReportInstances(_)
-            | GatewayCommand::NoteSilence { .. }
+            | GatewayCommand::RecordSilence { .. }
             | GatewayCommand::RemoveInstance(_)
-            | GatewayCommand::TakeEvidence(_)
+            | GatewayCommand::RecordEvidence(_)
             | GatewayCommand::ExpireSuspicions
             | GatewayCommand::ReleaseWork(_)
     )
@@ -47,7 +47,7 @@
     match command {
         GatewayCommand::ListResults { .. } => (false, true),
         GatewayCommand::EndJob(_) => (true, true),
-        GatewayCommand::SubmitJob { .. } | GatewayCommand::NameVersion(_) => (true, false),
+        GatewayCommand::SubmitJob { .. } | GatewayCommand::PublishVersion(_) => (true, false),
         other => (changes_what_relays_act_on(other), false),
     }
 }
@@ -71,8 +71,8 @@
     };
     let without_record = reports.heartbeats.iter().filter(|heartbeat| !state.knows(&heartbeat.id));
     ClassifiedReports {
-        changed: reports.news.iter().filter(|report| state.is_news(report)).cloned().collect(),
-        reports: reports.news.iter().filter(|report| state.is_heard(report)).collect(),
+        changed: reports.changed.iter().filter(|report| state.would_change(report)).cloned().collect(),
+        reports: reports.changed.iter().filter(|report| state.is_sign_of_life(report)).collect(),
         heartbeats: reports.heartbeats.iter().filter(is_registered).collect(),
         unknown: without_record.map(|heartbeat| heartbeat.id.clone()).collect(),
     }
@@ -83,14 +83,14 @@
         match request {
             GatewayRequest::Follow(follow) => self.follow(follow).await,
             GatewayRequest::ReportInstance(report) => {
-                self.report_instances(GatheredReports { news: vec![report], heartbeats: Vec::new() }).await
+                self.report_instances(GatheredReports { changed: vec![report], heartbeats: Vec::new() }).await
             }
             GatewayRequest::ReportInstances(reports) => self.report_instances(reports).await,
             GatewayRequest::Confirm(relay_data) => self.confirm(relay_data),
             GatewayRequest::RemoveInstance(id) => self.remove_instance(id).await,
             GatewayRequest::PutRouting(document) => self.put_routing(document).await,
             GatewayRequest::ReadRouting => self.read_routing(),
-            GatewayRequest::NameVersion(named) => self.name_version(named).await,
+            GatewayRequest::PublishVersion(named) => self.name_version(named).await,
             GatewayRequest::SubmitJob(job) => self.submit_job(job).await,
             GatewayRequest::ReadResults { job, after, wait_ms, caller } => {
                 self.read_results(&job, after, wait_ms, &caller).await
@@ -105,7 +105,7 @@
             GatewayRequest::RetireStore(name) => self.retire_store(name).await,
             GatewayRequest::ReadRetirement(name) => self.read_retirement(&name),
             GatewayRequest::ReadDuties => self.read_duties(),
-            GatewayRequest::TakeEvidence(evidence) => self.handle_evidence(evidence).await,
+            GatewayRequest::ReportEvidence(evidence) => self.handle_evidence(evidence).await,
             GatewayRequest::BeginTrial(trial) => self.handle_begin_trial(trial).await,
             GatewayRequest::RenewTrials(trials) => self.execute_gateway(GatewayCommand::RenewTrials(trials)).await,
             GatewayRequest::EndTrial { work, id } => self.execute_gateway(GatewayCommand::EndTrial { work, id }).await,
@@ -147,8 +147,10 @@
     pub(crate) fn not_committed(&self, error: &ProposeError) -> ControlReply {
         match error {
             ProposeError::NotLeader(_) => self.not_leader(),
-            ProposeError::Overloaded | ProposeError::NotAtThisLevel => ControlReply::Gateway(GatewayReply::Unavailable),
-            ProposeError::Undecided => ControlReply::Undecided,
+            ProposeError::Overloaded | ProposeError::UnsupportedAtLevel => {
+                ControlReply::Gateway(GatewayReply::Unavailable)
+            }
+            ProposeError::OutcomeUnknown => ControlReply::Undecided,
         }
     }
 
@@ -175,7 +177,7 @@
         let heartbeat_ids: Vec<InstanceId> = reports.heartbeats.iter().map(|heartbeat| heartbeat.id.clone()).collect();
         let reports = {
             let mut watch = self.inner.instance_watch.borrow_mut();
-            watch.follow_term(term);
+            watch.reset_for_term(term);
             without_starts(reports, &mut watch)
         };
         match self.take_reports(reports).await {
@@ -187,7 +189,7 @@
     }
 
     async fn take_reports(&self, reports: GatheredReports) -> ControlReply {
-        let count = reports.news.len() + reports.heartbeats.len();
+        let count = reports.changed.len() + reports.heartbeats.len();
         if count > MAX_REPORTS_PER_MESSAGE {
             return ControlReply::Refused(format!("{count} reports in one message exceed the limit"));
         }
@@ -200,9 +202,9 @@
         };
         {
             let mut watch = self.inner.instance_watch.borrow_mut();
-            watch.follow_term(term);
-            classified.reports.iter().for_each(|report| watch.hear(report, now));
-            classified.heartbeats.iter().for_each(|heartbeat| watch.hear_again(heartbeat, now));
+            watch.reset_for_term(term);
+            classified.reports.iter().for_each(|report| watch.record_report(report, now));
+            classified.heartbeats.iter().for_each(|heartbeat| watch.record_heartbeat(heartbeat, now));
         }
         drop(guard);
         let committed = match classified.changed.is_empty() {
@@ -245,7 +247,7 @@
         match is_superseded {
             None => self.not_leader(),
             Some(true) => ControlReply::Gateway(GatewayReply::Done),
-            Some(false) => self.execute_gateway(GatewayCommand::NameVersion(named)).await,
+            Some(false) => self.execute_gateway(GatewayCommand::PublishVersion(named)).await,
         }
     }
 
@@ -286,7 +288,7 @@
 
     fn read_duties(&self) -> ControlReply {
         let overview = self.read(|state| {
-            let engine_standing = |(place, wanted): (&EnginePlace, &u32)| EngineStanding {
+            let engine_standing = |(place, wanted): (&EnginePlace, &u32)| EngineCountStatus {
                 place: place.clone(),
                 wanted: *wanted,
                 present: state.instances.present(place),
@@ -296,7 +298,7 @@
                 holder: state.orders.holder(),
                 newest_reported: state.usage.newest_reported(),
                 unreported: state.usage.unreported().map(|report| report.window).collect(),
-                uncounted: state.usage.uncounted(),
+                uncounted: state.usage.late_requests(),
                 engines: state.engine_counts.wanted().iter().map(engine_standing).collect(),
             }
         });
--- a/crates/control/src/group_clock.rs
+++ b/crates/control/src/group_clock.rs
@@ -35,7 +35,7 @@
 
 impl GroupClock {
     /// Records a machine's wall clock, received at `now`.
-    pub fn hear(&mut self, machine: &str, unix_ms: u64, now: Duration) {
+    pub fn record_sample(&mut self, machine: &str, unix_ms: u64, now: Duration) {
         let sample = ClockSample { offset_ms: offset(unix_ms, now), received_at: now };
         match self.samples.get_mut(machine) {
             Some(previous) => *previous = sample,
--- a/crates/control/src/instance_watch.rs
+++ b/crates/control/src/instance_watch.rs
@@ -36,13 +36,13 @@
     /// Not marked as silent, and no report or heartbeat within the limit.
     pub silent: Vec<InstanceId>,
     /// Marked as silent, and reporting again.
-    pub heard: Vec<InstanceId>,
+    pub resumed: Vec<InstanceId>,
 }
 
 impl SilenceChanges {
     /// Whether there are no changes.
     pub fn is_empty(&self) -> bool {
-        self.silent.is_empty() && self.heard.is_empty()
+        self.silent.is_empty() && self.resumed.is_empty()
     }
 }
 
@@ -67,7 +67,7 @@
 
 impl InstanceWatch {
     /// Resets everything in a new term, so that no instance times out at once.
-    pub fn follow_term(&mut self, term: u64) {
+    pub fn reset_for_term(&mut self, term: u64) {
         if self.term != term {
             *self = Self { term, ..Self::default() };
         }
@@ -89,7 +89,7 @@
     }
 
     /// Records a report; one with an old sequence number is ignored.
-    pub fn hear(&mut self, report: &InstanceReport, now: Duration) {
+    pub fn record_report(&mut self, report: &InstanceReport, now: Duration) {
         if let Some(last) = self.accept_sequence(&report.id, report.sequence, now) {
             last.models = Some(report.models.clone());
             self.unread.insert(report.id.clone());
@@ -97,7 +97,7 @@
     }
 
     /// Records a heartbeat; one with an old sequence number is ignored.
-    pub fn hear_again(&mut self, heartbeat: &InstanceHeartbeat, now: Duration) {
+    pub fn record_heartbeat(&mut self, heartbeat: &InstanceHeartbeat, now: Duration) {
         let last = self.accept_sequence(&heartbeat.id, heartbeat.sequence, now);
         if last.is_some_and(|last| last.models.is_some()) {
             // A heartbeat confirms the models of the last report.
@@ -135,11 +135,11 @@
         self.process_table_changes(table, now);
         self.process_timeouts(now, limit);
         let has_resumed = |id: &&InstanceId| {
-            steps::look();
+            steps::record_lookup();
             self.last_reports.get(*id).is_some_and(|last| last.sequence.is_some() && now < last.at + limit)
         };
-        let heard = table.silent().iter().filter(has_resumed).cloned().collect();
-        SilenceChanges { silent: self.overdue.iter().cloned().collect(), heard }
+        let resumed = table.silent().iter().filter(has_resumed).cloned().collect();
+        SilenceChanges { silent: self.overdue.iter().cloned().collect(), resumed }
     }
 
     /// Processes expired timeouts: queues an instance again if it has reported in the meantime.
--- a/crates/control/src/job_calls.rs
+++ b/crates/control/src/job_calls.rs
@@ -3,7 +3,7 @@
 use crate::node::ControlNode;
 use crate::state::ControlState;
 use crate::state::jobs::Job;
-use crate::state::text_archive::{LoadedTexts, TextPlace};
+use crate::state::text_archive::{LoadedTexts, TextLocation};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_runtime::timeout::timeout;
@@ -33,7 +33,7 @@
     pub(crate) async fn submit_job(&self, job: JobSubmission) -> ControlReply {
         let has_same_owner =
             self.read(|state| state.jobs.get(&job.id).map(|existing| existing.submission.owner == job.owner));
-        let keep_ms = self.inner.config.job_keep.as_millis() as u64;
+        let keep_ms = self.inner.config.job_retention.as_millis() as u64;
         match has_same_owner {
             None => self.not_leader(),
             Some(None) => self.execute_gateway(GatewayCommand::SubmitJob { job, keep_ms }).await,
@@ -105,9 +105,9 @@
                 Some(Err(missing)) => missing,
             };
             // One segment at a time limits memory, as a page may need many segments and many reads may run.
-            for number in missing.iter().map(TextPlace::segment).collect::<BTreeSet<u64>>() {
+            for number in missing.iter().map(TextLocation::segment).collect::<BTreeSet<u64>>() {
                 match self.inner.replica.read_segment(number).await {
-                    Ok(bytes) => loaded.take_from(number, &bytes, &missing),
+                    Ok(bytes) => loaded.copy_from_segment(number, &bytes, &missing),
                     // The replica has logged the error.
                     Err(_) => return ControlReply::Gateway(GatewayReply::Unavailable),
                 }
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -51,7 +51,7 @@
     fn apply(&mut self, command: &[u8]) -> CommandOutcome {
         match decode(command, self.level).expect("a committed command decodes at the current feature level") {
             Committed::One(command) => commands::level_one::apply(&mut self.state, command),
-            Committed::Today(command) => commands::apply(&mut self.state, command),
+            Committed::Current(command) => commands::apply(&mut self.state, command),
         }
     }
 
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -151,13 +151,13 @@
     }
 
     /// Transfers leadership to another replica, for example before a planned stop.
-    pub async fn hand_over(&self) -> bool {
-        self.inner.replica.hand_over().await
+    pub async fn transfer_leadership(&self) -> bool {
+        self.inner.replica.transfer_leadership().await
     }
 
     /// Reads the locally applied state, which may be stale.
     pub fn read_applied<T>(&self, read: impl FnOnce(&ControlState) -> T) -> T {
-        self.inner.replica.peek(|machine| read(machine.state()))
+        self.inner.replica.read_local(|machine| read(machine.state()))
     }
 
     /// Reads the committed state; `None` unless this replica leads.
@@ -221,7 +221,7 @@
         let leader = self.inner.replica.leader_address();
         let peers = match leader {
             Some(_) => Vec::new(),
-            None => self.inner.replica.peers_by_likelihood(),
+            None => self.inner.replica.redirect_addresses(),
         };
         if leader.is_none() {
             self.log_leader_unknown();
@@ -236,9 +236,9 @@
             return;
         };
         let replica = &self.inner.replica;
-        spdlog::warn!("no leader to name", kv: {
+        spdlog::warn!("request rejected, leader unknown", kv: {
             dependency = "leader",
-            questions = rejected,
+            requests = rejected,
             replica = replica.id().0,
             is_member = replica.is_member(),
             members_known = replica.member_addresses().len(),
@@ -247,10 +247,10 @@
         });
     }
 
-    /// Commits a command. One that would change nothing is not logged: it is held for at most `idle_wait` until it has
+    /// Commits a command. One that would change nothing is not logged: it is held for at most `sample_long_poll_timeout` until it has
     /// an effect (long poll).
     async fn execute(&self, command: Command) -> ControlReply {
-        let deadline = self.inner.platform.monotonic() + self.inner.config.idle_wait;
+        let deadline = self.inner.platform.monotonic() + self.inner.config.sample_long_poll_timeout;
         loop {
             let signal = self.signal_for(&command);
             let notified_count = signal.count();
@@ -283,8 +283,8 @@
             Ok(outcome) => ControlReply::Executed(outcome),
             Err(ProposeError::NotLeader(_)) => self.not_leader(),
             Err(ProposeError::Overloaded) => ControlReply::Refused("too many proposals wait".to_string()),
-            Err(ProposeError::Undecided) => ControlReply::Undecided,
-            Err(ProposeError::NotAtThisLevel) => {
+            Err(ProposeError::OutcomeUnknown) => ControlReply::Undecided,
+            Err(ProposeError::UnsupportedAtLevel) => {
                 ControlReply::Refused("older builds are still being replaced".to_string())
             }
         }
@@ -323,24 +323,24 @@
         self.renewal_answer(&renewal).await
     }
 
-    /// Replies to a renewal when there is an update for the relay, or after `renewal_wait`. Changes within
-    /// `news_interval` go into one reply.
+    /// Replies to a renewal when there is an update for the relay, or after `long_poll_timeout`. Changes within
+    /// `update_batch_delay` go into one reply.
     async fn renewal_answer(&self, renewal: &RenewRequest) -> ControlReply {
-        let deadline = self.inner.platform.monotonic() + self.inner.config.renewal_wait;
+        let deadline = self.inner.platform.monotonic() + self.inner.config.long_poll_timeout;
         loop {
             let notified_count = self.inner.relay_updates.count();
             let Some(reply) = self.read(|state| self.renewal_reply(state, renewal)) else {
                 return self.not_leader();
             };
             let remaining = deadline.saturating_sub(self.inner.platform.monotonic());
-            if remaining.is_zero() || reply.brings_news(renewal) {
+            if remaining.is_zero() || reply.has_updates(renewal) {
                 return ControlReply::Renewed(reply);
             }
             if timeout(&self.inner.platform, remaining, self.inner.relay_updates.changed(notified_count))
                 .await
                 .is_some()
             {
-                self.inner.platform.sleep(self.inner.config.news_interval).await;
+                self.inner.platform.sleep(self.inner.config.update_batch_delay).await;
             }
         }
     }
@@ -384,7 +384,7 @@
         let publication = matches!(command, Command::Rollout(RolloutCommand::Publish { .. }));
         let (relay_updates, samples) = match command {
             Command::Configuration(_) => (true, false),
-            Command::Membership(MembershipCommand::DrawFence) => (false, false),
+            Command::Membership(MembershipCommand::IssueFence) => (false, false),
             Command::Membership(MembershipCommand::RelayLost(_) | MembershipCommand::RelayJoined(_)) => (true, true),
             Command::Membership(_) => (true, false),
             Command::Rollout(_) => (publication, true),
--- a/crates/control/src/older_level.rs
+++ b/crates/control/src/older_level.rs
@@ -35,16 +35,16 @@
         | GatewayCommand::ExpireTrials(_)
         | GatewayCommand::ExpireSuspicions
         | GatewayCommand::ReleaseWork(_)
-        | GatewayCommand::TakeEvidence(_) => Some(GatewayOutcome::Done),
+        | GatewayCommand::RecordEvidence(_) => Some(GatewayOutcome::Done),
         _ => None,
     }
 }
 
 /// Removes start times from reports and drops reports of superseded starts: level one identifies engines by name.
 pub(crate) fn without_starts(mut reports: GatheredReports, watch: &mut InstanceWatch) -> GatheredReports {
-    reports.news.retain(|report| watch.note_start(&report.id));
+    reports.changed.retain(|report| watch.note_start(&report.id));
     reports.heartbeats.retain(|heartbeat| watch.note_start(&heartbeat.id));
-    let ids = reports.news.iter_mut().map(|report| &mut report.id);
+    let ids = reports.changed.iter_mut().map(|report| &mut report.id);
     let ids = ids.chain(reports.heartbeats.iter_mut().map(|heartbeat| &mut heartbeat.id));
     ids.for_each(|id| id.started_at_ms = None);
     reports
@@ -69,7 +69,7 @@
     /// Serves a poll of a relay at level one: all changes, and every silent engine.
     pub(crate) async fn follow_level_one(&self, follow: one::FollowRequest) -> ControlReplyOne {
         let platform = &self.inner.platform;
-        let deadline = platform.monotonic() + self.inner.config.renewal_wait;
+        let deadline = platform.monotonic() + self.inner.config.long_poll_timeout;
         loop {
             let notified_count = self.inner.relay_updates.count();
             let Some(reply) = self.read(|state| self.reply_level_one(state, &follow)) else {
--- a/crates/control/src/order_watch.rs
+++ b/crates/control/src/order_watch.rs
@@ -26,9 +26,9 @@
 
 impl OrderWatch {
     /// Observes the notes in the locally applied state at `now`.
-    pub fn see(&mut self, state: &OrderState, now: Duration) {
+    pub fn observe(&mut self, state: &OrderState, now: Duration) {
         let notes = state.notes();
-        let counts = (state.notes_taken(), notes.len());
+        let counts = (state.notes_recorded(), notes.len());
         if std::mem::replace(&mut self.last_counts, counts) == counts {
             return;
         }
@@ -45,7 +45,7 @@
 
     /// The earliest time at which `holder` may send orders about a subject: `distance` after the first observation of
     /// another replica's note, or zero without one.
-    pub fn free_at(&self, subject: &OrderSubject, holder: ReplicaId, distance: Duration) -> Duration {
+    pub fn earliest_order_time(&self, subject: &OrderSubject, holder: ReplicaId, distance: Duration) -> Duration {
         let other_holder_note = self.notes.get(subject).filter(|observed| observed.note.holder != holder);
         other_holder_note.map_or(Duration::ZERO, |observed| observed.observed_at + distance)
     }
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -24,21 +24,22 @@
 
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
     /// Observes new notes. Called on followers too, so that a new leader knows the age of each note.
-    pub fn watch_orders(&self) {
+    pub fn observe_order_notes(&self) {
         let now = self.inner.platform.monotonic();
-        self.read_applied(|state| self.inner.order_watch.borrow_mut().see(&state.orders, now));
+        self.read_applied(|state| self.inner.order_watch.borrow_mut().observe(&state.orders, now));
     }
 
     /// Whether enough time has passed since another replica may have sent an order about `subject`.
     pub fn may_order(&self, subject: &OrderSubject) -> bool {
         let config = &self.inner.config;
-        let wait = config.order_distance + config.order_validity;
-        let free_at = self.inner.order_watch.borrow().free_at(subject, self.inner.replica.id(), wait);
-        self.inner.platform.monotonic() >= free_at
+        let wait = config.order_separation + config.order_validity;
+        let earliest_order_time =
+            self.inner.order_watch.borrow().earliest_order_time(subject, self.inner.replica.id(), wait);
+        self.inner.platform.monotonic() >= earliest_order_time
     }
 
     /// Commits a note of orders about `subjects` in `term`; `None` if the commit failed.
-    pub async fn note_orders(&self, term: u64, subjects: Vec<OrderSubject>) -> Option<OrderGrant> {
+    pub async fn commit_order_note(&self, term: u64, subjects: Vec<OrderSubject>) -> Option<OrderGrant> {
         let valid_until = self.inner.platform.monotonic() + self.inner.config.order_validity;
         let command = GatewayCommand::NoteOrders { holder: self.inner.replica.id(), subjects };
         let Ok(GatewayOutcome::Orders { fence, taken_over }) = self.commit_gateway(command).await else {
@@ -51,7 +52,7 @@
     }
 
     /// Whether an order may be sent now: this replica still leads in the grant's term, and the grant is valid.
-    pub fn grant_holds(&self, grant: &OrderGrant) -> bool {
+    pub fn grant_is_valid(&self, grant: &OrderGrant) -> bool {
         let leads = self.inner.replica.leading_term() == Some(grant.term);
         leads && self.inner.platform.monotonic() < grant.valid_until
     }
--- a/crates/control/src/report_targets.rs
+++ b/crates/control/src/report_targets.rs
@@ -18,7 +18,7 @@
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
     /// The control address of the machine that an engine should report to from now on; `None` for any. It rotates with
     /// the report's sequence number, as a machine may be down.
-    pub fn reports_go_to(&self, report: &InstanceReport) -> Option<SocketAddr> {
+    pub fn report_target(&self, report: &InstanceReport) -> Option<SocketAddr> {
         let members = self.inner.replica.member_addresses();
         if !members.contains(&self.inner.replica.address()) {
             return None;
--- a/crates/control/src/state/engine_subset.rs
+++ b/crates/control/src/state/engine_subset.rs
@@ -37,14 +37,14 @@
 
 /// The zone and hash position of a relay, which determine its subset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RelayPlace<'a> {
+pub struct RelayLocation<'a> {
     /// The relay's zone.
     pub zone: &'a str,
     /// Hash position of the relay's name.
     pub position: u64,
 }
 
-impl<'a> RelayPlace<'a> {
+impl<'a> RelayLocation<'a> {
     /// Computes the position from the relay's name.
     pub fn new(name: &str, zone: &'a str) -> Self {
         Self { zone, position: position(name) }
@@ -69,7 +69,7 @@
     }
 
     /// First and last position, inclusive, of the engines at `place` in the subset of `relay`.
-    pub fn range(self, place: &EnginePlace, relay: RelayPlace<'_>) -> (u64, u64) {
+    pub fn range(self, place: &EnginePlace, relay: RelayLocation<'_>) -> (u64, u64) {
         let bits = if place.zone == relay.zone { self.local_bits } else { self.remote_bits };
         let suffix_mask = u64::MAX.checked_shr(u32::from(bits)).unwrap_or(0);
         (relay.position & !suffix_mask, relay.position | suffix_mask)
--- a/crates/control/src/state/instances.rs
+++ b/crates/control/src/state/instances.rs
@@ -1,11 +1,11 @@
 //! Engine instances, with indexes by address, by place (service and zone) and by revision, so that common lookups do
 //! not scan the whole table.
 
-use super::engine_subset::{RelayPlace, SubsetPrefixes, engine_position};
+use super::engine_subset::{RelayLocation, SubsetPrefixes, engine_position};
 use bitcode::{Decode, Encode};
 use saddlerelay_runtime::steps;
 use saddlerelay_types::gateway::EnginePlace;
-use saddlerelay_types::instance::{InstanceId, InstanceNews, InstanceRecord, InstanceReport, InstanceState};
+use saddlerelay_types::instance::{InstanceId, InstanceRecord, InstanceReport, InstanceState, InstanceUpdate};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -65,13 +65,13 @@
 
     /// Looks up an instance, including those that are gone.
     pub fn get(&self, id: &InstanceId) -> Option<&InstanceRecord> {
-        steps::look();
+        steps::record_lookup();
         self.records.get(id)
     }
 
     /// All instances, including those that are gone.
     pub fn iter(&self) -> impl Iterator<Item = &InstanceRecord> {
-        self.records.values().inspect(|_| steps::look())
+        self.records.values().inspect(|_| steps::record_lookup())
     }
 
     /// All places that have or had registered instances.
@@ -102,13 +102,13 @@
     }
 
     /// The changes of the relay's engine subset after revision `since`, or the whole subset if a delta is not possible.
-    pub fn news_for(&self, relay: RelayPlace<'_>, since: u64) -> InstanceNews {
+    pub fn changes_for_relay(&self, relay: RelayLocation<'_>, since: u64) -> InstanceUpdate {
         let whole = since == 0 || since < self.subset_revision || since > self.revision;
         let records = if whole { self.subset_records(relay) } else { self.changed_subset_records(relay, since) };
-        InstanceNews { revision: self.revision, whole, records }
+        InstanceUpdate { revision: self.revision, whole, records }
     }
 
-    fn subset_records(&self, relay: RelayPlace<'_>) -> Vec<InstanceRecord> {
+    fn subset_records(&self, relay: RelayLocation<'_>) -> Vec<InstanceRecord> {
         let mut records = Vec::new();
         for (place, entry) in &self.places {
             let (first, last) = entry.subset_prefixes.range(place, relay);
@@ -119,11 +119,11 @@
         records
     }
 
-    fn changed_subset_records(&self, relay: RelayPlace<'_>, since: u64) -> Vec<InstanceRecord> {
+    fn changed_subset_records(&self, relay: RelayLocation<'_>, since: u64) -> Vec<InstanceRecord> {
         self.changed_after(since).filter(|record| self.is_in_subset(relay, record)).cloned().collect()
     }
 
-    fn is_in_subset(&self, relay: RelayPlace<'_>, record: &InstanceRecord) -> bool {
+    fn is_in_subset(&self, relay: RelayLocation<'_>, record: &InstanceRecord) -> bool {
         let place = place_of(&record.report);
         let subset_prefixes = self.places.get(&place).map(|entry| entry.subset_prefixes).unwrap_or_default();
         let (first, last) = subset_prefixes.range(&place, relay);
@@ -132,7 +132,7 @@
 
     /// The newest recorded start under a name, including one that is gone.
     pub fn newest_start(&self, name: &str) -> Option<&InstanceId> {
-        steps::look();
+        steps::record_lookup();
         self.records.range(InstanceId::all_starts(name)).next_back().map(|(newest, _)| newest)
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// Whether `report` would change the table.
-    pub fn is_news(&self, report: &InstanceReport) -> bool {
+    pub fn would_change(&self, report: &InstanceReport) -> bool {
         if self.has_ended(&report.id) {
             return false;
         }
@@ -186,8 +186,8 @@
 
     /// Applies a report. An instance never returns from leaving or gone to ready. A new instance replaces earlier
     /// starts under its name and the previous instance at its address.
-    pub fn take_report(&mut self, report: InstanceReport) {
-        if !self.is_news(&report) {
+    pub fn apply_report(&mut self, report: InstanceReport) {
+        if !self.would_change(&report) {
             return;
         }
         let earlier = self.newest_start(&report.id.name).filter(|earlier| **earlier != report.id).cloned();
@@ -200,7 +200,7 @@
     }
 
     /// Marks ready instances that have stopped reporting as silent, and clears the mark of those that report again.
-    pub fn note_silence(&mut self, silent: &[InstanceId], recovered: &[InstanceId]) {
+    pub fn record_silence(&mut self, silent: &[InstanceId], recovered: &[InstanceId]) {
         let changes = silent.iter().map(|id| (id, true)).chain(recovered.iter().map(|id| (id, false)));
         for (id, silent) in changes {
             let record = self.get(id).filter(|record| record.state == InstanceState::Ready && record.silent != silent);
@@ -237,7 +237,7 @@
     }
 
     pub(super) fn write(&mut self, mut record: InstanceRecord) {
-        steps::look();
+        steps::record_lookup();
         self.revision += 1;
         record.revision = self.revision;
         let id = record.report.id.clone();
--- a/crates/control/src/state/jobs.rs
+++ b/crates/control/src/state/jobs.rs
@@ -1,6 +1,6 @@
 //! Batch jobs and their results.
 
-use crate::state::text_archive::{LoadedTexts, TextArchive, TextPlace};
+use crate::state::text_archive::{LoadedTexts, TextArchive, TextLocation};
 use bitcode::{Decode, Encode};
 use saddlerelay_types::job::{
     ItemEnd, ItemId, ItemOutcome, ItemResult, JobId, JobItem, JobSubmission, PartialText, ResultPage, TextPart,
@@ -29,7 +29,7 @@
     /// How it ended.
     pub end: ItemEnd,
     /// Location of its text in the archive.
-    pub text: TextPlace,
+    pub text: TextLocation,
     /// Number of events in its text.
     pub events: u32,
     /// The weight versions that generated the text's events, ascending.
@@ -146,7 +146,7 @@
 
     /// The page of results that starts at position `after`, or the locations of texts that must first be read from
     /// disk. `None` if there is no such job.
-    pub fn page(&self, id: &JobId, after: u64, loaded: &LoadedTexts) -> Option<Result<ResultPage, Vec<TextPlace>>> {
+    pub fn page(&self, id: &JobId, after: u64, loaded: &LoadedTexts) -> Option<Result<ResultPage, Vec<TextLocation>>> {
         let job = self.jobs.get(id)?;
         let mut results = Vec::new();
         let mut missing = Vec::new();
--- a/crates/control/src/state/level_one.rs
+++ b/crates/control/src/state/level_one.rs
@@ -58,7 +58,7 @@
     named: BTreeMap<String, u64>,
     holder: Option<ReplicaId>,
     order_notes: BTreeMap<one::InstanceId, OrderNote>,
-    notes_taken: u64,
+    notes_recorded: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -176,13 +176,13 @@
             named: weights.named().clone(),
             holder: orders.holder,
             order_notes: orders.notes.iter().map(note).collect(),
-            notes_taken: orders.notes_taken,
+            notes_recorded: orders.notes_recorded,
         }
     }
 
     fn into_current(self) -> (WeightState, OrderState) {
         let notes = self.order_notes.into_iter().map(|(id, note)| (OrderSubject::Engine(id.0), note)).collect();
-        let orders = OrderState { holder: self.holder, notes, notes_taken: self.notes_taken };
+        let orders = OrderState { holder: self.holder, notes, notes_recorded: self.notes_recorded };
         (WeightState { named: self.named }, orders)
     }
 }
@@ -233,12 +233,12 @@
 impl InstanceTable {
     /// Applies a report by the rules of level one, which check neither the routing document nor the service and address
     /// of the recorded instance.
-    pub fn take_report_level_one(&mut self, report: InstanceReport) {
-        let is_news = match self.records.get(&report.id) {
+    pub fn apply_report_level_one(&mut self, report: InstanceReport) {
+        let would_change = match self.records.get(&report.id) {
             None => !self.gone.contains(&report.id),
             Some(record) => record.state == InstanceState::Ready && report.leaving,
         };
-        if !is_news {
+        if !would_change {
             return;
         }
         let others = self.records.values().filter(|record| {
@@ -275,10 +275,10 @@
 
 impl OrderState {
     /// Records orders that `holder` is about to send.
-    pub fn note_level_one(&mut self, holder: ReplicaId, instances: Vec<one::InstanceId>) {
+    pub fn record_level_one(&mut self, holder: ReplicaId, instances: Vec<one::InstanceId>) {
         for instance in instances {
-            self.notes_taken += 1;
-            self.notes.insert(OrderSubject::Engine(instance.0), OrderNote { holder, number: self.notes_taken });
+            self.notes_recorded += 1;
+            self.notes.insert(OrderSubject::Engine(instance.0), OrderNote { holder, number: self.notes_recorded });
         }
     }
 
--- a/crates/control/src/state/orders.rs
+++ b/crates/control/src/state/orders.rs
@@ -21,7 +21,7 @@
 pub struct OrderState {
     pub(super) holder: Option<ReplicaId>,
     pub(super) notes: BTreeMap<OrderSubject, OrderNote>,
-    pub(super) notes_taken: u64,
+    pub(super) notes_recorded: u64,
 }
 
 impl OrderState {
@@ -36,16 +36,16 @@
     }
 
     /// Number of notes recorded so far.
-    pub fn notes_taken(&self) -> u64 {
-        self.notes_taken
+    pub fn notes_recorded(&self) -> u64 {
+        self.notes_recorded
     }
 
     /// Records that `holder` is about to send orders about these subjects; returns whether another replica was the
     /// holder.
-    pub fn note(&mut self, holder: ReplicaId, subjects: Vec<OrderSubject>) -> bool {
+    pub fn record(&mut self, holder: ReplicaId, subjects: Vec<OrderSubject>) -> bool {
         for subject in subjects {
-            self.notes_taken += 1;
-            self.notes.insert(subject, OrderNote { holder, number: self.notes_taken });
+            self.notes_recorded += 1;
+            self.notes.insert(subject, OrderNote { holder, number: self.notes_recorded });
         }
         let before = self.holder.replace(holder);
         before.is_some_and(|before| before != holder)
--- a/crates/control/src/state/pending_instances.rs
+++ b/crates/control/src/state/pending_instances.rs
@@ -44,7 +44,7 @@
     }
 
     /// Whether `report` would change the pending reports.
-    pub fn is_news(&self, report: &InstanceReport) -> bool {
+    pub fn would_change(&self, report: &InstanceReport) -> bool {
         let pending = self.reports.get(&key_of(report));
         pending.is_none_or(|pending| report.leaving && !pending.leaving && pending.address == report.address)
     }
--- a/crates/control/src/state/registration.rs
+++ b/crates/control/src/state/registration.rs
@@ -17,18 +17,18 @@
     }
 
     /// Whether `report` would change the state.
-    pub fn is_news(&self, report: &InstanceReport) -> bool {
+    pub fn would_change(&self, report: &InstanceReport) -> bool {
         if self.belongs_in_table(report) {
-            self.instances.is_news(report)
+            self.instances.would_change(report)
         } else {
-            !self.instances.has_ended(&report.id) && self.pending_instances.is_news(report)
+            !self.instances.has_ended(&report.id) && self.pending_instances.would_change(report)
         }
     }
 
     /// Whether `report` counts as a sign of life of a registered instance, or of one that is registered once the report
     /// is committed.
-    pub fn is_heard(&self, report: &InstanceReport) -> bool {
-        let is_new = self.belongs_in_table(report) && self.instances.is_news(report);
+    pub fn is_sign_of_life(&self, report: &InstanceReport) -> bool {
+        let is_new = self.belongs_in_table(report) && self.instances.would_change(report);
         is_new || self.instances.is_from_recorded_instance(report)
     }
 
@@ -38,12 +38,12 @@
     }
 
     /// Applies a report.
-    pub fn take_report(&mut self, report: InstanceReport) {
-        if !self.is_news(&report) {
+    pub fn apply_report(&mut self, report: InstanceReport) {
+        if !self.would_change(&report) {
             return;
         }
         if self.belongs_in_table(&report) {
-            self.instances.take_report(report);
+            self.instances.apply_report(report);
         } else {
             self.pending_instances.insert(report);
         }
@@ -64,7 +64,7 @@
             // The pending report may be old, so it does not displace an instance that serves at its address now. If the
             // engine still runs, its next report registers it.
             if self.instances.instance_at(report.address).is_none() {
-                self.instances.take_report(report);
+                self.instances.apply_report(report);
             }
         }
     }
--- a/crates/control/src/state/suspicions.rs
+++ b/crates/control/src/state/suspicions.rs
@@ -1,9 +1,9 @@
 //! Work that was running on engines when they failed. Work is suspected after the first engine failure, and quarantined
-//! after failures of [`MOST_ENGINES_ENDED`] different engines. The table is bounded in size, and its entries expire.
+//! after failures of [`QUARANTINE_THRESHOLD`] different engines. The table is bounded in size, and its entries expire.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::suspicion::{
-    EngineLoss, HeldTrial, MOST_ENGINES_ENDED, Suspicion, SuspicionList, TrialAnswer, TrialId, TrialStanding,
+    EngineLoss, HeldTrial, QUARANTINE_THRESHOLD, Suspicion, SuspicionList, TrialAnswer, TrialId, TrialLease,
     WorkEvidence,
 };
 use saddlerelay_types::work::WorkDigest;
@@ -79,7 +79,7 @@
     }
 
     /// Whether evidence would change a suspicion.
-    pub fn is_news(&self, evidence: &WorkEvidence) -> bool {
+    pub fn would_change(&self, evidence: &WorkEvidence) -> bool {
         let is_new = |loss: &EngineLoss| {
             let recorded = self.get(&loss.work);
             recorded.is_none_or(|recorded| !recorded.is_quarantined() && !recorded.engines.contains(&loss.instance))
@@ -88,8 +88,8 @@
     }
 
     /// Applies evidence at `now`, in Unix milliseconds. Successfully served work is no longer suspected.
-    pub fn take(&mut self, evidence: WorkEvidence, now: u64) {
-        if !self.is_news(&evidence) {
+    pub fn record_evidence(&mut self, evidence: WorkEvidence, now: u64) {
+        if !self.would_change(&evidence) {
             return;
         }
         self.revision += 1;
@@ -164,7 +164,7 @@
     }
 
     /// Ends leases that have not been renewed since they were observed with these renewal counts.
-    pub fn expire_trials(&mut self, standings: &[TrialStanding]) {
+    pub fn expire_trials(&mut self, standings: &[TrialLease]) {
         for standing in standings {
             let is_unchanged = |trial: &Trial| trial.id == standing.held.id && trial.renewals == standing.renewals;
             if self.trials.get(&standing.held.work).is_some_and(is_unchanged) {
@@ -174,11 +174,10 @@
     }
 
     /// The current trial leases.
-    pub fn trials(&self) -> impl Iterator<Item = TrialStanding> {
-        self.trials.iter().map(|(work, trial)| TrialStanding {
-            held: HeldTrial { work: *work, id: trial.id },
-            renewals: trial.renewals,
-        })
+    pub fn trials(&self) -> impl Iterator<Item = TrialLease> {
+        self.trials
+            .iter()
+            .map(|(work, trial)| TrialLease { held: HeldTrial { work: *work, id: trial.id }, renewals: trial.renewals })
     }
 
     /// The trial that holds the lease for `work`, and the latest end of the work as reported by the holder, in Unix
@@ -188,7 +187,7 @@
     }
 
     /// Number of current trial leases.
-    pub fn trials_held(&self) -> usize {
+    pub fn trial_lease_count(&self) -> usize {
         self.trials.len()
     }
 
@@ -224,7 +223,7 @@
         self.revision += 1;
         self.by_work.retain(|_, suspicion| suspicion.is_quarantined() || !has_expired(suspicion, now));
         for suspicion in self.by_work.values_mut().filter(|suspicion| has_expired(suspicion, now)) {
-            suspicion.engines.truncate(MOST_ENGINES_ENDED - 1);
+            suspicion.engines.truncate(QUARANTINE_THRESHOLD - 1);
             suspicion.last_at = now;
         }
     }
--- a/crates/control/src/state/text_archive.rs
+++ b/crates/control/src/state/text_archive.rs
@@ -16,11 +16,11 @@
 
 /// Texts read from segments on disk.
 #[derive(Clone, Debug, Default)]
-pub struct LoadedTexts(BTreeMap<TextPlace, Vec<u8>>);
+pub struct LoadedTexts(BTreeMap<TextLocation, Vec<u8>>);
 
 impl LoadedTexts {
     /// Copies the texts at those of `places` that are in segment `number`, whose bytes are `segment`.
-    pub fn take_from(&mut self, number: u64, segment: &[u8], places: &[TextPlace]) {
+    pub fn copy_from_segment(&mut self, number: u64, segment: &[u8], places: &[TextLocation]) {
         for place in places.iter().filter(|place| place.segment == number) {
             if let Some(text) = place.of(segment) {
                 self.0.insert(*place, text.to_vec());
@@ -31,13 +31,13 @@
 
 /// Location of a text in the archive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub struct TextPlace {
+pub struct TextLocation {
     segment: u64,
     offset: u32,
     length: u32,
 }
 
-impl TextPlace {
+impl TextLocation {
     /// Number of the segment that contains the text.
     pub fn segment(&self) -> u64 {
         self.segment
@@ -93,8 +93,9 @@
 
 impl TextArchive {
     /// Appends a text.
-    pub fn append(&mut self, text: &[u8]) -> TextPlace {
-        let place = TextPlace { segment: self.open_segment, offset: self.tail.len() as u32, length: text.len() as u32 };
+    pub fn append(&mut self, text: &[u8]) -> TextLocation {
+        let place =
+            TextLocation { segment: self.open_segment, offset: self.tail.len() as u32, length: text.len() as u32 };
         self.tail.extend_from_slice(text);
         self.tail_texts += 1;
         if self.tail.len() >= SEGMENT_BYTES {
@@ -115,7 +116,7 @@
     }
 
     /// Drops the reference to a text. A sealed segment is dropped with its last reference.
-    pub fn remove_reference(&mut self, place: &TextPlace) {
+    pub fn remove_reference(&mut self, place: &TextLocation) {
         if place.segment == self.open_segment {
             self.tail_texts = self.tail_texts.saturating_sub(1);
             return;
@@ -131,7 +132,7 @@
     }
 
     /// Returns a text from memory or from `loaded`; `None` if its segment must first be read from disk.
-    pub fn text<'a>(&'a self, place: &TextPlace, loaded: &'a LoadedTexts) -> Option<&'a [u8]> {
+    pub fn text<'a>(&'a self, place: &TextLocation, loaded: &'a LoadedTexts) -> Option<&'a [u8]> {
         if place.segment == self.open_segment {
             return place.of(&self.tail);
         }
--- a/crates/control/src/state/usage.rs
+++ b/crates/control/src/state/usage.rs
@@ -31,27 +31,27 @@
     /// The first window that is not closed; `None` before any was closed.
     first_open: Option<UsageWindow>,
     /// Number of requests that were counted after their window was closed, and are in no report.
-    uncounted: u64,
+    late_requests: u64,
     /// The newest window whose report the platform has accepted.
     newest_reported: Option<UsageWindow>,
 }
 
 impl UsageState {
     /// Sequence number of the newest delta applied from a relay incarnation; 0 for none.
-    pub fn taken_from(&self, relay: Incarnation) -> u64 {
+    pub fn last_sequence(&self, relay: Incarnation) -> u64 {
         self.relays.get(&relay).map_or(0, |last| last.sequence)
     }
 
     /// Adds a relay's delta, unless it was already applied. `now` is in Unix milliseconds.
     pub fn add(&mut self, usage: RelayUsage, now: u64) {
-        if usage.difference.sequence <= self.taken_from(usage.relay) {
+        if usage.difference.sequence <= self.last_sequence(usage.relay) {
             return;
         }
         self.relays.insert(usage.relay, LastDelta { sequence: usage.difference.sequence, at: now });
         self.evict_oldest_relay();
         for (window, counts) in usage.difference.counts {
             if self.first_open.is_some_and(|first| window < first) {
-                self.uncounted += counts.values().sum::<u64>();
+                self.late_requests += counts.values().sum::<u64>();
                 continue;
             }
             let totals = self.open.entry(window).or_default();
@@ -113,7 +113,7 @@
     }
 
     /// Number of requests that were counted after their window was closed, and are in no report.
-    pub fn uncounted(&self) -> u64 {
-        self.uncounted
+    pub fn late_requests(&self) -> u64 {
+        self.late_requests
     }
 }
--- a/crates/control/src/suspected_work.rs
+++ b/crates/control/src/suspected_work.rs
@@ -12,12 +12,12 @@
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
     /// Commits evidence if it changes the state, and logs the result.
     pub async fn commit_evidence(&self, evidence: WorkEvidence) -> Result<(), ProposeError> {
-        let is_new = self.read(|state| state.suspicions.is_news(&evidence));
+        let is_new = self.read(|state| state.suspicions.would_change(&evidence));
         if is_new == Some(false) {
             return Ok(());
         }
         let committed = evidence.clone();
-        self.commit_gateway(GatewayCommand::TakeEvidence(evidence)).await?;
+        self.commit_gateway(GatewayCommand::RecordEvidence(evidence)).await?;
         self.log_evidence(&committed);
         Ok(())
     }
@@ -40,12 +40,12 @@
         let unix_ms = self.inner.platform.unix_milliseconds();
         let (lease, lease_count) = self.read_applied(|state| {
             let suspicions = &state.suspicions;
-            (suspicions.trial(&request.work), suspicions.trials_held())
+            (suspicions.trial(&request.work), suspicions.trial_lease_count())
         });
         let (holder, number, remaining_ms) =
             lease.map_or((0, 0, 0), |(id, expires_at)| (id.holder.0, id.number, expires_at.saturating_sub(unix_ms)));
         spdlog::warn!("trial lease rejected", kv: {
-            work = request.work.shown().as_str(),
+            work = request.work.log_prefix().as_str(),
             requested_by = request.id.holder.0,
             holder = holder,
             number = number,
@@ -68,7 +68,7 @@
                 let suspicion = state.suspicions.get(&loss.work);
                 suspicion.map_or((0, false), |suspicion| (suspicion.engines.len(), suspicion.is_quarantined()))
             });
-            spdlog::warn!("engine ended while processing work", kv: {
+            spdlog::warn!("engine terminated while running work", kv: {
                 work = loss.work.to_hexadecimal().as_str(),
                 instance = loss.instance.name.as_str(),
                 engines_ended = engines,
--- a/crates/control/src/suspicion_watch.rs
+++ b/crates/control/src/suspicion_watch.rs
@@ -19,7 +19,7 @@
 
 impl SuspicionWatch {
     /// Observes the suspicions in the locally applied state at `now`.
-    pub fn see(&mut self, table: &SuspicionTable, now: Duration) {
+    pub fn observe(&mut self, table: &SuspicionTable, now: Duration) {
         let mut previous = std::mem::take(&mut self.observed);
         for suspicion in table.iter() {
             let unchanged = previous.remove(&suspicion.work).filter(|(observed, _)| observed == suspicion);
--- a/crates/control/src/tasks/confirmation.rs
+++ b/crates/control/src/tasks/confirmation.rs
@@ -48,7 +48,7 @@
     let requested_at = platform.monotonic();
     let relay_data = node.inner.follower_reads.borrow_mut().take_relay_data(requested_at);
     let request = ControlRequest::Gateway(GatewayRequest::Confirm(relay_data));
-    let reply = node.replica().ask_leader(&request, REQUEST_TIMEOUT).await;
+    let reply = node.replica().call_leader(&request, REQUEST_TIMEOUT).await;
     let Some(ControlReply::Gateway(GatewayReply::Confirmed { position, group_unix_ms, relays })) = reply else {
         spdlog::debug!("leader did not confirm follower state", kv: { answered = reply.is_some() });
         return false;
--- a/crates/control/src/tasks/engines.rs
+++ b/crates/control/src/tasks/engines.rs
@@ -100,7 +100,7 @@
 }
 
 async fn poll_engine<P: Runtime, B: Backends>(node: ControlNode<P, B>, polls: Polls, engine: EngineDescription) {
-    let limit = node.inner.config.engine_poll_limit;
+    let limit = node.inner.config.engine_poll_timeout;
     let answer = timeout(&node.inner.platform, limit, node.inner.backends.status(&engine)).await;
     let status = answer.and_then(Result::ok).filter(|status| status.id == engine.id);
     let mut table = polls.borrow_mut();
@@ -230,7 +230,7 @@
     {
         return Some(*fence);
     }
-    match node.commit(Command::Membership(MembershipCommand::DrawFence)).await {
+    match node.commit(Command::Membership(MembershipCommand::IssueFence)).await {
         Ok(CommandOutcome::Fence(fence)) => {
             orders.fences.insert(target.model.clone(), (target.version, fence));
             Some(fence)
--- a/crates/control/src/tasks/levels.rs
+++ b/crates/control/src/tasks/levels.rs
@@ -41,5 +41,5 @@
     let is_older = replica.level_of_proposals().is_some_and(|level| level < FeatureLevel::NEWEST);
     let leads = replica.leading_term().is_some();
     let older_build_seen = since.is_some() && node.inner.older_build_request_at.get() >= since;
-    is_older && leads && !older_build_seen && replica.members_know(FeatureLevel::NEWEST)
+    is_older && leads && !older_build_seen && replica.members_support(FeatureLevel::NEWEST)
 }
--- a/crates/control/src/tasks/relays.rs
+++ b/crates/control/src/tasks/relays.rs
@@ -74,7 +74,7 @@
         let overdue = {
             let mut renewals = node.inner.renewals.borrow_mut();
             renewals.update(term, &relays.unwrap_or_default(), now);
-            renewals.overdue(now, config.relay_loss)
+            renewals.overdue(now, config.relay_loss_timeout)
         };
         for relay in overdue {
             // A failed commit is retried at the next check.
--- a/crates/control/src/tasks/retirement.rs
+++ b/crates/control/src/tasks/retirement.rs
@@ -24,14 +24,14 @@
             continue;
         };
         let replica = &node.inner.replica;
-        replica.set_unwanted(unwanted);
-        replica.set_audience(present);
+        replica.set_excluded_replicas(unwanted);
+        replica.set_announcement_targets(present);
         for record in running {
             if record.replica == replica.id() {
-                if replica.may_leave() {
-                    replica.hand_over().await;
+                if replica.can_leave() {
+                    replica.transfer_leadership().await;
                 }
-            } else if replica.is_whole_without(record.replica) {
+            } else if replica.is_replicated_without(record.replica) {
                 // A failed commit is retried at the next check.
                 let _ = node.commit_gateway(GatewayCommand::StoreRetired(record.name)).await;
             }
--- a/crates/control/src/tasks/silence.rs
+++ b/crates/control/src/tasks/silence.rs
@@ -18,10 +18,10 @@
             continue;
         };
         let now = node.inner.platform.monotonic();
-        let limit = node.inner.config.instance_silence;
+        let limit = node.inner.config.instance_silence_timeout;
         let changes = node.read(|state| {
             let mut watch = node.inner.instance_watch.borrow_mut();
-            watch.follow_term(term);
+            watch.reset_for_term(term);
             watch.silence_changes(&state.instances, now, limit)
         });
         let Some(mut changes) = changes else {
@@ -35,14 +35,14 @@
             continue;
         }
         spdlog::info!("engine silence changed", kv: {
-            silent = changes.silent.len(), resumed = changes.heard.len(), limit_ms = limit.as_millis() as u64
+            silent = changes.silent.len(), resumed = changes.resumed.len(), limit_ms = limit.as_millis() as u64
         });
         if leads_at_level_one {
-            node.replica().adjust(|machine| machine.mark_silence(&changes.silent, &changes.heard));
+            node.replica().update_local_state(|machine| machine.mark_silence(&changes.silent, &changes.resumed));
             node.inner.relay_updates.notify();
             continue;
         }
-        let command = GatewayCommand::NoteSilence { silent: changes.silent, heard: changes.heard };
+        let command = GatewayCommand::RecordSilence { silent: changes.silent, resumed: changes.resumed };
         if let Err(error) = node.commit_gateway(command).await {
             // Retried at the next check.
             spdlog::warn!("engine silence not committed, will retry", kv: { reason = format!("{error:?}").as_str() });
--- a/crates/control/src/tasks/suspicions.rs
+++ b/crates/control/src/tasks/suspicions.rs
@@ -27,6 +27,6 @@
     let now = node.inner.platform.monotonic();
     let unix_ms = node.inner.platform.unix_milliseconds();
     let mut watch = node.inner.suspicion_watch.borrow_mut();
-    node.read_applied(|state| watch.see(&state.suspicions, now));
+    node.read_applied(|state| watch.observe(&state.suspicions, now));
     node.read(|state| watch.may_expire(&state.suspicions, unix_ms.max(state.time), now)) == Some(true)
 }
--- a/crates/control/src/tasks/trials.rs
+++ b/crates/control/src/tasks/trials.rs
@@ -4,7 +4,7 @@
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_types::gateway::GatewayCommand;
-use saddlerelay_types::suspicion::TrialStanding;
+use saddlerelay_types::suspicion::TrialLease;
 use std::time::Duration;
 
 /// Pause between checks; short compared with the lease.
@@ -30,17 +30,17 @@
 }
 
 /// Observes the leases of the applied state; returns those that have expired, if this replica leads.
-fn find_expired<P: Runtime, B: Backends>(node: &ControlNode<P, B>) -> Vec<TrialStanding> {
+fn find_expired<P: Runtime, B: Backends>(node: &ControlNode<P, B>) -> Vec<TrialLease> {
     let now = node.inner.platform.monotonic();
     let mut watch = node.inner.trial_watch.borrow_mut();
-    node.read_applied(|state| watch.see(&state.suspicions, now));
+    node.read_applied(|state| watch.observe(&state.suspicions, now));
     node.replica().leading_term().map_or_else(Vec::new, |term| watch.expired(term, now))
 }
 
-fn log_expired(expired: &[TrialStanding]) {
+fn log_expired(expired: &[TrialLease]) {
     for standing in expired.iter().take(MAX_LOG_LINES) {
         spdlog::warn!("trial lease expired, holder stopped renewing", kv: {
-            work = standing.held.work.shown().as_str(),
+            work = standing.held.work.log_prefix().as_str(),
             holder = standing.held.id.holder.0,
             number = standing.held.id.number,
             renewals = standing.renewals,
--- a/crates/control/src/trial_watch.rs
+++ b/crates/control/src/trial_watch.rs
@@ -5,7 +5,7 @@
 //! earlier leader, which would prolong the lease. Followers observe renewals too, so that a new leader knows their age.
 
 use crate::state::suspicions::SuspicionTable;
-use saddlerelay_types::suspicion::{TRIAL_LEASE, TRIAL_RENEWAL, TrialStanding};
+use saddlerelay_types::suspicion::{TRIAL_LEASE, TRIAL_RENEWAL, TrialLease};
 use saddlerelay_types::work::WorkDigest;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ObservedTrial {
-    standing: TrialStanding,
+    standing: TrialLease,
     observed_at: Duration,
 }
 
@@ -29,7 +29,7 @@
 
 impl TrialWatch {
     /// Observes the leases in the locally applied state at `now`.
-    pub fn see(&mut self, table: &SuspicionTable, now: Duration) {
+    pub fn observe(&mut self, table: &SuspicionTable, now: Duration) {
         let mut previous = std::mem::take(&mut self.trials);
         for standing in table.trials() {
             let work = standing.held.work;
@@ -39,7 +39,7 @@
     }
 
     /// The leases that have expired at `now` for the leader of `term`.
-    pub fn expired(&mut self, term: u64, now: Duration) -> Vec<TrialStanding> {
+    pub fn expired(&mut self, term: u64, now: Duration) -> Vec<TrialLease> {
         if std::mem::replace(&mut self.term, term) != term {
             self.leads_since = now;
         }
--- a/crates/control/tests/fleet_steps.rs
+++ b/crates/control/tests/fleet_steps.rs
@@ -2,9 +2,9 @@
 //! 1,000, 10,000 and 20,000 engines.
 
 use saddlerelay_control::instance_watch::InstanceWatch;
-use saddlerelay_control::state::engine_subset::RelayPlace;
+use saddlerelay_control::state::engine_subset::RelayLocation;
 use saddlerelay_control::state::instances::InstanceTable;
-use saddlerelay_runtime::steps::looks_of;
+use saddlerelay_runtime::steps::lookups_of;
 use saddlerelay_types::instance::{InstanceHeartbeat, InstanceId, InstanceReport, InstanceState};
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
 
 fn table(engines: usize) -> InstanceTable {
     let mut table = InstanceTable::default();
-    (0..engines).for_each(|number| table.take_report(report(number, 1)));
+    (0..engines).for_each(|number| table.apply_report(report(number, 1)));
     table
 }
 
@@ -48,8 +48,8 @@
     (0..count).map(|number| format!("relay-{number}")).collect()
 }
 
-fn place(name: &str) -> RelayPlace<'_> {
-    RelayPlace::new(name, ZONES[usize::from(name.as_bytes()[name.len() - 1]) % ZONES.len()])
+fn place(name: &str) -> RelayLocation<'_> {
+    RelayLocation::new(name, ZONES[usize::from(name.as_bytes()[name.len() - 1]) % ZONES.len()])
 }
 
 #[test]
@@ -57,22 +57,22 @@
     for engines in SIZES {
         let mut table = table(engines);
         let mut watch = InstanceWatch::default();
-        watch.follow_term(1);
+        watch.reset_for_term(1);
         let heartbeat = report(7, 2);
-        let (lookups, is_news) = looks_of(|| {
-            watch.hear(&heartbeat, Duration::from_secs(1));
-            table.is_news(&heartbeat)
+        let (lookups, would_change) = lookups_of(|| {
+            watch.record_report(&heartbeat, Duration::from_secs(1));
+            table.would_change(&heartbeat)
         });
-        assert!(!is_news && lookups <= MAX_LOOKUPS, "{lookups} lookups for a report among {engines}");
+        assert!(!would_change && lookups <= MAX_LOOKUPS, "{lookups} lookups for a report among {engines}");
         let again = InstanceHeartbeat { id: heartbeat.id.clone(), sequence: 3 };
-        let (lookups, ()) = looks_of(|| watch.hear_again(&again, Duration::from_secs(2)));
+        let (lookups, ()) = lookups_of(|| watch.record_heartbeat(&again, Duration::from_secs(2)));
         assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups for a heartbeat among {engines}");
-        let (lookups, ()) = looks_of(|| table.take_report(report(engines + 1, 1)));
+        let (lookups, ()) = lookups_of(|| table.apply_report(report(engines + 1, 1)));
         assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups for a registration among {engines}");
-        let (lookups, ()) = looks_of(|| table.take_report(InstanceReport { leaving: true, ..report(7, 3) }));
+        let (lookups, ()) = lookups_of(|| table.apply_report(InstanceReport { leaving: true, ..report(7, 3) }));
         assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups for a report of leaving among {engines}");
         let replaced = InstanceReport { id: InstanceId::named("new"), ..report(8, 1) };
-        let (lookups, ()) = looks_of(|| table.take_report(replaced));
+        let (lookups, ()) = lookups_of(|| table.apply_report(replaced));
         assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups for a new instance at a used address among {engines}");
         assert_eq!(table.get(&InstanceId::named("engine-8")).map(|record| record.state), Some(InstanceState::Gone));
     }
@@ -83,22 +83,24 @@
     for engines in SIZES {
         let mut table = table(engines);
         let mut watch = InstanceWatch::default();
-        watch.follow_term(1);
+        watch.reset_for_term(1);
         let at = Duration::from_secs;
         let first = watch.silence_changes(&table, at(0), SILENCE);
         assert!(first.is_empty(), "no engine is silent at first");
-        (0..engines).filter(|number| number % 100 != 3).for_each(|number| watch.hear(&report(number, 2), at(10)));
-        let (lookups, changes) = looks_of(|| watch.silence_changes(&table, at(14), SILENCE));
+        (0..engines)
+            .filter(|number| number % 100 != 3)
+            .for_each(|number| watch.record_report(&report(number, 2), at(10)));
+        let (lookups, changes) = lookups_of(|| watch.silence_changes(&table, at(14), SILENCE));
         assert!(changes.is_empty() && lookups <= MAX_LOOKUPS, "{lookups} lookups without changes among {engines}");
-        let (lookups, changes) = looks_of(|| watch.silence_changes(&table, at(16), SILENCE));
+        let (lookups, changes) = lookups_of(|| watch.silence_changes(&table, at(16), SILENCE));
         assert_eq!(changes.silent.len(), engines / 100);
         assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups among {engines}");
-        table.note_silence(&changes.silent, &changes.heard);
+        table.record_silence(&changes.silent, &changes.resumed);
         let after = watch.silence_changes(&table, at(17), SILENCE);
         assert!(after.is_empty(), "recorded silence is not reported again");
-        watch.hear(&report(3, 9), at(18));
+        watch.record_report(&report(3, 9), at(18));
         let again = watch.silence_changes(&table, at(18), SILENCE);
-        assert_eq!((again.silent.len(), again.heard), (0, vec![InstanceId::named("engine-3")]));
+        assert_eq!((again.silent.len(), again.resumed), (0, vec![InstanceId::named("engine-3")]));
     }
 }
 
@@ -108,15 +110,16 @@
         let mut table = table(engines);
         let known = table.revision();
         for name in relays(RELAYS[2]) {
-            let (lookups, update) = looks_of(|| table.news_for(place(&name), known));
+            let (lookups, update) = lookups_of(|| table.changes_for_relay(place(&name), known));
             assert!(update.records.is_empty() && !update.whole);
             assert_eq!(lookups, 0, "an empty update takes {lookups} lookups among {engines} engines");
         }
-        table.take_report(InstanceReport { leaving: true, ..report(7, 3) });
+        table.apply_report(InstanceReport { leaving: true, ..report(7, 3) });
         for count in RELAYS {
-            let (lookups, receivers) = looks_of(|| {
-                let receivers =
-                    relays(count).into_iter().filter(|name| !table.news_for(place(name), known).records.is_empty());
+            let (lookups, receivers) = lookups_of(|| {
+                let receivers = relays(count)
+                    .into_iter()
+                    .filter(|name| !table.changes_for_relay(place(name), known).records.is_empty());
                 receivers.count()
             });
             assert_eq!(lookups, count as u64, "{lookups} lookups of {count} relays for one change");
@@ -135,7 +138,7 @@
         let mut received_by = std::collections::BTreeMap::<InstanceId, u32>::new();
         for name in relays(RELAYS[1]) {
             let relay = place(&name);
-            let (lookups, update) = looks_of(|| table.news_for(relay, 0));
+            let (lookups, update) = lookups_of(|| table.changes_for_relay(relay, 0));
             assert!(update.whole && lookups == update.records.len() as u64);
             assert!(update.records.len() <= MAX_SUBSET_ENGINES, "a subset of {} among {engines}", update.records.len());
             let bytes = bitcode::encode(&update).len();
@@ -168,16 +171,16 @@
     let mut table = table(150);
     let relay = place("relay-1");
     let known = table.revision();
-    assert_eq!(table.news_for(relay, 0).records.len(), 150, "all engines of a small place");
-    (150..3_000).for_each(|number| table.take_report(report(number, 1)));
-    let grown = table.news_for(relay, known);
+    assert_eq!(table.changes_for_relay(relay, 0).records.len(), 150, "all engines of a small place");
+    (150..3_000).for_each(|number| table.apply_report(report(number, 1)));
+    let grown = table.changes_for_relay(relay, known);
     assert!(grown.whole && grown.records.len() < 500, "{}", grown.records.len());
     let known = grown.revision;
     (50..3_000).for_each(|number| table.remove(&InstanceId::named(format!("engine-{number}"))));
-    let shrunk = table.news_for(relay, known);
+    let shrunk = table.changes_for_relay(relay, known);
     assert!(shrunk.whole && shrunk.records.len() == 50, "{}", shrunk.records.len());
     assert!(
-        table.news_for(relay, shrunk.revision + 5).whole,
+        table.changes_for_relay(relay, shrunk.revision + 5).whole,
         "a relay with a revision from the future gets a full update"
     );
 }
@@ -193,14 +196,14 @@
             let id = InstanceId::named(format!("engine-{number}"));
             match random.u32(..10) {
                 0 => table.remove(&id),
-                1 => table.take_report(InstanceReport { leaving: true, ..report(number, sequence) }),
-                2 => table.note_silence(std::slice::from_ref(&id), &[]),
-                3 => table.note_silence(&[], std::slice::from_ref(&id)),
+                1 => table.apply_report(InstanceReport { leaving: true, ..report(number, sequence) }),
+                2 => table.record_silence(std::slice::from_ref(&id), &[]),
+                3 => table.record_silence(&[], std::slice::from_ref(&id)),
                 4 => {
                     let id = InstanceId::named(format!("engine-{number}-{sequence}"));
-                    table.take_report(InstanceReport { id, ..report(number, 1) });
+                    table.apply_report(InstanceReport { id, ..report(number, 1) });
                 }
-                _ => table.take_report(report(number, sequence)),
+                _ => table.apply_report(report(number, sequence)),
             }
         }
         let silent: Vec<_> = table.iter().filter(|record| record.silent).map(|record| &record.report.id).collect();
--- a/crates/control/tests/format.rs
+++ b/crates/control/tests/format.rs
@@ -8,7 +8,7 @@
 use saddlerelay_types::identity::Incarnation;
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_types::protocol::{Command, LogCommand};
-use saddlerelay_types::suspicion::{EngineLoss, HeldTrial, TrialId, TrialStanding, WorkEvidence};
+use saddlerelay_types::suspicion::{EngineLoss, HeldTrial, TrialId, TrialLease, WorkEvidence};
 use saddlerelay_types::work::WorkDigest;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -16,7 +16,7 @@
 const LAYOUT: (u32, u64) = (9, 10_373_770_147_888_263_458);
 
 fn work() -> WorkDigest {
-    WorkDigest::of_posted(None, "host", "/rollouts", b"an item")
+    WorkDigest::of_post_request(None, "host", "/rollouts", b"an item")
 }
 
 /// Commands about suspected work. They are the last variants, so that a variant added before them changes their
@@ -26,10 +26,10 @@
     let held = HeldTrial { work: work(), id };
     let loss = EngineLoss { work: work(), instance: InstanceId::named("engine") };
     vec![
-        GatewayCommand::TakeEvidence(WorkEvidence { losses: vec![loss], served: Vec::new() }),
+        GatewayCommand::RecordEvidence(WorkEvidence { losses: vec![loss], served: Vec::new() }),
         GatewayCommand::BeginTrial(TrialRequest { work: work(), id, limit_ms: 40_000 }),
         GatewayCommand::RenewTrials(vec![held]),
-        GatewayCommand::ExpireTrials(vec![TrialStanding { held, renewals: 7 }]),
+        GatewayCommand::ExpireTrials(vec![TrialLease { held, renewals: 7 }]),
         GatewayCommand::EndTrial { work: work(), id: TrialId { holder: Incarnation(9), number: 9 } },
         GatewayCommand::ExpireSuspicions,
     ]
--- a/crates/control/tests/gateway.rs
+++ b/crates/control/tests/gateway.rs
@@ -13,7 +13,7 @@
 use saddlerelay_types::job::{ItemEnd, ItemId, ItemOutcome, ItemResult, JobId, JobItem, JobSubmission, TextPart};
 use saddlerelay_types::protocol::{Command, CommandOutcome};
 use saddlerelay_types::routing::{
-    BatchTerms, RequestLimits, Route, RouteKind, RoutingDocument, RoutingError, Service, WeightedTarget,
+    BatchSettings, RequestLimits, Route, RouteKind, RoutingDocument, RoutingError, Service, WeightedTarget,
 };
 
 fn commit(state: &mut ControlState, command: GatewayCommand) -> GatewayOutcome {
@@ -36,7 +36,7 @@
         max_attempts: 2,
         resumable: false,
         public: false,
-        batch: BatchTerms::default(),
+        batch: BatchSettings::default(),
     }
 }
 
@@ -161,8 +161,8 @@
 fn announced_weight_version_never_decreases() {
     let mut state = ControlState::default();
     let model = |version| LoadedModel { model: "m".to_string(), version };
-    commit(&mut state, GatewayCommand::NameVersion(model(3)));
-    commit(&mut state, GatewayCommand::NameVersion(model(2)));
+    commit(&mut state, GatewayCommand::PublishVersion(model(3)));
+    commit(&mut state, GatewayCommand::PublishVersion(model(2)));
     assert_eq!(state.weights.named().get("m"), Some(&3));
 }
 
@@ -276,7 +276,7 @@
     let mut state = ControlState::default();
     submit(&mut state, "j", 3);
     let append = |state: &mut ControlState, part: TextPart| {
-        commit(state, GatewayCommand::KeepTexts { job: JobId("j".to_string()), parts: vec![part] })
+        commit(state, GatewayCommand::SaveTexts { job: JobId("j".to_string()), parts: vec![part] })
     };
     append(&mut state, part(0, 0, "ab"));
     append(&mut state, part(0, 2, "cd"));
@@ -354,7 +354,7 @@
             match step {
                 Step::Keep { item, offset, length } => {
                     let parts = vec![part(item.into(), offset.into(), &text(length))];
-                    commit(&mut state, GatewayCommand::KeepTexts { job: JobId("j".to_string()), parts });
+                    commit(&mut state, GatewayCommand::SaveTexts { job: JobId("j".to_string()), parts });
                 }
                 Step::List { item, offset, length } => {
                     list(&mut state, "j", part(item.into(), offset.into(), &text(length)));
--- a/crates/control/tests/level_one.rs
+++ b/crates/control/tests/level_one.rs
@@ -5,7 +5,7 @@
 use saddlerelay_control::machine::ControlMachine;
 use saddlerelay_control::state::ControlState;
 use saddlerelay_layouts::commands::{Committed, decode, encode};
-use saddlerelay_layouts::level_one::follow::FollowMemory;
+use saddlerelay_layouts::level_one::follow::FollowConverter;
 use saddlerelay_layouts::level_one::gateway as one;
 use saddlerelay_layouts::level_one::protocol::{ControlReply, ControlRequest};
 use saddlerelay_layouts::messages::{self, Request};
@@ -123,7 +123,7 @@
         let decoded: ControlRequest = bitcode::decode(request).expect("a request of a released build decodes");
         assert_eq!(bitcode::encode(&decoded), *request);
         match messages::decode_request(request, FeatureLevel::One).expect("the request has a current equivalent") {
-            Request::Today(current) => {
+            Request::Current(current) => {
                 let encoded = messages::encode_request(&current, FeatureLevel::One)
                     .expect("the request is representable at level one");
                 assert_eq!(encoded, *request, "{current:?}");
@@ -172,7 +172,7 @@
         instance_revision: 0,
         silent: Vec::new(),
     };
-    let mut memory = FollowMemory::default();
+    let mut memory = FollowConverter::default();
     let reply = messages::decode_follow_one(messages[REQUESTS], &request, &mut memory);
     let Some(saddlerelay_types::protocol::ControlReply::Gateway(saddlerelay_types::gateway::GatewayReply::Followed(
         reply,
@@ -212,7 +212,7 @@
 #[test]
 fn commands_not_representable_at_level_one_are_not_encoded() {
     let not_representable = [
-        GatewayCommand::FixUsage(saddlerelay_types::usage::UsageWindow(3)),
+        GatewayCommand::CloseUsageWindows(saddlerelay_types::usage::UsageWindow(3)),
         GatewayCommand::NoteOrders { holder: ReplicaId(1), subjects: vec![OrderSubject::UsageReports] },
         GatewayCommand::ExpireSuspicions,
     ];
@@ -238,9 +238,9 @@
     let seconds = Duration::from_secs;
     let mut watch = InstanceWatch::default();
     assert!(watch.note_start(&InstanceId::started("engine", 100)));
-    watch.hear(&report(50), seconds(1));
+    watch.record_report(&report(50), seconds(1));
     assert!(watch.note_start(&InstanceId::started("engine", 200)));
-    watch.hear(&report(1), seconds(2));
+    watch.record_report(&report(1), seconds(2));
     let (heard_at, models) = watch.models(&InstanceId::named("engine")).expect("a report was received");
     assert_eq!((heard_at, models[0].version), (seconds(2), 1));
     assert!(!watch.note_start(&InstanceId::started("engine", 100)), "a delayed report of the earlier start");
--- a/crates/control/tests/level_two.rs
+++ b/crates/control/tests/level_two.rs
@@ -13,11 +13,11 @@
 use saddlerelay_types::credentials::SecretDigest;
 use saddlerelay_types::gateway::{
     EnginePlace, FollowReply, FollowRequest, GatewayCommand, GatewayReply, GatewayRequest, OrderSubject, RelayClock,
-    RelayWords, StoreRecord, TrialRequest, WantedEngines,
+    RelayData, StoreRecord, TrialRequest, WantedEngines,
 };
 use saddlerelay_types::identity::{Incarnation, ReplicaId, TenantId, Zone};
 use saddlerelay_types::instance::{
-    GatheredReports, InstanceHeartbeat, InstanceId, InstanceNews, InstanceRecord, InstanceReport, InstanceState,
+    GatheredReports, InstanceHeartbeat, InstanceId, InstanceRecord, InstanceReport, InstanceState, InstanceUpdate,
     LoadedModel,
 };
 use saddlerelay_types::job::{
@@ -28,15 +28,15 @@
     Command, ControlReply, ControlRequest, LogCommand, MembershipCommand, Query, RenewRequest, RolloutCommand,
 };
 use saddlerelay_types::routing::{
-    BatchTerms, ModelHosting, RequestLimits, Route, RouteKind, RoutingDocument, RoutingError, ScalingLimits, Service,
-    WeightedTarget,
+    BatchSettings, ModelHosting, RequestLimits, Route, RouteKind, RoutingDocument, RoutingError, ScalingLimits,
+    Service, WeightedTarget,
 };
 use saddlerelay_types::routing_update::{EncodedRoutingUpdate, RoutingUpdate};
 use saddlerelay_types::suspicion::{
-    EngineLoss, HeldTrial, SuspicionList, TrialAnswer, TrialId, TrialStanding, WorkEvidence,
+    EngineLoss, HeldTrial, SuspicionList, TrialAnswer, TrialId, TrialLease, WorkEvidence,
 };
 use saddlerelay_types::tenancy::{Caller, TenantAccess};
-use saddlerelay_types::usage::{RelayUsage, UsageDifference, UsageWindow};
+use saddlerelay_types::usage::{RelayUsage, UsageDelta, UsageWindow};
 use saddlerelay_types::work::WorkDigest;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
         max_attempts: random.u32(1..4),
         resumable: random.bool(),
         public: random.bool(),
-        batch: BatchTerms { give_up_after_ms: 1, due_after_ms: 2, single_version: random.bool() },
+        batch: BatchSettings { give_up_after_ms: 1, due_after_ms: 2, single_version: random.bool() },
     }
 }
 
@@ -170,12 +170,12 @@
 
 fn usage(random: &mut fastrand::Rng, number: u64) -> RelayUsage {
     let counts = BTreeMap::from([(TenantId::new("clinic"), random.u64(..9))]);
-    let difference = UsageDifference { sequence: number, counts: BTreeMap::from([(UsageWindow(number / 10), counts)]) };
+    let difference = UsageDelta { sequence: number, counts: BTreeMap::from([(UsageWindow(number / 10), counts)]) };
     RelayUsage { relay: Incarnation(number % 3), difference }
 }
 
 fn work(random: &mut fastrand::Rng) -> WorkDigest {
-    WorkDigest::of_posted(None, "host", "/rollouts", &[random.u8(..4)])
+    WorkDigest::of_post_request(None, "host", "/rollouts", &[random.u8(..4)])
 }
 
 fn trial(random: &mut fastrand::Rng) -> TrialId {
@@ -202,9 +202,9 @@
         }
         2..8 => GatewayCommand::ReportInstances(vec![report(random), report(random)]),
         8 => GatewayCommand::RemoveInstance(report(random).id),
-        9 => GatewayCommand::NameVersion(LoadedModel { model: "notes".to_string(), version: random.u64(..50) }),
+        9 => GatewayCommand::PublishVersion(LoadedModel { model: "notes".to_string(), version: random.u64(..50) }),
         10..12 => GatewayCommand::SubmitJob { job: job(random, number / 12), keep_ms: 4_000 },
-        12 => GatewayCommand::KeepTexts { job: any_job(random), parts: vec![part(random), part(random)] },
+        12 => GatewayCommand::SaveTexts { job: any_job(random), parts: vec![part(random), part(random)] },
         13..15 => GatewayCommand::ListResults { job: any_job(random), outcomes: vec![outcome(random)] },
         15 => GatewayCommand::EndJob(any_job(random)),
         16 => {
@@ -215,16 +215,16 @@
         17 if random.bool() => GatewayCommand::RetireStore(store(random)),
         17 => GatewayCommand::StoreRetired(store(random)),
         18..20 => GatewayCommand::NoteOrders { holder, subjects: subjects(random) },
-        20..22 => GatewayCommand::NoteSilence { silent: vec![report(random).id], heard: vec![report(random).id] },
+        20..22 => GatewayCommand::RecordSilence { silent: vec![report(random).id], resumed: vec![report(random).id] },
         22..24 => GatewayCommand::AddUsage(vec![usage(random, number)]),
-        24 => GatewayCommand::FixUsage(UsageWindow(number / 20)),
+        24 => GatewayCommand::CloseUsageWindows(UsageWindow(number / 20)),
         25 => GatewayCommand::UsageReported(UsageWindow(number / 40)),
-        26 => GatewayCommand::WantEngines(vec![WantedEngines { place: place(), count: random.u32(..9) }]),
-        27 => GatewayCommand::TakeEvidence(evidence(random)),
+        26 => GatewayCommand::SetWantedEngines(vec![WantedEngines { place: place(), count: random.u32(..9) }]),
+        27 => GatewayCommand::RecordEvidence(evidence(random)),
         28 => GatewayCommand::BeginTrial(TrialRequest { work: work(random), id: trial(random), limit_ms: 900 }),
         29 => GatewayCommand::RenewTrials(vec![held(random)]),
         30 if random.bool() => GatewayCommand::EndTrial { work: work(random), id: trial(random) },
-        30 => GatewayCommand::ExpireTrials(vec![TrialStanding { held: held(random), renewals: random.u32(..3) }]),
+        30 => GatewayCommand::ExpireTrials(vec![TrialLease { held: held(random), renewals: random.u32(..3) }]),
         _ if random.bool() => GatewayCommand::ExpireSuspicions,
         _ => GatewayCommand::ReleaseWork(work(random)),
     }
@@ -239,7 +239,7 @@
     };
     match random.u8(..20) {
         0 => Command::Membership(MembershipCommand::RelayJoined(relay)),
-        1 => Command::Membership(MembershipCommand::DrawFence),
+        1 => Command::Membership(MembershipCommand::IssueFence),
         2 => Command::Rollout(RolloutCommand::OpenTrainer {
             tenant: TenantId::new("clinic"),
             incarnation: Incarnation(number),
@@ -257,7 +257,7 @@
     let held_document = state.state().routing.current().expect("a document was applied").clone();
     let update = EncodedRoutingUpdate::encode(&RoutingUpdate::between(None, &held_document));
     let record = InstanceRecord { report: report(random), state: InstanceState::Ready, silent: true, revision: 9 };
-    let news = InstanceNews { revision: 5, whole: true, records: vec![record] };
+    let news = InstanceUpdate { revision: 5, whole: true, records: vec![record] };
     let gateway = |request| bitcode::encode(&ControlRequest::Gateway(request));
     let reply = |reply| bitcode::encode(&ControlReply::Gateway(reply));
     let job_id = JobId("job-1".to_string());
@@ -269,9 +269,9 @@
         address: address(200),
     };
     let heartbeat = InstanceHeartbeat { id: instance(random, 1), sequence: 3 };
-    let gathered = GatheredReports { news: vec![report(random)], heartbeats: vec![heartbeat] };
+    let gathered = GatheredReports { changed: vec![report(random)], heartbeats: vec![heartbeat] };
     let clock = RelayClock { relay: "relay".to_string(), unix_ms: 77 };
-    let words = RelayWords { clocks: vec![clock], usage: vec![usage(random, 4)] };
+    let words = RelayData { clocks: vec![clock], usage: vec![usage(random, 4)] };
     let renewal = RenewRequest {
         relay,
         configuration: Default::default(),
@@ -282,7 +282,7 @@
     vec![
         bitcode::encode(&ControlRequest::Replication(vec![1, 2, 3])),
         bitcode::encode(&ControlRequest::Renew(renewal)),
-        bitcode::encode(&ControlRequest::Execute(Command::Membership(MembershipCommand::DrawFence))),
+        bitcode::encode(&ControlRequest::Execute(Command::Membership(MembershipCommand::IssueFence))),
         bitcode::encode(&ControlRequest::Query(Query::Group)),
         bitcode::encode(&ControlRequest::Initialize),
         gateway(GatewayRequest::Follow(FollowRequest {
@@ -302,7 +302,7 @@
         gateway(GatewayRequest::RemoveInstance(instance(random, 2))),
         gateway(GatewayRequest::PutRouting(held_document)),
         gateway(GatewayRequest::ReadRouting),
-        gateway(GatewayRequest::NameVersion(LoadedModel { model: "notes".to_string(), version: 3 })),
+        gateway(GatewayRequest::PublishVersion(LoadedModel { model: "notes".to_string(), version: 3 })),
         gateway(GatewayRequest::SubmitJob(job(random, 1))),
         gateway(GatewayRequest::ReadResults { job: job_id.clone(), after: 1, wait_ms: 2, caller: caller.clone() }),
         gateway(GatewayRequest::ReadPosition),
@@ -322,7 +322,7 @@
         gateway(GatewayRequest::RetireStore("store".to_string())),
         gateway(GatewayRequest::ReadRetirement("store".to_string())),
         gateway(GatewayRequest::ReadDuties),
-        gateway(GatewayRequest::TakeEvidence(evidence(random))),
+        gateway(GatewayRequest::ReportEvidence(evidence(random))),
         gateway(GatewayRequest::RenewTrials(vec![held(random)])),
         gateway(GatewayRequest::EndTrial { work: work(random), id: trial(random) }),
         gateway(GatewayRequest::ReadSuspicions),
@@ -385,7 +385,7 @@
         },
         ReplicaRequest::SnapshotPart { header: header(), part },
         ReplicaRequest::ReadSegment { header: header(), number: 8 },
-        ReplicaRequest::TakeOver { header: header() },
+        ReplicaRequest::TimeoutNow { header: header() },
         ReplicaRequest::Join { id: ReplicaId(9), address: address(9) },
         ReplicaRequest::Heartbeat { header: header() },
         ReplicaRequest::Announce { group: 1, leader: address(1), members: vec![address(2)] },
@@ -396,11 +396,11 @@
         ReplicaReply::SnapshotPart { term: 4, next_offset: 2 },
         ReplicaReply::FetchingSegments { term: 4 },
         ReplicaReply::Segment(vec![7]),
-        ReplicaReply::Taken,
+        ReplicaReply::Accepted,
         ReplicaReply::Members(vec![address(1)]),
-        ReplicaReply::NotWanted { ask_again_ms: 150, members: vec![address(1)] },
-        ReplicaReply::Heartbeat { term: 4, heard: true },
-        ReplicaReply::Refused,
+        ReplicaReply::NotNeeded { retry_after_ms: 150, members: vec![address(1)] },
+        ReplicaReply::Heartbeat { term: 4, acknowledged: true },
+        ReplicaReply::Rejected,
     ];
     let hard_state = WalRecord::HardState { term: 4, voted_for: Some(ReplicaId(2)) };
     let records = std::iter::once(hard_state).chain(log_entries().into_iter().map(WalRecord::Entry));
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -81,8 +81,8 @@
 #[test]
 fn fencing_tokens_increase() {
     let mut state = ControlState::default();
-    let first = apply(&mut state, MembershipCommand::DrawFence);
-    let second = apply(&mut state, MembershipCommand::DrawFence);
+    let first = apply(&mut state, MembershipCommand::IssueFence);
+    let second = apply(&mut state, MembershipCommand::IssueFence);
     let (CommandOutcome::Fence(first), CommandOutcome::Fence(second)) = (first, second) else {
         panic!("expected two fencing tokens");
     };
--- a/crates/control/tests/order_watch.rs
+++ b/crates/control/tests/order_watch.rs
@@ -23,37 +23,41 @@
 fn new_holder_waits_only_for_subjects_with_recent_notes_of_another_holder() {
     let mut state = OrderState::default();
     let mut watch = OrderWatch::default();
-    state.note(OLD, vec![engine("a")]);
-    watch.see(&state, seconds(10));
-    state.note(OLD, vec![engine("b")]);
-    watch.see(&state, seconds(12));
+    state.record(OLD, vec![engine("a")]);
+    watch.observe(&state, seconds(10));
+    state.record(OLD, vec![engine("b")]);
+    watch.observe(&state, seconds(12));
     // Observing a note again does not extend the wait.
-    watch.see(&state, seconds(13));
-    assert_eq!(watch.free_at(&engine("a"), NEW, DISTANCE), seconds(13));
-    assert_eq!(watch.free_at(&engine("b"), NEW, DISTANCE), seconds(15));
-    assert_eq!(watch.free_at(&engine("c"), NEW, DISTANCE), Duration::ZERO);
-    assert_eq!(watch.free_at(&engine("b"), OLD, DISTANCE), Duration::ZERO, "a holder does not wait for itself");
+    watch.observe(&state, seconds(13));
+    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, DISTANCE), seconds(13));
+    assert_eq!(watch.earliest_order_time(&engine("b"), NEW, DISTANCE), seconds(15));
+    assert_eq!(watch.earliest_order_time(&engine("c"), NEW, DISTANCE), Duration::ZERO);
+    assert_eq!(
+        watch.earliest_order_time(&engine("b"), OLD, DISTANCE),
+        Duration::ZERO,
+        "a holder does not wait for itself"
+    );
 }
 
 #[test]
 fn newer_note_of_the_same_engine_restarts_the_wait() {
     let mut state = OrderState::default();
     let mut watch = OrderWatch::default();
-    state.note(OLD, vec![engine("a")]);
-    watch.see(&state, seconds(10));
-    state.note(OLD, vec![engine("a")]);
-    watch.see(&state, seconds(14));
-    assert_eq!(watch.free_at(&engine("a"), NEW, DISTANCE), seconds(17));
+    state.record(OLD, vec![engine("a")]);
+    watch.observe(&state, seconds(10));
+    state.record(OLD, vec![engine("a")]);
+    watch.observe(&state, seconds(14));
+    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, DISTANCE), seconds(17));
 }
 
 #[test]
 fn restarted_process_treats_every_note_as_new() {
     let mut state = OrderState::default();
-    state.note(OLD, vec![engine("a"), engine("b")]);
+    state.record(OLD, vec![engine("a"), engine("b")]);
     let mut watch = OrderWatch::default();
-    watch.see(&state, seconds(100));
-    assert_eq!(watch.free_at(&engine("a"), NEW, DISTANCE), seconds(103));
+    watch.observe(&state, seconds(100));
+    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, DISTANCE), seconds(103));
     state.remove_engine(&InstanceId::named("a"));
-    watch.see(&state, seconds(101));
-    assert_eq!(watch.free_at(&engine("a"), NEW, DISTANCE), Duration::ZERO, "the note was removed");
+    watch.observe(&state, seconds(101));
+    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, DISTANCE), Duration::ZERO, "the note was removed");
 }
--- a/crates/control/tests/restarts.rs
+++ b/crates/control/tests/restarts.rs
@@ -108,12 +108,12 @@
         // An engine that started earlier at the same address.
         report(InstanceId::started("b", FIRST), 1),
     ] {
-        assert!(!state.is_news(&delayed) && !state.is_heard(&delayed), "{delayed:?}");
+        assert!(!state.would_change(&delayed) && !state.is_sign_of_life(&delayed), "{delayed:?}");
         apply_report(&mut state, delayed);
     }
     assert_eq!(state.instances, before);
     // A silent engine is replaced at its address, even by an engine with an earlier start time.
-    commit(&mut state, GatewayCommand::NoteSilence { silent: vec![start(SECOND)], heard: Vec::new() });
+    commit(&mut state, GatewayCommand::RecordSilence { silent: vec![start(SECOND)], resumed: Vec::new() });
     apply_report(&mut state, report(InstanceId::started("b", FIRST), 1));
     assert_eq!(state_of(&state, &InstanceId::started("b", FIRST)), Some(InstanceState::Ready));
 }
@@ -178,9 +178,9 @@
             }
             let mut watch = OrderWatch::default();
             let seen_at = Duration::from_secs(10);
-            watch.see(&state.orders, seen_at);
-            let free_at = |holder| watch.free_at(&subject, ReplicaId(holder), DISTANCE);
-            assert_eq!((free_at(1), free_at(2)), (Duration::ZERO, seen_at + DISTANCE));
+            watch.observe(&state.orders, seen_at);
+            let earliest_order_time = |holder| watch.earliest_order_time(&subject, ReplicaId(holder), DISTANCE);
+            assert_eq!((earliest_order_time(1), earliest_order_time(2)), (Duration::ZERO, seen_at + DISTANCE));
         }
     }
 }
@@ -195,7 +195,7 @@
     apply_report(&mut state, with_unknown_service(report(start(SECOND), 1)));
     let forged_report =
         InstanceReport { leaving: true, sequence: 900, ..with_unknown_service(report(start(FIRST), 1)) };
-    assert!(!state.is_heard(&forged_report), "a report with another service is not a sign of life");
+    assert!(!state.is_sign_of_life(&forged_report), "a report with another service is not a sign of life");
     apply_report(&mut state, forged_report);
     assert_eq!(state.instances, before);
     // The address is still in use when the service is added.
@@ -208,7 +208,7 @@
     let mut state = state_with_web_service();
     apply_report(&mut state, report(start(FIRST), 1));
     let other_address = InstanceReport { leaving: true, ..report(start(FIRST), 2) };
-    assert!(!state.is_news(&other_address) && !state.is_heard(&other_address));
+    assert!(!state.would_change(&other_address) && !state.is_sign_of_life(&other_address));
 }
 
 #[test]
@@ -219,7 +219,7 @@
     // The same instance id with another service.
     apply_report(&mut state, InstanceReport { service: "nowhere".to_string(), ..report(start(FIRST), 3) });
     assert_eq!(state.instances.iter().count(), 0);
-    assert!(state.knows(&start(FIRST)) && !state.is_news(&report(start(FIRST), 1)));
+    assert!(state.knows(&start(FIRST)) && !state.would_change(&report(start(FIRST), 1)));
     put_services(&mut state, 1, &["web"]);
     assert_eq!(state_of(&state, &start(FIRST)), Some(InstanceState::Ready));
     put_services(&mut state, 2, &["web", "other"]);
--- a/crates/control/tests/routing_updates.rs
+++ b/crates/control/tests/routing_updates.rs
@@ -5,7 +5,7 @@
 use saddlerelay_types::credentials::SecretDigest;
 use saddlerelay_types::identity::TenantId;
 use saddlerelay_types::routing::{
-    BatchTerms, RequestLimits, Route, RouteKind, RoutingDocument, Service, WeightedTarget,
+    BatchSettings, RequestLimits, Route, RouteKind, RoutingDocument, Service, WeightedTarget,
 };
 use saddlerelay_types::routing_update::RoutingUpdate;
 use saddlerelay_types::tenancy::TenantAccess;
@@ -24,7 +24,7 @@
         max_attempts: 2,
         resumable: false,
         public: false,
-        batch: BatchTerms::default(),
+        batch: BatchSettings::default(),
     }
 }
 
--- a/crates/control/tests/suspicion_watch.rs
+++ b/crates/control/tests/suspicion_watch.rs
@@ -17,14 +17,14 @@
 const SUSPICION_TTL: Duration = Duration::from_secs(600);
 
 fn suspect(table: &mut SuspicionTable, body: &[u8], unix_ms: u64) {
-    let work = WorkDigest::of_posted(None, "host", "/rollouts", body);
+    let work = WorkDigest::of_post_request(None, "host", "/rollouts", body);
     let loss = EngineLoss { work, instance: InstanceId::named("engine") };
-    table.take(WorkEvidence { losses: vec![loss], served: Vec::new() }, unix_ms);
+    table.record_evidence(WorkEvidence { losses: vec![loss], served: Vec::new() }, unix_ms);
 }
 
 fn watched(table: &SuspicionTable, now: Duration) -> SuspicionWatch {
     let mut watch = SuspicionWatch::default();
-    watch.see(table, now);
+    watch.observe(table, now);
     watch
 }
 
@@ -35,7 +35,7 @@
     let started = Duration::from_secs(5);
     let mut watch = watched(&table, started);
     let just_before = started + SUSPICION_TTL - Duration::from_millis(1);
-    watch.see(&table, just_before);
+    watch.observe(&table, just_before);
     assert!(!watch.may_expire(&table, AHEAD, just_before));
     assert!(watch.may_expire(&table, AHEAD, started + SUSPICION_TTL));
 }
@@ -58,7 +58,7 @@
     suspect(&mut table, b"an item", LOG_TIME);
     let mut watch = watched(&table, Duration::ZERO);
     suspect(&mut table, b"another", LOG_TIME);
-    watch.see(&table, SUSPICION_TTL);
+    watch.observe(&table, SUSPICION_TTL);
     assert!(!watch.may_expire(&table, AHEAD, SUSPICION_TTL));
     assert!(watch.may_expire(&table, AHEAD, SUSPICION_TTL * 2));
 }
--- a/crates/control/tests/suspicions.rs
+++ b/crates/control/tests/suspicions.rs
@@ -4,7 +4,7 @@
 use saddlerelay_control::state::suspicions::SuspicionTable;
 use saddlerelay_types::identity::{Incarnation, TenantId};
 use saddlerelay_types::instance::InstanceId;
-use saddlerelay_types::suspicion::{EngineLoss, MOST_ENGINES_ENDED, TrialAnswer, TrialId, WorkEvidence};
+use saddlerelay_types::suspicion::{EngineLoss, QUARANTINE_THRESHOLD, TrialAnswer, TrialId, WorkEvidence};
 use saddlerelay_types::tenancy::Caller;
 use saddlerelay_types::work::{Work, WorkDigest};
 
@@ -20,11 +20,11 @@
 }
 
 fn record_loss(table: &mut SuspicionTable, number: u32, engine: u32, now: u64) {
-    table.take(WorkEvidence { losses: vec![loss(number, engine)], served: Vec::new() }, now);
+    table.record_evidence(WorkEvidence { losses: vec![loss(number, engine)], served: Vec::new() }, now);
 }
 
 fn quarantine(table: &mut SuspicionTable, number: u32, now: u64) {
-    (0..MOST_ENGINES_ENDED as u32).for_each(|engine| record_loss(table, number, engine, now));
+    (0..QUARANTINE_THRESHOLD as u32).for_each(|engine| record_loss(table, number, engine, now));
 }
 
 #[test]
@@ -47,7 +47,7 @@
     quarantine(&mut table, 1, 0);
     let revision = table.revision();
     record_loss(&mut table, 1, 99, 5);
-    table.take(WorkEvidence { losses: Vec::new(), served: vec![work(2)] }, 5);
+    table.record_evidence(WorkEvidence { losses: Vec::new(), served: vec![work(2)] }, 5);
     table.expire(5);
     assert!(!table.release(&work(2)));
     assert_eq!(table.revision(), revision);
@@ -57,7 +57,7 @@
 fn served_work_is_cleared_before_new_losses_count() {
     let mut table = SuspicionTable::default();
     quarantine(&mut table, 1, 0);
-    table.take(WorkEvidence { losses: vec![loss(1, 50)], served: vec![work(1)] }, 1);
+    table.record_evidence(WorkEvidence { losses: vec![loss(1, 50)], served: vec![work(1)] }, 1);
     assert_eq!(table.get(&work(1)).map(|suspicion| suspicion.engines.len()), Some(1));
 }
 
@@ -92,7 +92,7 @@
         quarantine(&mut table, 1_000_000, 0);
         for (now, flood) in floods.into_iter().enumerate() {
             let losses = (0..u32::from(flood % 900)).map(|number| loss(number, now as u32 % 2)).collect();
-            table.take(WorkEvidence { losses, served: Vec::new() }, now as u64);
+            table.record_evidence(WorkEvidence { losses, served: Vec::new() }, now as u64);
         }
         let count = table.list().suspicions.len();
         TestResult::from_bool(count <= 512 && table.is_quarantined(&work(1_000_000)))
--- a/crates/control/tests/text_archive.rs
+++ b/crates/control/tests/text_archive.rs
@@ -2,7 +2,7 @@
 //! and restored.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use saddlerelay_control::state::text_archive::{LoadedTexts, TextArchive, TextPlace};
+use saddlerelay_control::state::text_archive::{LoadedTexts, TextArchive, TextLocation};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -61,13 +61,13 @@
         self.archive = copy;
     }
 
-    fn read(&self, place: &TextPlace) -> Vec<u8> {
+    fn read(&self, place: &TextLocation) -> Vec<u8> {
         let mut loaded = LoadedTexts::default();
         if let Some(text) = self.archive.text(place, &loaded) {
             return text.to_vec();
         }
         let segment = self.disk.get(&place.segment()).expect("a released segment is on disk");
-        loaded.take_from(place.segment(), segment, &[*place]);
+        loaded.copy_from_segment(place.segment(), segment, &[*place]);
         self.archive.text(place, &loaded).expect("the text was loaded").to_vec()
     }
 }
@@ -81,7 +81,7 @@
 fn every_referenced_text_is_read_unchanged() {
     fn check(steps: Vec<Step>) -> bool {
         let mut store = ArchiveWithDisk::default();
-        let mut texts: Vec<(TextPlace, Vec<u8>)> = Vec::new();
+        let mut texts: Vec<(TextLocation, Vec<u8>)> = Vec::new();
         for (count, step) in steps.into_iter().enumerate() {
             match step {
                 Step::Append { size } => {
--- a/crates/control/tests/trial_watch.rs
+++ b/crates/control/tests/trial_watch.rs
@@ -19,7 +19,7 @@
 const TERM: u64 = 3;
 
 fn work() -> WorkDigest {
-    WorkDigest::of_posted(None, "host", "/rollouts", b"an item")
+    WorkDigest::of_post_request(None, "host", "/rollouts", b"an item")
 }
 
 fn id(holder: u64) -> TrialId {
@@ -34,7 +34,7 @@
 fn table_with_granted_lease() -> SuspicionTable {
     let mut table = SuspicionTable::default();
     let loss = EngineLoss { work: work(), instance: InstanceId::named("engine") };
-    table.take(WorkEvidence { losses: vec![loss], served: Vec::new() }, LOG_TIME);
+    table.record_evidence(WorkEvidence { losses: vec![loss], served: Vec::new() }, LOG_TIME);
     assert_eq!(table.begin_trial(work(), id(1), LOG_TIME, LIMIT_MS), TrialAnswer::Granted);
     table
 }
@@ -44,7 +44,7 @@
     let (mut table, mut watch) = (table_with_granted_lease(), TrialWatch::default());
     let mut now = Duration::from_secs(10);
     for _ in 0..40 {
-        watch.see(&table, now);
+        watch.observe(&table, now);
         assert_eq!(watch.expired(TERM, now), []);
         assert_eq!(table.renew_trials(vec![held_by(1)]), []);
         now += TRIAL_RENEWAL * 2;
@@ -55,10 +55,10 @@
 fn lease_expires_without_renewals_regardless_of_log_time() {
     let (mut table, mut watch) = (table_with_granted_lease(), TrialWatch::default());
     let seen_at = Duration::from_secs(10);
-    watch.see(&table, seen_at);
+    watch.observe(&table, seen_at);
     assert_eq!(watch.expired(TERM, seen_at), []);
     let last_moment = seen_at + TRIAL_LEASE - Duration::from_millis(1);
-    watch.see(&table, last_moment);
+    watch.observe(&table, last_moment);
     assert_eq!(watch.expired(TERM, last_moment), []);
     let expired = watch.expired(TERM, seen_at + TRIAL_LEASE);
     assert_eq!(expired.iter().map(|standing| standing.held).collect::<Vec<_>>(), [held_by(1)]);
@@ -70,7 +70,7 @@
 #[test]
 fn renewal_before_the_expiry_is_committed_keeps_the_lease() {
     let (mut table, mut watch) = (table_with_granted_lease(), TrialWatch::default());
-    watch.see(&table, Duration::ZERO);
+    watch.observe(&table, Duration::ZERO);
     assert_eq!(watch.expired(TERM, Duration::ZERO), []);
     let expired = watch.expired(TERM, TRIAL_LEASE);
     assert_eq!(expired.len(), 1);
@@ -83,7 +83,7 @@
 #[test]
 fn new_leader_does_not_expire_leases_before_holders_can_renew() {
     let (table, mut watch) = (table_with_granted_lease(), TrialWatch::default());
-    watch.see(&table, Duration::ZERO);
+    watch.observe(&table, Duration::ZERO);
     let elected_at = TRIAL_LEASE * 3;
     assert_eq!(watch.expired(TERM, elected_at), []);
     assert_eq!(watch.expired(TERM, elected_at + TRIAL_RENEWAL), []);
@@ -93,7 +93,7 @@
 #[test]
 fn lease_of_work_that_is_no_longer_suspected_is_not_reported_lost() {
     let mut table = table_with_granted_lease();
-    table.take(WorkEvidence { losses: Vec::new(), served: vec![work()] }, LOG_TIME);
+    table.record_evidence(WorkEvidence { losses: Vec::new(), served: vec![work()] }, LOG_TIME);
     table.end_trial(&work(), id(1));
     assert_eq!(table.renew_trials(vec![held_by(1)]), []);
 }
@@ -122,6 +122,6 @@
     let mut table = SuspicionTable::default();
     assert_eq!(table.begin_trial(work(), id(1), LOG_TIME, LIMIT_MS), TrialAnswer::Granted);
     let loss = EngineLoss { work: work(), instance: InstanceId::named("engine") };
-    table.take(WorkEvidence { losses: vec![loss], served: Vec::new() }, LOG_TIME);
+    table.record_evidence(WorkEvidence { losses: vec![loss], served: Vec::new() }, LOG_TIME);
     assert_eq!(table.begin_trial(work(), id(2), LOG_TIME, LIMIT_MS), TrialAnswer::Taken);
 }
--- a/crates/control/tests/usage.rs
+++ b/crates/control/tests/usage.rs
@@ -4,7 +4,7 @@
 use saddlerelay_control::group_clock::GroupClock;
 use saddlerelay_control::state::usage::UsageState;
 use saddlerelay_types::identity::{Incarnation, TenantId};
-use saddlerelay_types::usage::{RelayUsage, TenantCounts, UsageDifference, UsageReport, UsageWindow};
+use saddlerelay_types::usage::{RelayUsage, TenantCounts, UsageDelta, UsageReport, UsageWindow};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     for (window, name, count) in counts {
         *by_window.entry(UsageWindow(*window)).or_default().entry(tenant(name)).or_default() += count;
     }
-    RelayUsage { relay: Incarnation(relay), difference: UsageDifference { sequence, counts: by_window } }
+    RelayUsage { relay: Incarnation(relay), difference: UsageDelta { sequence, counts: by_window } }
 }
 
 fn report(window: u64, counts: &[(&str, u64)]) -> UsageReport {
@@ -33,7 +33,7 @@
     state.add(usage(2, 1, &[(7, "a", 1), (7, "b", 1)]), 0);
     state.add(usage(1, 2, &[(7, "b", 4)]), 0);
     state.add(usage(1, 1, &[(7, "a", 2)]), 0);
-    assert_eq!((state.taken_from(Incarnation(1)), state.taken_from(Incarnation(3))), (2, 0));
+    assert_eq!((state.last_sequence(Incarnation(1)), state.last_sequence(Incarnation(3))), (2, 0));
     state.close_windows(UsageWindow(7));
     assert_eq!(state.unreported().collect::<Vec<_>>(), [report(7, &[("a", 3), ("b", 5)])]);
 }
@@ -44,7 +44,7 @@
     state.add(usage(1, 1, &[(7, "a", 2), (9, "a", 1)]), 0);
     state.close_windows(UsageWindow(8));
     state.add(usage(1, 2, &[(7, "a", 5), (9, "a", 1)]), 0);
-    assert_eq!(state.uncounted(), 5);
+    assert_eq!(state.late_requests(), 5);
     // A window without requests is also reported.
     assert_eq!(state.unreported().collect::<Vec<_>>(), [report(7, &[("a", 2)]), report(8, &[])]);
     state.close_windows(UsageWindow(7));
@@ -103,10 +103,10 @@
             let now = Duration::from_millis(400 * round);
             let later = 400 * round as i64;
             for (index, error) in wrong.iter().enumerate() {
-                clock.hear(&format!("wrong-{index}"), unix_ms(later + i64::from(*error)), now);
+                clock.record_sample(&format!("wrong-{index}"), unix_ms(later + i64::from(*error)), now);
             }
             for index in 0..right {
-                clock.hear(&format!("right-{index}"), unix_ms(later), now);
+                clock.record_sample(&format!("right-{index}"), unix_ms(later), now);
             }
         }
         let now = Duration::from_millis(1_000);
@@ -120,9 +120,9 @@
     let mut clock = GroupClock::default();
     let at = Duration::from_millis;
     assert_eq!(clock.unix_ms(5_000, at(0)), None);
-    clock.hear("relay", 9_000, at(100));
+    clock.record_sample("relay", 9_000, at(100));
     assert_eq!(clock.unix_ms(9_200, at(300)), None, "one clock sample is not enough");
-    clock.hear("relay", 9_900, at(1_000));
+    clock.record_sample("relay", 9_900, at(1_000));
     assert_eq!(clock.unix_ms(10_000, at(1_100)), Some(10_000));
     assert_eq!(clock.unix_ms(40_000, at(31_100)), None, "the last clock sample is too old");
 }
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -12,21 +12,21 @@
     /// Timeout of a score call, including the response body.
     pub score_timeout: Duration,
     /// Timeout for the next event of an item's stream.
-    pub event_limit: Duration,
+    pub event_timeout: Duration,
     /// Delay before an item is retried after a failed attempt.
     pub retry_delay: Duration,
     /// How long an engine that failed receives no items or orders.
-    pub engine_rest: Duration,
+    pub engine_backoff: Duration,
     /// Added to the time after which an item is aborted, to allow for clock differences.
     pub item_deadline_margin: Duration,
     /// Interval at which texts of running items are saved.
-    pub keep_interval: Duration,
+    pub save_interval: Duration,
     /// Timeout of an order or a report request.
     pub order_timeout: Duration,
     /// Expected duration of a weight load; the first poll for completion follows after it.
-    pub usual_load: Duration,
+    pub expected_load_time: Duration,
     /// Interval between polls for the completion of a weight load.
-    pub load_poll: Duration,
+    pub load_poll_interval: Duration,
     /// Time after which an incomplete weight load is treated as failed.
     pub load_timeout: Duration,
     /// One in this many ready engines of a service may load weights at a time, rounded up.
@@ -41,14 +41,14 @@
             connect_timeout: Duration::from_millis(250),
             response_header_timeout: Duration::from_millis(1_500),
             score_timeout: Duration::from_millis(1_500),
-            event_limit: Duration::from_millis(900),
+            event_timeout: Duration::from_millis(900),
             retry_delay: Duration::from_millis(40),
-            engine_rest: Duration::from_millis(400),
+            engine_backoff: Duration::from_millis(400),
             item_deadline_margin: Duration::from_millis(2_000),
-            keep_interval: Duration::from_millis(300),
+            save_interval: Duration::from_millis(300),
             order_timeout: Duration::from_millis(800),
-            usual_load: Duration::from_millis(1_010),
-            load_poll: Duration::from_millis(110),
+            expected_load_time: Duration::from_millis(1_010),
+            load_poll_interval: Duration::from_millis(110),
             load_timeout: Duration::from_secs(6),
             engines_per_load: 5,
             min_concurrent_loads: 2,
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -1,8 +1,8 @@
 //! The coordinator and the state shared by its tasks.
 
 use crate::config::CoordinatorConfig;
-use crate::dialect::EngineDialect;
 use crate::fleet::Fleet;
+use crate::format::EngineFormat;
 use crate::job_run::JobRun;
 use crate::lost_connections::LocalTrialGroup;
 use crate::metrics::CoordinatorMetrics;
@@ -12,12 +12,12 @@
 use crate::working_set::WorkingSet;
 use crate::working_set_policy::{DemandWithHeadroom, WorkingSetPolicy};
 use saddlerelay_control::node::ControlNode;
-use saddlerelay_control_client::trials::TrialKeeper;
+use saddlerelay_control_client::trials::TrialLeases;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_runtime::signal::Signal;
 use saddlerelay_runtime_compio::CompioRuntime;
-use saddlerelay_runtime_compio::listening::EndedChecks;
+use saddlerelay_runtime_compio::listening::TerminationChecks;
 use saddlerelay_types::job::{ItemOutcome, JobId};
 use saddlerelay_upstream::{HeaderNames, Pool};
 use std::cell::{Cell, RefCell};
@@ -33,7 +33,7 @@
     pub node: LeaderNode<B>,
     pub name: String,
     pub config: CoordinatorConfig,
-    pub dialect: Box<dyn EngineDialect>,
+    pub dialect: Box<dyn EngineFormat>,
     pub pool: Pool,
     pub fleet: Fleet,
     pub scorers: Scorers,
@@ -50,9 +50,9 @@
     /// Rate limits log lines about waiting items.
     pub wait_log: WaitLog,
     /// Checks whether an engine process has terminated.
-    pub ended_checks: EndedChecks,
+    pub ended_checks: TerminationChecks,
     /// Trials of suspected work that this process holds.
-    pub trials: Rc<TrialKeeper<CompioRuntime, LocalTrialGroup<B>>>,
+    pub trials: Rc<TrialLeases<CompioRuntime, LocalTrialGroup<B>>>,
     pub metrics: CoordinatorMetrics,
     /// Jobs run in the current term.
     pub jobs: RefCell<BTreeMap<JobId, JobRun>>,
@@ -92,11 +92,11 @@
         node: LeaderNode<B>,
         identity: CoordinatorIdentity,
         names: HeaderNames,
-        dialect: Box<dyn EngineDialect>,
+        dialect: Box<dyn EngineFormat>,
         config: CoordinatorConfig,
     ) -> Self {
         let pool = Pool::new(Rc::new(names), config.connect_timeout);
-        let trials = TrialKeeper::start(runtime.clone(), LocalTrialGroup(node.clone()));
+        let trials = TrialLeases::start(runtime.clone(), LocalTrialGroup(node.clone()));
         let inner = Inner {
             runtime: runtime.clone(),
             node,
@@ -114,7 +114,7 @@
             waiting_items: RefCell::default(),
             awaited_versions: RefCell::default(),
             wait_log: WaitLog::default(),
-            ended_checks: EndedChecks::default(),
+            ended_checks: TerminationChecks::default(),
             metrics: CoordinatorMetrics::default(),
             jobs: RefCell::default(),
             outcomes: RefCell::default(),
--- a/crates/coordinator/src/dialect.rs
+++ b/crates/coordinator/src/format.rs
@@ -7,7 +7,7 @@
 
 /// An order to load a weight version of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VersionOrder {
+pub struct WeightOrder {
     /// The model and the version to load.
     pub target: LoadedModel,
     /// Name of the process that sends the order.
@@ -68,11 +68,11 @@
 
 /// The meaning of an engine's response to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// The order was accepted and is being executed.
-    Taken,
+    Accepted,
     /// The version is already loaded.
-    Holds,
+    AlreadyLoaded,
     /// Another order is being executed, or `orders_taken` does not match.
     Conflict,
     /// The engine has seen a higher fencing token.
@@ -84,18 +84,18 @@
 }
 
 /// The deployment's formats for calls to engines.
-pub trait EngineDialect: 'static {
+pub trait EngineFormat: 'static {
     /// Builds a weight order.
-    fn order(&self, order: &VersionOrder) -> Call;
+    fn order(&self, order: &WeightOrder) -> Call;
     /// Interprets the response status of a weight order.
-    fn order_answer(&self, status: StatusCode) -> OrderAnswer {
+    fn order_answer(&self, status: StatusCode) -> OrderResponse {
         match status {
-            StatusCode::ACCEPTED => OrderAnswer::Taken,
-            StatusCode::OK => OrderAnswer::Holds,
-            StatusCode::CONFLICT => OrderAnswer::Conflict,
-            StatusCode::PRECONDITION_FAILED => OrderAnswer::Fenced,
-            StatusCode::MISDIRECTED_REQUEST => OrderAnswer::OtherInstance,
-            _ => OrderAnswer::Refused,
+            StatusCode::ACCEPTED => OrderResponse::Accepted,
+            StatusCode::OK => OrderResponse::AlreadyLoaded,
+            StatusCode::CONFLICT => OrderResponse::Conflict,
+            StatusCode::PRECONDITION_FAILED => OrderResponse::Fenced,
+            StatusCode::MISDIRECTED_REQUEST => OrderResponse::OtherInstance,
+            _ => OrderResponse::Refused,
         }
     }
     /// Builds a report request.
--- a/crates/coordinator/src/item.rs
+++ b/crates/coordinator/src/item.rs
@@ -12,7 +12,7 @@
 use saddlerelay_types::identity::TenantId;
 use saddlerelay_types::instance::LoadedModel;
 use saddlerelay_types::suspicion::TRIAL_RETRY_AFTER;
-use saddlerelay_upstream::events::{Event, EventCutter};
+use saddlerelay_upstream::events::{Event, EventParser};
 use saddlerelay_upstream::{Answer, Failure, HeaderNames, Outgoing, Reuse};
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     BrokeOff(String),
     /// The connection was lost before the response was complete.
     ConnectionLost(String),
-    /// No event arrived within `event_limit`.
+    /// No event arrived within `event_timeout`.
     Silent,
     /// The trial of this suspected work was denied or lost.
     TrialTaken,
@@ -56,7 +56,7 @@
     };
     let elapsed = coordinator.now().saturating_sub(began_at);
     if matches!(end, AttemptEnd::ConnectionLost(_)) {
-        coordinator.investigate_lost_connection(&start.item.id, start.work_digest(), &start.target).await;
+        coordinator.check_lost_connection(&start.item.id, start.work_digest(), &start.target).await;
     }
     coordinator.inner.metrics.attempt_seconds.observe(elapsed.as_secs_f64());
     log_attempt(&start, &end, elapsed);
@@ -102,7 +102,7 @@
     let answer = match compio::time::timeout(inner.config.response_header_timeout, pending_response).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(Failure::NotSent(reason))) => return AttemptEnd::NotRun(reason),
-        Ok(Err(Failure::MayHaveRun(reason))) => return AttemptEnd::BrokeOff(reason),
+        Ok(Err(Failure::PossiblyExecuted(reason))) => return AttemptEnd::BrokeOff(reason),
         Ok(Err(Failure::ConnectionLost(reason))) => return AttemptEnd::ConnectionLost(reason),
         Err(_) => return AttemptEnd::BrokeOff("no response headers within the timeout".to_string()),
     };
@@ -179,21 +179,21 @@
 ) -> AttemptEnd {
     let inner = &coordinator.inner;
     let mut version = version.or(start.expected_version).unwrap_or_default();
-    let mut cutter = EventCutter::new(coordinator.names().weight_version.as_str());
+    let mut parser = EventParser::new(coordinator.names().weight_version.as_str());
     let (_, mut stream) = answer.into_stream();
     let mut last_event_at = None;
     loop {
-        let bytes = match compio::time::timeout(inner.config.event_limit, stream.next()).await {
+        let bytes = match compio::time::timeout(inner.config.event_timeout, stream.next()).await {
             Ok(Some(Ok(bytes))) => bytes,
             Ok(Some(Err(Failure::ConnectionLost(reason)))) => return AttemptEnd::ConnectionLost(reason),
             Ok(Some(Err(failure))) => return AttemptEnd::BrokeOff(failure.to_string()),
-            Ok(None) if cutter.is_mid_event() => return AttemptEnd::BrokeOff("stream ended mid-event".to_string()),
+            Ok(None) if parser.is_mid_event() => return AttemptEnd::BrokeOff("stream ended mid-event".to_string()),
             Ok(None) => break,
             Err(_) => return AttemptEnd::Silent,
         };
-        cutter.push(&bytes);
-        while let Some(event) = cutter.next_event() {
-            version = event.noted.as_ref().and_then(|noted| noted.parse().ok()).unwrap_or(version);
+        parser.push(&bytes);
+        while let Some(event) = parser.next_event() {
+            version = event.extra_value.as_ref().and_then(|noted| noted.parse().ok()).unwrap_or(version);
             if let Some(end) = append_event(start, &event, version) {
                 return end;
             }
@@ -208,7 +208,7 @@
     }
     start.text.borrow_mut().complete();
     if let Some(connection) = stream.finish().await {
-        inner.pool.put_back(&start.target, connection);
+        inner.pool.release(&start.target, connection);
     }
     AttemptEnd::Whole
 }
@@ -268,7 +268,7 @@
         run.not_before = now + inner.config.retry_delay;
         run.pause_reason = WaitReason::RetryDelay;
         run.avoid = Some(start.target.instance.clone());
-        let backoff_until = now + inner.config.engine_rest;
+        let backoff_until = now + inner.config.engine_backoff;
         match end {
             AttemptEnd::Failed => run.failures += 1,
             AttemptEnd::NotRun(_) | AttemptEnd::BrokeOff(_) | AttemptEnd::ConnectionLost(_) => {
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -7,8 +7,8 @@
 
 pub mod config;
 pub mod coordinator;
-pub mod dialect;
 pub mod fleet;
+pub mod format;
 pub mod item;
 mod job_run;
 mod lengths;
@@ -32,4 +32,4 @@
 
 pub use config::CoordinatorConfig;
 pub use coordinator::{Coordinator, CoordinatorIdentity, LeaderNode};
-pub use dialect::EngineDialect;
+pub use format::EngineFormat;
--- a/crates/coordinator/src/listing.rs
+++ b/crates/coordinator/src/listing.rs
@@ -82,7 +82,7 @@
 pub(crate) async fn save_partial_texts<B: Backends>(coordinator: Coordinator<B>) {
     let inner = &coordinator.inner;
     loop {
-        inner.runtime.sleep(inner.config.keep_interval).await;
+        inner.runtime.sleep(inner.config.save_interval).await;
         let unsaved = coordinator.unsaved_parts().into_iter().flat_map(|(job, parts)| {
             let commands = split_into_commands(parts, |part| part.data.len());
             commands.into_iter().map(move |parts| (job.clone(), parts))
@@ -92,7 +92,7 @@
 }
 
 async fn save_parts<B: Backends>(coordinator: &Coordinator<B>, job: JobId, parts: Vec<TextPart>) {
-    let command = GatewayCommand::KeepTexts { job: job.clone(), parts: parts.clone() };
+    let command = GatewayCommand::SaveTexts { job: job.clone(), parts: parts.clone() };
     if coordinator.inner.node.commit_gateway(command).await == Ok(GatewayOutcome::Done) {
         coordinator.mark_saved(&job, &parts);
     }
--- a/crates/coordinator/src/lost_connections.rs
+++ b/crates/coordinator/src/lost_connections.rs
@@ -6,7 +6,7 @@
 use crate::coordinator::{Coordinator, LeaderNode};
 use futures::future::{self, Either};
 use saddlerelay_control::state::ControlState;
-use saddlerelay_control_client::trials::{NoAnswer, TrialGroup, TrialGuard};
+use saddlerelay_control_client::trials::{CallFailure, TrialLeaseGuard, TrialLeaseService};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_runtime_compio::CompioRuntime;
@@ -34,7 +34,7 @@
 pub(crate) struct TrialTaken;
 
 /// A granted trial of suspected work.
-pub(crate) type ItemTrial<B> = TrialGuard<CompioRuntime, LocalTrialGroup<B>>;
+pub(crate) type ItemTrial<B> = TrialLeaseGuard<CompioRuntime, LocalTrialGroup<B>>;
 
 /// Runs `attempt`; cancels it and returns `None` if its trial is lost.
 pub(crate) async fn run_while_held<B: Backends, T>(
@@ -54,24 +54,24 @@
 pub(crate) struct LocalTrialGroup<B: Backends>(pub LeaderNode<B>);
 
 impl<B: Backends> LocalTrialGroup<B> {
-    async fn commit(&self, command: GatewayCommand) -> Result<GatewayOutcome, NoAnswer> {
+    async fn commit(&self, command: GatewayCommand) -> Result<GatewayOutcome, CallFailure> {
         self.0.commit_gateway(command).await.map_err(|error| format!("{error:?}"))
     }
 }
 
-impl<B: Backends> TrialGroup for LocalTrialGroup<B> {
-    async fn begin(&self, request: TrialRequest) -> Result<TrialAnswer, NoAnswer> {
+impl<B: Backends> TrialLeaseService for LocalTrialGroup<B> {
+    async fn begin(&self, request: TrialRequest) -> Result<TrialAnswer, CallFailure> {
         self.0.begin_trial(request).await.map_err(|error| format!("{error:?}"))
     }
 
-    async fn renew(&self, held: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, NoAnswer> {
+    async fn renew(&self, held: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, CallFailure> {
         match self.commit(GatewayCommand::RenewTrials(held)).await? {
             GatewayOutcome::TrialsLost(lost) => Ok(lost),
             other => Err(format!("{other:?}")),
         }
     }
 
-    async fn end(&self, held: HeldTrial) -> Result<(), NoAnswer> {
+    async fn end(&self, held: HeldTrial) -> Result<(), CallFailure> {
         let HeldTrial { work, id } = held;
         self.commit(GatewayCommand::EndTrial { work, id }).await.map(|_| ())
     }
@@ -80,15 +80,15 @@
 impl<B: Backends> Coordinator<B> {
     /// Checks whether the engine at `target` terminated when a connection was lost while it ran `work`. If the engine
     /// was ready, its termination is committed as evidence against the work.
-    pub(crate) async fn investigate_lost_connection(&self, item: &ItemId, work: WorkDigest, target: &EngineTarget) {
+    pub(crate) async fn check_lost_connection(&self, item: &ItemId, work: WorkDigest, target: &EngineTarget) {
         let inner = &self.inner;
-        let ended = inner.ended_checks.has_ended(target.address).await;
+        let ended = inner.ended_checks.has_terminated(target.address).await;
         // An engine that was draining is expected to terminate.
         let record_state = |state: &ControlState| state.instances.get(&target.instance).map(|record| record.state);
         let is_evidence = ended && inner.node.read(record_state).flatten() == Some(InstanceState::Ready);
         spdlog::warn!("engine connection lost while running item", kv: {
             item = item.0.as_str(),
-            work = work.shown().as_str(),
+            work = work.log_prefix().as_str(),
             instance = target.instance.name.as_str(),
             engine_ended = ended,
             counted_as_evidence = is_evidence
@@ -111,8 +111,8 @@
         let now = self.now();
         let limit = run.latest_end(now).saturating_sub(now);
         let trial = self.inner.trials.begin(work, limit).await;
-        spdlog::info!("trial requested for suspected item", kv: {
-            item = run.item().0.as_str(), work = work.shown().as_str(), granted = trial.is_some()
+        spdlog::info!("trial lease requested for suspected item", kv: {
+            item = run.item().0.as_str(), work = work.log_prefix().as_str(), granted = trial.is_some()
         });
         trial.map(Some).ok_or(TrialTaken)
     }
--- a/crates/coordinator/src/orders.rs
+++ b/crates/coordinator/src/orders.rs
@@ -5,8 +5,8 @@
 //! waits.
 
 use crate::coordinator::Coordinator;
-use crate::dialect::{Call, EngineReport, OrderAnswer, RunningStreams, VersionOrder};
 use crate::fleet::Fleet;
+use crate::format::{Call, EngineReport, OrderResponse, RunningStreams, WeightOrder};
 use crate::load_order::{DueLoad, ModelBacklog, choose_loads};
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
 use saddlerelay_control::orders::OrderGrant;
@@ -51,7 +51,7 @@
     let inner = &coordinator.inner;
     loop {
         inner.runtime.sleep(CHECK_INTERVAL).await;
-        inner.node.watch_orders();
+        inner.node.observe_order_notes();
         let Some(term) = inner.node.replica().leading_term() else {
             continue;
         };
@@ -60,7 +60,7 @@
             continue;
         }
         let subjects = due.iter().map(|order| OrderSubject::engine(&order.target.instance)).collect();
-        let Some(grant) = inner.node.note_orders(term, subjects).await else {
+        let Some(grant) = inner.node.commit_order_note(term, subjects).await else {
             continue;
         };
         for order in due {
@@ -266,7 +266,7 @@
     if completed {
         inner.metrics.load_seconds.observe(elapsed.as_secs_f64());
     } else {
-        inner.fleet.back_off_until(instance, coordinator.now() + inner.config.engine_rest);
+        inner.fleet.back_off_until(instance, coordinator.now() + inner.config.engine_backoff);
     }
     inner.fleet.end_load(instance, &due.model.model);
     inner.replan.notify();
@@ -288,7 +288,7 @@
             None => return false,
         },
     };
-    let order = VersionOrder {
+    let order = WeightOrder {
         target: due.model.clone(),
         holder: inner.name.clone(),
         fence: grant.fence.0,
@@ -296,17 +296,17 @@
         running: due.running,
     };
     inner.metrics.orders.inc();
-    let may_send = || inner.node.grant_holds(&grant);
+    let may_send = || inner.node.grant_is_valid(&grant);
     let answer = coordinator.call(&due.target, inner.dialect.order(&order), may_send).await;
     let result = answer.as_ref().ok().and_then(|(status, _)| {
         hyper::StatusCode::from_u16(*status).ok().map(|status| inner.dialect.order_answer(status))
     });
     match result {
-        Some(OrderAnswer::Taken) => {
+        Some(OrderResponse::Accepted) => {
             inner.fleet.set_orders_taken(instance, Some(orders_taken + 1));
             wait_until_loaded(coordinator, due, grant.term).await
         }
-        Some(OrderAnswer::Holds) => {
+        Some(OrderResponse::AlreadyLoaded) => {
             inner.fleet.record_versions(instance, std::slice::from_ref(&due.model), coordinator.now());
             inner.fleet.set_orders_taken(instance, None);
             true
@@ -330,14 +330,14 @@
 async fn wait_until_loaded<B: Backends>(coordinator: &Coordinator<B>, due: &DueOrder, term: u64) -> bool {
     let inner = &coordinator.inner;
     let deadline = coordinator.now() + inner.config.load_timeout;
-    inner.runtime.sleep(inner.config.usual_load).await;
+    inner.runtime.sleep(inner.config.expected_load_time).await;
     while coordinator.now() < deadline && coordinator.leads(term) {
         let report = coordinator.request_report(&due.target, term).await;
         let loaded = report.as_ref().is_some_and(|report| !report.busy && report.models.contains(&due.model));
         if loaded {
             return true;
         }
-        inner.runtime.sleep(inner.config.load_poll).await;
+        inner.runtime.sleep(inner.config.load_poll_interval).await;
     }
     false
 }
--- a/crates/coordinator/src/scorers.rs
+++ b/crates/coordinator/src/scorers.rs
@@ -8,8 +8,8 @@
 use saddlerelay_types::job::ScoringRequest;
 use saddlerelay_types::routing::{Route, WeightedTarget};
 use saddlerelay_upstream::balance::InFlight;
-use saddlerelay_upstream::turns::WeightedTurns;
-use saddlerelay_upstream::{Balance, EngineTarget, ReadyEngine};
+use saddlerelay_upstream::round_robin::WeightedRoundRobin;
+use saddlerelay_upstream::{EngineTarget, LoadBalancer, ReadyEngine};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -57,13 +57,13 @@
 /// Weighted round-robin state of a route, valid for `targets`.
 struct RouteTurns {
     targets: Vec<WeightedTarget>,
-    turns: WeightedTurns,
+    turns: WeightedRoundRobin,
 }
 
 /// Selects scoring engines by route weights, observed latency and failures, and free slots.
 pub(crate) struct Scorers {
     zone: String,
-    balance: Balance,
+    balance: LoadBalancer,
     /// Engines that reported queued requests, and until when they receive no score calls.
     backed_off: RefCell<BTreeMap<InstanceId, Duration>>,
     /// Round-robin state by host and path prefix.
@@ -73,7 +73,7 @@
 impl Scorers {
     /// Engines in `zone` are treated as nearest.
     pub fn new(zone: String) -> Self {
-        Self { zone, balance: Balance::default(), backed_off: RefCell::default(), turns: RefCell::default() }
+        Self { zone, balance: LoadBalancer::default(), backed_off: RefCell::default(), turns: RefCell::default() }
     }
 
     /// Counts a call as in flight until the result is dropped.
@@ -82,7 +82,7 @@
     }
 
     /// Observed latencies and failures of engines.
-    pub fn balance(&self) -> &Balance {
+    pub fn balance(&self) -> &LoadBalancer {
         &self.balance
     }
 
@@ -118,7 +118,7 @@
         }
         // The turn is consumed only if an engine is available.
         let mut next_turns = route_turns.turns.clone();
-        let service = &route.targets[next_turns.take(&route.targets)].service;
+        let service = &route.targets[next_turns.next_index(&route.targets)].service;
         let engine = self.choose_engine(round, service, avoid)?;
         route_turns.turns = next_turns;
         *round.planned.entry(engine.target.instance.clone()).or_default() += 1;
@@ -156,5 +156,5 @@
 }
 
 fn new_turns(route: &Route) -> RouteTurns {
-    RouteTurns { targets: route.targets.clone(), turns: WeightedTurns::new(&route.targets, 0.0) }
+    RouteTurns { targets: route.targets.clone(), turns: WeightedRoundRobin::new(&route.targets, 0.0) }
 }
--- a/crates/coordinator/src/scoring.rs
+++ b/crates/coordinator/src/scoring.rs
@@ -91,7 +91,7 @@
         Err(TrialTaken) => ScoreEnd::TrialTaken,
     };
     if matches!(end, ScoreEnd::ConnectionLost(_)) {
-        coordinator.investigate_lost_connection(&call.item, call.work_digest(), &call.engine.target).await;
+        coordinator.check_lost_connection(&call.item, call.work_digest(), &call.engine.target).await;
     }
     let now = coordinator.now();
     let elapsed = now.saturating_sub(began_at);
@@ -156,7 +156,7 @@
     match answer.read_whole(MAX_RESPONSE_BYTES).await {
         Ok((head, _, connection)) => {
             if let Some(connection) = connection {
-                inner.pool.put_back(&call.engine.target, connection);
+                inner.pool.release(&call.engine.target, connection);
             }
             coordinator.record_load(&call.engine, &head);
             classify_response(&head, not_executed, coordinator.names())
@@ -168,7 +168,7 @@
 fn failure_end(failure: &Failure) -> ScoreEnd {
     match failure {
         Failure::ConnectionLost(reason) => ScoreEnd::ConnectionLost(reason.clone()),
-        Failure::NotSent(_) | Failure::MayHaveRun(_) => ScoreEnd::NoAnswer(failure.to_string()),
+        Failure::NotSent(_) | Failure::PossiblyExecuted(_) => ScoreEnd::NoAnswer(failure.to_string()),
     }
 }
 
--- a/crates/coordinator/src/waits.rs
+++ b/crates/coordinator/src/waits.rs
@@ -41,7 +41,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Quarantined => "work is quarantined after engine terminations",
-            Self::TrialTaken => "no trial held for suspected work",
+            Self::TrialTaken => "no trial lease held for suspected work",
             Self::RetryDelay => "retry delay after a failed attempt",
             Self::NoEligibleEngine => "no ready engine has the required weights",
             Self::NoRoom => "all eligible engines are full",
--- a/crates/coordinator/tests/text.rs
+++ b/crates/coordinator/tests/text.rs
@@ -3,10 +3,10 @@
 use quickcheck::QuickCheck;
 use saddlerelay_coordinator::text::{ItemText, aborted};
 use saddlerelay_types::job::{ItemEnd, PartialText};
-use saddlerelay_upstream::events::{Event, EventCutter};
+use saddlerelay_upstream::events::{Event, EventParser};
 
 fn event(number: u64, data: &str) -> Event {
-    Event { id: Some(number), data: data.into(), noted: None, raw: Vec::new() }
+    Event { id: Some(number), data: data.into(), extra_value: None, raw: Vec::new() }
 }
 
 #[test]
@@ -61,15 +61,15 @@
         let stream =
             b"version: 7\nid: 1\ndata: one\n\nid: 2\ndata: two\ndata: lines\n\r\n\r\nid: 3\r\ndata: three\r\n\r\n";
         let read = |pieces: Vec<&[u8]>| {
-            let mut cutter = EventCutter::new("Version");
+            let mut parser = EventParser::new("Version");
             let mut events = Vec::new();
             for piece in pieces {
-                cutter.push(piece);
-                while let Some(event) = cutter.next_event() {
-                    events.push((event.id, event.data, event.noted));
+                parser.push(piece);
+                while let Some(event) = parser.next_event() {
+                    events.push((event.id, event.data, event.extra_value));
                 }
             }
-            (events, cutter.is_mid_event())
+            (events, parser.is_mid_event())
         };
         let mut pieces: Vec<&[u8]> = Vec::new();
         let mut rest: &[u8] = stream;
--- a/crates/coordinator/tests/working_set.rs
+++ b/crates/coordinator/tests/working_set.rs
@@ -5,7 +5,7 @@
 use saddlerelay_coordinator::working_set_policy::{
     AllEngines, DemandWithHeadroom, FixedPerModel, ModelDemand, ServiceDemand, WorkingSetPolicy,
 };
-use saddlerelay_runtime::steps::looks_of;
+use saddlerelay_runtime::steps::lookups_of;
 use saddlerelay_types::gateway::OrderSubject;
 use saddlerelay_types::identity::ReplicaId;
 use saddlerelay_types::instance::{InstanceId, InstanceReport};
@@ -53,7 +53,7 @@
         tenants: None,
         source: Vec::new(),
     });
-    (0..engines).for_each(|number| state.instances.take_report(report(number)));
+    (0..engines).for_each(|number| state.instances.apply_report(report(number)));
     state
 }
 
@@ -84,7 +84,7 @@
 fn a_small_fleet_is_used_completely_including_non_reporting_engines() {
     for engines in [1, 15, 45, 128, 500] {
         let mut state = state(engines);
-        state.instances.note_silence(&[InstanceId::named("engine-0")], &[]);
+        state.instances.record_silence(&[InstanceId::named("engine-0")], &[]);
         let mut set = WorkingSet::default();
         let added = set.update(&state, &DemandWithHeadroom);
         assert_eq!((added.len(), set.iter().count()), (engines, engines));
@@ -123,7 +123,7 @@
     let removed: Vec<InstanceId> = members.by_ref().take(10).collect();
     let silent: Vec<InstanceId> = members.collect();
     removed.iter().for_each(|instance| state.instances.remove(instance));
-    state.instances.note_silence(&silent, &[]);
+    state.instances.record_silence(&silent, &[]);
     let added = set.update(&state, &DemandWithHeadroom);
     assert_eq!(added.len(), 20);
     let after: BTreeSet<InstanceId> = set.iter().cloned().collect();
@@ -136,7 +136,7 @@
     let mut state = state(9_625);
     let ordered: Vec<OrderSubject> =
         (4_000..4_400).map(|number| OrderSubject::Engine(format!("engine-{number}"))).collect();
-    state.orders.note(ReplicaId(1), ordered.clone());
+    state.orders.record(ReplicaId(1), ordered.clone());
     let mut set = WorkingSet::default();
     set.update(&state, &DemandWithHeadroom);
     set.clear();
@@ -156,11 +156,11 @@
         let mut state = state(engines);
         let mut set = WorkingSet::default();
         set.update(&state, &DemandWithHeadroom);
-        let (idle, _) = looks_of(|| set.update(&state, &DemandWithHeadroom));
+        let (idle, _) = lookups_of(|| set.update(&state, &DemandWithHeadroom));
         assert!(idle <= 8, "{idle} reads while nothing changes, with {engines} engines");
         let member = set.iter().next().cloned().expect("the working set is not empty");
         state.instances.remove(&member);
-        let (reads, added) = looks_of(|| set.update(&state, &DemandWithHeadroom));
+        let (reads, added) = lookups_of(|| set.update(&state, &DemandWithHeadroom));
         assert_eq!(added.len(), 1);
         costs.push(reads);
     }
--- a/crates/duties/src/client.rs
+++ b/crates/duties/src/client.rs
@@ -1,6 +1,6 @@
 //! HTTP client for the platform.
 
-use crate::dialect::PlatformCall;
+use crate::format::PlatformCall;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{HOST, HeaderValue};
@@ -50,12 +50,13 @@
             }
             let (head, body) = connection.send(request).await?.into_parts();
             let read = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
-            read.map_err(|error| Failure::MayHaveRun(format!("the response body could not be read: {error}")))?;
+            read.map_err(|error| Failure::PossiblyExecuted(format!("the response body could not be read: {error}")))?;
             Ok(head.status)
         };
         let result = compio::time::timeout(limit, exchange).await;
-        result
-            .unwrap_or_else(|_| Err(Failure::MayHaveRun("the platform did not respond within the timeout".to_string())))
+        result.unwrap_or_else(|_| {
+            Err(Failure::PossiblyExecuted("the platform did not respond within the timeout".to_string()))
+        })
     }
 }
 
--- a/crates/duties/src/config.rs
+++ b/crates/duties/src/config.rs
@@ -8,14 +8,14 @@
 
 /// Timing of usage reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UsageTerms {
+pub struct UsageReportConfig {
     /// Length of a window.
     pub window: Duration,
     /// Time from the end of a window until its report is due.
     pub due_after: Duration,
 }
 
-impl UsageTerms {
+impl UsageReportConfig {
     /// Time from the end of a window until its counts are final.
     pub fn counting_time(&self) -> Duration {
         self.due_after * COUNTING_PERCENT / 100
@@ -24,10 +24,10 @@
 
 /// Timing of engine orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EngineCountTerms {
+pub struct EngineCountConfig {
     /// Time after a new leader first observes a place during which it orders nothing there. Each present engine reports
     /// itself within this time.
-    pub settling_time: Duration,
+    pub discovery_time: Duration,
     /// Time for which engines must be missing before replacements are ordered; covers an engine restart.
-    pub missing_time: Duration,
+    pub replacement_delay: Duration,
 }
--- a/crates/duties/src/engine_counts.rs
+++ b/crates/duties/src/engine_counts.rs
@@ -6,8 +6,8 @@
 use crate::Duties;
 use crate::backoff::Backoff;
 use crate::client::PlatformClient;
-use crate::config::EngineCountTerms;
-use crate::dialect::{CallRight, EngineCountOrder, PlatformAnswer};
+use crate::config::EngineCountConfig;
+use crate::format::{CallGrant, EngineCountOrder, PlatformResponse};
 use crate::policies::{EngineCountPolicy, PlaceView};
 use saddlerelay_control::state::ControlState;
 use saddlerelay_runtime::Runtime;
@@ -41,16 +41,16 @@
 }
 
 /// Runs until the process ends; orders engines only while this process is leader.
-pub async fn order<P: Runtime, B: Backends, C: PlatformClient>(
+pub async fn run<P: Runtime, B: Backends, C: PlatformClient>(
     duties: Rc<Duties<P, B, C>>,
-    terms: EngineCountTerms,
+    terms: EngineCountConfig,
     policy: impl EngineCountPolicy,
 ) {
     let mut last_term = None;
     let mut place_states: BTreeMap<EnginePlace, PlaceState> = BTreeMap::new();
     loop {
         duties.runtime.sleep(CHECK_INTERVAL).await;
-        duties.node.watch_orders();
+        duties.node.observe_order_notes();
         let now = duties.runtime.monotonic();
         let Some(term) = duties.node.replica().leading_term() else {
             last_term = None;
@@ -63,7 +63,7 @@
         for view in &views {
             place_states.entry(view.place.clone()).or_insert_with(|| PlaceState::new(now));
         }
-        views.retain(|view| now >= place_states[&view.place].first_seen + terms.settling_time);
+        views.retain(|view| now >= place_states[&view.place].first_seen + terms.discovery_time);
         duties.commit_wanted(&views, &policy).await;
         for view in &views {
             if let Some(place_state) = place_states.get_mut(&view.place) {
@@ -111,7 +111,7 @@
             return;
         }
         let description = format!("{wanted:?}");
-        match self.node.commit_gateway(GatewayCommand::WantEngines(wanted)).await {
+        match self.node.commit_gateway(GatewayCommand::SetWantedEngines(wanted)).await {
             Ok(_) => spdlog::info!("wanted engine counts committed", kv: { wanted = description.as_str() }),
             Err(error) => {
                 spdlog::warn!("wanted engine counts not committed", kv: { reason = format!("{error:?}").as_str() });
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Orders the wanted number in a place where engines have been missing for `missing_time`.
-    async fn order_missing(&self, term: u64, view: &PlaceView, place_state: &mut PlaceState, terms: EngineCountTerms) {
+    /// Orders the wanted number in a place where engines have been missing for `replacement_delay`.
+    async fn order_missing(&self, term: u64, view: &PlaceView, place_state: &mut PlaceState, terms: EngineCountConfig) {
         let now = self.runtime.monotonic();
         let Some(wanted) = view.wanted else {
             return;
@@ -130,7 +130,7 @@
             return;
         }
         let missing_since = *place_state.missing_since.get_or_insert(now);
-        let due = now >= missing_since + terms.missing_time && now >= place_state.next_order_at;
+        let due = now >= missing_since + terms.replacement_delay && now >= place_state.next_order_at;
         let subject = OrderSubject::EngineCount(view.place.clone());
         if !due || !place_state.backoff.is_elapsed(now) || !self.node.may_order(&subject) {
             return;
@@ -138,7 +138,7 @@
         if self.send_order(term, view, wanted).await {
             place_state.backoff.reset();
             let start_time = Duration::from_millis(view.limits.start_ms);
-            place_state.next_order_at = self.runtime.monotonic() + start_time + terms.missing_time;
+            place_state.next_order_at = self.runtime.monotonic() + start_time + terms.replacement_delay;
         } else {
             place_state.backoff.record_failure(&self.runtime);
         }
@@ -147,18 +147,18 @@
     /// Sends an order; returns whether the platform accepted it.
     async fn send_order(&self, term: u64, view: &PlaceView, count: u32) -> bool {
         let subject = OrderSubject::EngineCount(view.place.clone());
-        let Some(grant) = self.node.note_orders(term, vec![subject]).await else {
+        let Some(grant) = self.node.commit_order_note(term, vec![subject]).await else {
             return false;
         };
-        let right = CallRight { holder: self.name.clone(), fence: grant.fence };
+        let right = CallGrant { holder: self.name.clone(), fence: grant.fence };
         let order = EngineCountOrder { place: view.place.clone(), count, withdrawable: false };
         let call = self.dialect.engine_count(&right, &order);
-        let answered = self.client.call(call, CALL_TIMEOUT, || self.node.grant_holds(&grant)).await;
+        let answered = self.client.call(call, CALL_TIMEOUT, || self.node.grant_is_valid(&grant)).await;
         let outcome = match &answered {
             Ok(status) => format!("{:?}", self.dialect.answer(*status, Some(&order))),
             Err(failure) => failure.to_string(),
         };
-        let taken = answered.is_ok_and(|status| self.dialect.answer(status, Some(&order)) == PlatformAnswer::Taken);
+        let taken = answered.is_ok_and(|status| self.dialect.answer(status, Some(&order)) == PlatformResponse::Taken);
         spdlog::info!("engine order sent", kv: {
             service = view.place.service.as_str(), zone = view.place.zone.as_str(), count = count,
             present = view.present, fence = grant.fence.0, taken = taken, outcome = outcome.as_str()
--- a/crates/duties/src/dialect.rs
+++ b/crates/duties/src/format.rs
@@ -9,7 +9,7 @@
 
 /// The fencing information of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CallRight {
+pub struct CallGrant {
     /// The name of the process that makes the call.
     pub holder: String,
     /// The fencing token, higher than that of every earlier call about the same subject.
@@ -42,7 +42,7 @@
 
 /// The meaning of a platform response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlatformAnswer {
+pub enum PlatformResponse {
     /// The call was accepted.
     Taken,
     /// The platform has seen a higher fencing token; a retry needs a new token.
@@ -57,19 +57,21 @@
 }
 
 /// The deployment's formats for calls to the platform.
-pub trait PlatformDialect: 'static {
+pub trait PlatformFormat: 'static {
     /// Builds the usage report of one window.
-    fn usage_report(&self, right: &CallRight, report: &UsageReport) -> PlatformCall;
+    fn usage_report(&self, right: &CallGrant, report: &UsageReport) -> PlatformCall;
     /// Builds an engine order.
-    fn engine_count(&self, right: &CallRight, order: &EngineCountOrder) -> PlatformCall;
+    fn engine_count(&self, right: &CallGrant, order: &EngineCountOrder) -> PlatformCall;
     /// Interprets the response status of an engine order, or of a usage report if `order` is `None`.
-    fn answer(&self, status: StatusCode, order: Option<&EngineCountOrder>) -> PlatformAnswer {
+    fn answer(&self, status: StatusCode, order: Option<&EngineCountOrder>) -> PlatformResponse {
         match status {
-            status if status.is_success() => PlatformAnswer::Taken,
-            StatusCode::CONFLICT if order.is_some_and(|order| order.withdrawable) => PlatformAnswer::FencedOrNoneThere,
-            StatusCode::CONFLICT => PlatformAnswer::Fenced,
-            StatusCode::TOO_MANY_REQUESTS => PlatformAnswer::TooMany,
-            _ => PlatformAnswer::Refused,
+            status if status.is_success() => PlatformResponse::Taken,
+            StatusCode::CONFLICT if order.is_some_and(|order| order.withdrawable) => {
+                PlatformResponse::FencedOrNoneThere
+            }
+            StatusCode::CONFLICT => PlatformResponse::Fenced,
+            StatusCode::TOO_MANY_REQUESTS => PlatformResponse::TooMany,
+            _ => PlatformResponse::Refused,
         }
     }
 }
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -2,22 +2,22 @@
 //!
 //! `usage_reports` reports the number of requests that engines started for each tenant; `engine_counts` orders the
 //! number of engines that a policy from `policies` wants per service and zone. Both require a fenced grant from the
-//! control group (`saddlerelay_control::orders`). [`dialect::PlatformDialect`] defines the platform's formats,
+//! control group (`saddlerelay_control::orders`). [`format::PlatformFormat`] defines the platform's formats,
 //! [`client::PlatformClient`] its transport.
 
 pub mod backoff;
 pub mod client;
 pub mod config;
-pub mod dialect;
 pub mod engine_counts;
+pub mod format;
 pub mod metrics;
 pub mod policies;
 pub mod usage_reports;
 
 pub use client::{HttpPlatform, PlatformClient};
-pub use config::{EngineCountTerms, UsageTerms};
-pub use dialect::PlatformDialect;
-pub use metrics::DutyMetrics;
+pub use config::{EngineCountConfig, UsageReportConfig};
+pub use format::PlatformFormat;
+pub use metrics::PlatformMetrics;
 
 use saddlerelay_control::node::ControlNode;
 use saddlerelay_runtime::Runtime;
@@ -33,9 +33,9 @@
     /// The transport to the platform.
     pub client: C,
     /// The platform's request and response formats.
-    pub dialect: Box<dyn PlatformDialect>,
+    pub dialect: Box<dyn PlatformFormat>,
     /// This process's name, sent in calls as the grant holder.
     pub name: String,
     /// Counters.
-    pub metrics: Rc<DutyMetrics>,
+    pub metrics: Rc<PlatformMetrics>,
 }
--- a/crates/duties/src/metrics.rs
+++ b/crates/duties/src/metrics.rs
@@ -3,7 +3,7 @@
 use saddlerelay_telemetry::registry::{Counter, MetricRegistry};
 
 /// Counters since the start of the process.
-pub struct DutyMetrics {
+pub struct PlatformMetrics {
     registry: MetricRegistry,
     /// Usage windows whose counts were committed.
     pub windows_fixed: Counter,
@@ -19,7 +19,7 @@
     pub engine_orders_failed: Counter,
 }
 
-impl Default for DutyMetrics {
+impl Default for PlatformMetrics {
     fn default() -> Self {
         let mut registry = MetricRegistry::new("saddlerelay_duties");
         let mut counter = |name: &str, help: &str| registry.counter(name, help);
@@ -41,7 +41,7 @@
     }
 }
 
-impl DutyMetrics {
+impl PlatformMetrics {
     /// Encodes the metrics in the text exposition format.
     pub fn encode(&self) -> String {
         self.registry.encode()
