--- a/crates/duties/src/usage_reports.rs
+++ b/crates/duties/src/usage_reports.rs
@@ -6,8 +6,8 @@
 use crate::Duties;
 use crate::backoff::Backoff;
 use crate::client::PlatformClient;
-use crate::config::UsageTerms;
-use crate::dialect::{CallRight, PlatformAnswer};
+use crate::config::UsageReportConfig;
+use crate::format::{CallGrant, PlatformResponse};
 use saddlerelay_control::state::ControlState;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
@@ -23,11 +23,11 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Runs until the process ends; sends reports only while this process is leader.
-pub async fn report<P: Runtime, B: Backends, C: PlatformClient>(duties: Rc<Duties<P, B, C>>, terms: UsageTerms) {
+pub async fn run<P: Runtime, B: Backends, C: PlatformClient>(duties: Rc<Duties<P, B, C>>, terms: UsageReportConfig) {
     let mut backoff = Backoff::default();
     loop {
         duties.runtime.sleep(CHECK_INTERVAL).await;
-        duties.node.watch_orders();
+        duties.node.observe_order_notes();
         let Some(term) = duties.node.replica().leading_term() else {
             backoff.reset();
             continue;
@@ -49,7 +49,7 @@
 }
 
 /// The newest window whose counting time is over at `unix_ms`.
-fn newest_closed(terms: UsageTerms, unix_ms: u64) -> Option<UsageWindow> {
+fn newest_closed(terms: UsageReportConfig, unix_ms: u64) -> Option<UsageWindow> {
     let length_ms = terms.window.as_millis() as u64;
     let counted_until = unix_ms.saturating_sub(terms.counting_time().as_millis() as u64);
     let open = UsageWindow::containing(counted_until, length_ms);
@@ -57,19 +57,19 @@
 }
 
 /// The report to send next: the oldest one that is not overdue, otherwise the newest overdue one.
-fn next_report(state: &ControlState, terms: UsageTerms, group_unix_ms: Option<u64>) -> Option<UsageReport> {
+fn next_report(state: &ControlState, terms: UsageReportConfig, group_unix_ms: Option<u64>) -> Option<UsageReport> {
     let is_late = |report: &UsageReport| group_unix_ms.is_some_and(|now| now > due_at_ms(report.window, terms));
     let on_time = state.usage.unreported().find(|report| !is_late(report));
     on_time.or_else(|| state.usage.unreported().last())
 }
 
-fn due_at_ms(window: UsageWindow, terms: UsageTerms) -> u64 {
+fn due_at_ms(window: UsageWindow, terms: UsageReportConfig) -> u64 {
     window.ends_at_ms(terms.window.as_millis() as u64) + terms.due_after.as_millis() as u64
 }
 
 impl<P: Runtime, B: Backends, C: PlatformClient> Duties<P, B, C> {
     /// Commits the final counts of ended windows, if the routing document defines tenants.
-    async fn commit_closed_windows(&self, terms: UsageTerms) {
+    async fn commit_closed_windows(&self, terms: UsageReportConfig) {
         let closed = self.node.group_unix_ms().and_then(|unix_ms| newest_closed(terms, unix_ms));
         let Some(closed) = closed else {
             return;
@@ -81,10 +81,10 @@
         if is_open != Some(true) {
             return;
         }
-        match self.node.commit_gateway(GatewayCommand::FixUsage(closed)).await {
+        match self.node.commit_gateway(GatewayCommand::CloseUsageWindows(closed)).await {
             Ok(_) => {
                 self.metrics.windows_fixed.inc();
-                let uncounted = self.node.read_applied(|state| state.usage.uncounted());
+                let uncounted = self.node.read_applied(|state| state.usage.late_requests());
                 spdlog::info!("usage window counts committed", kv: { window = closed.0, uncounted = uncounted });
             }
             Err(error) => {
@@ -96,19 +96,19 @@
     }
 
     /// Sends a report; returns whether the platform accepted it and that acceptance was committed.
-    async fn send_report(&self, term: u64, report: &UsageReport, terms: UsageTerms) -> bool {
-        let Some(grant) = self.node.note_orders(term, vec![OrderSubject::UsageReports]).await else {
+    async fn send_report(&self, term: u64, report: &UsageReport, terms: UsageReportConfig) -> bool {
+        let Some(grant) = self.node.commit_order_note(term, vec![OrderSubject::UsageReports]).await else {
             return false;
         };
-        let right = CallRight { holder: self.name.clone(), fence: grant.fence };
+        let right = CallGrant { holder: self.name.clone(), fence: grant.fence };
         let call = self.dialect.usage_report(&right, report);
         let began_at = self.runtime.monotonic();
-        let answered = self.client.call(call, CALL_TIMEOUT, || self.node.grant_holds(&grant)).await;
+        let answered = self.client.call(call, CALL_TIMEOUT, || self.node.grant_is_valid(&grant)).await;
         let outcome = match &answered {
             Ok(status) => format!("{:?}", self.dialect.answer(*status, None)),
             Err(failure) => failure.to_string(),
         };
-        let taken = answered.is_ok_and(|status| self.dialect.answer(status, None) == PlatformAnswer::Taken);
+        let taken = answered.is_ok_and(|status| self.dialect.answer(status, None) == PlatformResponse::Taken);
         let late = self.node.group_unix_ms().is_some_and(|now| now > due_at_ms(report.window, terms));
         spdlog::info!("usage report sent", kv: {
             window = report.window.0,
--- a/crates/fleet/src/bench.rs
+++ b/crates/fleet/src/bench.rs
@@ -9,12 +9,12 @@
 use futures::StreamExt;
 use hdrhistogram::Histogram;
 use saddlerelay_engine_client::{BackendAddresses, HttpBackends};
-use saddlerelay_gateway::keys::KeyRing;
+use saddlerelay_gateway::keys::ApiKeyIndex;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::{Backends, EngineConnection};
 use saddlerelay_runtime_compio::CompioRuntime;
 use saddlerelay_scenarios::deployment::{Deployment, smallest};
-use saddlerelay_standins::access::{Access, CallerAnswer};
+use saddlerelay_standins::access::{Access, CallerResponse};
 use saddlerelay_standins::http::access::HttpAccess;
 use saddlerelay_standins::recorder::Recorder;
 use saddlerelay_types::credentials::SecretDigest;
@@ -103,7 +103,7 @@
         })
         .collect();
     let began_at = Instant::now();
-    let ring = KeyRing::new(&tenants);
+    let ring = ApiKeyIndex::new(&tenants);
     let indexed = began_at.elapsed();
     let mut times = Histogram::<u64>::new(3)?;
     for number in 0..KEY_CHECKS {
@@ -165,7 +165,7 @@
 async fn time_relay_request(access: &HttpAccess, request: CallerRequest) -> Result<Duration> {
     let started_at = Instant::now();
     let answer = access.ask(0, &request).await;
-    ensure!(matches!(answer, CallerAnswer::Whole { .. }), "the relay returned {answer:?}");
+    ensure!(matches!(answer, CallerResponse::Whole { .. }), "the relay returned {answer:?}");
     Ok(started_at.elapsed())
 }
 
--- a/crates/fleet/src/experiment/mod.rs
+++ b/crates/fleet/src/experiment/mod.rs
@@ -155,7 +155,7 @@
 /// Formats the rows as a Markdown table.
 pub fn table(rows: &[Row]) -> String {
     let mut text = String::from(
-        "| deployment | policy | trainer idle % | staleness, versions | steps | first_token token p99 ms | answer p50 ms | answer p99 ms | violations |\n\
+        "| deployment | policy | trainer idle % | staleness, versions | steps | first token p99 ms | answer p50 ms | answer p99 ms | violations |\n\
          |---|---|---|---|---|---|---|---|---|\n",
     );
     let cell = |spread: &Spread, digits: usize| {
--- a/crates/gateway-api/src/client.rs
+++ b/crates/gateway-api/src/client.rs
@@ -60,7 +60,7 @@
         let request = ClientRequest::new(head, self.gateway.names(), self.gateway.now());
         match call {
             ClientCall::Routed => self.serve_routed(request, body).await,
-            ClientCall::Job(call) => match self.gateway.job_caller(&request.id, &request.headers) {
+            ClientCall::Job(call) => match self.gateway.authenticate_job_call(&request.id, &request.headers) {
                 Ok(caller) => self.serve_job_call(call, caller).await,
                 Err(refusal) => self.gateway.refuse(&request, refusal),
             },
@@ -89,7 +89,7 @@
             Ok(chosen) if chosen.route().kind == RouteKind::Rollout && request.method == Method::POST => {
                 self.submit(&request, body).await
             }
-            Ok(chosen) => self.gateway.serve_on(chosen, request, body).await,
+            Ok(chosen) => self.gateway.serve(chosen, request, body).await,
             Err(refusal) => self.gateway.refuse(&request, refusal),
         }
     }
--- a/crates/gateway-api/src/control.rs
+++ b/crates/gateway-api/src/control.rs
@@ -5,7 +5,7 @@
 use crate::responses;
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
-use saddlerelay_control_client::reports::ReportGatherer;
+use saddlerelay_control_client::reports::ReportBatcher;
 use saddlerelay_control_client::{ControlClient, GatewayError};
 use saddlerelay_http::body::{BodyError, Reply, read_limited, whole};
 use saddlerelay_http::server::HttpHandler;
@@ -32,7 +32,7 @@
 pub struct ControlApi<F> {
     /// Sends requests to the control group's leader, which may be this process.
     control: ControlClient<CompioRuntime>,
-    reports: Rc<ReportGatherer<CompioRuntime>>,
+    reports: Rc<ReportBatcher<CompioRuntime>>,
     report_target: ReportTarget,
     formats: F,
     rejected: RejectedCalls,
@@ -51,7 +51,7 @@
         report_target: ReportTarget,
         formats: F,
     ) -> Rc<Self> {
-        let reports = ReportGatherer::start(runtime, control.clone(), report_interval);
+        let reports = ReportBatcher::start(runtime, control.clone(), report_interval);
         Rc::new(Self { control, reports, report_target, formats, rejected: RejectedCalls::default() })
     }
 }
--- a/crates/gateway-api/src/own.rs
+++ b/crates/gateway-api/src/own.rs
@@ -4,10 +4,10 @@
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method, Uri};
-use saddlerelay_coordinator::EngineDialect;
-use saddlerelay_coordinator::dialect::{Call, EngineReport, VersionOrder};
-use saddlerelay_duties::PlatformDialect;
-use saddlerelay_duties::dialect::{CallRight, EngineCountOrder, PlatformCall};
+use saddlerelay_coordinator::EngineFormat;
+use saddlerelay_coordinator::format::{Call, EngineReport, WeightOrder};
+use saddlerelay_duties::PlatformFormat;
+use saddlerelay_duties::format::{CallGrant, EngineCountOrder, PlatformCall};
 use saddlerelay_types::gateway::GatewayRequest;
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_types::job::{ItemId, JobId, JobSubmission, ResultPage};
@@ -76,7 +76,7 @@
             (&Method::DELETE, ["v1", "instances", id]) => {
                 ControlCall::Change(GatewayRequest::RemoveInstance(InstanceId::named(*id)))
             }
-            (&Method::POST, ["v1", "versions"]) => ControlCall::Change(GatewayRequest::NameVersion(read(body)?)),
+            (&Method::POST, ["v1", "versions"]) => ControlCall::Change(GatewayRequest::PublishVersion(read(body)?)),
             (&Method::PUT, ["admin", "v1", "routing"]) => {
                 ControlCall::Change(GatewayRequest::PutRouting(read_routing(body)?))
             }
@@ -123,7 +123,7 @@
 /// The header with the fencing token of a call to the platform.
 pub const FENCE_HEADER: &str = "saddlerelay-fence";
 
-fn platform_call(path: &str, right: &CallRight, body: &impl Serialize) -> PlatformCall {
+fn platform_call(path: &str, right: &CallGrant, body: &impl Serialize) -> PlatformCall {
     let mut headers = HeaderMap::new();
     headers.insert(FENCE_HEADER, HeaderValue::from(right.fence.0));
     if let Ok(holder) = HeaderValue::from_str(&right.holder) {
@@ -133,12 +133,12 @@
     PlatformCall { method: Method::POST, path: path.to_string(), headers, body: body.into() }
 }
 
-impl PlatformDialect for NativePlatform {
-    fn usage_report(&self, right: &CallRight, report: &UsageReport) -> PlatformCall {
+impl PlatformFormat for NativePlatform {
+    fn usage_report(&self, right: &CallGrant, report: &UsageReport) -> PlatformCall {
         platform_call(USAGE_PATH, right, report)
     }
 
-    fn engine_count(&self, right: &CallRight, order: &EngineCountOrder) -> PlatformCall {
+    fn engine_count(&self, right: &CallGrant, order: &EngineCountOrder) -> PlatformCall {
         platform_call(ENGINE_COUNT_PATH, right, order)
     }
 }
@@ -147,8 +147,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NativeEngines;
 
-impl EngineDialect for NativeEngines {
-    fn order(&self, order: &VersionOrder) -> Call {
+impl EngineFormat for NativeEngines {
+    fn order(&self, order: &WeightOrder) -> Call {
         let body = serde_json::to_vec(order).unwrap_or_default();
         Call { method: Method::PUT, path: ORDER_PATH.to_string(), body: body.into() }
     }
--- a/crates/gateway-api/tests/abandoned_rights.rs
+++ b/crates/gateway-api/tests/abandoned_rights.rs
@@ -66,7 +66,7 @@
         let engine = StandInEngine::start("engine").await;
         deployment.register(&engine, "web").await;
         deployment.await_engines("web", 1).await;
-        let work = WorkDigest::of_posted(None, HOST, "/plans/1", b"a plan");
+        let work = WorkDigest::of_post_request(None, HOST, "/plans/1", b"a plan");
         record_crash(&deployment, work).await;
         grant_to_terminated_process(&deployment, work, 1).await;
         let started_at = Instant::now();
--- a/crates/gateway-api/tests/common/engine.rs
+++ b/crates/gateway-api/tests/common/engine.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
 use hyper::{Request, StatusCode};
-use saddlerelay_coordinator::dialect::{EngineReport, VersionOrder};
+use saddlerelay_coordinator::format::{EngineReport, WeightOrder};
 use saddlerelay_gateway_api::own::{ORDER_PATH, REPORT_PATH};
 use saddlerelay_http::body::{BrokenOff, LocalBody, Reply, json, read_whole, whole};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
@@ -67,7 +67,7 @@
     conduct: Cell<Conduct>,
     version: Cell<u64>,
     orders_taken: Cell<u64>,
-    orders: RefCell<Vec<VersionOrder>>,
+    orders: RefCell<Vec<WeightOrder>>,
     /// Number of orders rejected because their `orders_taken` did not match.
     orders_rejected: Cell<u32>,
     /// Number of next orders that are executed although their response is cut off.
@@ -171,7 +171,7 @@
     }
 
     /// All orders accepted.
-    pub fn orders(&self) -> Vec<VersionOrder> {
+    pub fn orders(&self) -> Vec<WeightOrder> {
         self.state.orders.borrow().clone()
     }
 
@@ -219,7 +219,7 @@
     }
 
     async fn order(&self, body: Bytes) -> Reply {
-        let order: VersionOrder = serde_json::from_slice(&body).expect("an order");
+        let order: WeightOrder = serde_json::from_slice(&body).expect("an order");
         let executed = self.state.orders_taken.get();
         if order.orders_taken != executed {
             self.state.orders_rejected.set(self.state.orders_rejected.get() + 1);
--- a/crates/gateway-api/tests/common/mod.rs
+++ b/crates/gateway-api/tests/common/mod.rs
@@ -24,7 +24,7 @@
 use saddlerelay_types::instance::{InstanceId, InstanceReport, LoadedModel};
 use saddlerelay_types::job::{ItemId, JobId, JobItem, JobSubmission, ResultPage};
 use saddlerelay_types::routing::{
-    BatchTerms, ModelHosting, RequestLimits, Route, RouteKind, RoutingDocument, Service, WeightedTarget,
+    BatchSettings, ModelHosting, RequestLimits, Route, RouteKind, RoutingDocument, Service, WeightedTarget,
 };
 use std::cell::RefCell;
 use std::future::Future;
@@ -114,7 +114,7 @@
             ..ReplicationConfig::default()
         },
     };
-    let config = ControlConfig { order_distance: Duration::ZERO, ..ControlConfig::default() };
+    let config = ControlConfig { order_separation: Duration::ZERO, ..ControlConfig::default() };
     let backends = HttpBackends::new(BackendAddresses { scorer: None, platform: None }).expect("a client");
     let node = ControlNode::start(runtime.clone(), backends, config, options).await;
     let node = node.expect("an empty folder");
@@ -150,11 +150,11 @@
 /// Coordinator configuration with short intervals.
 fn coordinator_config() -> CoordinatorConfig {
     CoordinatorConfig {
-        usual_load: Duration::from_millis(20),
-        load_poll: Duration::from_millis(10),
-        engine_rest: Duration::from_millis(30),
-        event_limit: Duration::from_millis(400),
-        keep_interval: Duration::from_millis(20),
+        expected_load_time: Duration::from_millis(20),
+        load_poll_interval: Duration::from_millis(10),
+        engine_backoff: Duration::from_millis(30),
+        event_timeout: Duration::from_millis(400),
+        save_interval: Duration::from_millis(20),
         ..CoordinatorConfig::default()
     }
 }
@@ -171,8 +171,8 @@
     }
 
     /// Like [`Self::start`], with the coordinator's timeout for the next event of an item.
-    pub async fn start_with_event_limit(name: &str, event_limit: Duration) -> Self {
-        let coordinator = CoordinatorConfig { event_limit, ..coordinator_config() };
+    pub async fn start_with_event_timeout(name: &str, event_timeout: Duration) -> Self {
+        let coordinator = CoordinatorConfig { event_timeout, ..coordinator_config() };
         Self::start_configured(name, GatewayConfig::default(), coordinator).await
     }
 
@@ -367,13 +367,13 @@
         max_attempts: 2,
         resumable: false,
         public: false,
-        batch: BatchTerms::default(),
+        batch: BatchSettings::default(),
     }
 }
 
 /// The rollout route, for batch jobs.
 pub fn rollouts() -> Route {
-    let batch = BatchTerms { give_up_after_ms: 20_000, due_after_ms: 5_000, single_version: false };
+    let batch = BatchSettings { give_up_after_ms: 20_000, due_after_ms: 5_000, single_version: false };
     Route { resumable: true, max_attempts: 3, batch, ..route("/rollouts/", RouteKind::Rollout, "llm") }
 }
 
--- a/crates/gateway-api/tests/crashing_work.rs
+++ b/crates/gateway-api/tests/crashing_work.rs
@@ -69,7 +69,7 @@
     async fn await_engines(&self) {
         let gateways = [&self.deployment.gateway, &self.south.0];
         eventually("the gateways use the running engines", async || {
-            gateways.iter().all(|gateway| self.engines.iter().all(|engine| gateway.sends_to(&engine.instance())))
+            gateways.iter().all(|gateway| self.engines.iter().all(|engine| gateway.is_engine_ready(&engine.instance())))
         })
         .await;
     }
@@ -284,7 +284,8 @@
         let path = format!("/admin/v1/suspicions/{}", list.suspicions[0].work.to_hexadecimal());
         assert_eq!(call(control, Method::DELETE, &path, &[], "").await.status, StatusCode::OK);
         assert_eq!(call(control, Method::DELETE, &path, &[], "").await.status, StatusCode::NOT_FOUND);
-        eventually("the gateway has the release", async || setting.deployment.gateway.suspected_work() == 0).await;
+        eventually("the gateway has the release", async || setting.deployment.gateway.suspected_work_count() == 0)
+            .await;
         post_plan(setting.deployment.front, "try-released", &body).await;
         assert_eq!(setting.crashes(), QUARANTINE_CRASHES + 2);
     });
--- a/crates/gateway-api/tests/duties.rs
+++ b/crates/gateway-api/tests/duties.rs
@@ -6,7 +6,7 @@
 use common::{Deployment, USAGE_WINDOW, block_on, call, document, eventually, route};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
-use saddlerelay_duties::{Duties, DutyMetrics, HttpPlatform, UsageTerms};
+use saddlerelay_duties::{Duties, HttpPlatform, PlatformMetrics, UsageReportConfig};
 use saddlerelay_gateway_api::NativePlatform;
 use saddlerelay_gateway_api::own::{FENCE_HEADER, HOLDER_HEADER, USAGE_PATH};
 use saddlerelay_http::body::{Reply, read_whole, whole};
@@ -54,9 +54,9 @@
     (platform, address)
 }
 
-fn start_duties(deployment: &Deployment, address: SocketAddr) -> Rc<DutyMetrics> {
+fn start_duties(deployment: &Deployment, address: SocketAddr) -> Rc<PlatformMetrics> {
     let runtime = CompioRuntime::without_files();
-    let metrics = Rc::new(DutyMetrics::default());
+    let metrics = Rc::new(PlatformMetrics::default());
     let duties = Rc::new(Duties {
         runtime: runtime.clone(),
         node: deployment.node.clone(),
@@ -65,8 +65,8 @@
         name: "coordinator".to_string(),
         metrics: metrics.clone(),
     });
-    let terms = UsageTerms { window: USAGE_WINDOW, due_after: 4 * USAGE_WINDOW };
-    runtime.spawn(saddlerelay_duties::usage_reports::report(duties, terms));
+    let terms = UsageReportConfig { window: USAGE_WINDOW, due_after: 4 * USAGE_WINDOW };
+    runtime.spawn(saddlerelay_duties::usage_reports::run(duties, terms));
     metrics
 }
 
--- a/crates/gateway-api/tests/moves.rs
+++ b/crates/gateway-api/tests/moves.rs
@@ -79,7 +79,7 @@
         let mut route = rollouts();
         route.batch.due_after_ms = 60_000;
         let long = job("long", 1, 0, 1, 30);
-        let deployment = Deployment::start_with_event_limit("in-time", Duration::from_secs(20)).await;
+        let deployment = Deployment::start_with_event_timeout("in-time", Duration::from_secs(20)).await;
         let engines = TwoEngines::start_in(deployment, &long, route).await;
         engines.measure_fast_engine().await;
         engines.deployment.await_results("long", 1).await;
--- a/crates/gateway-api/tests/restarts.rs
+++ b/crates/gateway-api/tests/restarts.rs
@@ -192,8 +192,10 @@
         deployment.register_crashing(&engines[0], "web").await;
         for round in 0..6 {
             let engine = &engines[0];
-            eventually("the gateway sends to the engine", async || deployment.gateway.sends_to(&engine.instance()))
-                .await;
+            eventually("the gateway sends to the engine", async || {
+                deployment.gateway.is_engine_ready(&engine.instance())
+            })
+            .await;
             let id = format!("try-{round}");
             let headers = [("saddlerelay-request", id.as_str())];
             deployment.request(Method::POST, "/plans/1", &headers, &format!("a plan that {CRASHES}")).await;
--- a/crates/gateway-api/tests/results.rs
+++ b/crates/gateway-api/tests/results.rs
@@ -27,7 +27,7 @@
         let (_replica, gateway, front) = deployment.start_south_zone().await;
         eventually("the gateway reads at the replica in its zone", async || {
             deployment.results_at(front, "j-1").await;
-            gateway.metrics().results_read_nearby.get() > 0
+            gateway.metrics().results_read_in_zone.get() > 0
         })
         .await;
         // Reads are linearizable: a listed result is visible at the follower at once.
@@ -37,9 +37,9 @@
             let listed = deployment.await_results(&id, 4).await;
             assert_eq!(deployment.results_at(front, &id).await, Some(listed));
         }
-        assert!(gateway.metrics().results_read_nearby.get() >= 6);
+        assert!(gateway.metrics().results_read_in_zone.get() >= 6);
         assert_eq!(
-            deployment.gateway.metrics().results_read_nearby.get(),
+            deployment.gateway.metrics().results_read_in_zone.get(),
             0,
             "the gateway in the leader's zone reads at the leader"
         );
@@ -58,7 +58,7 @@
         let read = async |position, id: &str| {
             let job = JobId(id.to_string());
             let request = GatewayRequest::ReadResultsAt { position, job, after: 0, wait_ms: 0, caller: Caller::Anyone };
-            gateway.control().gateway_at(address, request, Duration::from_secs(2)).await
+            gateway.control().call_replica(address, request, Duration::from_secs(2)).await
         };
         eventually("the follower is up to date", async || replica.replica().applied_index() >= position).await;
         assert!(matches!(read(position, "j-1").await, Some(GatewayReply::Results(page)) if page.results.len() == 2));
--- a/crates/gateway-api/tests/scoring.rs
+++ b/crates/gateway-api/tests/scoring.rs
@@ -210,7 +210,7 @@
     let loss = EngineLoss { work: request.work_digest(None), instance: InstanceId::named("a scorer that has ended") };
     let evidence = WorkEvidence { losses: vec![loss], served: Vec::new() };
     scored.deployment.node.commit_evidence(evidence).await.expect("the leader commits");
-    eventually("the gateway has the record", async || scored.deployment.gateway.suspected_work() == 1).await;
+    eventually("the gateway has the record", async || scored.deployment.gateway.suspected_work_count() == 1).await;
 }
 
 #[test]
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -40,7 +40,7 @@
     }
 
     /// Authenticates a batch job call, which has no route.
-    pub fn job_caller(&self, id: &str, headers: &HeaderMap) -> Result<Caller, Refusal> {
+    pub fn authenticate_job_call(&self, id: &str, headers: &HeaderMap) -> Result<Caller, Refusal> {
         let table = {
             let view = self.inner.view.borrow();
             if !view.is_leased(self.now()) {
@@ -66,7 +66,7 @@
     /// Logs a prefix of the key's digest, never the key.
     fn log_unknown_key(&self, id: &str, key: Option<&HeaderValue>) {
         self.inner.metrics.keys_refused.inc();
-        let digest = key.map(|key| SecretDigest::of(key.as_bytes()).shown()).unwrap_or_default();
+        let digest = key.map(|key| SecretDigest::of(key.as_bytes()).log_prefix()).unwrap_or_default();
         let view = self.inner.view.borrow();
         spdlog::warn!("key refused", kv: {
             request = id,
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -38,7 +38,7 @@
             }
             Ok((false, head, body)) => Self::Answered(head, body),
             Err(Failure::NotSent(reason)) => Self::NotExecuted(reason),
-            Err(Failure::MayHaveRun(reason)) => Self::Failed(reason, None),
+            Err(Failure::PossiblyExecuted(reason)) => Self::Failed(reason, None),
             Err(Failure::ConnectionLost(reason)) => Self::ConnectionLost(reason),
         }
     }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,13 +1,13 @@
 //! Gateway limits and timeouts.
 
-use saddlerelay_control_client::suspicions::LAST_TRIAL_PAUSE;
+use saddlerelay_control_client::suspicions::DEFAULT_LAST_TRIAL_PAUSE;
 use std::time::Duration;
 
 /// Limits and timeouts; the settings derive the times from the deployment's timing bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewayConfig {
     /// Timeout for connecting to an engine.
-    pub connect_limit: Duration,
+    pub connect_timeout: Duration,
     /// Hedging delay of idempotent requests, in percent of the route's latency objective.
     pub hedge_percent: u32,
     /// `Retry-After` of requests that were refused without execution.
@@ -19,7 +19,7 @@
     /// Maximum request body size until the first routing document arrives, in bytes.
     pub default_body_bytes: u64,
     /// Timeout of a follow request to the control group.
-    pub follow_limit: Duration,
+    pub follow_timeout: Duration,
     /// Delay before the last trial of suspected work, whose failure quarantines it.
     pub last_trial_pause: Duration,
 }
@@ -27,14 +27,14 @@
 impl Default for GatewayConfig {
     fn default() -> Self {
         Self {
-            connect_limit: Duration::from_millis(250),
+            connect_timeout: Duration::from_millis(250),
             hedge_percent: 45,
             retry_after: Duration::from_millis(200),
             lease_retry_after: Duration::from_millis(600),
             whole_answer_bytes: 32 * 1024 * 1024,
             default_body_bytes: 8 * 1024 * 1024,
-            follow_limit: Duration::from_millis(650),
-            last_trial_pause: LAST_TRIAL_PAUSE,
+            follow_timeout: Duration::from_millis(650),
+            last_trial_pause: DEFAULT_LAST_TRIAL_PAUSE,
         }
     }
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -51,7 +51,7 @@
 /// Sends a follow request to the replica assigned to this relay, or to the leader.
 async fn send_follow_request(gateway: &Gateway) -> Option<FollowReply> {
     let inner = &gateway.inner;
-    let limit = inner.options.config.follow_limit;
+    let limit = inner.options.config.follow_timeout;
     let Some(follower) = inner.follower.address(inner.runtime.monotonic()) else {
         let request = GatewayRequest::Follow(follow_request(gateway, false));
         return match inner.control.gateway(request, limit, limit).await {
@@ -60,7 +60,7 @@
         };
     };
     let request = GatewayRequest::Follow(follow_request(gateway, true));
-    match inner.control.gateway_at(follower, request, limit).await {
+    match inner.control.call_replica(follower, request, limit).await {
         Some(GatewayReply::Followed(reply)) => Some(reply),
         // The replica could not confirm its state: the leader is overloaded or absent. Waiting avoids that all relays
         // send their requests to the leader at once.
@@ -74,7 +74,7 @@
                 replica = follower.to_string().as_str(), answered = other.is_some(),
                 pause_ms = pause.as_millis() as u64
             });
-            inner.follower.pass_over(follower, inner.runtime.monotonic() + pause);
+            inner.follower.skip_until(follower, inner.runtime.monotonic() + pause);
             None
         }
     }
@@ -90,7 +90,7 @@
         at_follower,
         incarnation: gateway.inner.incarnation,
         unix_ms: gateway.inner.runtime.unix_milliseconds(),
-        usage: gateway.inner.usage.borrow_mut().difference(),
+        usage: gateway.inner.usage.borrow_mut().next_delta(),
         suspicion_revision: gateway.inner.suspicions.revision(),
     }
 }
@@ -98,7 +98,7 @@
 fn apply_reply(gateway: &Gateway, mut reply: FollowReply, requested_at: Duration) {
     let inner = &gateway.inner;
     if let Some(list) = reply.suspicions.take() {
-        inner.suspicions.take(list);
+        inner.suspicions.apply_list(list);
     }
     log_instance_changes(&reply);
     if !reply.replicas.is_empty() {
@@ -106,16 +106,16 @@
         inner.control.set_replicas(reply.replicas.iter().chain(seeds.iter()).copied());
     }
     inner.nearest_replica.set(reply.nearest_replica);
-    inner.follower.name(reply.follower);
+    inner.follower.assign(reply.follower);
     inner.control.set_retry_pause(Duration::from_millis(reply.retry_pause_ms.into()));
     if let Some(unix_ms) = reply.group_unix_ms {
-        inner.clock.borrow_mut().hear(unix_ms, inner.runtime.monotonic());
+        inner.clock.borrow_mut().add_sample(unix_ms, inner.runtime.monotonic());
     }
-    inner.usage.borrow_mut().taken(reply.usage_taken);
+    inner.usage.borrow_mut().acknowledge(reply.usage_taken);
     let changed = reply.instances.whole || !reply.instances.records.is_empty();
     let update_bytes = reply.routing.as_ref().map_or(0, EncodedRoutingUpdate::len);
     let before = inner.view.borrow().routing_version();
-    inner.view.borrow_mut().take(reply, requested_at, inner.offset);
+    inner.view.borrow_mut().apply_reply(reply, requested_at, inner.offset);
     log_routing_update(gateway, before, update_bytes);
     if changed {
         let view = inner.view.borrow();
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -6,15 +6,15 @@
 
 /// The assigned replica, and whether it is being skipped.
 #[derive(Debug, Default)]
-pub struct NamedFollower {
+pub struct AssignedReplica {
     assigned: Cell<Option<SocketAddr>>,
     /// A replica that is skipped, and until when.
     skipped: Cell<Option<(SocketAddr, Duration)>>,
 }
 
-impl NamedFollower {
+impl AssignedReplica {
     /// Sets the replica assigned by the control group, if any.
-    pub fn name(&self, address: Option<SocketAddr>) {
+    pub fn assign(&self, address: Option<SocketAddr>) {
         self.assigned.set(address);
     }
 
@@ -27,7 +27,7 @@
     }
 
     /// Skips the replica at `address` until `until`.
-    pub fn pass_over(&self, address: SocketAddr, until: Duration) {
+    pub fn skip_until(&self, address: SocketAddr, until: Duration) {
         self.skipped.set(Some((address, until)));
     }
 }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -201,7 +201,7 @@
                 let read = answer.read_whole(self.inner.options.config.whole_answer_bytes).await;
                 read.map(|(head, body, connection)| {
                     if let Some(connection) = connection {
-                        self.inner.pool.put_back(&engine.target, connection);
+                        self.inner.pool.release(&engine.target, connection);
                     }
                     (not_executed, head, body)
                 })
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,26 +1,26 @@
 //! The gateway's entry points and shared state.
 
 use crate::config::GatewayConfig;
-use crate::follower::NamedFollower;
+use crate::follower::AssignedReplica;
 use crate::metrics::GatewayMetrics;
 use crate::refusal::Refusal;
 use crate::request::ClientRequest;
 use crate::table::RouteTable;
-use crate::usage::{FollowedClock, UsageLedger};
+use crate::usage::{GroupClockSamples, UsageLedger};
 use crate::view::View;
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
 use saddlerelay_control_client::ControlClient;
-use saddlerelay_control_client::suspicions::SuspicionKeeper;
+use saddlerelay_control_client::suspicions::SuspicionSync;
 use saddlerelay_http::body::{BodyError, Reply, read_limited};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime_compio::CompioRuntime;
-use saddlerelay_runtime_compio::listening::EndedChecks;
+use saddlerelay_runtime_compio::listening::TerminationChecks;
 use saddlerelay_types::identity::Incarnation;
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_types::routing::{Route, RouteKind};
-use saddlerelay_upstream::{Balance, HeaderNames, Pool};
+use saddlerelay_upstream::{HeaderNames, LoadBalancer, Pool};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -51,17 +51,17 @@
     pub view: RefCell<View>,
     /// Identifies this run of the relay process.
     pub incarnation: Incarnation,
-    pub clock: RefCell<FollowedClock>,
+    pub clock: RefCell<GroupClockSamples>,
     pub usage: RefCell<UsageLedger>,
-    pub balance: Balance,
-    pub suspicions: Rc<SuspicionKeeper<CompioRuntime>>,
-    pub ended_checks: EndedChecks,
+    pub balance: LoadBalancer,
+    pub suspicions: Rc<SuspicionSync<CompioRuntime>>,
+    pub ended_checks: TerminationChecks,
     pub metrics: GatewayMetrics,
     /// Random start position (0 to 1) in the weighted round-robin of each route's targets.
     pub offset: f64,
     pub draining: Cell<bool>,
     /// The control replica that serves this relay's follow requests in place of the leader.
-    pub follower: NamedFollower,
+    pub follower: AssignedReplica,
     /// A control replica in the relay's zone.
     pub nearest_replica: Cell<Option<SocketAddr>>,
     /// Time until which `nearest_replica` is skipped after a request to it failed.
@@ -91,10 +91,10 @@
 impl Gateway {
     /// Creates the gateway and spawns the task that follows the control group.
     pub fn start(runtime: CompioRuntime, control: ControlClient<CompioRuntime>, options: GatewayOptions) -> Self {
-        let pool = Pool::new(Rc::new(options.names.clone()), options.config.connect_limit);
+        let pool = Pool::new(Rc::new(options.names.clone()), options.config.connect_timeout);
         let offset = (runtime.random() % 1_000) as f64 / 1_000.0;
         let last_trial_pause = options.config.last_trial_pause;
-        let suspicions = SuspicionKeeper::start(runtime.clone(), control.clone(), last_trial_pause);
+        let suspicions = SuspicionSync::start(runtime.clone(), control.clone(), last_trial_pause);
         let inner = Inner {
             runtime: runtime.clone(),
             options,
@@ -104,13 +104,13 @@
             incarnation: Incarnation(runtime.random()),
             clock: RefCell::default(),
             usage: RefCell::default(),
-            balance: Balance::default(),
+            balance: LoadBalancer::default(),
             suspicions,
-            ended_checks: EndedChecks::default(),
+            ended_checks: TerminationChecks::default(),
             metrics: GatewayMetrics::default(),
             offset,
             draining: Cell::new(false),
-            follower: NamedFollower::default(),
+            follower: AssignedReplica::default(),
             nearest_replica: Cell::new(None),
             nearest_skipped_until: Cell::new(Duration::ZERO),
         };
@@ -151,12 +151,12 @@
     }
 
     /// Whether an instance is ready in the current view.
-    pub fn sends_to(&self, instance: &InstanceId) -> bool {
+    pub fn is_engine_ready(&self, instance: &InstanceId) -> bool {
         self.inner.view.borrow().is_ready(instance)
     }
 
     /// Number of work digests that are suspected of ending engines.
-    pub fn suspected_work(&self) -> usize {
+    pub fn suspected_work_count(&self) -> usize {
         self.inner.suspicions.suspected()
     }
 
@@ -194,7 +194,7 @@
     }
 
     /// Forwards a request on its route and returns the response.
-    pub async fn serve_on(&self, chosen: ChosenRoute, request: ClientRequest, body: Incoming) -> Reply {
+    pub async fn serve(&self, chosen: ChosenRoute, request: ClientRequest, body: Incoming) -> Reply {
         self.inner.metrics.requests.inc();
         let body = match self.read_body(body).await {
             Ok(body) => body,
--- a/crates/gateway/src/keys.rs
+++ b/crates/gateway/src/keys.rs
@@ -7,13 +7,13 @@
 
 /// The API keys of a routing document's tenants, indexed by digest. The keys themselves are not stored.
 #[derive(Debug, Default)]
-pub struct KeyRing {
+pub struct ApiKeyIndex {
     tenants: Vec<TenantId>,
     /// Index in `tenants` of the tenant that a key belongs to.
     tenant_by_key: HashMap<SecretDigest, usize>,
 }
 
-impl KeyRing {
+impl ApiKeyIndex {
     /// Builds the index for `tenants`.
     pub fn new(tenants: &[TenantAccess]) -> Self {
         let keys =
--- a/crates/gateway/src/lost_connections.rs
+++ b/crates/gateway/src/lost_connections.rs
@@ -47,9 +47,9 @@
         work: &RequestedWork,
         target: &EngineTarget,
     ) {
-        let ended = self.inner.ended_checks.has_ended(target.address).await;
+        let ended = self.inner.ended_checks.has_terminated(target.address).await;
         // An engine that was not ready is assumed to have been shut down.
-        let counts = ended && self.sends_to(&target.instance);
+        let counts = ended && self.is_engine_ready(&target.instance);
         if ended {
             self.inner.metrics.engines_ended.inc();
         }
@@ -58,7 +58,7 @@
         }
         spdlog::warn!("engine connection lost during a request", kv: {
             request = request.id.as_str(),
-            work = work.digest(request).shown().as_str(),
+            work = work.digest(request).log_prefix().as_str(),
             instance = target.instance.name.as_str(),
             engine_ended = ended,
             counts = counts,
@@ -67,7 +67,7 @@
         if counts {
             // The control group's reply contains losses reported by other relays; they are applied before a retry here
             // or by the client.
-            self.inner.suspicions.await_known_to_group(&work.digest(request)).await;
+            self.inner.suspicions.wait_for_commit(&work.digest(request)).await;
         }
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -31,7 +31,7 @@
     /// Log lines about the search for the control group, one per second without a lease.
     pub searches_logged: Counter,
     /// Result reads served by a control replica in the relay's zone.
-    pub results_read_nearby: Counter,
+    pub results_read_in_zone: Counter,
     /// Time from a request's arrival to the end of its buffered response, in seconds.
     pub request_seconds: Histogram,
     /// Time from the start of an attempt to the end of its response or its failure, in seconds.
@@ -55,7 +55,7 @@
         let usage_counted = counter("usage_counted", "Requests of tenants that engines have begun");
         let leases_lost = counter("leases_lost", "Times that the lease ended");
         let searches_logged = counter("control_searches_told", "Seconds without a lease, each told in the log");
-        let results_read_nearby =
+        let results_read_in_zone =
             counter("results_read_nearby", "Reads of results answered by a replica in the own zone");
         let mut histogram = |name: &str, help: &str| registry.seconds(name, help, 0.001, 15);
         let request_seconds = histogram("request_seconds", "From a request's arrival to the end of its answer");
@@ -74,7 +74,7 @@
             usage_counted,
             leases_lost,
             searches_logged,
-            results_read_nearby,
+            results_read_in_zone,
             request_seconds,
             attempt_seconds,
         }
--- a/crates/gateway/src/results.rs
+++ b/crates/gateway/src/results.rs
@@ -39,7 +39,7 @@
         if let Some(nearest) = self.nearest_replica()
             && let Some(reply) = self.read_nearest(nearest, &job, after, wait.min(NEAREST_MAX_WAIT), &caller).await
         {
-            self.inner.metrics.results_read_nearby.inc();
+            self.inner.metrics.results_read_in_zone.inc();
             return Ok(reply);
         }
         let wait = wait_until.saturating_sub(self.now());
@@ -71,7 +71,7 @@
         let wait_ms = wait.as_millis() as u64;
         let (job, caller) = (job.clone(), caller.clone());
         let request = GatewayRequest::ReadResultsAt { position, job, after, wait_ms, caller };
-        let reply = inner.control.gateway_at(nearest, request, NEAREST_TIMEOUT + wait).await;
+        let reply = inner.control.call_replica(nearest, request, NEAREST_TIMEOUT + wait).await;
         if reply.is_none() {
             inner.nearest_skipped_until.set(self.now() + NEAREST_SKIP_TIME);
         }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -16,7 +16,7 @@
 use saddlerelay_runtime::timeout::timeout;
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_upstream::answer::AnswerStream;
-use saddlerelay_upstream::events::EventCutter;
+use saddlerelay_upstream::events::EventParser;
 use saddlerelay_upstream::{Answer, EngineTarget, Failure, Outgoing, Reuse};
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     deadline: Duration,
     /// Engines tried so far; the last one is streaming.
     tried: Vec<EngineTarget>,
-    cutter: EventCutter,
+    parser: EventParser,
     last_event: Option<u64>,
     body: AnswerStream,
     ended: bool,
@@ -95,7 +95,7 @@
         let forwarded = ForwardedStream {
             gateway: self.clone(),
             chosen: chosen.clone(),
-            cutter: EventCutter::new(self.names().weight_version.as_str()),
+            parser: EventParser::new(self.names().weight_version.as_str()),
             request,
             outgoing,
             work,
@@ -213,15 +213,15 @@
     /// The next complete event. Partial events are not forwarded, because another engine may resume the stream.
     async fn next_chunk(&mut self) -> Option<Result<Bytes, BrokenOff>> {
         while !self.ended {
-            if let Some(event) = self.cutter.next_event() {
+            if let Some(event) = self.parser.next_event() {
                 self.last_event = event.id.or(self.last_event);
                 return Some(Ok(event.raw.into()));
             }
             let remaining = self.deadline.saturating_sub(self.gateway.now());
             let received = timeout(&self.gateway.inner.runtime, remaining, self.body.next()).await;
             match received {
-                Some(Some(Ok(bytes))) => self.cutter.push(&bytes),
-                Some(None) if !self.cutter.is_mid_event() => {
+                Some(Some(Ok(bytes))) => self.parser.push(&bytes),
+                Some(None) if !self.parser.is_mid_event() => {
                     self.gateway.record_served(&self.request, &self.work);
                     return self.finish("stream ended", None);
                 }
@@ -277,7 +277,7 @@
         match gateway.start_stream(&context, &self.outgoing, &mut self.tried, &possible_runs).await {
             StreamStart::Answer(answer) => {
                 self.body = answer.into_stream().1;
-                self.cutter = EventCutter::new(gateway.names().weight_version.as_str());
+                self.parser = EventParser::new(gateway.names().weight_version.as_str());
                 true
             }
             _ => false,
--- a/crates/gateway/src/suspicions.rs
+++ b/crates/gateway/src/suspicions.rs
@@ -82,11 +82,11 @@
 
     /// Reports that an engine ended during a request.
     pub(crate) fn record_engine_loss(&self, work: WorkDigest, instance: &InstanceId) {
-        self.inner.suspicions.note_loss(EngineLoss { work, instance: instance.clone() });
+        self.inner.suspicions.record_loss(EngineLoss { work, instance: instance.clone() });
     }
 
     /// Reports that an engine completed a request.
     pub(crate) fn record_served(&self, request: &ClientRequest, work: &RequestedWork) {
-        self.inner.suspicions.note_served(|| work.digest(request));
+        self.inner.suspicions.record_served(|| work.digest(request));
     }
 }
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -1,8 +1,8 @@
 //! Matches requests to routes, and picks a service among a route's weighted targets.
 
-use crate::keys::KeyRing;
+use crate::keys::ApiKeyIndex;
 use saddlerelay_types::routing::{Route, RoutingDocument};
-use saddlerelay_upstream::turns::WeightedTurns;
+use saddlerelay_upstream::round_robin::WeightedRoundRobin;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -19,9 +19,9 @@
     /// Indexes of each host's routes, longest path prefix first.
     by_host: BTreeMap<String, Vec<usize>>,
     /// Weighted round-robin state of each route.
-    turns: RefCell<Vec<WeightedTurns>>,
+    turns: RefCell<Vec<WeightedRoundRobin>>,
     /// The tenants' API keys; `None` if authentication is disabled.
-    keys: Option<Rc<KeyRing>>,
+    keys: Option<Rc<ApiKeyIndex>>,
     has_public_routes: bool,
 }
 
@@ -29,11 +29,11 @@
     /// Indexes `document`. `offset` (0 to 1) is the start position in each route's weighted round-robin; it differs
     /// between relays so that they do not all start with the same target.
     pub fn new(document: RoutingDocument, offset: f64) -> Self {
-        let keys = document.tenants.as_deref().map(|tenants| Rc::new(KeyRing::new(tenants)));
+        let keys = document.tenants.as_deref().map(|tenants| Rc::new(ApiKeyIndex::new(tenants)));
         Self::with_keys(document, offset, keys)
     }
 
-    fn with_keys(document: RoutingDocument, offset: f64, keys: Option<Rc<KeyRing>>) -> Self {
+    fn with_keys(document: RoutingDocument, offset: f64, keys: Option<Rc<ApiKeyIndex>>) -> Self {
         let mut by_host: BTreeMap<String, Vec<usize>> = BTreeMap::new();
         for (index, route) in document.routes.iter().enumerate() {
             by_host.entry(route.host.to_ascii_lowercase()).or_default().push(index);
@@ -41,7 +41,7 @@
         for indexes in by_host.values_mut() {
             indexes.sort_by_key(|index| std::cmp::Reverse(document.routes[*index].path_prefix.len()));
         }
-        let turns = document.routes.iter().map(|route| WeightedTurns::new(&route.targets, offset)).collect();
+        let turns = document.routes.iter().map(|route| WeightedRoundRobin::new(&route.targets, offset)).collect();
         let has_public_routes = document.routes.iter().any(|route| route.public);
         Self { document, by_host, turns: RefCell::new(turns), keys, has_public_routes }
     }
@@ -82,7 +82,7 @@
     }
 
     /// The tenants' API keys; `None` if authentication is disabled.
-    pub fn keys(&self) -> Option<&KeyRing> {
+    pub fn keys(&self) -> Option<&ApiKeyIndex> {
         self.keys.as_deref()
     }
 
@@ -106,7 +106,7 @@
     /// Picks the next service of a route by weighted round-robin.
     pub fn next_service(&self, index: usize) -> &str {
         let targets = &self.document.routes[index].targets;
-        let next = self.turns.borrow_mut()[index].take(targets);
+        let next = self.turns.borrow_mut()[index].next_index(targets);
         &targets[next].service
     }
 }
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -7,7 +7,7 @@
 use crate::gateway::Gateway;
 use saddlerelay_types::identity::TenantId;
 use saddlerelay_types::tenancy::Caller;
-use saddlerelay_types::usage::{TenantCounts, UsageDifference, UsageWindow};
+use saddlerelay_types::usage::{TenantCounts, UsageDelta, UsageWindow};
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -18,14 +18,14 @@
 /// Estimates the control group's wall-clock time from the relay's monotonic clock; unaffected by jumps of the local
 /// wall clock.
 #[derive(Debug, Default)]
-pub struct FollowedClock {
+pub struct GroupClockSamples {
     /// Offsets of the group's wall clock from the monotonic clock in the newest replies, in milliseconds.
     offsets: VecDeque<i64>,
 }
 
-impl FollowedClock {
+impl GroupClockSamples {
     /// Adds a sample: the group's time from a reply that arrived at `now`.
-    pub fn hear(&mut self, group_unix_ms: u64, now: Duration) {
+    pub fn add_sample(&mut self, group_unix_ms: u64, now: Duration) {
         let offset = i64::try_from(group_unix_ms).unwrap_or(i64::MAX).saturating_sub(milliseconds(now));
         self.offsets.push_back(offset);
         if self.offsets.len() > CLOCK_SAMPLES {
@@ -49,7 +49,7 @@
 #[derive(Debug, Default)]
 pub struct UsageLedger {
     counted: BTreeMap<UsageWindow, TenantCounts>,
-    in_flight: Option<UsageDifference>,
+    in_flight: Option<UsageDelta>,
     sequence: u64,
 }
 
@@ -66,17 +66,17 @@
     }
 
     /// The difference to send with the next follow request; the unacknowledged one if there is one.
-    pub fn difference(&mut self) -> Option<UsageDifference> {
+    pub fn next_delta(&mut self) -> Option<UsageDelta> {
         if self.in_flight.is_none() && !self.counted.is_empty() {
             self.sequence += 1;
             let counts = std::mem::take(&mut self.counted);
-            self.in_flight = Some(UsageDifference { sequence: self.sequence, counts });
+            self.in_flight = Some(UsageDelta { sequence: self.sequence, counts });
         }
         self.in_flight.clone()
     }
 
     /// Acknowledges all differences up to `sequence` as committed.
-    pub fn taken(&mut self, sequence: u64) {
+    pub fn acknowledge(&mut self, sequence: u64) {
         if self.in_flight.as_ref().is_some_and(|difference| difference.sequence <= sequence) {
             self.in_flight = None;
         }
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -2,7 +2,7 @@
 
 use crate::table::RouteTable;
 use saddlerelay_types::gateway::FollowReply;
-use saddlerelay_types::instance::{InstanceId, InstanceNews, InstanceRecord, InstanceState};
+use saddlerelay_types::instance::{InstanceId, InstanceRecord, InstanceState, InstanceUpdate};
 use saddlerelay_types::routing_update::EncodedRoutingUpdate;
 use saddlerelay_upstream::{EngineTarget, ReadyEngine};
 use std::collections::BTreeMap;
@@ -62,7 +62,7 @@
 
     /// Applies a reply to a request sent at `requested_at`. Older routing versions are ignored, and the lease is not
     /// extended if the newest routing update cannot be applied.
-    pub fn take(&mut self, reply: FollowReply, requested_at: Duration, offset: f64) {
+    pub fn apply_reply(&mut self, reply: FollowReply, requested_at: Duration, offset: f64) {
         self.needs_full_document = !self.apply_routing(reply.routing, offset);
         if self.needs_full_document {
             return;
@@ -74,7 +74,7 @@
         self.apply_instances(reply.instances);
     }
 
-    fn apply_instances(&mut self, update: InstanceNews) {
+    fn apply_instances(&mut self, update: InstanceUpdate) {
         if update.whole {
             self.instances.clear();
             self.instance_revision = 0;
--- a/crates/gateway/tests/choice.rs
+++ b/crates/gateway/tests/choice.rs
@@ -3,10 +3,10 @@
 use saddlerelay_gateway::table::RouteTable;
 use saddlerelay_gateway::view::View;
 use saddlerelay_types::gateway::FollowReply;
-use saddlerelay_types::instance::{InstanceId, InstanceNews};
-use saddlerelay_types::routing::{BatchTerms, RequestLimits, Route, RouteKind, RoutingDocument, WeightedTarget};
+use saddlerelay_types::instance::{InstanceId, InstanceUpdate};
+use saddlerelay_types::routing::{BatchSettings, RequestLimits, Route, RouteKind, RoutingDocument, WeightedTarget};
 use saddlerelay_types::routing_update::{EncodedRoutingUpdate, RoutingUpdate};
-use saddlerelay_upstream::{Balance, EngineTarget, ReadyEngine};
+use saddlerelay_upstream::{EngineTarget, LoadBalancer, ReadyEngine};
 use std::time::Duration;
 
 fn route(host: &str, prefix: &str, weights: &[u64]) -> Route {
@@ -23,7 +23,7 @@
         max_attempts: 2,
         resumable: false,
         public: false,
-        batch: BatchTerms::default(),
+        batch: BatchSettings::default(),
     }
 }
 
@@ -98,7 +98,7 @@
         usage_taken: 0,
         lease_ms,
         routing: version.map(|version| update(None, version)),
-        instances: InstanceNews::default(),
+        instances: InstanceUpdate::default(),
         follower: None,
         retry_pause_ms: 0,
         replicas: Vec::new(),
@@ -111,10 +111,10 @@
     let mut view = View::default();
     let at = Duration::from_millis;
     assert!(!view.is_leased(at(0)));
-    view.take(reply(Some(5), 1_000), at(100), 0.0);
+    view.apply_reply(reply(Some(5), 1_000), at(100), 0.0);
     assert!(view.is_leased(at(1_099)) && !view.is_leased(at(1_100)));
     // A delayed reply with an older version changes neither lease nor routes.
-    view.take(reply(Some(4), 1_000), at(50), 0.0);
+    view.apply_reply(reply(Some(4), 1_000), at(50), 0.0);
     assert!(view.is_leased(at(1_099)));
     assert_eq!(view.routing_version(), Some(5));
 }
@@ -123,12 +123,12 @@
 fn an_update_with_another_base_version_does_not_extend_the_lease_and_requests_a_full_document() {
     let mut view = View::default();
     let at = Duration::from_millis;
-    view.take(reply(Some(5), 1_000), at(100), 0.0);
+    view.apply_reply(reply(Some(5), 1_000), at(100), 0.0);
     let with_other_base = Some(update(Some(&document(4, Vec::new())), 6));
-    view.take(FollowReply { routing: with_other_base, ..reply(None, 1_000) }, at(900), 0.0);
+    view.apply_reply(FollowReply { routing: with_other_base, ..reply(None, 1_000) }, at(900), 0.0);
     assert!(!view.is_leased(at(1_100)));
     assert_eq!((view.routing_version(), view.update_base()), (Some(5), None));
-    view.take(reply(Some(6), 1_000), at(1_000), 0.0);
+    view.apply_reply(reply(Some(6), 1_000), at(1_000), 0.0);
     assert!(view.is_leased(at(1_999)));
     assert_eq!((view.routing_version(), view.update_base()), (Some(6), Some(6)));
 }
@@ -138,14 +138,14 @@
     ReadyEngine { target, zone: zone.to_string(), slots: 4, silent: false }
 }
 
-fn chosen(balance: &Balance, engines: &[ReadyEngine], tried: &[InstanceId], now: u64) -> String {
+fn chosen(balance: &LoadBalancer, engines: &[ReadyEngine], tried: &[InstanceId], now: u64) -> String {
     let choice = balance.choose(engines.iter().cloned(), "north", tried, Duration::from_millis(now));
     choice.expect("there are engines").target.instance.name
 }
 
 #[test]
 fn the_engine_in_the_own_zone_is_preferred_until_it_is_slower_or_fails() {
-    let balance = Balance::default();
+    let balance = LoadBalancer::default();
     let engines = [engine("far", "south"), engine("near", "north")];
     let near = InstanceId::named("near");
     assert_eq!(chosen(&balance, &engines, &[], 0), "near");
@@ -161,7 +161,7 @@
 
 #[test]
 fn ejection_time_doubles_with_each_consecutive_failure_up_to_a_limit() {
-    let balance = Balance::default();
+    let balance = LoadBalancer::default();
     let engines = [engine("a", "north"), engine("b", "south")];
     let failing = InstanceId::named("a");
     let mut now = 0;
@@ -175,7 +175,7 @@
 
 #[test]
 fn requests_in_flight_count_towards_load_until_dropped() {
-    let balance = Balance::default();
+    let balance = LoadBalancer::default();
     let engines = [engine("a", "north"), engine("b", "north")];
     let now = Duration::ZERO;
     let in_flight: Vec<_> = (0..3).map(|_| balance.begin(&InstanceId::named("a"), now)).collect();
--- a/crates/gateway/tests/usage.rs
+++ b/crates/gateway/tests/usage.rs
@@ -1,8 +1,8 @@
 //! Usage counting and reporting, clock estimation, and lookup of API keys.
 
 use quickcheck::QuickCheck;
-use saddlerelay_gateway::keys::KeyRing;
-use saddlerelay_gateway::usage::{FollowedClock, UsageLedger};
+use saddlerelay_gateway::keys::ApiKeyIndex;
+use saddlerelay_gateway::usage::{GroupClockSamples, UsageLedger};
 use saddlerelay_types::credentials::SecretDigest;
 use saddlerelay_types::identity::TenantId;
 use saddlerelay_types::tenancy::TenantAccess;
@@ -13,18 +13,18 @@
 fn a_difference_is_resent_unchanged_until_it_is_acknowledged() {
     let (tenant, window) = (TenantId::new("a"), UsageWindow(3));
     let mut ledger = UsageLedger::default();
-    assert_eq!(ledger.difference(), None);
+    assert_eq!(ledger.next_delta(), None);
     ledger.count(&tenant, window);
-    let first = ledger.difference().expect("something was counted");
+    let first = ledger.next_delta().expect("something was counted");
     ledger.count(&tenant, window);
-    assert_eq!(ledger.difference().as_ref(), Some(&first), "the first difference is not acknowledged yet");
-    ledger.taken(0);
-    assert_eq!(ledger.difference().as_ref(), Some(&first));
-    ledger.taken(first.sequence);
-    let second = ledger.difference().expect("more was counted");
+    assert_eq!(ledger.next_delta().as_ref(), Some(&first), "the first difference is not acknowledged yet");
+    ledger.acknowledge(0);
+    assert_eq!(ledger.next_delta().as_ref(), Some(&first));
+    ledger.acknowledge(first.sequence);
+    let second = ledger.next_delta().expect("more was counted");
     assert_eq!((first.sequence, second.sequence, second.counts[&window][&tenant]), (1, 2, 1));
-    ledger.taken(2);
-    assert_eq!(ledger.difference(), None);
+    ledger.acknowledge(2);
+    assert_eq!(ledger.next_delta(), None);
 }
 
 /// Each request is in exactly one difference, whichever replies are lost.
@@ -39,7 +39,7 @@
                 ledger.count(&tenant, UsageWindow(u64::from(requests)));
                 counted += 1;
             }
-            let Some(difference) = ledger.difference() else {
+            let Some(difference) = ledger.next_delta() else {
                 continue;
             };
             if difference.sequence > newest {
@@ -47,10 +47,10 @@
                 reported += difference.counts.values().flat_map(|counts| counts.values()).sum::<u64>();
             }
             if answered {
-                ledger.taken(newest);
+                ledger.acknowledge(newest);
             }
         }
-        counted == reported && ledger.difference().is_none()
+        counted == reported && ledger.next_delta().is_none()
     }
     QuickCheck::new().tests(400).quickcheck(holds as fn(Vec<(u8, bool)>) -> bool);
 }
@@ -58,11 +58,11 @@
 #[test]
 fn a_delayed_reply_does_not_change_the_clock_estimate() {
     let at = Duration::from_millis;
-    let mut clock = FollowedClock::default();
+    let mut clock = GroupClockSamples::default();
     assert_eq!(clock.unix_ms(at(5)), None);
-    clock.hear(10_000, at(100));
+    clock.add_sample(10_000, at(100));
     // The relay process was suspended for 3 s before it read this reply.
-    clock.hear(10_400, at(3_500));
+    clock.add_sample(10_400, at(3_500));
     assert_eq!(clock.unix_ms(at(4_000)), Some(13_900));
 }
 
@@ -76,7 +76,7 @@
             priority: None,
         })
         .collect();
-    let ring = KeyRing::new(&tenants);
+    let ring = ApiKeyIndex::new(&tenants);
     for (tenant, access) in tenants.iter().enumerate() {
         for number in 0..3 {
             assert_eq!(ring.tenant(key(tenant, number).as_bytes()), Some(&access.name));
--- a/crates/layouts/src/commands.rs
+++ b/crates/layouts/src/commands.rs
@@ -11,7 +11,7 @@
     /// A command of level one.
     One(one::LogCommand),
     /// A command of the current types.
-    Today(LogCommand),
+    Current(LogCommand),
 }
 
 /// Encodes `command` as one or more log entries; the outcome of the last one is that of the command. `None` if the
@@ -30,6 +30,6 @@
 pub fn decode(bytes: &[u8], level: FeatureLevel) -> Option<Committed> {
     match level {
         FeatureLevel::One => bitcode::decode(bytes).ok().map(Committed::One),
-        FeatureLevel::Two => bitcode::decode(bytes).ok().map(Committed::Today),
+        FeatureLevel::Two => bitcode::decode(bytes).ok().map(Committed::Current),
     }
 }
--- a/crates/layouts/src/level_one/convert/commands.rs
+++ b/crates/layouts/src/level_one/convert/commands.rs
@@ -15,11 +15,11 @@
             reports.into_iter().map(|report| One::ReportInstance(report.into())).collect()
         }
         GatewayCommand::RemoveInstance(id) => vec![One::RemoveInstance((&id).into())],
-        GatewayCommand::NameVersion(named) => vec![One::NameVersion(named)],
+        GatewayCommand::PublishVersion(named) => vec![One::PublishVersion(named)],
         GatewayCommand::SubmitJob { job, keep_ms } => {
             vec![One::SubmitJob { job: one::JobSubmission::of(job)?, keep_ms }]
         }
-        GatewayCommand::KeepTexts { job, parts } => vec![One::KeepTexts { job, parts }],
+        GatewayCommand::SaveTexts { job, parts } => vec![One::SaveTexts { job, parts }],
         GatewayCommand::ListResults { job, outcomes } => vec![One::ListResults { job, outcomes }],
         GatewayCommand::EndJob(job) => vec![One::EndJob(job)],
         GatewayCommand::RegisterStore(record) => vec![One::RegisterStore(record)],
@@ -33,12 +33,12 @@
             let instances = subjects.into_iter().map(engine).collect::<Option<_>>()?;
             vec![One::NoteOrders { holder, instances }, One::TakeOrders(holder)]
         }
-        GatewayCommand::NoteSilence { .. }
+        GatewayCommand::RecordSilence { .. }
         | GatewayCommand::AddUsage(_)
-        | GatewayCommand::FixUsage(_)
+        | GatewayCommand::CloseUsageWindows(_)
         | GatewayCommand::UsageReported(_)
-        | GatewayCommand::WantEngines(_)
-        | GatewayCommand::TakeEvidence(_)
+        | GatewayCommand::SetWantedEngines(_)
+        | GatewayCommand::RecordEvidence(_)
         | GatewayCommand::BeginTrial(_)
         | GatewayCommand::RenewTrials(_)
         | GatewayCommand::ExpireTrials(_)
--- a/crates/layouts/src/level_one/follow.rs
+++ b/crates/layouts/src/level_one/follow.rs
@@ -6,21 +6,21 @@
 use crate::level_one::convert::update_from_one;
 use crate::level_one::gateway::{FollowReply, FollowRequest, InstanceId, InstanceRecord};
 use saddlerelay_types::gateway as current;
-use saddlerelay_types::instance::{InstanceNews, InstanceState};
+use saddlerelay_types::instance::{InstanceState, InstanceUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// State from the last reply.
 #[derive(Debug, Default)]
-pub struct FollowMemory {
+pub struct FollowConverter {
     revision: u64,
     records: BTreeMap<InstanceId, InstanceRecord>,
     silent: BTreeSet<InstanceId>,
 }
 
-impl FollowMemory {
+impl FollowConverter {
     /// Converts the relay's request to level one. Requests the full state if the relay's revision is not that of
     /// the last reply.
-    pub fn question(&self, follow: &current::FollowRequest) -> FollowRequest {
+    pub fn to_level_one(&self, follow: &current::FollowRequest) -> FollowRequest {
         let is_incremental = self.revision > 0 && follow.instance_revision == self.revision;
         FollowRequest {
             relay: follow.relay.clone(),
@@ -32,7 +32,7 @@
     }
 
     /// Converts the reply to `request`; `None` if its routing update is malformed.
-    pub fn take(&mut self, request: &FollowRequest, reply: FollowReply) -> Option<current::FollowReply> {
+    pub fn convert_reply(&mut self, request: &FollowRequest, reply: FollowReply) -> Option<current::FollowReply> {
         let routing = match &reply.routing {
             Some(update) => Some(update_from_one(update)?),
             None => None,
@@ -62,7 +62,7 @@
         Some(current::FollowReply {
             lease_ms: reply.lease_ms,
             routing,
-            instances: InstanceNews { revision: reply.instance_revision, whole, records },
+            instances: InstanceUpdate { revision: reply.instance_revision, whole, records },
             follower: None,
             retry_pause_ms: 0,
             replicas: reply.replicas,
--- a/crates/layouts/src/level_one/gateway.rs
+++ b/crates/layouts/src/level_one/gateway.rs
@@ -75,7 +75,7 @@
     RemoveInstance(InstanceId),
     PutRouting(RoutingDocument),
     ReadRouting,
-    NameVersion(LoadedModel),
+    PublishVersion(LoadedModel),
     SubmitJob(JobSubmission),
     ReadResults { job: JobId, after: u64, wait_ms: u64 },
     ReadPosition,
@@ -145,12 +145,12 @@
     PutRouting(RoutingDocument),
     ReportInstance(InstanceReport),
     RemoveInstance(InstanceId),
-    NameVersion(LoadedModel),
+    PublishVersion(LoadedModel),
     SubmitJob {
         job: JobSubmission,
         keep_ms: u64,
     },
-    KeepTexts {
+    SaveTexts {
         job: JobId,
         parts: Vec<TextPart>,
     },
--- a/crates/layouts/src/level_one/routing.rs
+++ b/crates/layouts/src/level_one/routing.rs
@@ -1,7 +1,7 @@
 //! Level one routing documents, which have no tenants, public routes or scaling limits.
 
 use bitcode::{Decode, Encode};
-use saddlerelay_types::routing::{BatchTerms, ModelHosting, RequestLimits, RouteKind, WeightedTarget};
+use saddlerelay_types::routing::{BatchSettings, ModelHosting, RequestLimits, RouteKind, WeightedTarget};
 use saddlerelay_types::routing_update::RouteKey;
 
 /// A routing document.
@@ -43,7 +43,7 @@
     /// Whether an interrupted stream may be resumed at another engine.
     pub resumable: bool,
     /// Settings for batch jobs.
-    pub batch: BatchTerms,
+    pub batch: BatchSettings,
 }
 
 /// A service.
--- a/crates/layouts/src/messages.rs
+++ b/crates/layouts/src/messages.rs
@@ -3,7 +3,7 @@
 
 use crate::FeatureLevel;
 use crate::level_one::convert;
-use crate::level_one::follow::FollowMemory;
+use crate::level_one::follow::FollowConverter;
 use crate::level_one::gateway::{
     FollowRequest as FollowRequestOne, GatewayReply as GatewayReplyOne, GatewayRequest as GatewayRequestOne,
 };
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
     /// A request whose reply can be encoded at any level.
-    Today(ControlRequest),
+    Current(ControlRequest),
     /// A relay's follow request of level one, whose reply has different content.
     FollowOne(FollowRequestOne),
 }
@@ -33,9 +33,9 @@
     match level {
         FeatureLevel::One => match bitcode::decode(bytes).ok()? {
             one::ControlRequest::Gateway(GatewayRequestOne::Follow(follow)) => Some(Request::FollowOne(follow)),
-            other => convert::control_request_from_one(other).map(Request::Today),
+            other => convert::control_request_from_one(other).map(Request::Current),
         },
-        FeatureLevel::Two => bitcode::decode(bytes).ok().map(Request::Today),
+        FeatureLevel::Two => bitcode::decode(bytes).ok().map(Request::Current),
     }
 }
 
@@ -61,10 +61,14 @@
 }
 
 /// Decodes the reply to a relay's follow request of level one; `None` if it is malformed.
-pub fn decode_follow_one(bytes: &[u8], request: &FollowRequestOne, memory: &mut FollowMemory) -> Option<ControlReply> {
+pub fn decode_follow_one(
+    bytes: &[u8],
+    request: &FollowRequestOne,
+    memory: &mut FollowConverter,
+) -> Option<ControlReply> {
     match bitcode::decode(bytes).ok()? {
         one::ControlReply::Gateway(GatewayReplyOne::Followed(reply)) => {
-            memory.take(request, reply).map(|reply| ControlReply::Gateway(GatewayReply::Followed(reply)))
+            memory.convert_reply(request, reply).map(|reply| ControlReply::Gateway(GatewayReply::Followed(reply)))
         }
         other => convert::control_reply_from_one(other),
     }
--- a/crates/layouts/tests/follow.rs
+++ b/crates/layouts/tests/follow.rs
@@ -1,10 +1,10 @@
 //! A relay of this build that polls a leader at level one.
 
-use saddlerelay_layouts::level_one::follow::FollowMemory;
+use saddlerelay_layouts::level_one::follow::FollowConverter;
 use saddlerelay_layouts::level_one::gateway::{FollowReply, InstanceId, InstanceRecord, InstanceReport};
 use saddlerelay_types::gateway::FollowRequest;
 use saddlerelay_types::identity::Incarnation;
-use saddlerelay_types::instance::{InstanceNews, InstanceState};
+use saddlerelay_types::instance::{InstanceState, InstanceUpdate};
 
 fn follow(instance_revision: u64) -> FollowRequest {
     FollowRequest {
@@ -47,19 +47,19 @@
 }
 
 /// Sends a request at `revision` and converts the reply.
-fn poll(memory: &mut FollowMemory, revision: u64, reply: FollowReply) -> InstanceNews {
-    let request = memory.question(&follow(revision));
-    memory.take(&request, reply).expect("a reply without routing").instances
+fn poll(memory: &mut FollowConverter, revision: u64, reply: FollowReply) -> InstanceUpdate {
+    let request = memory.to_level_one(&follow(revision));
+    memory.convert_reply(&request, reply).expect("a reply without routing").instances
 }
 
 /// Names and silent flags of the records.
-fn silent_flags(changes: &InstanceNews) -> Vec<(&str, bool)> {
+fn silent_flags(changes: &InstanceUpdate) -> Vec<(&str, bool)> {
     changes.records.iter().map(|record| (record.report.id.name.as_str(), record.silent)).collect()
 }
 
 #[test]
 fn changes_of_the_silent_list_become_record_changes() {
-    let mut memory = FollowMemory::default();
+    let mut memory = FollowConverter::default();
     let both = vec![record("a", InstanceState::Ready, 1), record("b", InstanceState::Ready, 2)];
     let first = poll(&mut memory, 0, reply(2, both, &["b"]));
     assert!(first.whole);
@@ -74,15 +74,15 @@
 /// Otherwise the leader would see outdated state in each request and reply immediately, in a busy loop.
 #[test]
 fn the_request_lists_the_instances_last_reported_silent() {
-    let mut memory = FollowMemory::default();
+    let mut memory = FollowConverter::default();
     poll(&mut memory, 0, reply(3, vec![record("a", InstanceState::Ready, 3)], &["a"]));
-    let request = memory.question(&follow(3));
+    let request = memory.to_level_one(&follow(3));
     assert_eq!((request.instance_revision, request.silent), (3, vec![InstanceId("a".to_string())]));
 }
 
 #[test]
 fn a_gone_instance_is_reported_once_and_removed() {
-    let mut memory = FollowMemory::default();
+    let mut memory = FollowConverter::default();
     poll(&mut memory, 0, reply(1, vec![record("a", InstanceState::Ready, 1)], &[]));
     let gone = poll(&mut memory, 1, reply(2, vec![record("a", InstanceState::Gone, 2)], &[]));
     assert_eq!(gone.records.len(), 1);
@@ -93,9 +93,9 @@
 /// Another replica may have replied meanwhile, or the relay may not have applied the last reply.
 #[test]
 fn a_relay_at_another_revision_receives_the_full_state() {
-    let mut memory = FollowMemory::default();
+    let mut memory = FollowConverter::default();
     poll(&mut memory, 0, reply(5, vec![record("a", InstanceState::Ready, 5)], &["a"]));
-    let request = memory.question(&follow(4));
+    let request = memory.to_level_one(&follow(4));
     assert_eq!((request.instance_revision, request.silent.len()), (0, 0));
     let changes = poll(&mut memory, 4, reply(6, vec![record("b", InstanceState::Ready, 6)], &[]));
     assert!(changes.whole);
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -1,6 +1,6 @@
 //! Relay limits and timeouts.
 
-use saddlerelay_control_client::suspicions::LAST_TRIAL_PAUSE;
+use saddlerelay_control_client::suspicions::DEFAULT_LAST_TRIAL_PAUSE;
 use std::time::Duration;
 
 /// Limits and timeouts.
@@ -15,7 +15,7 @@
     /// Maximum number of samples per assignment request.
     pub rollout_batch: u32,
     /// Timeout for connecting to an engine.
-    pub connect_limit: Duration,
+    pub connect_timeout: Duration,
     /// Timeout for an engine's response to a request, and for each chunk of its stream.
     pub chunk_limit: Duration,
     /// Maximum wait for an engine that can accept a request.
@@ -44,7 +44,7 @@
             renew_limit: Duration::from_millis(1500),
             rollout_interval: Duration::from_millis(50),
             rollout_batch: 64,
-            connect_limit: Duration::from_millis(150),
+            connect_timeout: Duration::from_millis(150),
             chunk_limit: Duration::from_secs(5),
             engine_wait: Duration::from_millis(1500),
             newer_weights_wait: Duration::from_millis(1500),
@@ -53,7 +53,7 @@
             engine_in_flight_percent: 300,
             fetch_wait: Duration::from_secs(2),
             drain_limit: Duration::from_secs(120),
-            last_trial_pause: LAST_TRIAL_PAUSE,
+            last_trial_pause: DEFAULT_LAST_TRIAL_PAUSE,
         }
     }
 }
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -78,7 +78,7 @@
     /// The engine did not receive or did not admit the request.
     NotExecuted(String),
     /// The engine may have executed the request, or may still be executing it.
-    MayHaveRun(String),
+    PossiblyExecuted(String),
     /// The generation fails without further attempts.
     Aborted(FailureCode, String),
 }
@@ -101,7 +101,7 @@
         let work = self.work;
         *self.work_digest.get_or_init(|| {
             let body = work.prompt.as_bytes();
-            WorkDigest::of_posted(Some(&work.tenant), work.model.as_str(), GENERATION_PATH, body)
+            WorkDigest::of_post_request(Some(&work.tenant), work.model.as_str(), GENERATION_PATH, body)
         })
     }
 }
@@ -124,7 +124,7 @@
         };
         let outcome = self.try_engines(&mut progress).await;
         if outcome.is_ok() {
-            self.inner.suspicions.note_served(|| progress.work_digest());
+            self.inner.suspicions.record_served(|| progress.work_digest());
         }
         outcome.map(|()| progress.generation)
     }
@@ -145,7 +145,7 @@
                 Ok(()) => return Ok(()),
                 Err(AttemptFailure::Aborted(code, message)) => return Err(progress.failure(code, message)),
                 Err(AttemptFailure::NotExecuted(message)) => last_message = message,
-                Err(AttemptFailure::MayHaveRun(message)) => {
+                Err(AttemptFailure::PossiblyExecuted(message)) => {
                     progress.may_have_run = true;
                     self.check_engine_ended(progress, &engine).await;
                     if work.repeatability == Repeatability::NotRepeatable {
@@ -193,12 +193,12 @@
         self.count(|counters| counters.engines_ended += 1);
         let work = progress.work_digest();
         let instance = InstanceId::named(format!("{}/{}", engine.id, incarnation));
-        spdlog::warn!("engine ended during a generation", kv: {
-            work = work.shown().as_str(), instance = instance.name.as_str()
+        spdlog::warn!("engine terminated during a generation", kv: {
+            work = work.log_prefix().as_str(), instance = instance.name.as_str()
         });
-        self.inner.suspicions.note_loss(EngineLoss { work, instance });
+        self.inner.suspicions.record_loss(EngineLoss { work, instance });
         // The control group's reply contains losses reported by other relays; they are applied before the next attempt.
-        self.inner.suspicions.await_known_to_group(&work).await;
+        self.inner.suspicions.wait_for_commit(&work).await;
     }
 
     fn may_retry(&self) -> bool {
@@ -323,7 +323,7 @@
     }
 
     async fn connect(&self, engine: &EngineDescription) -> Result<B::Connection, AttemptFailure> {
-        let limit = self.inner.options.config.connect_limit;
+        let limit = self.inner.options.config.connect_timeout;
         match timeout(&self.inner.platform, limit, self.inner.backends.connect(engine)).await {
             Some(Ok(connection)) => Ok(connection),
             Some(Err(error)) => Err(self.engine_failed(engine, error)),
@@ -335,7 +335,7 @@
         self.inner.registry.record_failure(&engine.id, self.inner.platform.monotonic());
         match error {
             BackendError::NotSent(message) | BackendError::Refused(message) => AttemptFailure::NotExecuted(message),
-            BackendError::Unknown(message) => AttemptFailure::MayHaveRun(message),
+            BackendError::Unknown(message) => AttemptFailure::PossiblyExecuted(message),
         }
     }
 
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -66,7 +66,7 @@
     /// Applies a reply; returns `false` if the relay was fenced or the configuration could not be stored.
     async fn apply_renewal(&self, mut reply: RenewReply, sent_at: Duration, incarnation: Incarnation) -> bool {
         if let Some(list) = reply.suspicions.take() {
-            self.inner.suspicions.take(list);
+            self.inner.suspicions.apply_list(list);
         }
         if reply.fenced {
             self.start_new_incarnation(incarnation);
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -8,7 +8,7 @@
 use crate::scorer_watch::ScorerWatch;
 use crate::view::View;
 use saddlerelay_control_client::ControlClient;
-use saddlerelay_control_client::suspicions::SuspicionKeeper;
+use saddlerelay_control_client::suspicions::SuspicionSync;
 use saddlerelay_policies::{Policy, PolicyName};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
@@ -76,7 +76,7 @@
     pub admission: Admission,
     pub policy: Box<dyn Policy>,
     pub retries: RefCell<RetryBudget>,
-    pub suspicions: Rc<SuspicionKeeper<P>>,
+    pub suspicions: Rc<SuspicionSync<P>>,
     pub stopping: Cell<bool>,
     pub samples_running: Cell<u32>,
     pub scorer: ScorerWatch,
@@ -101,7 +101,7 @@
     pub async fn start(platform: P, backends: B, options: RelayOptions) -> io::Result<Self> {
         let control = ControlClient::new(platform.clone(), &options.control, &options.secret);
         let pause = options.config.last_trial_pause;
-        let suspicions = SuspicionKeeper::start(platform.clone(), control.clone(), pause);
+        let suspicions = SuspicionSync::start(platform.clone(), control.clone(), pause);
         let inner = Inner {
             control,
             suspicions,
--- a/crates/replication/src/announcement.rs
+++ b/crates/replication/src/announcement.rs
@@ -27,7 +27,7 @@
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
     /// Sets the addresses that receive announcements while this replica leads.
-    pub fn set_audience(&self, machines: BTreeSet<SocketAddr>) {
+    pub fn set_announcement_targets(&self, machines: BTreeSet<SocketAddr>) {
         *self.inner.announcement_targets.borrow_mut() = machines;
     }
 
@@ -35,7 +35,7 @@
     /// announced leader, the members in this replica's log, then other known addresses. A replica that is an active
     /// member omits the last group, as the next leader will be a member and each unreachable address delays the
     /// caller.
-    pub fn peers_by_likelihood(&self) -> Vec<SocketAddr> {
+    pub fn redirect_addresses(&self) -> Vec<SocketAddr> {
         self.peers_by_likelihood_in(&self.inner.state.borrow())
     }
 
@@ -81,7 +81,7 @@
     pub(crate) fn handle_announcement(&self, group: u64, leader: SocketAddr, members: Vec<SocketAddr>) -> ReplicaReply {
         let own = self.inner.state.borrow().identity.group;
         if own.is_some_and(|own| own != group) {
-            return ReplicaReply::Refused;
+            return ReplicaReply::Rejected;
         }
         let now = self.inner.platform.monotonic();
         let is_excluded = !members.contains(&self.inner.options.address) && leader != self.inner.options.address;
@@ -90,8 +90,8 @@
         if previous.is_none_or(|(previous, _)| previous != leader) {
             spdlog::info!("group announced", kv: { leader = leader.to_string().as_str(), members = members.len() });
         }
-        self.hear_of(members);
-        ReplicaReply::Taken
+        self.add_known_addresses(members);
+        ReplicaReply::Accepted
     }
 
     /// Sends announcements to addresses outside the group while this replica leads.
--- a/crates/replication/src/calls.rs
+++ b/crates/replication/src/calls.rs
@@ -5,7 +5,7 @@
 use crate::replica::Replica;
 use crate::state::StateMachine;
 use saddlerelay_layouts::messages;
-use saddlerelay_rpc::client::{CallError, Client, Speech};
+use saddlerelay_rpc::client::{CallError, Client, LevelSelection};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_types::identity::ReplicaId;
 use saddlerelay_types::protocol::{ControlReply, ControlRequest};
@@ -44,29 +44,30 @@
         request: &ReplicaRequest,
         timeout: Duration,
     ) -> Result<ReplicaReply, CallError> {
-        let speech = if channel == Channel::Negotiated { Speech::Negotiated } else { self.speech() };
-        self.send_as(speech, channel, address, request, timeout).await
+        let level_selection =
+            if channel == Channel::Negotiated { LevelSelection::Negotiated } else { self.level_selection() };
+        self.send_as(level_selection, channel, address, request, timeout).await
     }
 
     /// Like `try_send`, at a feature level chosen by the caller.
     pub(crate) async fn send_as(
         &self,
-        speech: Speech,
+        level_selection: LevelSelection,
         channel: Channel,
         address: SocketAddr,
         request: &ReplicaRequest,
         timeout: Duration,
     ) -> Result<ReplicaReply, CallError> {
         let client = self.client(channel, address);
-        client.speak(speech);
+        client.set_level_selection(level_selection);
         let answer = client.call(|level| message_codec::encode_call(request, level), timeout).await?;
         let reply = message_codec::decode_answer(&answer.body, answer.level);
-        reply.ok_or(CallError::Unknown)
+        reply.ok_or(CallError::OutcomeUnknown)
     }
 
     /// Sends a control request to the leader; `None` if the leader is unknown, is this replica, or does not reply in
     /// time.
-    pub async fn ask_leader(&self, request: &ControlRequest, timeout: Duration) -> Option<ControlReply> {
+    pub async fn call_leader(&self, request: &ControlRequest, timeout: Duration) -> Option<ControlReply> {
         let client = self.client(Channel::Negotiated, self.leader_address()?);
         let answer = client.call(|level| messages::encode_request(request, level), timeout).await.ok()?;
         messages::decode_reply(&answer.body, answer.level)
--- a/crates/replication/src/config.rs
+++ b/crates/replication/src/config.rs
@@ -19,7 +19,7 @@
     /// clock drift.
     pub lease: Duration,
     /// Timeout of one message between replicas.
-    pub call_limit: Duration,
+    pub call_timeout: Duration,
     /// Number of applied entries after which a snapshot is taken.
     pub snapshot_entries: u64,
     /// Size in bytes of applied entries after which a snapshot is taken. Each replica uses 50 to 100 % of it, so that
@@ -54,7 +54,7 @@
             election_jitter: Duration::from_millis(500),
             leader_head_start: Duration::from_millis(150),
             lease: Duration::from_millis(800),
-            call_limit: Duration::from_millis(1000),
+            call_timeout: Duration::from_millis(1000),
             snapshot_entries: 4096,
             snapshot_bytes: 16 * 1024 * 1024,
             trailing_entries: 256,
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -231,8 +231,8 @@
                     count.refused += 1;
                     self.observe_term(observed_term).await;
                 }
-                Some(Err(CallError::Unknown)) => count.late += 1,
-                Some(Ok(_) | Err(CallError::NotSent | CallError::Unspeakable)) => {}
+                Some(Err(CallError::OutcomeUnknown)) => count.late += 1,
+                Some(Ok(_) | Err(CallError::NotSent | CallError::UnsupportedByPeer)) => {}
                 None => {
                     if votes + count.late >= quorum {
                         self.inner.state.borrow_mut().adaptive_timeout.record_vote_timeout();
@@ -329,7 +329,7 @@
             return ReplicaReply::Vote { term: header.term, granted: true };
         }
         if !self.write_term(&mut storage, header.term, Some(header.from)).await {
-            return ReplicaReply::Refused;
+            return ReplicaReply::Rejected;
         }
         self.record_vote(header.term, header.from);
         ReplicaReply::Vote { term: header.term, granted: true }
--- a/crates/replication/src/file_format.rs
+++ b/crates/replication/src/file_format.rs
@@ -25,27 +25,27 @@
     Level(FeatureLevel),
     /// The log may contain entries of several levels, and a snapshot specifies its own. Without a specified level,
     /// snapshots and logs start at level one. Also used for a new replica whose level is not known yet.
-    Raised,
+    MultipleLevels,
 }
 
 impl FileFormat {
     fn number(self) -> u32 {
         match self {
             Self::Level(level) => level.file_format(),
-            Self::Raised => MULTIPLE_LEVELS,
+            Self::MultipleLevels => MULTIPLE_LEVELS,
         }
     }
 
-    fn of_number(number: u32) -> Option<Self> {
-        let raised = (number == MULTIPLE_LEVELS).then_some(Self::Raised);
-        raised.or_else(|| FeatureLevel::of_file_format(number).map(Self::Level))
+    fn from_number(number: u32) -> Option<Self> {
+        let raised = (number == MULTIPLE_LEVELS).then_some(Self::MultipleLevels);
+        raised.or_else(|| FeatureLevel::from_file_format(number).map(Self::Level))
     }
 
     /// Level of the first log entry if there is no snapshot.
     pub fn first_level(self) -> FeatureLevel {
         match self {
             Self::Level(level) => level,
-            Self::Raised => FeatureLevel::One,
+            Self::MultipleLevels => FeatureLevel::One,
         }
     }
 
@@ -60,7 +60,7 @@
         let corrupt = || StorageError::Corrupt { file: FORMAT_FILE, offset: 0 };
         let body = wal::unframe(&bytes).ok().flatten().ok_or_else(corrupt)?;
         let number: u32 = bitcode::decode(body).map_err(|_| corrupt())?;
-        Self::of_number(number).ok_or(StorageError::OtherFormat { found: Some(number) })
+        Self::from_number(number).ok_or(StorageError::OtherFormat { found: Some(number) })
     }
 
     /// Writes the format to `disk`.
@@ -74,17 +74,17 @@
         let encoded = snapshot.into_encoded();
         match self {
             Self::Level(_) => encoded,
-            Self::Raised => [LEVEL_PREFIX, &level.number().to_le_bytes(), &encoded].concat(),
+            Self::MultipleLevels => [LEVEL_PREFIX, &level.number().to_le_bytes(), &encoded].concat(),
         }
     }
 
     /// Decodes a snapshot file; `None` if it is corrupt.
     pub(crate) fn decode_snapshot(self, bytes: Vec<u8>) -> Option<Snapshot> {
-        let Some(prefixed) = bytes.strip_prefix(LEVEL_PREFIX).filter(|_| self == Self::Raised) else {
+        let Some(prefixed) = bytes.strip_prefix(LEVEL_PREFIX).filter(|_| self == Self::MultipleLevels) else {
             return Some(Snapshot::decode(bytes)?.at_level(self.first_level()));
         };
         let (number, encoded) = prefixed.split_first_chunk()?;
-        let level = FeatureLevel::of_number(u32::from_le_bytes(*number))?;
+        let level = FeatureLevel::from_number(u32::from_le_bytes(*number))?;
         Some(Snapshot::decode(encoded.to_vec())?.at_level(level))
     }
 }
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -89,7 +89,7 @@
         if let Err(error) = self.adopt_level(&mut storage, level).await {
             // The leader retries.
             spdlog::warn!("file format write failed", kv: { dependency = "disk", reason = error.to_string().as_str() });
-            return ReplicaReply::Refused;
+            return ReplicaReply::Rejected;
         }
         let mut records = new_term_record(header.term, own_term);
         let last_sent = previous_index + entries.len() as u64;
@@ -103,7 +103,7 @@
         }
         if !records.is_empty() && storage.append(&records).await.is_err() {
             self.fail_storage();
-            return ReplicaReply::Refused;
+            return ReplicaReply::Rejected;
         }
         let mut state = self.inner.state.borrow_mut();
         enter_term(&mut state, &header);
@@ -188,7 +188,7 @@
         if let Err(error) = self.prepare_level_of(&mut storage, &snapshot).await {
             // The leader retries.
             spdlog::warn!("file format write failed", kv: { dependency = "disk", reason = error.to_string().as_str() });
-            return ReplicaReply::Refused;
+            return ReplicaReply::Rejected;
         }
         // The old state is dropped before the file is written, to limit memory use.
         self.replace_state(&snapshot);
@@ -201,7 +201,7 @@
         };
         if written.is_err() {
             self.fail_storage();
-            return ReplicaReply::Refused;
+            return ReplicaReply::Rejected;
         }
         {
             let mut state = self.inner.state.borrow_mut();
--- a/crates/replication/src/heartbeat.rs
+++ b/crates/replication/src/heartbeat.rs
@@ -31,15 +31,15 @@
     async fn send_heartbeat(self, peer: Member, term: u64) {
         let sent_at = self.inner.platform.monotonic();
         let request = ReplicaRequest::Heartbeat { header: self.header(peer.id, term) };
-        let timeout = self.inner.options.config.call_limit;
+        let timeout = self.inner.options.config.call_timeout;
         let call = self.try_send(Channel::Heartbeats, peer.address, &request, timeout);
         let record_late = || {
             let last_late_heartbeat = self.inner.platform.monotonic();
             self.with_progress(&peer, term, |progress| progress.last_late_heartbeat = Some(last_late_heartbeat));
         };
         let reply = self.watch_promptness(call, record_late).await;
-        if let Ok(ReplicaReply::Heartbeat { term: observed_term, heard }) = reply {
-            if heard {
+        if let Ok(ReplicaReply::Heartbeat { term: observed_term, acknowledged }) = reply {
+            if acknowledged {
                 self.with_progress(&peer, term, |progress| {
                     progress.acknowledged_heartbeat_sent_at =
                         progress.acknowledged_heartbeat_sent_at.max(Some(sent_at));
@@ -69,7 +69,7 @@
         let is_newest = header.term >= newest_term;
         let is_other_leader = state.term == header.term && state.leader.is_some_and(|leader| leader != header.from);
         if !is_newest || is_other_leader || state.leadership().is_some() {
-            return ReplicaReply::Heartbeat { term: newest_term, heard: false };
+            return ReplicaReply::Heartbeat { term: newest_term, acknowledged: false };
         }
         // A replica that has not entered the leader's term yet resets its election timer, but does not acknowledge.
         self.record_leader_contact(&mut state, &header);
@@ -77,6 +77,6 @@
         if header.term == state.term {
             state.become_follower();
         }
-        ReplicaReply::Heartbeat { term: state.term, heard: header.term == state.term }
+        ReplicaReply::Heartbeat { term: state.term, acknowledged: header.term == state.term }
     }
 }
--- a/crates/replication/src/leader.rs
+++ b/crates/replication/src/leader.rs
@@ -11,7 +11,7 @@
 use crate::wal::WalRecord;
 use futures::channel::mpsc;
 use futures::{FutureExt, StreamExt, future};
-use saddlerelay_rpc::client::{CallError, Speech};
+use saddlerelay_rpc::client::{CallError, LevelSelection};
 use saddlerelay_runtime::Runtime;
 use std::collections::BTreeMap;
 use std::pin::pin;
@@ -190,16 +190,16 @@
                 return;
             };
             let sent_at = self.inner.platform.monotonic();
-            let speech = self.speech_for(&request, &transfer);
-            let sent = self.send_as(speech, Channel::Log, peer.address, &request, config.call_limit);
+            let level_selection = self.level_selection_for(&request, &transfer);
+            let sent = self.send_as(level_selection, Channel::Log, peer.address, &request, config.call_timeout);
             let reply = self.with_heartbeats(&peer, term, sent).await;
             match &reply {
                 Ok(_) => {
                     let after = self.inner.platform.monotonic().saturating_sub(sent_at);
-                    size.record_reply_time(after, config.call_limit);
+                    size.record_reply_time(after, config.call_timeout);
                 }
-                Err(CallError::Unknown) => size.record_timeout(),
-                Err(CallError::NotSent | CallError::Unspeakable) => {}
+                Err(CallError::OutcomeUnknown) => size.record_timeout(),
+                Err(CallError::NotSent | CallError::UnsupportedByPeer) => {}
             }
             let has_more = match reply {
                 Ok(ReplicaReply::Append { term: seen_term, accepted, index }) => {
@@ -238,13 +238,13 @@
 
     /// Feature level at which a message is encoded. It is that of the first entry or of the snapshot, as a peer with
     /// an empty log adopts it.
-    fn speech_for(&self, request: &ReplicaRequest, transfer: &Option<SnapshotTransfer>) -> Speech {
+    fn level_selection_for(&self, request: &ReplicaRequest, transfer: &Option<SnapshotTransfer>) -> LevelSelection {
         match (request, transfer) {
             (ReplicaRequest::Append { previous_index, .. }, _) => {
-                Speech::Fixed(self.inner.state.borrow().level_of_append(*previous_index))
+                LevelSelection::Fixed(self.inner.state.borrow().level_of_append(*previous_index))
             }
-            (ReplicaRequest::SnapshotPart { .. }, Some(transfer)) => Speech::Fixed(transfer.snapshot.level),
-            _ => self.speech(),
+            (ReplicaRequest::SnapshotPart { .. }, Some(transfer)) => LevelSelection::Fixed(transfer.snapshot.level),
+            _ => self.level_selection(),
         }
     }
 
--- a/crates/replication/src/leadership_offer.rs
+++ b/crates/replication/src/leadership_offer.rs
@@ -147,7 +147,7 @@
         let header = self.header(leader.id, next_term);
         let request = ReplicaRequest::Vote { header, pre_vote: true, transfer: true, last_index, last_term };
         // A lost offer is repeated after the next probe round.
-        let _ = self.try_send(Channel::Probes, leader.address, &request, self.inner.options.config.call_limit).await;
+        let _ = self.try_send(Channel::Probes, leader.address, &request, self.inner.options.config.call_timeout).await;
     }
 
     /// Records an offer if this replica leads. Other replicas handle it as the pre-vote request that it also is.
@@ -175,7 +175,7 @@
                 reached = reached, quorum = quorum, hands_over = hands_over
             });
             if hands_over && self.await_ready_successor(term).await {
-                self.transfer_leadership(|attempted| self.best_offer(attempted)).await;
+                self.transfer_leadership_to(|attempted| self.best_offer(attempted)).await;
             }
             self.inner.leadership_offers.borrow_mut().received.clear();
         }
@@ -223,7 +223,7 @@
     fn best_offer(&self, attempted: &BTreeSet<ReplicaId>) -> Option<Successor> {
         let state = self.inner.state.borrow();
         let offers = self.inner.leadership_offers.borrow();
-        let unwanted = self.inner.unwanted.borrow();
+        let unwanted = self.inner.excluded_replicas.borrow();
         let own = state.identity.id;
         let voters = state.membership().voters().filter(|voter| voter.id != own && !unwanted.contains(&voter.id));
         let match_index = |voter: &Member| {
--- a/crates/replication/src/leadership_transfer.rs
+++ b/crates/replication/src/leadership_transfer.rs
@@ -33,14 +33,17 @@
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
     /// Transfers leadership before a planned stop or before this replica leaves the group. Returns whether a successor
     /// took over. After a timeout this replica steps down anyway.
-    pub async fn hand_over(&self) -> bool {
+    pub async fn transfer_leadership(&self) -> bool {
         self.inner.state.borrow_mut().stopping = true;
-        self.transfer_leadership(|attempted| self.caught_up_successor(attempted)).await
+        self.transfer_leadership_to(|attempted| self.caught_up_successor(attempted)).await
     }
 
     /// Requests the successors returned by `choose` to take over, one at a time. Returns whether one did. After a
     /// timeout this replica steps down anyway.
-    pub(crate) async fn transfer_leadership(&self, choose: impl Fn(&BTreeSet<ReplicaId>) -> Option<Successor>) -> bool {
+    pub(crate) async fn transfer_leadership_to(
+        &self,
+        choose: impl Fn(&BTreeSet<ReplicaId>) -> Option<Successor>,
+    ) -> bool {
         let deadline = self.inner.platform.monotonic() + TRANSFER_TIMEOUT;
         let mut attempted = BTreeSet::new();
         while self.inner.platform.monotonic() < deadline && self.block_proposals() {
@@ -59,7 +62,7 @@
     /// Sends the request over two connections to tolerate packet loss, as proposals are blocked until it arrives. The
     /// second copy is rejected.
     async fn request_take_over(&self, successor: Successor) {
-        let request = ReplicaRequest::TakeOver { header: self.header(successor.id, successor.term) };
+        let request = ReplicaRequest::TimeoutNow { header: self.header(successor.id, successor.term) };
         let send_request = |channel| self.try_send(channel, successor.address, &request, TAKE_OVER_TIMEOUT);
         let (log, probes) = join(send_request(Channel::Log), send_request(Channel::Probes)).await;
         spdlog::info!("leadership transfer requested", kv: {
@@ -90,13 +93,13 @@
 
     /// Campaigns at the request of the current term's leader. A delayed request of an earlier term is rejected: voters
     /// ignore the lease in such a campaign, and the current leader has not agreed to that.
-    pub(crate) fn handle_take_over(&self, header: Header) -> ReplicaReply {
+    pub(crate) fn handle_timeout_now(&self, header: Header) -> ReplicaReply {
         let is_current = header.term == self.inner.state.borrow().term;
         if !is_current || !self.is_for_this_replica(&header) {
-            return ReplicaReply::Refused;
+            return ReplicaReply::Rejected;
         }
         self.inner.platform.spawn(self.clone().campaign_after(header.term, true));
-        ReplicaReply::Taken
+        ReplicaReply::Accepted
     }
 
     /// Blocks further proposals; `false` if this replica is not the leader.
@@ -115,7 +118,7 @@
         let last_index = state.log.last_index();
         let progress = |member: &Member| progress_by_peer.get(&member.id).copied().unwrap_or_default();
         let others = state.membership().voters().filter(|member| member.id != own);
-        let unwanted = self.inner.unwanted.borrow();
+        let unwanted = self.inner.excluded_replicas.borrow();
         let eligible = others.filter(|member| !unwanted.contains(&member.id));
         let caught_up = eligible.filter(|member| progress(member).match_index >= last_index);
         let best = caught_up
--- a/crates/replication/src/levels.rs
+++ b/crates/replication/src/levels.rs
@@ -10,7 +10,7 @@
 use crate::replica::{Proposal, ProposeError, Replica};
 use crate::state::{State, StateMachine};
 use crate::storage::{Storage, StorageError};
-use saddlerelay_rpc::client::Speech;
+use saddlerelay_rpc::client::LevelSelection;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_types::feature_level::FeatureLevel;
 
@@ -26,7 +26,7 @@
 /// Level that the command raises the group to; `None` for other commands.
 pub fn raised_to(command: &[u8]) -> Option<FeatureLevel> {
     let number = command.strip_prefix(RAISE_PREFIX)?.try_into().ok().map(u32::from_le_bytes);
-    let level = number.and_then(FeatureLevel::of_number);
+    let level = number.and_then(FeatureLevel::from_number);
     Some(level.expect("a level is raised only when every member supports it"))
 }
 
@@ -70,10 +70,10 @@
     }
 
     /// Whether open connections to all other members have negotiated support for `level`.
-    pub fn members_know(&self, level: FeatureLevel) -> bool {
+    pub fn members_support(&self, level: FeatureLevel) -> bool {
         let own = self.inner.state.borrow().identity.id;
         let members = self.inner.state.borrow().membership().members.clone();
-        let supports = |address| self.client(Channel::Log, address).newest_of_peer() >= Some(level);
+        let supports = |address| self.client(Channel::Log, address).newest_level_of_peer() >= Some(level);
         members.iter().filter(|member| member.id != own).all(|member| supports(member.address))
     }
 
@@ -94,11 +94,11 @@
 
     /// Level at which messages to members are encoded. It is negotiated until the group has committed more than its
     /// first entry.
-    pub(crate) fn speech(&self) -> Speech {
+    pub(crate) fn level_selection(&self) -> LevelSelection {
         let state = self.inner.state.borrow();
         match state.level.filter(|_| !state.has_only_first_entry()) {
-            Some(level) => Speech::Fixed(level),
-            None => Speech::Negotiated,
+            Some(level) => LevelSelection::Fixed(level),
+            None => LevelSelection::Negotiated,
         }
     }
 
@@ -135,7 +135,7 @@
             return Ok(());
         }
         let others = members.iter().filter(|member| member.id != own);
-        let supported = others.filter_map(|member| self.client(Channel::Log, member.address).newest_of_peer());
+        let supported = others.filter_map(|member| self.client(Channel::Log, member.address).newest_level_of_peer());
         let level = supported.fold(self.inner.options.config.first_level, FeatureLevel::min);
         let mut storage = self.inner.storage.lock().await;
         self.adopt_level(&mut storage, level).await
--- a/crates/replication/src/membership_change.rs
+++ b/crates/replication/src/membership_change.rs
@@ -37,17 +37,17 @@
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
     /// Adds addresses at which replicas may listen.
-    pub fn hear_of(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
+    pub fn add_known_addresses(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         self.inner.discovered_addresses.borrow_mut().extend(addresses);
     }
 
     /// Sets the replicas that must be removed from the group or kept out of it.
-    pub fn set_unwanted(&self, unwanted: BTreeSet<ReplicaId>) {
-        *self.inner.unwanted.borrow_mut() = unwanted;
+    pub fn set_excluded_replicas(&self, unwanted: BTreeSet<ReplicaId>) {
+        *self.inner.excluded_replicas.borrow_mut() = unwanted;
     }
 
     /// Whether `replica` is not a member, and the target number of healthy voters has synced all committed entries.
-    pub fn is_whole_without(&self, replica: ReplicaId) -> bool {
+    pub fn is_replicated_without(&self, replica: ReplicaId) -> bool {
         let state = self.inner.state.borrow();
         let (Some(_), true) = (state.leadership(), may_change_membership(&state)) else {
             return false;
@@ -66,14 +66,14 @@
     }
 
     /// Whether the target number of voters is healthy, so that this leader may leave the group.
-    pub fn may_leave(&self) -> bool {
+    pub fn can_leave(&self) -> bool {
         let state = self.inner.state.borrow();
         let healthy = self.assess_members(&state, |health| health.healthy_voters());
         may_change_membership(&state) && healthy.is_some_and(|healthy| healthy >= self.target_voters())
     }
 
     fn assess_members<T>(&self, state: &State<S>, assess: impl FnOnce(&MemberHealth) -> T) -> Option<T> {
-        let unwanted = self.inner.unwanted.borrow();
+        let unwanted = self.inner.excluded_replicas.borrow();
         let health = MemberHealth {
             membership: state.membership(),
             leadership: state.leadership()?,
@@ -98,20 +98,24 @@
             if is_older {
                 spdlog::warn!("join request of older build refused", kv: { replica = id.0, feature_level = level.number() });
             }
-            if is_member || is_older || self.inner.unwanted.borrow().contains(&id) || !may_change_membership(&state) {
-                return ReplicaReply::Refused;
+            if is_member
+                || is_older
+                || self.inner.excluded_replicas.borrow().contains(&id)
+                || !may_change_membership(&state)
+            {
+                return ReplicaReply::Rejected;
             }
             let needed = self.assess_members(&state, |health| {
                 health.needs_learner(address, config.target_voters, config.spare_learners)
             });
             if needed != Some(true) {
                 let members = self.known_addresses(&state);
-                return ReplicaReply::NotWanted { ask_again_ms: self.reject_join(address), members };
+                return ReplicaReply::NotNeeded { retry_after_ms: self.reject_join(address), members };
             }
             (state.membership().with_learner(id, address), state.log.membership_index())
         };
         self.propose_membership(membership, based_on_index);
-        ReplicaReply::Taken
+        ReplicaReply::Accepted
     }
 
     /// Records a rejected join request and returns the retry interval in milliseconds.
@@ -194,10 +198,10 @@
             let replies = join_all(self.join_addresses().into_iter().map(send_request)).await;
             for reply in replies.into_iter().flatten() {
                 match reply {
-                    ReplicaReply::Members(addresses) => self.hear_of(addresses),
-                    ReplicaReply::NotWanted { ask_again_ms, members } => {
-                        self.hear_of(members);
-                        let wait = Duration::from_millis(ask_again_ms.min(MAX_JOIN_RETRY_MS));
+                    ReplicaReply::Members(addresses) => self.add_known_addresses(addresses),
+                    ReplicaReply::NotNeeded { retry_after_ms, members } => {
+                        self.add_known_addresses(members);
+                        let wait = Duration::from_millis(retry_after_ms.min(MAX_JOIN_RETRY_MS));
                         pause = pause.max(wait + self.inner.platform.jitter(wait / 4));
                     }
                     _ => {}
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -65,7 +65,7 @@
         number: u64,
     },
     /// Leadership transfer: the receiver should campaign now.
-    TakeOver {
+    TimeoutNow {
         /// Sender and receiver.
         header: Header,
     },
@@ -127,25 +127,25 @@
     /// Content of a segment.
     Segment(Vec<u8>),
     /// The request was accepted.
-    Taken,
+    Accepted,
     /// Reply to a join request by a replica that is not the leader: addresses of the group's replicas.
     Members(Vec<SocketAddr>),
     /// Reply to a join request by a leader that needs no further replica at present.
-    NotWanted {
+    NotNeeded {
         /// Milliseconds until the next join request.
-        ask_again_ms: u64,
+        retry_after_ms: u64,
         /// Addresses of the group's replicas.
         members: Vec<SocketAddr>,
     },
     /// The request is for another replica or group, or the receiver cannot handle it, for example because its disk has
     /// failed.
-    Refused,
+    Rejected,
     /// Reply to a heartbeat.
     Heartbeat {
         /// The receiver's term, or the newer one that it is entering.
         term: u64,
         /// Whether the receiver is in the leader's term and will grant no other vote within an election timeout.
-        heard: bool,
+        acknowledged: bool,
     },
 }
 
--- a/crates/replication/src/message_codec.rs
+++ b/crates/replication/src/message_codec.rs
@@ -1,6 +1,6 @@
 //! Encoding of replication messages at each feature level.
 //!
-//! Level one has no `Heartbeat`, `Announce` or `NotWanted`.
+//! Level one has no `Heartbeat`, `Announce` or `NotNeeded`.
 
 use crate::log::LogEntry;
 use crate::message::{Header, ReplicaReply, ReplicaRequest, SnapshotPart};
@@ -18,7 +18,7 @@
     Append { header: Header, previous_index: u64, previous_term: u64, entries: Vec<LogEntry>, commit: u64 },
     SnapshotPart { header: Header, part: SnapshotPart },
     ReadSegment { header: Header, number: u64 },
-    TakeOver { header: Header },
+    TimeoutNow { header: Header },
     Join { id: ReplicaId, address: SocketAddr },
 }
 
@@ -46,7 +46,7 @@
             }
             RequestOne::SnapshotPart { header, part } => Self::SnapshotPart { header, part },
             RequestOne::ReadSegment { header, number } => Self::ReadSegment { header, number },
-            RequestOne::TakeOver { header } => Self::TakeOver { header },
+            RequestOne::TimeoutNow { header } => Self::TimeoutNow { header },
             RequestOne::Join { id, address } => Self::Join { id, address },
         }
     }
@@ -63,7 +63,7 @@
             }
             ReplicaRequest::SnapshotPart { header, part } => Self::SnapshotPart { header, part },
             ReplicaRequest::ReadSegment { header, number } => Self::ReadSegment { header, number },
-            ReplicaRequest::TakeOver { header } => Self::TakeOver { header },
+            ReplicaRequest::TimeoutNow { header } => Self::TimeoutNow { header },
             ReplicaRequest::Join { id, address } => Self::Join { id, address },
             ReplicaRequest::Heartbeat { .. } | ReplicaRequest::Announce { .. } => return None,
         })
@@ -78,9 +78,9 @@
             ReplyOne::SnapshotPart { term, next_offset } => Self::SnapshotPart { term, next_offset },
             ReplyOne::FetchingSegments { term } => Self::FetchingSegments { term },
             ReplyOne::Segment(bytes) => Self::Segment(bytes),
-            ReplyOne::Taken => Self::Taken,
+            ReplyOne::Taken => Self::Accepted,
             ReplyOne::Members(members) => Self::Members(members),
-            ReplyOne::Refused => Self::Refused,
+            ReplyOne::Refused => Self::Rejected,
         }
     }
 }
@@ -93,10 +93,10 @@
             ReplicaReply::SnapshotPart { term, next_offset } => Self::SnapshotPart { term, next_offset },
             ReplicaReply::FetchingSegments { term } => Self::FetchingSegments { term },
             ReplicaReply::Segment(bytes) => Self::Segment(bytes),
-            ReplicaReply::Taken => Self::Taken,
-            // Level one has no `NotWanted`; the joining replica retries at the listed addresses.
-            ReplicaReply::Members(members) | ReplicaReply::NotWanted { members, .. } => Self::Members(members),
-            ReplicaReply::Refused | ReplicaReply::Heartbeat { .. } => Self::Refused,
+            ReplicaReply::Accepted => Self::Taken,
+            // Level one has no `NotNeeded`; the joining replica retries at the listed addresses.
+            ReplicaReply::Members(members) | ReplicaReply::NotNeeded { members, .. } => Self::Members(members),
+            ReplicaReply::Rejected | ReplicaReply::Heartbeat { .. } => Self::Refused,
         }
     }
 }
@@ -141,7 +141,7 @@
 /// Decodes what `encode_call` has encoded; `None` if it is malformed or another kind of request.
 pub fn decode_call(body: &[u8], level: FeatureLevel) -> Option<ReplicaRequest> {
     match messages::decode_request(body, level)? {
-        Request::Today(ControlRequest::Replication(bytes)) => decode_request(&bytes, level),
+        Request::Current(ControlRequest::Replication(bytes)) => decode_request(&bytes, level),
         _ => None,
     }
 }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -53,9 +53,9 @@
     /// The proposal queue is full; nothing was written.
     Overloaded,
     /// Leadership was lost before the outcome was known; the proposal may still be committed.
-    Undecided,
+    OutcomeUnknown,
     /// The command cannot be encoded at the group's feature level; nothing was written.
-    NotAtThisLevel,
+    UnsupportedAtLevel,
 }
 
 pub(crate) struct Proposal<O> {
@@ -83,7 +83,7 @@
     /// Connections to other replicas, by channel and address.
     pub clients: RefCell<BTreeMap<(Channel, SocketAddr), Client<P>>>,
     /// Replicas that must be removed from the group or kept out of it.
-    pub unwanted: RefCell<BTreeSet<ReplicaId>>,
+    pub excluded_replicas: RefCell<BTreeSet<ReplicaId>>,
     /// Segments stored on this replica's disk.
     pub segments: RefCell<StoredSegments>,
     /// Whether a task is fetching missing segments.
@@ -123,7 +123,8 @@
     /// Opens the files and restores the state. The replica takes part in the group only after `start`.
     pub async fn open(platform: P, options: ReplicaOptions, mut state_machine: S) -> Result<Self, StorageError> {
         let is_founder = options.founders.contains(&options.address);
-        let new_format = if is_founder { FileFormat::Level(options.config.first_level) } else { FileFormat::Raised };
+        let new_format =
+            if is_founder { FileFormat::Level(options.config.first_level) } else { FileFormat::MultipleLevels };
         let random_id = ReplicaId(platform.random().max(1));
         let new_id = if is_founder { founder_id(options.address) } else { random_id };
         let (storage, recovered) = Storage::open(platform.disk(), new_id, new_format).await?;
@@ -186,7 +187,7 @@
             proposal_queue: RefCell::new(Some(proposal_queue)),
             changed: Signal::default(),
             clients: RefCell::default(),
-            unwanted: RefCell::default(),
+            excluded_replicas: RefCell::default(),
             segments: RefCell::new(segments),
             fetching: Cell::default(),
             incoming: RefCell::default(),
@@ -233,18 +234,18 @@
         let Some(level) = self.level_of_proposals() else {
             return Err(ProposeError::NotLeader(self.leader_address()));
         };
-        let entries = encode(level).ok_or(ProposeError::NotAtThisLevel)?;
+        let entries = encode(level).ok_or(ProposeError::UnsupportedAtLevel)?;
         let mut last = None;
         // The entries are queued without yielding, so that no level change can be queued between them.
         for command in entries {
             match self.queue(command) {
                 Ok(outcome) => last = Some(outcome),
                 Err(error) if last.is_none() => return Err(error),
-                Err(_) => return Err(ProposeError::Undecided),
+                Err(_) => return Err(ProposeError::OutcomeUnknown),
             }
         }
-        let outcome = last.ok_or(ProposeError::NotAtThisLevel)?;
-        outcome.await.map_err(|_| ProposeError::Undecided)
+        let outcome = last.ok_or(ProposeError::UnsupportedAtLevel)?;
+        outcome.await.map_err(|_| ProposeError::OutcomeUnknown)
     }
 
     fn queue(&self, command: Vec<u8>) -> Result<oneshot::Receiver<S::Outcome>, ProposeError> {
@@ -311,12 +312,12 @@
     }
 
     /// Reads the state machine as applied locally, which may be stale.
-    pub fn peek<T>(&self, read: impl FnOnce(&S) -> T) -> T {
+    pub fn read_local<T>(&self, read: impl FnOnce(&S) -> T) -> T {
         read(&self.inner.state.borrow().state_machine)
     }
 
     /// Changes local state of the state machine that is not replicated.
-    pub fn adjust(&self, change: impl FnOnce(&mut S)) {
+    pub fn update_local_state(&self, change: impl FnOnce(&mut S)) {
         change(&mut self.inner.state.borrow_mut().state_machine);
     }
 
@@ -380,14 +381,14 @@
     /// Handles a request from another replica.
     pub async fn handle(&self, request: ReplicaRequest, level: FeatureLevel) -> ReplicaReply {
         if self.inner.state.borrow().storage_failed {
-            return ReplicaReply::Refused;
+            return ReplicaReply::Rejected;
         }
         match request {
             ReplicaRequest::Join { id, address } => self.handle_join(id, address, level),
             ReplicaRequest::Announce { group, leader, members } => self.handle_announcement(group, leader, members),
             ReplicaRequest::Vote { header, pre_vote, transfer, last_index, last_term } => {
                 if !self.is_for_this_replica(&header) {
-                    return ReplicaReply::Refused;
+                    return ReplicaReply::Rejected;
                 }
                 if pre_vote && transfer {
                     self.record_offer(&header, (last_term, last_index));
@@ -396,29 +397,29 @@
             }
             ReplicaRequest::Append { header, previous_index, previous_term, entries, commit } => {
                 if !self.accepts_leader(&header).await {
-                    return ReplicaReply::Refused;
+                    return ReplicaReply::Rejected;
                 }
                 self.append_entries(header, previous_index, previous_term, entries, commit, level).await
             }
             ReplicaRequest::SnapshotPart { header, part } => {
                 if !self.accepts_leader(&header).await {
-                    return ReplicaReply::Refused;
+                    return ReplicaReply::Rejected;
                 }
                 self.receive_snapshot_part(header, part, level).await
             }
             ReplicaRequest::ReadSegment { header, number } => {
                 if !self.is_for_this_replica(&header) {
-                    return ReplicaReply::Refused;
+                    return ReplicaReply::Rejected;
                 }
                 self.handle_segment_request(number).await
             }
             ReplicaRequest::Heartbeat { header } => {
                 if !self.is_for_this_replica(&header) {
-                    return ReplicaReply::Refused;
+                    return ReplicaReply::Rejected;
                 }
                 self.handle_heartbeat(header)
             }
-            ReplicaRequest::TakeOver { header } => self.handle_take_over(header),
+            ReplicaRequest::TimeoutNow { header } => self.handle_timeout_now(header),
         }
     }
 
--- a/crates/replication/src/segment_fetch.rs
+++ b/crates/replication/src/segment_fetch.rs
@@ -33,7 +33,7 @@
     pub(crate) async fn handle_segment_request(&self, number: u64) -> ReplicaReply {
         match self.read_kept_segment(number).await {
             Ok(bytes) => ReplicaReply::Segment(bytes.to_vec()),
-            Err(_) => ReplicaReply::Refused,
+            Err(_) => ReplicaReply::Rejected,
         }
     }
 
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -208,7 +208,7 @@
 
     /// Sets the format for files with several levels, which older builds reject.
     pub async fn set_multiple_levels(&mut self) -> Result<(), StorageError> {
-        self.set_format(FileFormat::Raised).await
+        self.set_format(FileFormat::MultipleLevels).await
     }
 
     async fn set_format(&mut self, format: FileFormat) -> Result<(), StorageError> {
--- a/crates/rpc/src/call.rs
+++ b/crates/rpc/src/call.rs
@@ -4,7 +4,7 @@
 
 /// How the feature level of a connection is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Speech {
+pub enum LevelSelection {
     /// Negotiated: the newest level that both sides support.
     Negotiated,
     /// Always this level.
@@ -36,9 +36,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
     /// The connection's feature level cannot express the request; it was not sent.
-    Unspeakable,
+    UnsupportedByPeer,
     /// There was no connection; the request was not sent.
     NotSent,
     /// The call timed out or the connection was lost, and the request may have been sent.
-    Unknown,
+    OutcomeUnknown,
 }
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -6,7 +6,7 @@
 //! accepted, so that a rejected connection leaves no request with an unknown outcome. At a fixed level, or at the level
 //! that the peer accepted last, they are sent immediately.
 
-pub use crate::call::{Answer, CallError, Message, Speech};
+pub use crate::call::{Answer, CallError, LevelSelection, Message};
 use crate::frame::{Envelope, Hello, WELCOME_ID, Welcome};
 use futures::channel::{mpsc, oneshot};
 use futures::{StreamExt, future};
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 /// Longest time that a call waits for a connection.
-pub const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Timeout of a connection attempt. An attempt continues after the call that started it has timed out, so that a later
 /// call can use the connection. Allows for one SYN retransmission after 1 s.
@@ -44,7 +44,7 @@
     /// Whether the peer has accepted the connection, or is assumed to have.
     is_accepted: Cell<bool>,
     /// The newest level that the peer supports, from its [`Welcome`].
-    newest_of_peer: Cell<Option<FeatureLevel>>,
+    newest_level_of_peer: Cell<Option<FeatureLevel>>,
     outgoing: mpsc::UnboundedSender<Vec<u8>>,
     pending: Pending,
     /// When the last frame from the peer was received.
@@ -64,7 +64,7 @@
     attempt_started_at: Cell<Duration>,
     /// Notified when a connection is accepted or closed and when an attempt ends.
     connection_changed: Signal,
-    speech: Cell<Speech>,
+    level_selection: Cell<LevelSelection>,
     /// The level that the peer accepted last; `None` after a connection closed before any frame was received.
     last_accepted_level: Cell<Option<FeatureLevel>>,
     /// Connections closed before any frame was received.
@@ -95,7 +95,7 @@
             attempts: Cell::new(0),
             attempt_started_at: Cell::default(),
             connection_changed: Signal::default(),
-            speech: Cell::new(Speech::Negotiated),
+            level_selection: Cell::new(LevelSelection::Negotiated),
             last_accepted_level: Cell::default(),
             closed_before_first_frame: RefCell::default(),
         };
@@ -108,11 +108,11 @@
     }
 
     /// Sets how the feature level of connections is chosen. A connection at another level than a fixed one is
-    /// closed, and its calls in flight fail with [`CallError::Unknown`].
-    pub fn speak(&self, speech: Speech) {
-        self.inner.speech.set(speech);
+    /// closed, and its calls in flight fail with [`CallError::OutcomeUnknown`].
+    pub fn set_level_selection(&self, level_selection: LevelSelection) {
+        self.inner.level_selection.set(level_selection);
         let mut connection = self.inner.connection.borrow_mut();
-        if let Speech::Fixed(level) = speech
+        if let LevelSelection::Fixed(level) = level_selection
             && connection.as_ref().is_some_and(|connection| connection.level != level)
         {
             *connection = None;
@@ -120,10 +120,10 @@
     }
 
     /// The newest level that the peer is known to support; `None` without an accepted connection.
-    pub fn newest_of_peer(&self) -> Option<FeatureLevel> {
+    pub fn newest_level_of_peer(&self) -> Option<FeatureLevel> {
         let connection = self.inner.connection.borrow();
         let connection = connection.as_ref().filter(|connection| connection.is_accepted.get())?;
-        Some(connection.newest_of_peer.get().unwrap_or(connection.level))
+        Some(connection.newest_level_of_peer.get().unwrap_or(connection.level))
     }
 
     /// Sends `message` and waits at most `limit` for the response.
@@ -134,7 +134,7 @@
         if response.is_none() {
             self.close_connection_if_idle_since(started_at);
         }
-        response.unwrap_or(Err(CallError::Unknown))
+        response.unwrap_or(Err(CallError::OutcomeUnknown))
     }
 
     async fn exchange(&self, message: impl Message) -> Result<Answer, CallError> {
@@ -147,13 +147,13 @@
         let level = {
             let connection = self.inner.connection.borrow();
             let connection = connection.as_ref().ok_or(CallError::NotSent)?;
-            let body = message.encode(connection.level).ok_or(CallError::Unspeakable)?;
+            let body = message.encode(connection.level).ok_or(CallError::UnsupportedByPeer)?;
             connection.pending.borrow_mut().insert(id, response_sender);
             let frame = bitcode::encode(&Envelope { id, body });
             connection.outgoing.unbounded_send(frame).map_err(|_| CallError::NotSent)?;
             connection.level
         };
-        let body = response.await.map_err(|_| CallError::Unknown)?;
+        let body = response.await.map_err(|_| CallError::OutcomeUnknown)?;
         Ok(Answer { level, body })
     }
 
@@ -166,17 +166,17 @@
     fn close_outdated_connection(&self) {
         let mut connection = self.inner.connection.borrow_mut();
         let is_outdated = connection.as_ref().is_some_and(|connection| {
-            let supports_newer = connection.newest_of_peer.get().is_some_and(|newest| newest > connection.level);
+            let supports_newer = connection.newest_level_of_peer.get().is_some_and(|newest| newest > connection.level);
             supports_newer && connection.pending.borrow().is_empty()
         });
-        if is_outdated && self.inner.speech.get() == Speech::Negotiated {
+        if is_outdated && self.inner.level_selection.get() == LevelSelection::Negotiated {
             *connection = None;
         }
     }
 
     async fn wait_for_connection(&self) -> Result<(), CallError> {
         self.start_attempt();
-        timeout(&self.inner.platform, CONNECT_LIMIT, self.accepted_or_no_attempts()).await;
+        timeout(&self.inner.platform, CONNECT_TIMEOUT, self.accepted_or_no_attempts()).await;
         if self.has_accepted_connection() { Ok(()) } else { Err(CallError::NotSent) }
     }
 
@@ -222,9 +222,9 @@
     }
 
     fn levels_to_try(&self) -> Vec<FeatureLevel> {
-        match self.inner.speech.get() {
-            Speech::Fixed(level) => vec![level],
-            Speech::Negotiated => FeatureLevel::ALL.into_iter().rev().collect(),
+        match self.inner.level_selection.get() {
+            LevelSelection::Fixed(level) => vec![level],
+            LevelSelection::Negotiated => FeatureLevel::ALL.into_iter().rev().collect(),
         }
     }
 
@@ -266,13 +266,13 @@
         let pending: Pending = Rc::default();
         let generation = self.inner.next_generation.replace(self.inner.next_generation.get() + 1);
         let last_received_at = Rc::new(Cell::new(platform.monotonic()));
-        let is_accepted =
-            self.inner.speech.get() != Speech::Negotiated || self.inner.last_accepted_level.get() == Some(level);
+        let is_accepted = self.inner.level_selection.get() != LevelSelection::Negotiated
+            || self.inner.last_accepted_level.get() == Some(level);
         let connection = Connection {
             generation,
             level,
             is_accepted: Cell::new(is_accepted),
-            newest_of_peer: Cell::default(),
+            newest_level_of_peer: Cell::default(),
             outgoing,
             pending: pending.clone(),
             last_received_at: last_received_at.clone(),
@@ -308,7 +308,7 @@
     fn handle_welcome(&self, generation: u64, body: &[u8]) {
         let welcome = bitcode::decode::<Welcome>(body).ok();
         let newest = welcome.and_then(|welcome| FeatureLevel::newest_within(welcome.newest_protocol));
-        self.with_connection(generation, |connection| connection.newest_of_peer.set(newest));
+        self.with_connection(generation, |connection| connection.newest_level_of_peer.set(newest));
     }
 
     /// The peer may not support the level, may have rejected the secret or may have stopped; a call that timed out may
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -74,7 +74,7 @@
         if hello.secret != self.secret {
             return Err(HandshakeError::WrongSecret);
         }
-        FeatureLevel::of_protocol(hello.version).ok_or(HandshakeError::UnsupportedVersion(hello.version))
+        FeatureLevel::from_protocol(hello.version).ok_or(HandshakeError::UnsupportedVersion(hello.version))
     }
 
     fn log_rejected(&self, error: HandshakeError, now: Duration) {
--- a/crates/runtime-compio/src/listening.rs
+++ b/crates/runtime-compio/src/listening.rs
@@ -31,7 +31,7 @@
 
 /// Cache of checks, shared by concurrent callers.
 #[derive(Default)]
-pub struct EndedChecks {
+pub struct TerminationChecks {
     checks: RefCell<BTreeMap<SocketAddr, Check>>,
 }
 
@@ -42,10 +42,10 @@
     ended: Option<bool>,
 }
 
-impl EndedChecks {
+impl TerminationChecks {
     /// Whether the process that listened at `address` has ended, from a result that may be up to `RESULT_TTL`
     /// old.
-    pub async fn has_ended(&self, address: SocketAddr) -> bool {
+    pub async fn has_terminated(&self, address: SocketAddr) -> bool {
         loop {
             let cached = self.checks.borrow().get(&address).copied();
             match cached.filter(|check| check.started_at.elapsed() < RESULT_TTL) {
--- a/crates/runtime-compio/tests/listening.rs
+++ b/crates/runtime-compio/tests/listening.rs
@@ -1,7 +1,7 @@
 //! Concurrent checks of one address share one connection.
 
 use futures::future::join_all;
-use saddlerelay_runtime_compio::listening::EndedChecks;
+use saddlerelay_runtime_compio::listening::TerminationChecks;
 use std::net::TcpListener;
 
 #[test]
@@ -10,8 +10,8 @@
     listener.set_nonblocking(true).expect("a socket");
     let address = listener.local_addr().expect("an address");
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
-        let checks = EndedChecks::default();
-        let answers = join_all((0..50).map(|_| checks.has_ended(address))).await;
+        let checks = TerminationChecks::default();
+        let answers = join_all((0..50).map(|_| checks.has_terminated(address))).await;
         assert!(answers.iter().all(|ended| !ended));
     });
     let connections = std::iter::from_fn(|| listener.accept().ok()).count();
@@ -22,8 +22,8 @@
 fn an_address_without_a_listener_has_ended() {
     let address = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("an address");
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
-        let checks = EndedChecks::default();
-        let answers = join_all((0..50).map(|_| checks.has_ended(address))).await;
+        let checks = TerminationChecks::default();
+        let answers = join_all((0..50).map(|_| checks.has_terminated(address))).await;
         assert!(answers.iter().all(|ended| *ended));
     });
 }
--- a/crates/runtime/src/steps.rs
+++ b/crates/runtime/src/steps.rs
@@ -8,12 +8,12 @@
 }
 
 /// Counts a visit to one member.
-pub fn look() {
+pub fn record_lookup() {
     VISITS.with(|visits| visits.set(visits.get() + 1));
 }
 
 /// Runs `work`; returns the number of visits it made and its result.
-pub fn looks_of<T>(work: impl FnOnce() -> T) -> (u64, T) {
+pub fn lookups_of<T>(work: impl FnOnce() -> T) -> (u64, T) {
     let before = VISITS.with(Cell::get);
     let outcome = work();
     (VISITS.with(Cell::get) - before, outcome)
--- a/crates/settings/src/member.rs
+++ b/crates/settings/src/member.rs
@@ -169,15 +169,15 @@
     pub fn control(&self) -> ControlConfig {
         ControlConfig {
             follow_lease: self.follow_lease(),
-            instance_silence: self.report_interval * MISSED_REPORTS + SILENCE_MARGIN,
-            job_keep: self.job_status + RETENTION_MARGIN,
-            order_distance: self.order_distance(),
+            instance_silence_timeout: self.report_interval * MISSED_REPORTS + SILENCE_MARGIN,
+            job_retention: self.job_status + RETENTION_MARGIN,
+            order_separation: self.order_separation(),
             ..ControlConfig::default()
         }
     }
 
     /// Minimum time between orders of two different holders about the same subject.
-    pub fn order_distance(&self) -> Duration {
+    pub fn order_separation(&self) -> Duration {
         self.order_lease + ORDER_MARGIN
     }
 
@@ -188,7 +188,7 @@
             election_timeout: Duration::from_millis(500),
             election_jitter: Duration::from_millis(200),
             lease: Duration::from_millis(400),
-            call_limit: Duration::from_millis(700),
+            call_timeout: Duration::from_millis(700),
             snapshot_entries: 40_000,
             snapshot_bytes: SNAPSHOT_BYTES,
             memory_bytes: 512 * 1024,
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -76,7 +76,7 @@
         renew_limit: section.milliseconds("renew_limit_ms", default.renew_limit, 100..=5_000),
         rollout_interval: section.milliseconds("rollout_interval_ms", default.rollout_interval, 10..=5_000),
         rollout_batch: section.number("rollout_batch", u64::from(default.rollout_batch), 1..=1_024) as u32,
-        connect_limit: section.milliseconds("connect_limit_ms", default.connect_limit, 10..=10_000),
+        connect_timeout: section.milliseconds("connect_limit_ms", default.connect_timeout, 10..=10_000),
         chunk_limit: section.milliseconds("chunk_limit_ms", default.chunk_limit, 100..=120_000),
         engine_wait: section.milliseconds("engine_wait_ms", default.engine_wait, 0..=60_000),
         newer_weights_wait: section.milliseconds("newer_weights_wait_ms", default.newer_weights_wait, 0..=600_000),
@@ -110,24 +110,24 @@
     let operator_token = section.text("operator_token", MIN_SECRET_BYTES);
     let config = ControlConfig {
         relay_lease: section.milliseconds("relay_lease_ms", default.relay_lease, 500..=10_000),
-        relay_loss: section.milliseconds("relay_loss_ms", default.relay_loss, 1_000..=60_000),
+        relay_loss_timeout: section.milliseconds("relay_loss_ms", default.relay_loss_timeout, 1_000..=60_000),
         engine_poll_interval: section.milliseconds("engine_poll_interval_ms", default.engine_poll_interval, 50..=5_000),
-        engine_poll_limit: section.milliseconds("engine_poll_limit_ms", default.engine_poll_limit, 50..=5_000),
+        engine_poll_timeout: section.milliseconds("engine_poll_limit_ms", default.engine_poll_timeout, 50..=5_000),
         engine_poll_failures: section.number("engine_poll_failures", u64::from(default.engine_poll_failures), 1..=100)
             as u32,
         platform_interval: section.milliseconds("platform_interval_ms", default.platform_interval, 50..=10_000),
         relay_check_interval: default.relay_check_interval,
-        renewal_wait: section.milliseconds("renewal_wait_ms", default.renewal_wait, 50..=1_000),
+        long_poll_timeout: section.milliseconds("renewal_wait_ms", default.long_poll_timeout, 50..=1_000),
         leader_relays: default.leader_relays,
-        news_interval: section.milliseconds("news_interval_ms", default.news_interval, 1..=1_000),
-        idle_wait: default.idle_wait,
+        update_batch_delay: section.milliseconds("news_interval_ms", default.update_batch_delay, 1..=1_000),
+        sample_long_poll_timeout: default.sample_long_poll_timeout,
         follow_lease: default.follow_lease,
-        instance_silence: default.instance_silence,
-        job_keep: default.job_keep,
-        order_distance: default.order_distance,
+        instance_silence_timeout: default.instance_silence_timeout,
+        job_retention: default.job_retention,
+        order_separation: default.order_separation,
         order_validity: default.order_validity,
     };
-    if config.relay_loss <= config.relay_lease {
+    if config.relay_loss_timeout <= config.relay_lease {
         section.reject("relay_loss_ms", None, "must be longer than `relay_lease_ms`");
     }
     section.end();
--- a/crates/settings/tests/member.rs
+++ b/crates/settings/tests/member.rs
@@ -55,8 +55,8 @@
 fn timings_are_derived_from_the_bounds() {
     let bounds = parse_member(COORDINATOR).expect("settings must be valid").bounds;
     assert!(bounds.follow_lease() < bounds.drain.min(bounds.configuration));
-    assert!(bounds.order_distance() > bounds.order_lease);
-    assert!(bounds.control().job_keep > bounds.job_status);
+    assert!(bounds.order_separation() > bounds.order_lease);
+    assert!(bounds.control().job_retention > bounds.job_status);
     let replication = bounds.replication();
     assert_eq!(replication.target_voters, 5);
     assert_eq!(replication.error(), None);
--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -16,7 +16,7 @@
 use saddlerelay_replication::storage::StorageError;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_scenarios::deployment::{Deployment, TenantLoad};
-use saddlerelay_standins::callers::UnderWay;
+use saddlerelay_standins::callers::InFlight;
 use saddlerelay_standins::engine::{Engine, EngineOptions};
 use saddlerelay_standins::operators::Operator;
 use saddlerelay_standins::recorder::Recorder;
@@ -97,7 +97,7 @@
     /// Trainers that have ended.
     pub trainers_ended: Rc<Cell<usize>>,
     /// Number of requests in flight.
-    pub under_way: UnderWay,
+    pub under_way: InFlight,
     /// Virtual time at which two control replicas were first able to serve reads simultaneously.
     pub two_leaders_at: Cell<Option<Duration>>,
     weights: SimWeights,
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -170,7 +170,7 @@
             Running::Control(node) => {
                 let node = node.borrow().clone();
                 if let Some(node) = node {
-                    node.hand_over().await;
+                    node.transfer_leadership().await;
                 }
             }
             Running::Relay(relay, shutdown) => {
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -192,7 +192,7 @@
     to: usize,
     last_arrival: Cell<Duration>,
     /// When earlier packets have been transmitted at the limited bandwidth.
-    free_at: Cell<Duration>,
+    earliest_order_time: Cell<Duration>,
     buffered: RefCell<VecDeque<Packet>>,
     arrived: RefCell<VecDeque<Vec<u8>>>,
     closed: Cell<bool>,
@@ -207,7 +207,7 @@
             from,
             to,
             last_arrival: Cell::default(),
-            free_at: Cell::default(),
+            earliest_order_time: Cell::default(),
             buffered: RefCell::default(),
             arrived: RefCell::default(),
             closed: Cell::default(),
@@ -227,8 +227,8 @@
         let retransmission = retransmission_delay(&self.world, link_faults.lost_per_mille, RETRANSMISSION_TIMEOUT);
         let scaled_bytes = packet.size() * 1_000_000;
         let transfer = Duration::from_micros(scaled_bytes.checked_div(link_faults.bytes_per_second).unwrap_or(0));
-        let transmission_start = self.world.clock.now().max(self.free_at.get());
-        self.free_at.set(transmission_start + transfer);
+        let transmission_start = self.world.clock.now().max(self.earliest_order_time.get());
+        self.earliest_order_time.set(transmission_start + transfer);
         // Packets are delivered in order.
         let at = (transmission_start + transfer + delay + jitter + retransmission).max(self.last_arrival.get());
         self.world.network.count(self.from, self.to, &packet);
--- a/crates/simulator/src/service.rs
+++ b/crates/simulator/src/service.rs
@@ -11,7 +11,7 @@
 use saddlerelay_relay::commands::trainers::TrainerError;
 use saddlerelay_runtime::signal::Signal;
 use saddlerelay_runtime::{FrameListener, FrameReceiver, FrameSender, Runtime};
-use saddlerelay_standins::access::{Access, CallerAnswer, TrainerCallError};
+use saddlerelay_standins::access::{Access, CallerResponse, TrainerCallError};
 use saddlerelay_types::configuration::{ConfigurationChange, ConfigurationOutcome};
 use saddlerelay_types::identity::{Incarnation, ModelName, Position, TenantId, WeightVersion};
 use saddlerelay_types::protocol::{Command, CommandOutcome, TrainerRefusal};
@@ -198,13 +198,13 @@
         self.relays.len()
     }
 
-    async fn ask(&self, relay: usize, request: &CallerRequest) -> CallerAnswer {
+    async fn ask(&self, relay: usize, request: &CallerRequest) -> CallerResponse {
         let started_at = self.platform.monotonic();
         let Ok((mut sender, mut receiver)) = self.platform.connect(self.relays[relay]).await else {
-            return CallerAnswer::NotSent;
+            return CallerResponse::NotSent;
         };
         if sender.send(bitcode::encode(&RelayCall::Generate(request.clone()))).await.is_err() {
-            return CallerAnswer::Lost;
+            return CallerResponse::Lost;
         }
         let mut generation = Generation::empty();
         let mut first_token_after = None;
@@ -216,13 +216,13 @@
                 }
                 Ok(RelayResponse::Part(AnswerPart::End(finish))) => {
                     generation.finish = finish;
-                    return CallerAnswer::Whole { generation, first_token_after };
+                    return CallerResponse::Whole { generation, first_token_after };
                 }
-                Ok(RelayResponse::Part(AnswerPart::Failed(failure))) => return CallerAnswer::Failed(failure),
-                _ => return CallerAnswer::Lost,
+                Ok(RelayResponse::Part(AnswerPart::Failed(failure))) => return CallerResponse::Failed(failure),
+                _ => return CallerResponse::Lost,
             }
         }
-        CallerAnswer::Lost
+        CallerResponse::Lost
     }
 
     async fn models(&self, relay: usize) -> Option<Vec<ModelName>> {
--- a/crates/simulator/tests/concurrent_trials.rs
+++ b/crates/simulator/tests/concurrent_trials.rs
@@ -2,7 +2,7 @@
 //! arrives while the first attempt runs at its second engine. The retry must not crash the last engine.
 
 use saddlerelay_control::state::suspicions::SuspicionTable;
-use saddlerelay_control_client::suspicions::{LAST_TRIAL_PAUSE, Suspicions, Verdict};
+use saddlerelay_control_client::suspicions::{DEFAULT_LAST_TRIAL_PAUSE, Suspicions, Verdict};
 use saddlerelay_types::identity::Incarnation;
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_types::suspicion::{EngineLoss, TrialAnswer, TrialId};
@@ -31,7 +31,7 @@
         Self {
             table: SuspicionTable::default(),
             relays: Default::default(),
-            work: WorkDigest::of_posted(None, "host", "/plans", b"guilty"),
+            work: WorkDigest::of_post_request(None, "host", "/plans", b"guilty"),
             crashed: Vec::new(),
         }
     }
@@ -39,7 +39,7 @@
     /// Whether `relay` may send the request to an engine at `now`. Once the relay knows of a crash, this needs a trial
     /// lease from the group.
     fn may_send(&mut self, relay: usize, now: Duration) -> bool {
-        if self.relays[relay].verdict(&self.work, now, LAST_TRIAL_PAUSE) != Verdict::Send {
+        if self.relays[relay].verdict(&self.work, now, DEFAULT_LAST_TRIAL_PAUSE) != Verdict::Send {
             return false;
         }
         if self.relays[relay].engines_ended(&self.work) == 0 {
@@ -54,12 +54,12 @@
     fn crash_engine(&mut self, relay: usize, engine: &'static str, now: Duration) {
         self.crashed.push(engine);
         let loss = EngineLoss { work: self.work, instance: InstanceId::named(engine) };
-        self.relays[relay].note_loss(loss, now);
+        self.relays[relay].record_loss(loss, now);
         let evidence = self.relays[relay].evidence().clone();
-        self.table.take(evidence.clone(), now.as_millis() as u64);
-        self.relays[relay].handed_over(&evidence);
+        self.table.record_evidence(evidence.clone(), now.as_millis() as u64);
+        self.relays[relay].remove_committed(&evidence);
         for known in &mut self.relays {
-            known.take(self.table.list(), now + KNOWN_AFTER);
+            known.apply_list(self.table.list(), now + KNOWN_AFTER);
         }
     }
 }
@@ -103,7 +103,7 @@
     let mut request_trial = |holder, at| fixture.table.begin_trial(fixture.work, id(holder), at, 1_500);
     assert_eq!(request_trial(1, 1_601), TrialAnswer::Granted, "the lease has expired");
     fixture.table.end_trial(&fixture.work, id(1));
-    let harmless = WorkDigest::of_posted(None, "host", "/plans", b"innocent");
+    let harmless = WorkDigest::of_post_request(None, "host", "/plans", b"innocent");
     assert_eq!(fixture.table.begin_trial(harmless, id(0), 1_700, 1_500), TrialAnswer::Granted);
     assert_eq!(fixture.table.begin_trial(harmless, id(1), 1_700, 1_500), TrialAnswer::Granted, "it is not suspected");
 }
--- a/crates/simulator/tests/connection_levels.rs
+++ b/crates/simulator/tests/connection_levels.rs
@@ -2,7 +2,7 @@
 //! peer has accepted the connection.
 
 use futures::executor::LocalPool;
-use saddlerelay_rpc::client::{CallError, Client, Speech};
+use saddlerelay_rpc::client::{CallError, Client, LevelSelection};
 use saddlerelay_rpc::frame::{Envelope, Hello};
 use saddlerelay_rpc::server::Handler;
 use saddlerelay_runtime::{FrameListener, FrameReceiver, FrameSender, Runtime};
@@ -172,13 +172,13 @@
 #[test]
 fn a_peer_reports_its_newest_level_on_a_connection_of_an_older_level() {
     let mut fixture = Fixture::new(PeerBuild::Newest);
-    fixture.client.speak(Speech::Fixed(FeatureLevel::One));
+    fixture.client.set_level_selection(LevelSelection::Fixed(FeatureLevel::One));
     assert_eq!(fixture.call(), Ok(FeatureLevel::One));
-    assert_eq!(fixture.client.newest_of_peer(), Some(FeatureLevel::NEWEST));
+    assert_eq!(fixture.client.newest_level_of_peer(), Some(FeatureLevel::NEWEST));
     fixture.start(PeerBuild::Only(FeatureLevel::One));
     let answer = (0..3).find_map(|_| fixture.call().ok());
     assert_eq!(answer, Some(FeatureLevel::One));
-    assert_eq!(fixture.client.newest_of_peer(), Some(FeatureLevel::One));
+    assert_eq!(fixture.client.newest_level_of_peer(), Some(FeatureLevel::One));
 }
 
 #[test]
@@ -192,6 +192,6 @@
     });
     let completed = answer.clone();
     fixture.world.run(&mut fixture.pool, CALL_TIMEOUT * 2, || completed.borrow().is_some());
-    assert_eq!(answer.take(), Some(Err(CallError::Unspeakable)));
+    assert_eq!(answer.take(), Some(Err(CallError::UnsupportedByPeer)));
     assert_eq!(fixture.requests.get(), 0);
 }
--- a/crates/simulator/tests/crashing_work.rs
+++ b/crates/simulator/tests/crashing_work.rs
@@ -9,10 +9,10 @@
 use saddlerelay_simulator::cluster::Cluster;
 use saddlerelay_simulator::run::bring_up;
 use saddlerelay_simulator::world::World;
-use saddlerelay_standins::access::{Access, CallerAnswer};
+use saddlerelay_standins::access::{Access, CallerResponse};
 use saddlerelay_types::identity::CallerId;
 use saddlerelay_types::request::{CallerRequest, FailureCode, Priority, Repeatability};
-use saddlerelay_types::suspicion::MOST_ENGINES_ENDED;
+use saddlerelay_types::suspicion::QUARANTINE_THRESHOLD;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -118,7 +118,7 @@
 }
 
 /// Sends the prompt to several relays concurrently, `ROUNDS` times.
-async fn send_repeatedly(cluster: Rc<Cluster>, concurrency: usize) -> Vec<CallerAnswer> {
+async fn send_repeatedly(cluster: Rc<Cluster>, concurrency: usize) -> Vec<CallerResponse> {
     let platform = cluster.client_platform();
     let access = cluster.access(platform.clone());
     let request = request(&cluster, &format!("a prompt that {CRASHES}"));
@@ -131,15 +131,15 @@
     answers
 }
 
-async fn send_harmless_prompt(cluster: Rc<Cluster>) -> Vec<CallerAnswer> {
+async fn send_harmless_prompt(cluster: Rc<Cluster>) -> Vec<CallerResponse> {
     let platform = cluster.client_platform();
     let access = cluster.access(platform.clone());
     let request = request(&cluster, "an innocent prompt");
     join_all((0..access.relays()).map(|relay| access.ask(relay, &request))).await
 }
 
-fn is_quarantined(answer: &CallerAnswer) -> bool {
-    matches!(answer, CallerAnswer::Failed(failure) if failure.code == FailureCode::EnginesEnded
+fn is_quarantined(answer: &CallerResponse) -> bool {
+    matches!(answer, CallerResponse::Failed(failure) if failure.code == FailureCode::EnginesEnded
         && failure.retry_after_milliseconds == 0)
 }
 
@@ -148,10 +148,10 @@
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
         let answers = deployment.run(send_repeatedly(deployment.cluster.clone(), 1));
-        assert_eq!(deployment.crashes.get(), MOST_ENGINES_ENDED, "seed {seed}");
+        assert_eq!(deployment.crashes.get(), QUARANTINE_THRESHOLD, "seed {seed}");
         assert!(answers.last().is_some_and(is_quarantined), "seed {seed}: {answers:?}");
         let harmless = deployment.run(send_harmless_prompt(deployment.cluster.clone()));
-        let served = harmless.iter().all(|answer| matches!(answer, CallerAnswer::Whole { .. }));
+        let served = harmless.iter().all(|answer| matches!(answer, CallerResponse::Whole { .. }));
         assert!(served, "seed {seed}: {harmless:?}");
     }
 }
@@ -163,7 +163,7 @@
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
         deployment.run(send_repeatedly(deployment.cluster.clone(), CONCURRENCY));
-        let most = MOST_ENGINES_ENDED - 1 + CONCURRENCY;
+        let most = QUARANTINE_THRESHOLD - 1 + CONCURRENCY;
         assert!(deployment.crashes.get() <= most, "seed {seed}: {} ended", deployment.crashes.get());
     }
 }
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -8,11 +8,11 @@
 use saddlerelay_control::node::ControlNode;
 use saddlerelay_control_client::ControlClient;
 use saddlerelay_duties::client::PlatformClient;
-use saddlerelay_duties::dialect::{CallRight, EngineCountOrder, PlatformCall, PlatformDialect};
+use saddlerelay_duties::format::{CallGrant, EngineCountOrder, PlatformCall, PlatformFormat};
 use saddlerelay_duties::policies::KeepInitial;
-use saddlerelay_duties::{Duties, DutyMetrics, EngineCountTerms, UsageTerms};
-use saddlerelay_gateway::follower::NamedFollower;
-use saddlerelay_gateway::usage::{FollowedClock, UsageLedger};
+use saddlerelay_duties::{Duties, EngineCountConfig, PlatformMetrics, UsageReportConfig};
+use saddlerelay_gateway::follower::AssignedReplica;
+use saddlerelay_gateway::usage::{GroupClockSamples, UsageLedger};
 use saddlerelay_replication::ReplicaOptions;
 use saddlerelay_replication::config::ReplicationConfig;
 use saddlerelay_runtime::Runtime;
@@ -43,9 +43,10 @@
 const ORDER_LEASE: Duration = Duration::from_millis(3_000);
 const ORDER_DISTANCE: Duration = Duration::from_millis(3_400);
 
-const TERMS: UsageTerms = UsageTerms { window: Duration::from_secs(2), due_after: Duration::from_secs(10) };
-const ENGINE_TERMS: EngineCountTerms =
-    EngineCountTerms { settling_time: Duration::from_secs(2), missing_time: Duration::from_secs(1) };
+const TERMS: UsageReportConfig =
+    UsageReportConfig { window: Duration::from_secs(2), due_after: Duration::from_secs(10) };
+const ENGINE_TERMS: EngineCountConfig =
+    EngineCountConfig { discovery_time: Duration::from_secs(2), replacement_delay: Duration::from_secs(1) };
 
 type Node = ControlNode<SimRuntime, SimBackends>;
 
@@ -148,7 +149,7 @@
                 });
             }
             Sleep::new(world.clock.clone(), world.clock.now() + limit).await;
-            return Err(Failure::MayHaveRun("no answer in time".to_string()));
+            return Err(Failure::PossiblyExecuted("no answer in time".to_string()));
         }
         let status = platform.execute(&self.machine, fence, received, false);
         pause(Duration::from_millis(4)).await;
@@ -160,7 +161,7 @@
 struct IndexedDialect(Rc<RefCell<Vec<(u64, Received)>>>);
 
 impl IndexedDialect {
-    fn keep(&self, right: &CallRight, call: Received) -> PlatformCall {
+    fn keep(&self, right: &CallGrant, call: Received) -> PlatformCall {
         let mut calls = self.0.borrow_mut();
         calls.push((right.fence.0, call));
         PlatformCall {
@@ -172,12 +173,12 @@
     }
 }
 
-impl PlatformDialect for IndexedDialect {
-    fn usage_report(&self, right: &CallRight, report: &UsageReport) -> PlatformCall {
+impl PlatformFormat for IndexedDialect {
+    fn usage_report(&self, right: &CallGrant, report: &UsageReport) -> PlatformCall {
         self.keep(right, Received::Usage(report.clone()))
     }
 
-    fn engine_count(&self, right: &CallRight, order: &EngineCountOrder) -> PlatformCall {
+    fn engine_count(&self, right: &CallGrant, order: &EngineCountOrder) -> PlatformCall {
         self.keep(right, Received::EngineCount(order.clone()))
     }
 }
@@ -268,11 +269,12 @@
         let unused_address: SocketAddr = ([10, 0, 9, 9], 1).into();
         let backends = SimBackends { platform: runtime.clone(), scorer: unused_address, machine_list: unused_address };
         // Engines in these tests report only once.
-        let instance_silence = Duration::from_secs(600);
+        let instance_silence_timeout = Duration::from_secs(600);
         // With even seeds relays are redirected to followers.
         let leader_relays = if seed.is_multiple_of(2) { 0 } else { ControlConfig::default().leader_relays };
-        let order_distance = ORDER_DISTANCE;
-        let config = ControlConfig { order_distance, instance_silence, leader_relays, ..ControlConfig::default() };
+        let order_separation = ORDER_DISTANCE;
+        let config =
+            ControlConfig { order_separation, instance_silence_timeout, leader_relays, ..ControlConfig::default() };
         let node = Rc::new(RefCell::new(None));
         let started = node.clone();
         let platform = self.platform.clone();
@@ -291,7 +293,7 @@
     fn start_relay(&self, place: u8, seed: u64) {
         let process = self.world.start_process(&format!("relay-{place}"), 0, clock_error(place, seed + 1));
         let runtime = SimRuntime { world: self.world.clone(), process: process.clone() };
-        let clock = Rc::new(RefCell::new(FollowedClock::default()));
+        let clock = Rc::new(RefCell::new(GroupClockSamples::default()));
         let ledger = Rc::new(RefCell::new(UsageLedger::default()));
         let follower = follow(runtime.clone(), clock.clone(), ledger.clone(), place);
         self.world.spawn(&process, follower);
@@ -421,18 +423,23 @@
         client,
         dialect: Box::new(IndexedDialect(calls)),
         name,
-        metrics: Rc::new(DutyMetrics::default()),
+        metrics: Rc::new(PlatformMetrics::default()),
     });
-    runtime.spawn(saddlerelay_duties::usage_reports::report(duties.clone(), TERMS));
-    runtime.spawn(saddlerelay_duties::engine_counts::order(duties, ENGINE_TERMS, KeepInitial));
+    runtime.spawn(saddlerelay_duties::usage_reports::run(duties.clone(), TERMS));
+    runtime.spawn(saddlerelay_duties::engine_counts::run(duties, ENGINE_TERMS, KeepInitial));
 }
 
-async fn follow(runtime: SimRuntime, clock: Rc<RefCell<FollowedClock>>, ledger: Rc<RefCell<UsageLedger>>, place: u8) {
+async fn follow(
+    runtime: SimRuntime,
+    clock: Rc<RefCell<GroupClockSamples>>,
+    ledger: Rc<RefCell<UsageLedger>>,
+    place: u8,
+) {
     let replicas: Vec<SocketAddr> = (1..=REPLICAS).map(address).collect();
     let control = ControlClient::new(runtime.clone(), &replicas, SECRET);
     let incarnation = Incarnation(runtime.random());
     let limit = Duration::from_millis(650);
-    let follower = NamedFollower::default();
+    let follower = AssignedReplica::default();
     loop {
         let named = follower.address(runtime.monotonic());
         let follow_request = GatewayRequest::Follow(FollowRequest {
@@ -444,25 +451,25 @@
             at_follower: named.is_some(),
             incarnation,
             unix_ms: runtime.unix_milliseconds(),
-            usage: ledger.borrow_mut().difference(),
+            usage: ledger.borrow_mut().next_delta(),
         });
         let answer = match named {
-            Some(address) => control.gateway_at(address, follow_request, limit).await,
+            Some(address) => control.call_replica(address, follow_request, limit).await,
             None => control.gateway(follow_request, limit, limit).await.ok(),
         };
         match answer {
             Some(GatewayReply::Followed(reply)) => {
-                follower.name(reply.follower);
+                follower.assign(reply.follower);
                 if let Some(unix_ms) = reply.group_unix_ms {
-                    clock.borrow_mut().hear(unix_ms, runtime.monotonic());
+                    clock.borrow_mut().add_sample(unix_ms, runtime.monotonic());
                 }
-                ledger.borrow_mut().taken(reply.usage_taken);
+                ledger.borrow_mut().acknowledge(reply.usage_taken);
                 // The leader responds immediately to a request with instance revision 0.
                 runtime.sleep(Duration::from_millis(200)).await;
             }
             _ => {
                 if let Some(address) = named {
-                    follower.pass_over(address, runtime.monotonic() + Duration::from_millis(500));
+                    follower.skip_until(address, runtime.monotonic() + Duration::from_millis(500));
                 }
                 runtime.sleep(Duration::from_millis(20)).await;
             }
@@ -472,7 +479,7 @@
 
 async fn count(
     runtime: SimRuntime,
-    clock: Rc<RefCell<FollowedClock>>,
+    clock: Rc<RefCell<GroupClockSamples>>,
     ledger: Rc<RefCell<UsageLedger>>,
     truth: Rc<RefCell<BTreeMap<UsageWindow, TenantCounts>>>,
 ) {
--- a/crates/simulator/tests/elections.rs
+++ b/crates/simulator/tests/elections.rs
@@ -125,7 +125,7 @@
         election_timeout: Duration::from_millis(500),
         election_jitter: Duration::from_millis(200),
         lease: Duration::from_millis(400),
-        call_limit: Duration::from_millis(700),
+        call_timeout: Duration::from_millis(700),
         snapshot_entries: 40_000,
         memory_bytes: 512 * 1024,
         memory_bytes_behind: 3 * 1024 * 1024,
--- a/crates/simulator/tests/followers.rs
+++ b/crates/simulator/tests/followers.rs
@@ -6,7 +6,7 @@
 use saddlerelay_control::config::ControlConfig;
 use saddlerelay_control::node::ControlNode;
 use saddlerelay_control_client::ControlClient;
-use saddlerelay_gateway::follower::NamedFollower;
+use saddlerelay_gateway::follower::AssignedReplica;
 use saddlerelay_gateway::view::View;
 use saddlerelay_replication::ReplicaOptions;
 use saddlerelay_replication::config::ReplicationConfig;
@@ -130,8 +130,8 @@
         };
         let unused_address: SocketAddr = ([10, 0, 9, 9], 1).into();
         let backends = SimBackends { platform: runtime.clone(), scorer: unused_address, machine_list: unused_address };
-        let instance_silence = Duration::from_secs(600);
-        let config = ControlConfig { leader_relays: 0, instance_silence, ..ControlConfig::default() };
+        let instance_silence_timeout = Duration::from_secs(600);
+        let config = ControlConfig { leader_relays: 0, instance_silence_timeout, ..ControlConfig::default() };
         assert_eq!(config.follow_lease, LEASE);
         let node = Rc::new(RefCell::new(None));
         let started = node.clone();
@@ -234,7 +234,7 @@
     let replicas: Vec<SocketAddr> = (1..=REPLICAS).map(address).collect();
     let control = ControlClient::new(runtime.clone(), &replicas, SECRET);
     let incarnation = Incarnation(runtime.random());
-    let follower = NamedFollower::default();
+    let follower = AssignedReplica::default();
     let limit = Duration::from_millis(650);
     loop {
         let requested_at = runtime.monotonic();
@@ -251,18 +251,18 @@
             suspicion_revision: 0,
         });
         let answer = match named {
-            Some(address) => control.gateway_at(address, follow_request, limit).await,
+            Some(address) => control.call_replica(address, follow_request, limit).await,
             None => control.gateway(follow_request, limit, limit).await.ok(),
         };
         match answer {
             Some(GatewayReply::Followed(reply)) => {
                 follower_responses.set(follower_responses.get() + u64::from(named.is_some()));
-                follower.name(reply.follower);
-                view.borrow_mut().take(reply, requested_at, 0.0);
+                follower.assign(reply.follower);
+                view.borrow_mut().apply_reply(reply, requested_at, 0.0);
             }
             _ => {
                 if let Some(address) = named {
-                    follower.pass_over(address, runtime.monotonic() + Duration::from_millis(500));
+                    follower.skip_until(address, runtime.monotonic() + Duration::from_millis(500));
                 }
                 runtime.sleep(Duration::from_millis(20)).await;
             }
--- a/crates/simulator/tests/granted_rights.rs
+++ b/crates/simulator/tests/granted_rights.rs
@@ -10,7 +10,7 @@
 use saddlerelay_simulator::platform::SimRuntime;
 use saddlerelay_simulator::run::bring_up;
 use saddlerelay_simulator::world::{Process, World};
-use saddlerelay_standins::access::{Access, CallerAnswer};
+use saddlerelay_standins::access::{Access, CallerResponse};
 use saddlerelay_types::identity::{CallerId, IdempotencyKey, Incarnation, Position, StepNumber};
 use saddlerelay_types::protocol::{Command, MembershipCommand};
 use saddlerelay_types::request::{CallerRequest, FailureCode, Priority, Repeatability, RequestKey};
@@ -193,7 +193,7 @@
 }
 
 /// Sends the request to relay 0 and returns once an engine runs it.
-async fn send_until_running(cluster: &Rc<Cluster>, request: &CallerRequest) -> Slot<CallerAnswer> {
+async fn send_until_running(cluster: &Rc<Cluster>, request: &CallerRequest) -> Slot<CallerResponse> {
     let platform = cluster.client_platform();
     let (access, first) = (cluster.access(platform.clone()), request.clone());
     let answer = spawn_task(cluster, async move { access.ask(0, &first).await });
@@ -204,23 +204,23 @@
 }
 
 /// Sends the request to relay 1. Returns the response and the time to its first token or failure.
-async fn send_again(cluster: &Rc<Cluster>, request: &CallerRequest) -> (CallerAnswer, Duration) {
+async fn send_again(cluster: &Rc<Cluster>, request: &CallerRequest) -> (CallerResponse, Duration) {
     let platform = cluster.client_platform();
     let sent_at = platform.monotonic();
     let answer = cluster.access(platform.clone()).ask(1, request).await;
     let took = match &answer {
-        CallerAnswer::Whole { first_token_after: Some(after), .. } => *after,
+        CallerResponse::Whole { first_token_after: Some(after), .. } => *after,
         _ => platform.monotonic() - sent_at,
     };
     (answer, took)
 }
 
-fn is_whole(answer: &CallerAnswer) -> bool {
-    matches!(answer, CallerAnswer::Whole { .. })
+fn is_whole(answer: &CallerResponse) -> bool {
+    matches!(answer, CallerResponse::Whole { .. })
 }
 
-fn has_code(answer: &CallerAnswer, code: FailureCode) -> bool {
-    matches!(answer, CallerAnswer::Failed(failure) if failure.code == code)
+fn has_code(answer: &CallerResponse, code: FailureCode) -> bool {
+    matches!(answer, CallerResponse::Failed(failure) if failure.code == code)
 }
 
 #[test]
@@ -347,7 +347,7 @@
         for _ in 0..proposed {
             let node = node.clone();
             platform.spawn(async move {
-                let _ = node.commit(Command::Membership(MembershipCommand::DrawFence)).await;
+                let _ = node.commit(Command::Membership(MembershipCommand::IssueFence)).await;
             });
         }
         proposed = TOP_UP;
--- a/crates/simulator/tests/group/mod.rs
+++ b/crates/simulator/tests/group/mod.rs
@@ -151,7 +151,7 @@
 impl Handler for RequestHandler {
     async fn handle(self: Rc<Self>, level: FeatureLevel, body: Vec<u8>) -> Option<Vec<u8>> {
         let request = message_codec::decode_call(&body, level)?;
-        if matches!(request, ReplicaRequest::TakeOver { .. }) && self.drops_take_over_requests.get() {
+        if matches!(request, ReplicaRequest::TimeoutNow { .. }) && self.drops_take_over_requests.get() {
             return None;
         }
         let reply = self.node.handle(request, level).await;
@@ -177,7 +177,7 @@
     pub acknowledged: Rc<RefCell<BTreeSet<u64>>>,
     /// Errors of replicas that failed to open their storage.
     pub refusals: Rc<RefCell<Vec<String>>>,
-    /// Whether replicas drop `TakeOver` requests, which transfer leadership.
+    /// Whether replicas drop `TimeoutNow` requests, which transfer leadership.
     pub drops_take_over_requests: Rc<Cell<bool>>,
     next: u64,
 }
@@ -358,12 +358,12 @@
     }
 
     /// Starts a leadership transfer at the machine at `place`, which keeps running.
-    pub fn hand_over(&mut self, place: u8) {
+    pub fn transfer_leadership(&mut self, place: u8) {
         let (Some(node), Some(machine)) = (self.node(place), self.machines.get(&place)) else {
             return;
         };
         self.world.spawn(&machine.process, async move {
-            node.hand_over().await;
+            node.transfer_leadership().await;
         });
     }
 
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -24,7 +24,7 @@
 fn a_lost_leadership_transfer_request_does_not_prevent_an_election() {
     for_each_seed(|seed, group, leader| {
         group.drops_take_over_requests.set(true);
-        group.hand_over(leader);
+        group.transfer_leadership(leader);
         group.run_for(Duration::from_millis(10));
         assert!(group.leader().is_none(), "seed {seed}: the leader still serves during the transfer");
         group.await_leader(LEADER_LIMIT, &format!("seed {seed}, after a lost leadership transfer"));
@@ -37,7 +37,7 @@
 fn a_leader_frozen_during_a_leadership_transfer_is_replaced() {
     for_each_seed(|seed, group, leader| {
         group.drops_take_over_requests.set(true);
-        group.hand_over(leader);
+        group.transfer_leadership(leader);
         let pause = group.world.jitter(Duration::from_millis(300));
         group.run_for(pause);
         group.freeze(leader);
--- a/crates/simulator/tests/lease_safety.rs
+++ b/crates/simulator/tests/lease_safety.rs
@@ -66,7 +66,7 @@
                 Sleep::new(self.world.clock.clone(), at + VOTE_DELAY).await;
                 ReplicaReply::Vote { term: header.term, granted: pre_vote }
             }
-            _ => ReplicaReply::Refused,
+            _ => ReplicaReply::Rejected,
         };
         Some(bitcode::encode(&ControlReply::Replication(bitcode::encode(&reply))))
     }
@@ -111,7 +111,7 @@
 async fn open(runtime: SimRuntime, place: u8) -> (Node, u64) {
     let replica = Replica::open(runtime.clone(), options(place), EmptyStateMachine).await.expect("the disk is sound");
     let (_, recovered) =
-        Storage::open(runtime.disk(), ReplicaId(1), FileFormat::Raised).await.expect("the disk is sound");
+        Storage::open(runtime.disk(), ReplicaId(1), FileFormat::MultipleLevels).await.expect("the disk is sound");
     (replica, recovered.identity.group.expect("it founds a group"))
 }
 
@@ -199,7 +199,7 @@
 }
 
 fn is_acknowledged(reply: ReplicaReply) -> bool {
-    matches!(reply, ReplicaReply::Heartbeat { heard: true, .. })
+    matches!(reply, ReplicaReply::Heartbeat { acknowledged: true, .. })
 }
 
 #[test]
@@ -225,7 +225,7 @@
     let granted = fixture.start_request(vote);
     fixture.run_for(Duration::from_millis(100));
     assert!(granted.borrow().is_none(), "the vote is being written to disk");
-    assert_eq!(fixture.heartbeat(0, 3), ReplicaReply::Heartbeat { term: 9, heard: false });
+    assert_eq!(fixture.heartbeat(0, 3), ReplicaReply::Heartbeat { term: 9, acknowledged: false });
     fixture.run_for(Duration::from_secs(1));
     assert_eq!(granted.take(), Some(ReplicaReply::Vote { term: 9, granted: true }));
     assert!(!is_acknowledged(fixture.heartbeat(0, 3)));
--- a/crates/simulator/tests/lossy_leader.rs
+++ b/crates/simulator/tests/lossy_leader.rs
@@ -55,14 +55,14 @@
         snapshot_entries: 40_000,
         memory_bytes: 512 * 1024,
         memory_bytes_behind: 3 * 1024 * 1024,
-        call_limit: Duration::from_millis(700),
+        call_timeout: Duration::from_millis(700),
         ..group.config
     };
     let mut group = group.form();
     (6..=MACHINES).for_each(|place| group.start(place, false));
     group.run_for(Duration::from_secs(2));
     let everyone: BTreeSet<SocketAddr> = (1..=MACHINES).map(address).collect();
-    group.nodes().iter().for_each(|node| node.set_audience(everyone.clone()));
+    group.nodes().iter().for_each(|node| node.set_announcement_targets(everyone.clone()));
     group.propose_for(Duration::from_secs(1));
     group
 }
--- a/crates/simulator/tests/members.rs
+++ b/crates/simulator/tests/members.rs
@@ -303,7 +303,7 @@
 
     /// Sealed numbers of a replica that cannot be read from its segments.
     fn numbers_not_in_segments(&mut self, node: &Node) -> BTreeSet<u64> {
-        let (mut missing, segments) = node.peek(|numbers| {
+        let (mut missing, segments) = node.read_local(|numbers| {
             let unsealed: BTreeSet<u64> = numbers.unsealed.iter().copied().collect();
             let sealed: BTreeSet<u64> = numbers.applied.difference(&unsealed).copied().collect();
             (sealed, numbers.segments())
@@ -479,7 +479,7 @@
     let mut group = formed(1);
     group.propose_for(Duration::from_secs(2));
     for node in group.nodes() {
-        let segments = node.peek(|numbers| numbers.segments());
+        let segments = node.read_local(|numbers| numbers.segments());
         assert!(segments.len() > 3 && group.numbers_not_in_segments(&node).is_empty());
     }
     // The first two segments expire while new ones are sealed.
@@ -593,7 +593,7 @@
         let unwanted = group.id(unwanted_place).expect("it runs");
         let mark_unwanted = |group: &Group| {
             for node in group.nodes() {
-                node.set_unwanted([unwanted].into());
+                node.set_excluded_replicas([unwanted].into());
             }
         };
         mark_unwanted(&group);
@@ -603,19 +603,19 @@
         for _ in 0..60 {
             mark_unwanted(&group);
             let leader = group.leader();
-            if let Some(leader) = leader.filter(|leader| leader.id() == unwanted && leader.may_leave()) {
+            if let Some(leader) = leader.filter(|leader| leader.id() == unwanted && leader.can_leave()) {
                 let process = group.machines[&unwanted_place].process.clone();
                 group.world.spawn(&process, async move {
-                    leader.hand_over().await;
+                    leader.transfer_leadership().await;
                 });
             }
             group.propose_for(Duration::from_millis(100));
-            if group.leader().is_some_and(|leader| leader.is_whole_without(unwanted)) {
+            if group.leader().is_some_and(|leader| leader.is_replicated_without(unwanted)) {
                 break;
             }
         }
         assert!(
-            group.leader().is_some_and(|leader| leader.is_whole_without(unwanted)),
+            group.leader().is_some_and(|leader| leader.is_replicated_without(unwanted)),
             "the unwanted replica was not replaced"
         );
         // The machine is removed, and another loses its disk immediately.
@@ -744,7 +744,7 @@
     world.spawn(&process, async move {
         let disk = runtime.disk();
         let open = async || {
-            let result = Storage::open(runtime.disk(), ReplicaId(7), FileFormat::Raised).await;
+            let result = Storage::open(runtime.disk(), ReplicaId(7), FileFormat::MultipleLevels).await;
             result.map(|(_, recovered)| recovered.identity.id).map_err(|error| error.to_string())
         };
         let first = open().await;
--- a/crates/simulator/tests/refused_writes.rs
+++ b/crates/simulator/tests/refused_writes.rs
@@ -34,7 +34,7 @@
         group.propose_for(Duration::from_millis(800));
         let follower = group.followers()[0];
         let node = group.node(follower).expect("it runs");
-        let segment = node.peek(|numbers| numbers.newest_released()).expect("segments were sealed");
+        let segment = node.read_local(|numbers| numbers.newest_released()).expect("segments were sealed");
         group.world.disks.damage(&name(follower), &format!("segment-{segment}"));
         let read = group.read_concurrently(&node, segment, 3);
         assert_eq!(read, 3, "seed {seed}: readers that got the segment");
--- a/crates/simulator/tests/relay_search.rs
+++ b/crates/simulator/tests/relay_search.rs
@@ -111,7 +111,7 @@
         *answer.borrow_mut() = Some(replica.handle(announcement, FeatureLevel::NEWEST).await);
     });
     deployment.run_for(Duration::from_millis(100));
-    assert_eq!(*answered.borrow(), Some(ReplicaReply::Refused));
+    assert_eq!(*answered.borrow(), Some(ReplicaReply::Rejected));
     assert!(!leader.replica().known_peers().contains(&stranger));
-    assert!(!leader.replica().peers_by_likelihood().contains(&stranger));
+    assert!(!leader.replica().redirect_addresses().contains(&stranger));
 }
--- a/crates/simulator/tests/removed_voter.rs
+++ b/crates/simulator/tests/removed_voter.rs
@@ -24,7 +24,7 @@
     (6..=MACHINES).for_each(|place| group.start(place, false));
     group.run_for(Duration::from_secs(2));
     let everyone: BTreeSet<SocketAddr> = (1..=MACHINES).map(address).collect();
-    group.nodes().iter().for_each(|node| node.set_audience(everyone.clone()));
+    group.nodes().iter().for_each(|node| node.set_announcement_targets(everyone.clone()));
     group
 }
 
@@ -49,7 +49,7 @@
         let (mut group, removed) = with_removed_voter(seed);
         // Prevents the removed voter from joining again.
         let leader = group.leader().expect("there is a leader");
-        leader.set_unwanted([group.node(removed).expect("it runs").id()].into());
+        leader.set_excluded_replicas([group.node(removed).expect("it runs").id()].into());
         group.world.network.heal(usize::from(removed));
         let node = group.node(removed).expect("it runs");
         let seen = node.clone();
--- a/crates/simulator/tests/reports.rs
+++ b/crates/simulator/tests/reports.rs
@@ -3,7 +3,7 @@
 
 use futures::executor::LocalPool;
 use saddlerelay_control_client::ControlClient;
-use saddlerelay_control_client::reports::ReportGatherer;
+use saddlerelay_control_client::reports::ReportBatcher;
 use saddlerelay_rpc::server::Handler;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_simulator::platform::SimRuntime;
@@ -63,9 +63,9 @@
             missing.iter().all(|id| self.reported_in_full.borrow().contains(id)),
             "a heartbeat of an engine that was never reported in full"
         );
-        self.reported_in_full.borrow_mut().extend(reports.news.iter().map(|report| report.id.clone()));
-        self.news.set(self.news.get() + reports.news.len());
-        committed.extend(reports.news.into_iter().map(|report| (report.id.clone(), report)));
+        self.reported_in_full.borrow_mut().extend(reports.changed.iter().map(|report| report.id.clone()));
+        self.news.set(self.news.get() + reports.changed.len());
+        committed.extend(reports.changed.into_iter().map(|report| (report.id.clone(), report)));
         drop(committed);
         let reply = if missing.is_empty() { GatewayReply::Done } else { GatewayReply::ReportsMissing(missing) };
         Some(bitcode::encode(&ControlReply::Gateway(reply)))
@@ -77,7 +77,7 @@
     pool: LocalPool,
     leader: Rc<Leader>,
     machine: Rc<Process>,
-    gatherer: Rc<ReportGatherer<SimRuntime>>,
+    gatherer: Rc<ReportBatcher<SimRuntime>>,
 }
 
 fn report(number: usize, sequence: u64) -> InstanceReport {
@@ -117,7 +117,7 @@
         let machine = world.start_process("machine", 2, 0);
         let runtime = SimRuntime { world: world.clone(), process: machine.clone() };
         let control = ControlClient::new(runtime.clone(), &[address], SECRET);
-        let gatherer = ReportGatherer::start(runtime, control, REPORT_INTERVAL);
+        let gatherer = ReportBatcher::start(runtime, control, REPORT_INTERVAL);
         Self { world, pool, leader, machine, gatherer }
     }
 
--- a/crates/simulator/tests/suspicion_ways.rs
+++ b/crates/simulator/tests/suspicion_ways.rs
@@ -38,7 +38,7 @@
 /// Number of distinct crashing requests, each sent at a mean interval of `CRASHING_REQUEST_INTERVAL`.
 const CRASHING_REQUESTS: u32 = 8;
 const CRASHING_REQUEST_INTERVAL: Duration = Duration::from_secs(6);
-const LAST_TRIAL_PAUSE: Duration = Duration::from_secs(5);
+const DEFAULT_LAST_TRIAL_PAUSE: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Policy {
@@ -65,7 +65,7 @@
             Self::Nothing => true,
             Self::Counting => verdict(Duration::ZERO),
             Self::CountingWithPause | Self::OneAtATime | Self::OneAtATimeNotAtTheLast | Self::NotAtTheLast => {
-                verdict(LAST_TRIAL_PAUSE)
+                verdict(DEFAULT_LAST_TRIAL_PAUSE)
             }
             Self::TwoEngines => suspicions.engines_ended(work) < 2,
         }
@@ -140,7 +140,7 @@
 }
 
 fn digest(work: u32) -> WorkDigest {
-    WorkDigest::of_posted(None, "host", "/", &work.to_le_bytes())
+    WorkDigest::of_post_request(None, "host", "/", &work.to_le_bytes())
 }
 
 impl Model {
@@ -221,12 +221,12 @@
             Event::Crash { engine, start } => self.crash(engine, start),
             Event::Return { engine } => self.restart_engine(engine),
             Event::Commit(evidence) => {
-                self.table.take(evidence, self.now.as_millis() as u64);
+                self.table.record_evidence(evidence, self.now.as_millis() as u64);
                 self.after(NOTIFICATION_TIME, Event::NotifyRelays);
             }
             Event::NotifyRelays => {
                 let now = self.now;
-                self.relays.iter_mut().for_each(|relay| relay.take(self.table.list(), now));
+                self.relays.iter_mut().for_each(|relay| relay.apply_list(self.table.list(), now));
             }
         }
     }
@@ -299,7 +299,7 @@
         }
         let attempt = self.engines[engine].running.remove(&run).expect("it runs there");
         self.end_trial(&attempt);
-        if self.relays[attempt.relay].note_served(&digest(attempt.work)) {
+        if self.relays[attempt.relay].record_served(&digest(attempt.work)) {
             self.hand_over(attempt.relay);
         }
     }
@@ -316,7 +316,7 @@
         let instance = InstanceId::named(format!("{engine}/{start}"));
         for attempt in lost.into_values() {
             let loss = EngineLoss { work: digest(attempt.work), instance: instance.clone() };
-            self.relays[attempt.relay].note_loss(loss, self.now);
+            self.relays[attempt.relay].record_loss(loss, self.now);
             self.hand_over(attempt.relay);
             // The relay retries after the group has committed the evidence.
             self.after(COMMIT_TIME + NOTIFICATION_TIME + Duration::from_millis(1), Event::Send(attempt));
@@ -334,7 +334,7 @@
 
     fn hand_over(&mut self, relay: usize) {
         let evidence = self.relays[relay].evidence().clone();
-        self.relays[relay].handed_over(&evidence);
+        self.relays[relay].remove_committed(&evidence);
         self.after(COMMIT_TIME, Event::Commit(evidence));
     }
 }
--- a/crates/simulator/tests/trial_leases.rs
+++ b/crates/simulator/tests/trial_leases.rs
@@ -6,7 +6,7 @@
 use control_group::{Deployment, REPLICAS, SECRET, address, named};
 use futures::future::{self, Either};
 use saddlerelay_control_client::ControlClient;
-use saddlerelay_control_client::trials::TrialKeeper;
+use saddlerelay_control_client::trials::TrialLeases;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_simulator::platform::SimRuntime;
 use saddlerelay_simulator::world::Process;
@@ -41,7 +41,7 @@
 const SECOND_ZONE: usize = 9;
 
 fn work() -> WorkDigest {
-    WorkDigest::of_posted(None, "host", "/rollouts", b"an item")
+    WorkDigest::of_post_request(None, "host", "/rollouts", b"an item")
 }
 
 /// State of a holder.
@@ -80,7 +80,7 @@
 /// Requests the lease repeatedly and runs the work while holding it.
 async fn run_work(runtime: SimRuntime, state: Rc<HolderState>) {
     let control = ControlClient::new(runtime.clone(), &(1..=REPLICAS).map(address).collect::<Vec<_>>(), SECRET);
-    let keeper = TrialKeeper::start(runtime.clone(), control);
+    let keeper = TrialLeases::start(runtime.clone(), control);
     while !state.stops.get() {
         if let Some(guard) = keeper.begin(work(), LIMIT).await {
             state.running_since.set(Some(runtime.monotonic()));
@@ -119,7 +119,7 @@
         deployment.world.spawn(&process, async move {
             let control = ControlClient::new(runtime, &named(), SECRET);
             let loss = EngineLoss { work: work(), instance: InstanceId::named("engine") };
-            let evidence = GatewayRequest::TakeEvidence(WorkEvidence { losses: vec![loss], served: Vec::new() });
+            let evidence = GatewayRequest::ReportEvidence(WorkEvidence { losses: vec![loss], served: Vec::new() });
             let limit = Duration::from_secs(5);
             control.gateway(evidence, limit, limit).await.expect("the group commits the evidence");
         });
--- a/crates/simulator/tests/trial_renewals.rs
+++ b/crates/simulator/tests/trial_renewals.rs
@@ -1,7 +1,7 @@
 //! Renewal of trial leases: the loss of one renewal does not expire a lease.
 
 use futures::executor::LocalPool;
-use saddlerelay_control_client::trials::{NoAnswer, TrialGroup, TrialKeeper};
+use saddlerelay_control_client::trials::{CallFailure, TrialLeaseService, TrialLeases};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_simulator::platform::SimRuntime;
 use saddlerelay_simulator::world::World;
@@ -40,14 +40,14 @@
     renewals: Rc<Renewals>,
 }
 
-impl TrialGroup for Group {
-    async fn begin(&self, request: TrialRequest) -> Result<TrialAnswer, NoAnswer> {
+impl TrialLeaseService for Group {
+    async fn begin(&self, request: TrialRequest) -> Result<TrialAnswer, CallFailure> {
         self.runtime.sleep(RESPONSE_TIME).await;
         self.renewals.record_renewal(request.id.number, self.runtime.monotonic());
         Ok(TrialAnswer::Granted)
     }
 
-    async fn renew(&self, leases: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, NoAnswer> {
+    async fn renew(&self, leases: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, CallFailure> {
         let is_lost = leases.iter().any(|lease| Some(lease.id.number) == self.renewals.loses.get());
         if is_lost {
             self.renewals.loses.set(None);
@@ -59,7 +59,7 @@
         Ok(Vec::new())
     }
 
-    async fn end(&self, _: HeldTrial) -> Result<(), NoAnswer> {
+    async fn end(&self, _: HeldTrial) -> Result<(), CallFailure> {
         Ok(())
     }
 }
@@ -74,11 +74,11 @@
     renewals.loses.set(loses);
     let group = Group { runtime: runtime.clone(), renewals: renewals.clone() };
     world.spawn(&process, async move {
-        let keeper = TrialKeeper::start(runtime.clone(), group);
+        let keeper = TrialLeases::start(runtime.clone(), group);
         let limit = Duration::from_secs(40);
-        let _first = keeper.begin(WorkDigest::of_posted(None, "host", "/", b"first"), limit).await;
+        let _first = keeper.begin(WorkDigest::of_post_request(None, "host", "/", b"first"), limit).await;
         runtime.sleep(later).await;
-        let _second = keeper.begin(WorkDigest::of_posted(None, "host", "/", b"second"), limit).await;
+        let _second = keeper.begin(WorkDigest::of_post_request(None, "host", "/", b"second"), limit).await;
         runtime.sleep(Duration::from_secs(10)).await;
     });
     world.run(&mut pool, Duration::from_secs(8), || false);
--- a/crates/simulator/tests/votes.rs
+++ b/crates/simulator/tests/votes.rs
@@ -68,7 +68,7 @@
         let (mut group, term) = single_running_voter(seed);
         let voter = group.node(VOTER).expect("it runs").id();
         let header = Header { group: group_id(&group), from: ReplicaId(71), to: voter, term };
-        group.send_request(VOTER, ReplicaRequest::TakeOver { header });
+        group.send_request(VOTER, ReplicaRequest::TimeoutNow { header });
         group.run_for(Duration::from_millis(20));
         group.power_off(VOTER);
         group.start(VOTER, false);
@@ -78,7 +78,7 @@
     }
 }
 
-/// A `TakeOver` request bypasses the lease of the leader that sent it. A delayed one must not bypass a newer leader's
+/// A `TimeoutNow` request bypasses the lease of the leader that sent it. A delayed one must not bypass a newer leader's
 /// lease.
 #[test]
 fn a_take_over_request_of_an_earlier_term_is_refused() {
@@ -88,7 +88,7 @@
         // The vote moves the voter to a newer term.
         assert!(is_granted(&request_vote(&mut group, voter, 71, term + 10)), "seed {seed}: the vote");
         let header = Header { group: group_id(&group), from: ReplicaId(72), to: voter, term };
-        let reply = group.send_request(VOTER, ReplicaRequest::TakeOver { header });
-        assert_eq!(reply, Some(ReplicaReply::Refused), "seed {seed}");
+        let reply = group.send_request(VOTER, ReplicaRequest::TimeoutNow { header });
+        assert_eq!(reply, Some(ReplicaReply::Rejected), "seed {seed}");
     }
 }
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -10,7 +10,7 @@
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_types::job::{ItemEnd, ItemId, JobId};
 use saddlerelay_types::routing::RoutingDocument;
-use saddlerelay_types::suspicion::MOST_ENGINES_ENDED;
+use saddlerelay_types::suspicion::QUARANTINE_THRESHOLD;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -132,11 +132,11 @@
     }
     for (kind, mut moments) in start_times {
         moments.sort();
-        let Some(third) = moments.get(MOST_ENGINES_ENDED - 1) else {
+        let Some(third) = moments.get(QUARANTINE_THRESHOLD - 1) else {
             continue;
         };
         let later = moments.iter().filter(|moment| **moment > *third + PROPAGATION_BOUND).count();
-        if later > MOST_ENGINES_ENDED {
+        if later > QUARANTINE_THRESHOLD {
             add_time_bound(
                 violations,
                 CRASHING_WORK,
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Request, StatusCode};
-use saddlerelay_coordinator::dialect::{EngineReport, RunningStreams, VersionOrder};
+use saddlerelay_coordinator::format::{EngineReport, RunningStreams, WeightOrder};
 use saddlerelay_gateway_api::own::{ORDER_PATH, REPORT_PATH};
 use saddlerelay_http::body::{BrokenOff, LocalBody, Reply, json, read_whole, whole};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
@@ -309,7 +309,7 @@
     }
 
     async fn order(&self, body: Bytes) -> Reply {
-        let Ok(order) = serde_json::from_slice::<VersionOrder>(&body) else {
+        let Ok(order) = serde_json::from_slice::<WeightOrder>(&body) else {
             return whole(StatusCode::BAD_REQUEST, "text/plain", "");
         };
         let state = &self.state;
@@ -338,7 +338,7 @@
         }
     }
 
-    fn take_order(&self, order: VersionOrder) -> Reply {
+    fn take_order(&self, order: WeightOrder) -> Reply {
         let state = &self.state;
         if order.fence < state.highest_fence.get() {
             return whole(StatusCode::PRECONDITION_FAILED, "text/plain", "");
@@ -356,7 +356,7 @@
         whole(StatusCode::ACCEPTED, "text/plain", "")
     }
 
-    async fn load(self, order: VersionOrder) {
+    async fn load(self, order: WeightOrder) {
         let state = &self.state;
         let incarnation = state.incarnation.get();
         while order.running == RunningStreams::Wait && state.running.get() > 0 {
--- a/crates/soak/src/waits.rs
+++ b/crates/soak/src/waits.rs
@@ -5,7 +5,7 @@
 use crate::links::{Links, Party};
 use crate::workload::SLOTS;
 use saddlerelay_types::job::{ItemId, JobId};
-use saddlerelay_types::suspicion::MOST_ENGINES_ENDED;
+use saddlerelay_types::suspicion::QUARANTINE_THRESHOLD;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::Duration;
@@ -115,7 +115,7 @@
 
 /// State of an item, derived from its executions.
 struct ItemState {
-    /// Finished, failed, or quarantined because it crashed [`MOST_ENGINES_ENDED`] engines.
+    /// Finished, failed, or quarantined because it crashed [`QUARANTINE_THRESHOLD`] engines.
     is_excluded: bool,
     is_at_engine: bool,
     engines_ended: usize,
@@ -129,7 +129,7 @@
         let ended = ended_runs().filter(|run| run.end == ItemRunEnd::EngineEnded);
         let engines_ended = ended.map(|run| &run.instance).collect::<BTreeSet<_>>().len();
         Self {
-            is_excluded: done || engines_ended >= MOST_ENGINES_ENDED,
+            is_excluded: done || engines_ended >= QUARANTINE_THRESHOLD,
             is_at_engine: begun_runs().any(|run| run.until.is_none_or(|until| at < until)),
             engines_ended,
         }
--- a/crates/soak/src/workload.rs
+++ b/crates/soak/src/workload.rs
@@ -3,7 +3,7 @@
 use saddlerelay_types::credentials::SecretDigest;
 use saddlerelay_types::identity::TenantId;
 use saddlerelay_types::routing::{
-    BatchTerms, ModelHosting, RequestLimits, Route, RouteKind, RoutingDocument, Service, WeightedTarget,
+    BatchSettings, ModelHosting, RequestLimits, Route, RouteKind, RoutingDocument, Service, WeightedTarget,
 };
 use saddlerelay_types::tenancy::TenantAccess;
 
@@ -88,7 +88,7 @@
         max_attempts: MAX_ATTEMPTS,
         resumable: false,
         public: false,
-        batch: BatchTerms::default(),
+        batch: BatchSettings::default(),
     }
 }
 
@@ -107,7 +107,7 @@
 
 /// Creates a routing document whose moving route targets `moving_to`, with `idle` unused routes.
 pub fn document(features: Features, version: u64, moving_to: &str, idle: usize) -> RoutingDocument {
-    let batch = BatchTerms { give_up_after_ms: GIVE_UP_AFTER_MS, due_after_ms: 5_000, single_version: false };
+    let batch = BatchSettings { give_up_after_ms: GIVE_UP_AFTER_MS, due_after_ms: 5_000, single_version: false };
     let mut routes = vec![
         route(REPEATABLE, RouteKind::Idempotent, WEB_SERVICES[0]),
         route(ONCE, RouteKind::NonIdempotent, WEB_SERVICES[0]),
--- a/crates/standins/src/access.rs
+++ b/crates/standins/src/access.rs
@@ -10,7 +10,7 @@
 
 /// The response to a caller's request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CallerAnswer {
+pub enum CallerResponse {
     /// A response with an explicit end.
     Whole {
         /// The generation.
@@ -40,7 +40,7 @@
     /// Number of relays.
     fn relays(&self) -> usize;
     /// Sends a caller's request.
-    async fn ask(&self, relay: usize, request: &CallerRequest) -> CallerAnswer;
+    async fn ask(&self, relay: usize, request: &CallerRequest) -> CallerResponse;
     /// The models that a relay serves; `None` if it is fenced or does not respond.
     async fn models(&self, relay: usize) -> Option<Vec<ModelName>>;
     /// Registers a new incarnation of a trainer.
--- a/crates/standins/src/callers.rs
+++ b/crates/standins/src/callers.rs
@@ -1,6 +1,6 @@
 //! Callers: applications that send requests on a schedule and retry them.
 
-use crate::access::{Access, CallerAnswer};
+use crate::access::{Access, CallerResponse};
 use crate::recorder::Recorder;
 use crate::tokens;
 use saddlerelay_checker::record::{CallerResult, Record};
@@ -60,7 +60,7 @@
 }
 
 /// Number of requests in flight.
-pub type UnderWay = Rc<Cell<u64>>;
+pub type InFlight = Rc<Cell<u64>>;
 
 /// The state of one request.
 struct RequestState {
@@ -99,7 +99,7 @@
     recorder: Recorder,
     options: CallerOptions,
     stop: Rc<Cell<bool>>,
-    under_way: UnderWay,
+    under_way: InFlight,
 ) {
     let mut number = 0;
     while !stop.get() {
@@ -178,10 +178,10 @@
         loop {
             let answer = send(&platform, &access, &state.request).await;
             state.sends += 1;
-            state.broken += u32::from(answer == CallerAnswer::Lost);
+            state.broken += u32::from(answer == CallerResponse::Lost);
             let not_executed = matches!(
                 &answer,
-                CallerAnswer::Failed(failure) if failure.outcome == ExecutionOutcome::NotExecuted
+                CallerResponse::Failed(failure) if failure.outcome == ExecutionOutcome::NotExecuted
             );
             match next(&platform, &mut state, answer) {
                 Next::End(result) => break result,
@@ -203,7 +203,7 @@
         }
         platform.sleep(platform.jitter(MAXIMUM_DUPLICATE_DELAY)).await;
         match send(&platform, &access, &copy).await {
-            CallerAnswer::Whole { generation, .. } => answer_fault(&copy, &generation),
+            CallerResponse::Whole { generation, .. } => answer_fault(&copy, &generation),
             _ => None,
         }
     };
@@ -227,27 +227,29 @@
     });
 }
 
-async fn send<P: Runtime, A: Access>(platform: &P, access: &A, request: &CallerRequest) -> CallerAnswer {
+async fn send<P: Runtime, A: Access>(platform: &P, access: &A, request: &CallerRequest) -> CallerResponse {
     let relay = platform.random() as usize % access.relays().max(1);
     let limit = Duration::from_millis(request.deadline_milliseconds) + RESPONSE_GRACE;
-    timeout(platform, limit, access.ask(relay, request)).await.unwrap_or(CallerAnswer::Lost)
+    timeout(platform, limit, access.ask(relay, request)).await.unwrap_or(CallerResponse::Lost)
 }
 
-fn next<P: Runtime>(platform: &P, state: &mut RequestState, answer: CallerAnswer) -> Next {
+fn next<P: Runtime>(platform: &P, state: &mut RequestState, answer: CallerResponse) -> Next {
     let retries_left = state.sends < MAXIMUM_SENDS;
     match answer {
-        CallerAnswer::Whole { generation, first_token_after } => {
+        CallerResponse::Whole { generation, first_token_after } => {
             let elapsed = platform.monotonic().saturating_sub(state.from);
             state.first_token_after =
                 first_token_after.map(|after| after.as_millis() as u64).filter(|_| state.sends == 1);
             state.first_token_after = state.first_token_after.or(Some(elapsed.as_millis() as u64));
             Next::End(CallerResult::Answered { fault: answer_fault(&state.request, &generation) })
         }
-        CallerAnswer::Failed(failure) => after_failure(state, &failure, retries_left),
-        CallerAnswer::NotSent if retries_left => Next::RetryAfter(MINIMUM_RETRY_DELAY),
+        CallerResponse::Failed(failure) => after_failure(state, &failure, retries_left),
+        CallerResponse::NotSent if retries_left => Next::RetryAfter(MINIMUM_RETRY_DELAY),
         // A repeatable or keyed request is safe to retry after a lost response.
-        CallerAnswer::Lost if retries_left && is_safe_to_retry(&state.request) => Next::RetryAfter(MINIMUM_RETRY_DELAY),
-        CallerAnswer::NotSent | CallerAnswer::Lost => Next::End(CallerResult::Lost),
+        CallerResponse::Lost if retries_left && is_safe_to_retry(&state.request) => {
+            Next::RetryAfter(MINIMUM_RETRY_DELAY)
+        }
+        CallerResponse::NotSent | CallerResponse::Lost => Next::End(CallerResult::Lost),
     }
 }
 
--- a/crates/standins/src/http/access.rs
+++ b/crates/standins/src/http/access.rs
@@ -1,6 +1,6 @@
 //! HTTP client for the interfaces of the service.
 
-use crate::access::{Access, CallerAnswer, TrainerCallError};
+use crate::access::{Access, CallerResponse, TrainerCallError};
 use hyper::{Method, StatusCode};
 use saddlerelay_http::body::parse_json;
 use saddlerelay_http::client::{Connection, HttpError, WholeResponse, call};
@@ -104,7 +104,7 @@
         }
     }
 
-    async fn read_stream(&self, response: hyper::Response<hyper::body::Incoming>, from: Instant) -> CallerAnswer {
+    async fn read_stream(&self, response: hyper::Response<hyper::body::Incoming>, from: Instant) -> CallerResponse {
         let mut reader = EventReader::new(response.into_body());
         let mut generation = Generation::empty();
         let mut finish = None;
@@ -114,16 +114,16 @@
                 return match finish {
                     Some(finish) => {
                         generation.finish = finish;
-                        CallerAnswer::Whole { generation, first_token_after }
+                        CallerResponse::Whole { generation, first_token_after }
                     }
-                    None => CallerAnswer::Lost,
+                    None => CallerResponse::Lost,
                 };
             }
             let Ok(event) = serde_json::from_str::<Event>(&data) else {
-                return CallerAnswer::Lost;
+                return CallerResponse::Lost;
             };
             if let Some(error) = event.error {
-                return CallerAnswer::Failed(failure(error));
+                return CallerResponse::Failed(failure(error));
             }
             first_token_after = first_token_after.or_else(|| Some(from.elapsed()));
             for choice in event.choices {
@@ -134,7 +134,7 @@
                 saddlerelay_types::request::extend_spans(&mut generation.versions, span.version, span.tokens);
             }
         }
-        CallerAnswer::Lost
+        CallerResponse::Lost
     }
 }
 
@@ -154,11 +154,11 @@
         self.relays.len()
     }
 
-    async fn ask(&self, relay: usize, request: &CallerRequest) -> CallerAnswer {
+    async fn ask(&self, relay: usize, request: &CallerRequest) -> CallerResponse {
         let from = Instant::now();
         let mut connection = match Connection::open(self.relays[relay]).await {
             Ok(connection) => connection,
-            Err(_) => return CallerAnswer::NotSent,
+            Err(_) => return CallerResponse::NotSent,
         };
         let authorization = format!("Bearer {}:{}:", request.tenant, request.caller);
         let deadline = request.deadline_milliseconds.to_string();
@@ -180,12 +180,12 @@
             Ok(response) => {
                 let body = saddlerelay_http::body::read_whole(response.into_body()).await.unwrap_or_default();
                 match parse_json::<ErrorBody>(&body) {
-                    Ok(body) => CallerAnswer::Failed(failure(body.error)),
-                    Err(_) => CallerAnswer::Lost,
+                    Ok(body) => CallerResponse::Failed(failure(body.error)),
+                    Err(_) => CallerResponse::Lost,
                 }
             }
-            Err(HttpError::NotSent(_)) => CallerAnswer::NotSent,
-            Err(HttpError::Lost(_)) => CallerAnswer::Lost,
+            Err(HttpError::NotSent(_)) => CallerResponse::NotSent,
+            Err(HttpError::Lost(_)) => CallerResponse::Lost,
         }
     }
 
