--- a/crates/standins/src/http/process.rs
+++ b/crates/standins/src/http/process.rs
@@ -1,6 +1,6 @@
 //! The stand-in processes, one subcommand each.
 
-use crate::callers::{CallerOptions, UnderWay, run_callers};
+use crate::callers::{CallerOptions, InFlight, run_callers};
 use crate::engine::{Engine, EngineOptions};
 use crate::http::access::HttpAccess;
 use crate::http::engine::EngineServer;
@@ -217,7 +217,7 @@
     let platform = CompioRuntime::new(std::env::temp_dir());
     let access = HttpAccess::new(flags.addresses("relays")?, Vec::new(), String::new());
     let recorder = file_recorder(&PathBuf::from(flags.text("records")?))?;
-    let in_flight = UnderWay::default();
+    let in_flight = InFlight::default();
     run_callers(platform.clone(), access, recorder, options, stop_on_signal(), in_flight.clone()).await;
     while in_flight.get() > 0 {
         platform.sleep(STOP_POLL).await;
--- a/crates/types/src/feature_level.rs
+++ b/crates/types/src/feature_level.rs
@@ -41,7 +41,7 @@
     }
 
     /// The level of a protocol version, if this build supports it.
-    pub fn of_protocol(protocol: u32) -> Option<Self> {
+    pub fn from_protocol(protocol: u32) -> Option<Self> {
         Self::ALL.into_iter().find(|level| level.protocol() == protocol)
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// The level of a file format version, if this build supports it.
-    pub fn of_file_format(format: u32) -> Option<Self> {
+    pub fn from_file_format(format: u32) -> Option<Self> {
         Self::ALL.into_iter().find(|level| level.file_format() == format)
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// The level with this number, if this build supports it.
-    pub fn of_number(number: u32) -> Option<Self> {
+    pub fn from_number(number: u32) -> Option<Self> {
         Self::ALL.into_iter().find(|level| level.number() == number)
     }
 }
--- a/crates/types/src/gateway.rs
+++ b/crates/types/src/gateway.rs
@@ -1,13 +1,13 @@
 //! Messages and log commands for request routing, engine instances, published weight versions and batch jobs.
 
 use crate::identity::{Fence, Incarnation, ReplicaId};
-use crate::instance::{GatheredReports, InstanceId, InstanceNews, InstanceReport, LoadedModel};
+use crate::instance::{GatheredReports, InstanceId, InstanceReport, InstanceUpdate, LoadedModel};
 use crate::job::{ItemId, ItemOutcome, JobId, JobSubmission, ResultPage, TextPart};
 use crate::routing::{RoutingDocument, RoutingError};
 use crate::routing_update::EncodedRoutingUpdate;
-use crate::suspicion::{HeldTrial, SuspicionList, TrialAnswer, TrialId, TrialStanding, WorkEvidence};
+use crate::suspicion::{HeldTrial, SuspicionList, TrialAnswer, TrialId, TrialLease, WorkEvidence};
 use crate::tenancy::Caller;
-use crate::usage::{RelayUsage, UsageDifference, UsageWindow};
+use crate::usage::{RelayUsage, UsageDelta, UsageWindow};
 use crate::work::WorkDigest;
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
@@ -24,7 +24,7 @@
     ReportInstances(GatheredReports),
     /// A follower that serves relays requests the leader's commit index and forwards the clock readings and usage
     /// counts that relays have sent to it.
-    Confirm(RelayWords),
+    Confirm(RelayData),
     /// An engine instance deregisters.
     RemoveInstance(InstanceId),
     /// Replaces the routing document.
@@ -32,7 +32,7 @@
     /// Reads the source of the newest routing document.
     ReadRouting,
     /// A trainer publishes a new weight version of a model.
-    NameVersion(LoadedModel),
+    PublishVersion(LoadedModel),
     /// Submits a batch job.
     SubmitJob(JobSubmission),
     /// Reads results starting at a position.
@@ -87,7 +87,7 @@
     /// Reads the status of the leader's duties towards the platform.
     ReadDuties,
     /// A relay reports engine processes that ended while running a request, or suspected requests that completed.
-    TakeEvidence(WorkEvidence),
+    ReportEvidence(WorkEvidence),
     /// Requests the exclusive right to run a suspected request.
     BeginTrial(TrialRequest),
     /// Renews rights to run suspected requests; answered with [`GatewayReply::TrialsLost`].
@@ -123,14 +123,14 @@
     /// The relay's wall clock when it sent the request, in Unix milliseconds.
     pub unix_ms: u64,
     /// Usage counted since the last difference that the relay sent; `None` if nothing was counted.
-    pub usage: Option<UsageDifference>,
+    pub usage: Option<UsageDelta>,
     /// Revision of the list of suspected requests in use.
     pub suspicion_revision: u64,
 }
 
 /// Data from relays that a follower forwards to the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct RelayWords {
+pub struct RelayData {
     /// Wall clocks of the relays.
     pub clocks: Vec<RelayClock>,
     /// Usage counted by the relays.
@@ -154,7 +154,7 @@
     /// The update from the relay's routing document to the newest one; `None` if the relay's is current.
     pub routing: Option<EncodedRoutingUpdate>,
     /// Changes to the engine instances visible to the relay.
-    pub instances: InstanceNews,
+    pub instances: InstanceUpdate,
     /// The follower that the relay should poll from now on, as long as it responds; `None` for the leader.
     pub follower: Option<SocketAddr>,
     /// Delay before the relay polls another replica while there is no leader, in milliseconds; grows with the
@@ -238,12 +238,12 @@
     /// Requests left uncounted because their counts arrived after their usage window was closed.
     pub uncounted: u64,
     /// Desired and available engines by service and zone.
-    pub engines: Vec<EngineStanding>,
+    pub engines: Vec<EngineCountStatus>,
 }
 
 /// Desired and available engines of a service in a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
-pub struct EngineStanding {
+pub struct EngineCountStatus {
     /// The service and zone.
     pub place: EnginePlace,
     /// Desired number of engines.
@@ -260,16 +260,16 @@
     /// Records reports of instances.
     ReportInstances(Vec<InstanceReport>),
     /// Records that reports of instances have stopped or resumed.
-    NoteSilence {
+    RecordSilence {
         /// Instances whose reports have stopped.
         silent: Vec<InstanceId>,
         /// Instances whose reports have resumed.
-        heard: Vec<InstanceId>,
+        resumed: Vec<InstanceId>,
     },
     /// Removes an instance.
     RemoveInstance(InstanceId),
     /// Records a published weight version of a model.
-    NameVersion(LoadedModel),
+    PublishVersion(LoadedModel),
     /// Stores a job.
     SubmitJob {
         /// The job.
@@ -278,7 +278,7 @@
         keep_ms: u64,
     },
     /// Stores partial texts of running items.
-    KeepTexts {
+    SaveTexts {
         /// The job.
         job: JobId,
         /// The partial texts.
@@ -309,19 +309,19 @@
     /// Adds usage counted by relays.
     AddUsage(Vec<RelayUsage>),
     /// Closes all usage windows up to and including this one.
-    FixUsage(UsageWindow),
+    CloseUsageWindows(UsageWindow),
     /// Records that the platform accepted the report of a usage window.
     UsageReported(UsageWindow),
     /// Sets the desired numbers of engines.
-    WantEngines(Vec<WantedEngines>),
+    SetWantedEngines(Vec<WantedEngines>),
     /// Records evidence for or against suspected requests.
-    TakeEvidence(WorkEvidence),
+    RecordEvidence(WorkEvidence),
     /// Grants an attempt the exclusive right to run a suspected request.
     BeginTrial(TrialRequest),
     /// Renews rights to run suspected requests.
     RenewTrials(Vec<HeldTrial>),
     /// Expires rights whose lease has run out, unless they were renewed meanwhile.
-    ExpireTrials(Vec<TrialStanding>),
+    ExpireTrials(Vec<TrialLease>),
     /// Releases the right to run a suspected request.
     EndTrial {
         /// Digest of the suspected request.
--- a/crates/types/src/hexadecimal.rs
+++ b/crates/types/src/hexadecimal.rs
@@ -33,14 +33,14 @@
             }
 
             /// The first bytes in hexadecimal, for logs.
-            pub fn shown(&self) -> String {
+            pub fn log_prefix(&self) -> String {
                 crate::hexadecimal::write(&self.0[..$prefix_bytes])
             }
         }
 
         impl std::fmt::Debug for $name {
             fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-                write!(formatter, "{}({})", stringify!($name), self.shown())
+                write!(formatter, "{}({})", stringify!($name), self.log_prefix())
             }
         }
 
--- a/crates/types/src/instance.rs
+++ b/crates/types/src/instance.rs
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct GatheredReports {
     /// Reports with changes that the machine has not forwarded yet.
-    pub news: Vec<InstanceReport>,
+    pub changed: Vec<InstanceReport>,
     /// Instances whose reports are unchanged.
     pub heartbeats: Vec<InstanceHeartbeat>,
 }
@@ -115,7 +115,7 @@
 
 /// Changes to the instance table visible to a relay.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct InstanceNews {
+pub struct InstanceUpdate {
     /// The instance table's revision.
     pub revision: u64,
     /// Whether `records` is the full table, which replaces the relay's.
--- a/crates/types/src/job.rs
+++ b/crates/types/src/job.rs
@@ -76,7 +76,7 @@
 impl JobItem {
     /// Digest of the item's request, in a job that `owner` submitted for `host`.
     pub fn work_digest(&self, owner: Option<&TenantId>, host: &str) -> WorkDigest {
-        WorkDigest::of_posted(owner, host, &self.path, &self.body)
+        WorkDigest::of_post_request(owner, host, &self.path, &self.body)
     }
 }
 
@@ -113,7 +113,7 @@
 impl ScoringRequest {
     /// Digest of the scoring request, sent on behalf of the job's owner.
     pub fn work_digest(&self, owner: Option<&TenantId>) -> WorkDigest {
-        WorkDigest::of_posted(owner, &self.host, &self.path, &self.body)
+        WorkDigest::of_post_request(owner, &self.host, &self.path, &self.body)
     }
 
     fn error(&self, item: &ItemId) -> Option<JobError> {
--- a/crates/types/src/protocol.rs
+++ b/crates/types/src/protocol.rs
@@ -93,7 +93,7 @@
 
 impl RenewReply {
     /// Whether the reply contains state that differs from what `renewal` reported.
-    pub fn brings_news(&self, renewal: &RenewRequest) -> bool {
+    pub fn has_updates(&self, renewal: &RenewRequest) -> bool {
         let configuration = self.configuration.whole || self.configuration.revision != renewal.configuration;
         self.fenced
             || configuration
@@ -242,7 +242,7 @@
     /// Records observed changes of engines.
     Observe(Vec<EngineObservation>),
     /// Issues the next fencing token for engine orders.
-    DrawFence,
+    IssueFence,
 }
 
 /// Why a trainer's request was rejected.
--- a/crates/types/src/routing.rs
+++ b/crates/types/src/routing.rs
@@ -68,7 +68,7 @@
     pub public: bool,
     /// Settings for batch jobs on this route.
     #[serde(default)]
-    pub batch: BatchTerms,
+    pub batch: BatchSettings,
 }
 
 /// A service's share of a route.
@@ -82,7 +82,7 @@
 
 /// A route's settings for batch jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
-pub struct BatchTerms {
+pub struct BatchSettings {
     /// Time after submission from which an item may be aborted, in milliseconds.
     pub give_up_after_ms: u64,
     /// Time after submission by which all results are due, in milliseconds.
--- a/crates/types/src/suspicion.rs
+++ b/crates/types/src/suspicion.rs
@@ -10,7 +10,7 @@
 
 /// Number of engine processes ended while running a request, with no success in between, that quarantines the request.
 /// Fewer may end by coincidence, as other requests run on the same engine.
-pub const MOST_ENGINES_ENDED: usize = 3;
+pub const QUARANTINE_THRESHOLD: usize = 3;
 
 /// Retry delay for a client whose suspected request is already being run by another attempt.
 pub const TRIAL_RETRY_AFTER: Duration = Duration::from_millis(250);
@@ -52,7 +52,7 @@
 pub struct Suspicion {
     /// Digest of the request.
     pub work: WorkDigest,
-    /// Distinct instances that ended while running it since its last success, at most [`MOST_ENGINES_ENDED`].
+    /// Distinct instances that ended while running it since its last success, at most [`QUARANTINE_THRESHOLD`].
     pub engines: Vec<InstanceId>,
     /// When an ended engine was last recorded or the quarantine last expired, in Unix milliseconds.
     pub last_at: u64,
@@ -61,7 +61,7 @@
 impl Suspicion {
     /// Whether the request is quarantined and not sent to any engine.
     pub fn is_quarantined(&self) -> bool {
-        self.engines.len() >= MOST_ENGINES_ENDED
+        self.engines.len() >= QUARANTINE_THRESHOLD
     }
 }
 
@@ -85,7 +85,7 @@
 
 /// A right to run a suspected request, as committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct TrialStanding {
+pub struct TrialLease {
     /// The request and the attempt that holds the right.
     pub held: HeldTrial,
     /// Number of renewals.
--- a/crates/types/src/usage.rs
+++ b/crates/types/src/usage.rs
@@ -32,7 +32,7 @@
 
 /// Usage counted by a relay since its previous difference.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct UsageDifference {
+pub struct UsageDelta {
     /// Sequence number within a relay's incarnation, starting at 1.
     pub sequence: u64,
     /// Counts to add, by window.
@@ -45,7 +45,7 @@
     /// Incarnation of the relay.
     pub relay: Incarnation,
     /// The counts.
-    pub difference: UsageDifference,
+    pub difference: UsageDelta,
 }
 
 /// Final counts of a closed window, as reported to the platform.
--- a/crates/types/src/work.rs
+++ b/crates/types/src/work.rs
@@ -52,7 +52,7 @@
     }
 
     /// Computes the digest of a POST request that is sent on behalf of a job's owner.
-    pub fn of_posted(owner: Option<&TenantId>, host: &str, path: &str, body: &[u8]) -> Self {
+    pub fn of_post_request(owner: Option<&TenantId>, host: &str, path: &str, body: &[u8]) -> Self {
         let caller = owner.cloned().map_or(Caller::Anyone, Caller::Tenant);
         Self::of(&Work { caller: &caller, method: "POST", host, path, body })
     }
--- a/crates/upstream/src/answer.rs
+++ b/crates/upstream/src/answer.rs
@@ -23,7 +23,7 @@
     /// No byte of the request reached the engine.
     NotSent(String),
     /// The request may have executed.
-    MayHaveRun(String),
+    PossiblyExecuted(String),
     /// The connection closed before the response was complete: the engine closed it, or its process ended. The request
     /// may have executed.
     ConnectionLost(String),
@@ -33,7 +33,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotSent(reason) => write!(formatter, "not sent: {reason}"),
-            Self::MayHaveRun(reason) => write!(formatter, "may have run: {reason}"),
+            Self::PossiblyExecuted(reason) => write!(formatter, "may have run: {reason}"),
             Self::ConnectionLost(reason) => write!(formatter, "may have run, connection lost: {reason}"),
         }
     }
@@ -63,7 +63,7 @@
             head.status == StatusCode::MISDIRECTED_REQUEST || head.headers.contains_key(&names.not_executed);
         let own_rejection = echoed_id.is_none() && rejection && !connection.is_used();
         if !is_echoed && !own_rejection {
-            return Err(Failure::MayHaveRun("response carries another request ID".to_string()));
+            return Err(Failure::PossiblyExecuted("response carries another request ID".to_string()));
         }
         Ok(Self { head, body, connection })
     }
@@ -94,7 +94,7 @@
     let reason = format!("response interrupted: {error}");
     match error.downcast_ref::<hyper::Error>() {
         Some(_) => Failure::ConnectionLost(reason),
-        None => Failure::MayHaveRun(reason),
+        None => Failure::PossiblyExecuted(reason),
     }
 }
 
--- a/crates/upstream/src/balance.rs
+++ b/crates/upstream/src/balance.rs
@@ -70,13 +70,13 @@
 
 /// Load and health of each engine as observed by this process. Clones share state.
 #[derive(Clone, Default)]
-pub struct Balance {
+pub struct LoadBalancer {
     stats: Rc<RefCell<BTreeMap<InstanceId, EngineStats>>>,
 }
 
 /// Counts a request as in flight at an engine until dropped.
 pub struct InFlight {
-    balance: Balance,
+    balance: LoadBalancer,
     instance: InstanceId,
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-impl Balance {
+impl LoadBalancer {
     /// Picks an engine for a request; engines in `tried` are picked only if there is no other.
     pub fn choose(
         &self,
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -8,13 +8,13 @@
     /// The `data` fields, joined by line feeds.
     pub data: Vec<u8>,
     /// The value of the additional field that the parser was created for.
-    pub noted: Option<String>,
+    pub extra_value: Option<String>,
     /// The raw bytes of the event, including the empty line at its end.
     pub raw: Vec<u8>,
 }
 
 /// Splits a byte stream into events.
-pub struct EventCutter {
+pub struct EventParser {
     received: Vec<u8>,
     /// Number of bytes of `received` already searched for the end of an event.
     searched: usize,
@@ -22,7 +22,7 @@
     extra_field: String,
 }
 
-impl EventCutter {
+impl EventParser {
     /// A parser that also extracts the field `field_name`.
     pub fn new(field_name: &str) -> Self {
         Self { received: Vec::new(), searched: 0, extra_field: format!("{}:", field_name.to_ascii_lowercase()) }
@@ -64,7 +64,7 @@
             } else if let Some(value) = field(line, b"id:") {
                 event.id = std::str::from_utf8(value).ok().and_then(|value| value.trim().parse().ok());
             } else if let Some(value) = field(line, self.extra_field.as_bytes()) {
-                event.noted = Some(String::from_utf8_lossy(value).trim().to_string());
+                event.extra_value = Some(String::from_utf8_lossy(value).trim().to_string());
             }
         }
         event.raw = raw;
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -12,9 +12,9 @@
 pub mod events;
 pub mod names;
 pub mod pool;
-pub mod turns;
+pub mod round_robin;
 
 pub use answer::{Answer, Failure};
-pub use balance::{Balance, ReadyEngine};
+pub use balance::{LoadBalancer, ReadyEngine};
 pub use names::HeaderNames;
 pub use pool::{EngineTarget, Outgoing, Pool, Reuse};
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -65,13 +65,13 @@
 pub struct Pool {
     names: Rc<HeaderNames>,
     idle: Rc<RefCell<BTreeMap<EngineTarget, Vec<Connection>>>>,
-    connect_limit: Duration,
+    connect_timeout: Duration,
 }
 
 impl Pool {
-    /// An empty pool with a connect timeout of `connect_limit`.
-    pub fn new(names: Rc<HeaderNames>, connect_limit: Duration) -> Self {
-        Self { names, idle: Rc::default(), connect_limit }
+    /// An empty pool with a connect timeout of `connect_timeout`.
+    pub fn new(names: Rc<HeaderNames>, connect_timeout: Duration) -> Self {
+        Self { names, idle: Rc::default(), connect_timeout }
     }
 
     /// The configured header names.
@@ -85,7 +85,7 @@
     }
 
     /// Returns a connection to the pool.
-    pub fn put_back(&self, target: &EngineTarget, connection: Connection) {
+    pub fn release(&self, target: &EngineTarget, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(target.clone()).or_default();
         connections.retain(Connection::is_open);
@@ -113,7 +113,7 @@
         {
             return Ok(connection);
         }
-        Connection::open(target.address, self.connect_limit).await
+        Connection::open(target.address, self.connect_timeout).await
     }
 
     /// Sends `request` to `target` and returns the response once its head has arrived. `time_left` is evaluated once
@@ -157,11 +157,11 @@
             }
             let (head, body) = connection.send(message).await?.into_parts();
             let body = Limited::new(body, MAX_CALL_RESPONSE_BYTES).collect().await;
-            let body = body.map_err(|error| Failure::MayHaveRun(format!("response interrupted: {error}")))?;
+            let body = body.map_err(|error| Failure::PossiblyExecuted(format!("response interrupted: {error}")))?;
             Ok((head, body.to_bytes()))
         };
         let result = compio::time::timeout(limit, exchange).await;
-        result.unwrap_or_else(|_| Err(Failure::MayHaveRun("response timed out".to_string())))
+        result.unwrap_or_else(|_| Err(Failure::PossiblyExecuted("response timed out".to_string())))
     }
 
     fn message(
--- a/crates/upstream/src/turns.rs
+++ b/crates/upstream/src/round_robin.rs
@@ -7,25 +7,25 @@
 
 /// Weighted round-robin state of one route's targets.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct WeightedTurns {
+pub struct WeightedRoundRobin {
     credits: Vec<f64>,
 }
 
-impl WeightedTurns {
+impl WeightedRoundRobin {
     /// State for `targets`, advanced by the fraction `offset` (0 to 1) of a cycle. With uniformly distributed offsets,
     /// the first picks are distributed by weight.
     pub fn new(targets: &[WeightedTarget], offset: f64) -> Self {
         let mut turns = Self { credits: vec![0.0; targets.len()] };
         if targets.len() > 1 {
             for _ in 0..(offset * CYCLE_LENGTH) as u32 {
-                turns.take(targets);
+                turns.next_index(targets);
             }
         }
         turns
     }
 
     /// Picks the target with the largest credit and returns its index. `targets` must be those passed to `new`.
-    pub fn take(&mut self, targets: &[WeightedTarget]) -> usize {
+    pub fn next_index(&mut self, targets: &[WeightedTarget]) -> usize {
         let total: f64 = targets.iter().map(|target| target.weight as f64).sum();
         for (credit, target) in self.credits.iter_mut().zip(targets) {
             *credit += target.weight as f64 / total;
