--- a/crates/control-client/src/reports.rs
+++ b/crates/control-client/src/reports.rs
@@ -3,7 +3,7 @@
 //! A report that differs from the last delivered one in the loaded models at most is acknowledged at once and sent with
 //! the next batch, as a heartbeat if it is unchanged. If the machine fails first, the engine's next report replaces it.
 //! A report that an engine is leaving triggers a batch and is acknowledged once committed. A report of a new engine
-//! also triggers a batch, but is acknowledged after a short wait even without a commit: an engine without a reply
+//! also triggers a batch, but is acknowledged after a short wait even without a commit: an engine without a response
 //! retries at another machine, and thousands of retries at once would delay an election. When no batch has reached the
 //! leader for a while, reports are no longer acknowledged without a commit.
 
@@ -129,7 +129,7 @@
         gatherer
     }
 
-    /// Accepts a report; returns the reply for the engine.
+    /// Accepts a report; returns the answer for the engine.
     pub async fn report(&self, report: InstanceReport) -> Answer {
         if self.pending.borrow().reports.len() >= MAX_PENDING {
             return Err(GatewayError::NotDone);
--- a/crates/control-client/src/suspicions.rs
+++ b/crates/control-client/src/suspicions.rs
@@ -1,5 +1,5 @@
-//! Suspected work at a relay: work during which engines ended unexpectedly, as listed by the control group or observed
-//! by the relay and not reported yet.
+//! Suspected work at a relay: work during which engines terminated unexpectedly, as listed by the control group or
+//! observed by the relay and not reported yet.
 
 use crate::trials::{CallFailure, TrialLeaseGuard, TrialLeaseService, TrialLeases};
 use crate::{ControlClient, GatewayError};
@@ -90,7 +90,7 @@
         self.suspects.len()
     }
 
-    /// Number of engines that have ended during `work` since it was last served.
+    /// Number of engines that have terminated during `work` since it was last served.
     pub fn engines_ended(&self, work: &WorkDigest) -> usize {
         self.suspects.get(work).map_or(0, |suspect| suspect.engines.len())
     }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Records that this relay observed at `now` that an engine ended during work.
+    /// Records that this relay observed at `now` that an engine terminated during work.
     pub fn record_loss(&mut self, loss: EngineLoss, now: Duration) {
         if self.evidence.losses.len() >= MAX_PENDING_LOSSES || self.evidence.losses.contains(&loss) {
             return;
@@ -204,8 +204,8 @@
         self.suspicions.borrow().revision()
     }
 
-    /// Number of engines that have ended during `work` since it was last served. As in [`Self::verdict`], the digest is
-    /// computed only if any work is suspected.
+    /// Number of engines that have terminated during `work` since it was last served. As in [`Self::verdict`], the
+    /// digest is computed only if any work is suspected.
     pub fn engines_ended(&self, work: impl FnOnce() -> WorkDigest) -> usize {
         let suspicions = self.suspicions.borrow();
         if suspicions.is_empty() { 0 } else { suspicions.engines_ended(&work()) }
@@ -226,7 +226,7 @@
         self.trials.begin(work, limit).await
     }
 
-    /// Records that an engine ended during work.
+    /// Records that an engine terminated during work.
     pub fn record_loss(&self, loss: EngineLoss) {
         self.suspicions.borrow_mut().record_loss(loss, self.platform.monotonic());
         self.evidence_added.notify();
--- a/crates/control/src/state/rollouts.rs
+++ b/crates/control/src/state/rollouts.rs
@@ -64,7 +64,7 @@
     pub last_publication: Option<TrainerState>,
 }
 
-/// A relay's samples, and its last assignment response for retries.
+/// A relay's samples, and its last assignment reply for retries.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct RelayAssignments {
     /// Sequence number of the newest request.
--- a/crates/control/tests/fleet_steps.rs
+++ b/crates/control/tests/fleet_steps.rs
@@ -1,4 +1,4 @@
-//! The cost of an event, in table lookups and response bytes, does not grow with the number of engines. Checked with
+//! The cost of an event, in table lookups and reply bytes, does not grow with the number of engines. Checked with
 //! 1,000, 10,000 and 20,000 engines.
 
 use saddlerelay_control::instance_watch::InstanceWatch;
@@ -20,7 +20,7 @@
 /// zones.
 const MAX_SUBSET_ENGINES: usize = 2 * (128 + 4 * 32);
 
-/// Maximum size in bytes of the first response to a relay.
+/// Maximum size in bytes of the first reply to a relay.
 const MAX_FIRST_RESPONSE_BYTES: usize = 64 * 1024;
 
 fn report(number: usize, sequence: u64) -> InstanceReport {
--- a/crates/control/tests/gateway.rs
+++ b/crates/control/tests/gateway.rs
@@ -280,7 +280,7 @@
     };
     append(&mut state, part(0, 0, "ab"));
     append(&mut state, part(0, 2, "cd"));
-    // A duplicate part, as after a lost response.
+    // A duplicate part, as after a lost reply.
     append(&mut state, part(0, 2, "cd"));
     assert_eq!(list(&mut state, "j", part(0, 4, "e")), GatewayOutcome::Done);
     // A part at offset 0 replaces the partial text.
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -10,7 +10,7 @@
     pub connect_timeout: Duration,
     /// Hedging delay of idempotent requests, in percent of the route's latency objective.
     pub hedge_percent: u32,
-    /// `Retry-After` of requests that were refused without execution.
+    /// `Retry-After` of requests that were rejected without execution.
     pub retry_after: Duration,
     /// `Retry-After` while the relay has no lease: about the duration of a leader election.
     pub lease_retry_after: Duration,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,8 +7,8 @@
 //!   that `follower` selects.
 //! - `admission` authenticates requests by their key.
 //! - `forward` handles buffered responses, `stream` handles event streams.
-//! - `lost_connections` detects engine processes that ended during a request; `suspicions` limits or rejects requests
-//!   whose work has ended engines before.
+//! - `lost_connections` detects engine processes that terminated during a request; `suspicions` limits or rejects
+//!   requests whose work has crashed engines before.
 //! - `usage` counts requests by tenant, and `results` reads results of batch jobs.
 
 pub mod admission;
--- a/crates/gateway/src/lost_connections.rs
+++ b/crates/gateway/src/lost_connections.rs
@@ -1,4 +1,4 @@
-//! Checks after a lost connection whether the engine process has ended or has only closed the connection.
+//! Checks after a lost connection whether the engine process has terminated or has only closed the connection.
 
 use crate::gateway::Gateway;
 use crate::request::ClientRequest;
@@ -13,7 +13,7 @@
 pub(crate) struct RequestedWork {
     body: Bytes,
     digest: OnceCell<WorkDigest>,
-    /// The exclusive right to run suspected work, held until the request ends.
+    /// The trial lease for suspected work, held until the request ends.
     trial: RefCell<Option<RelayTrial<CompioRuntime>>>,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Gateway {
-    /// Checks whether the engine at `target` has ended during a request, and reports the loss to the control group.
+    /// Checks whether the engine at `target` terminated during a request, and reports the loss to the control group.
     pub(crate) async fn check_lost_connection(
         &self,
         request: &ClientRequest,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -10,7 +10,7 @@
     pub requests: Counter,
     /// Engine responses forwarded to clients.
     pub answered: Counter,
-    /// Requests refused with status 503, without execution.
+    /// Requests rejected with status 503, without execution.
     pub refused: Counter,
     /// Requests that the gateway answered with any other error status; they may have executed.
     pub failed: Counter,
@@ -18,7 +18,7 @@
     pub retries: Counter,
     /// Hedged requests.
     pub hedges: Counter,
-    /// Engines that ended during a request of this relay.
+    /// Engines that terminated during a request of this relay.
     pub engines_ended: Counter,
     /// Requests rejected because their work is suspected of ending engines.
     pub kept_from_engines: Counter,
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -5,7 +5,7 @@
 use saddlerelay_http::body::{Reply, whole};
 use std::time::Duration;
 
-/// Why the gateway refused or failed a request.
+/// Why the gateway rejected or failed a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// No route matches the host and path.
--- a/crates/gateway/src/suspicions.rs
+++ b/crates/gateway/src/suspicions.rs
@@ -20,7 +20,7 @@
 }
 
 impl Gateway {
-    /// Number of engines known to have ended while they ran the request's work.
+    /// Number of engines known to have terminated while they ran the request's work.
     pub(crate) fn engines_ended(&self, request: &ClientRequest, work: &RequestedWork) -> usize {
         self.inner.suspicions.engines_ended(|| work.digest(request))
     }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Counts and logs a refusal of suspected work.
+    /// Counts and logs a rejection of suspected work.
     fn reject_suspected_work(&self, suspect: &SuspectRequest<'_>, refusal: Refusal) -> Refusal {
         let SuspectRequest { request, work, .. } = *suspect;
         let pause = if let Refusal::Suspected(remaining) = refusal { remaining } else { Duration::ZERO };
@@ -80,7 +80,7 @@
         refusal
     }
 
-    /// Reports that an engine ended during a request.
+    /// Reports that an engine terminated during a request.
     pub(crate) fn record_engine_loss(&self, work: WorkDigest, instance: &InstanceId) {
         self.inner.suspicions.record_loss(EngineLoss { work, instance: instance.clone() });
     }
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -91,7 +91,7 @@
     may_have_run: bool,
     tried: BTreeSet<EngineId>,
     work_digest: OnceCell<WorkDigest>,
-    /// The exclusive right to run suspected work.
+    /// The trial lease for suspected work.
     trial: Option<RelayTrial<P>>,
 }
 
@@ -181,7 +181,7 @@
         Err(DispatchFailure { retry_after, ..progress.failure(FailureCode::EnginesEnded, message) })
     }
 
-    /// Checks whether the engine process ended during the generation, and reports the loss to the control group.
+    /// Checks whether the engine process terminated during the generation, and reports the loss to the control group.
     async fn check_engine_ended(&self, progress: &Progress<'_, P>, engine: &EngineDescription) {
         let Some(incarnation) = self.inner.view.borrow().ready_incarnation(&engine.id) else {
             // An engine that is not available is assumed to have been shut down.
--- a/crates/relay/src/registry.rs
+++ b/crates/relay/src/registry.rs
@@ -1,4 +1,4 @@
-//! Requests in flight, reported load and consecutive_failures of each engine, as observed by this relay.
+//! Requests in flight, reported load and consecutive failures of each engine, as observed by this relay.
 
 use saddlerelay_types::engine::EngineLoad;
 use saddlerelay_types::identity::EngineId;
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Number of consecutive consecutive_failures that ejects an engine.
+/// Number of consecutive failures that ejects an engine.
 const EJECTION_FAILURES: u32 = 3;
 
 /// Duration of the first ejection; doubles with each consecutive one.
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -49,7 +49,7 @@
     pub requests: u64,
     /// Requests answered completely.
     pub answered: u64,
-    /// Requests refused or failed.
+    /// Requests rejected or failed.
     pub failed: u64,
     /// Retries of requests and samples.
     pub retries: u64,
@@ -57,7 +57,7 @@
     pub samples: u64,
     /// Tokens received from engines.
     pub tokens: u64,
-    /// Engines that ended during a request or sample.
+    /// Engines that terminated during a request or sample.
     pub engines_ended: u64,
     /// Requests and samples rejected because their work is suspected of ending engines.
     pub kept_from_engines: u64,
--- a/crates/simulator/tests/control_group/mod.rs
+++ b/crates/simulator/tests/control_group/mod.rs
@@ -54,7 +54,7 @@
     pub clock_errors: BTreeMap<u8, i64>,
 }
 
-/// Times of a relay's first and latest successful responses.
+/// Times of the first and latest successful replies to a relay.
 #[derive(Default)]
 pub struct Answers {
     pub first: Cell<Option<Duration>>,
@@ -156,7 +156,7 @@
     }
 }
 
-/// Sends follow requests as a relay does, and records the time of each response.
+/// Sends follow requests as a relay does, and records the time of each reply.
 async fn follow(runtime: SimRuntime, answers: Rc<Answers>) {
     let control = ControlClient::new(runtime.clone(), &named(), SECRET);
     let timeout = Duration::from_millis(650);
--- a/crates/simulator/tests/elections.rs
+++ b/crates/simulator/tests/elections.rs
@@ -34,7 +34,7 @@
 /// Interval between proposals.
 const PROPOSAL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Limit of frames between zones for a hundred proposals in 10 s without faults: an append and its response for each of
+/// Limit of frames between zones for a hundred proposals in 10 s without faults: an append and its reply for each of
 /// four peers, twice per proposal (the entry, then the commit index).
 const CALM_FRAMES: u64 = 1_600;
 
--- a/crates/simulator/tests/lease_safety.rs
+++ b/crates/simulator/tests/lease_safety.rs
@@ -21,7 +21,7 @@
 
 const SECRET: &str = "a secret of sixteen signs";
 
-/// Delay of a simulated peer's response to a vote request.
+/// Delay of a simulated peer's reply to a vote request.
 const VOTE_DELAY: Duration = Duration::from_millis(100);
 
 const STEP: Duration = Duration::from_millis(5);
@@ -246,7 +246,7 @@
 fn a_pre_candidate_that_receives_an_append_does_not_campaign() {
     for seed in 0..20 {
         let mut fixture = Fixture::new(seed);
-        // The leader's append arrives between the pre-vote requests and their responses.
+        // The leader's append arrives between the pre-vote requests and their replies.
         while fixture.vote_requests.borrow().is_empty() {
             fixture.run_for(STEP);
         }
--- a/crates/simulator/tests/lossy_leader.rs
+++ b/crates/simulator/tests/lossy_leader.rs
@@ -140,7 +140,7 @@
 }
 
 /// Guards against a leader with lossy links that replaces reachable voters by learners of its own zone because their
-/// append responses are delayed.
+/// append replies are delayed.
 #[test]
 fn voters_do_not_move_to_a_lossy_zone() {
     let observed = observe_all("the same, members", |group, zone| {
--- a/crates/simulator/tests/relay_search.rs
+++ b/crates/simulator/tests/relay_search.rs
@@ -13,7 +13,7 @@
 
 const SEEDS: std::ops::Range<u64> = 0..24;
 
-/// Time limit for a relay's first response after all processes start: an election and a search through all machines.
+/// Time limit for the first reply to a relay after all processes start: an election and a search through all machines.
 const FOUND_WITHIN: Duration = Duration::from_secs(4);
 
 /// Whether the machines listed in the settings keep their disks.
@@ -60,7 +60,7 @@
     }
 }
 
-/// Moves the group, restarts all machines if `all_end` is set, and waits for a relay's first response.
+/// Moves the group, restarts all machines if `all_end` is set, and waits for the first reply to a relay.
 fn find_group(disks: Disks, all_end: bool) {
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
--- a/crates/simulator/tests/suspicion_ways.rs
+++ b/crates/simulator/tests/suspicion_ways.rs
@@ -1,5 +1,5 @@
 //! Compares quarantine policies for requests that crash their engines: how many engines these crash, and how many
-//! harmless requests are refused as suspects.
+//! harmless requests are rejected as suspects.
 //!
 //! A discrete-event model of relays, engines and a group that uses the real suspicion tables. Engines also crash by
 //! themselves and lose the requests that they run; harmless clients retry once, and crashing requests recur during the
@@ -52,9 +52,9 @@
     TwoEngines,
     /// As `CountingWithPause`, and a request that has crashed an engine needs a trial lease: the implemented policy.
     OneAtATime,
-    /// As `OneAtATime`, and suspected requests are not sent to the last running engine.
+    /// As `OneAtATime`, and suspected work is not sent to the last running engine.
     OneAtATimeNotAtTheLast,
-    /// As `CountingWithPause`, and suspected requests are not sent to the last running engine.
+    /// As `CountingWithPause`, and suspected work is not sent to the last running engine.
     NotAtTheLast,
 }
 
@@ -117,7 +117,7 @@
 #[derive(Debug, Default)]
 struct Outcome {
     harmless: usize,
-    /// Harmless requests whose last attempt was refused because they were suspected.
+    /// Harmless requests whose last attempt was rejected because they were suspected.
     refused_as_suspects: usize,
     /// Harmless requests whose last attempt failed with its engine or found no engine.
     failed: usize,
@@ -393,7 +393,7 @@
     }
 }
 
-/// Spontaneous crashes alone must not cause refusals.
+/// Spontaneous crashes alone must not cause rejections.
 #[test]
 fn spontaneous_crashes_alone_cause_no_refusals() {
     for (relays, engines) in [(3, 3), (67, 30)] {
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Executes a fenced order; rejects one with an older fence.
+    /// Executes a fenced order; rejects one with an older fencing token.
     pub fn order(&self, order: EngineOrder) -> Result<(), Refusal> {
         let mut state = self.inner.state.borrow_mut();
         if order.fence < state.fence {
--- a/crates/types/src/feature_level.rs
+++ b/crates/types/src/feature_level.rs
@@ -13,7 +13,7 @@
 pub enum FeatureLevel {
     /// Routing, engine instances, batch jobs and orders.
     One,
-    /// Adds tenants, usage counts, engine start times, suspected requests and reads at followers.
+    /// Adds tenants, usage counts, engine start times, suspected work and reads at followers.
     Two,
 }
 
--- a/crates/types/src/gateway.rs
+++ b/crates/types/src/gateway.rs
@@ -86,20 +86,20 @@
     ReadRetirement(String),
     /// Reads the status of the leader's duties towards the platform.
     ReadDuties,
-    /// A relay reports engine processes that ended while running a request, or suspected requests that completed.
+    /// A relay reports engine processes that terminated while running a request, or suspected work that completed.
     ReportEvidence(WorkEvidence),
-    /// Requests the exclusive right to run a suspected request.
+    /// Requests a trial lease for suspected work.
     BeginTrial(TrialRequest),
-    /// Renews rights to run suspected requests; answered with [`GatewayReply::TrialsLost`].
+    /// Renews trial leases; answered with [`GatewayReply::TrialsLost`].
     RenewTrials(Vec<HeldTrial>),
-    /// Releases the right to run a suspected request.
+    /// Releases a trial lease.
     EndTrial {
-        /// Digest of the suspected request.
+        /// Digest of the suspected work.
         work: WorkDigest,
-        /// The attempt that holds the right.
+        /// The attempt that holds the trial lease.
         id: TrialId,
     },
-    /// Reads the list of suspected requests.
+    /// Reads the list of suspected work.
     ReadSuspicions,
     /// An operator clears the suspicion against a request.
     ReleaseWork(WorkDigest),
@@ -124,7 +124,7 @@
     pub unix_ms: u64,
     /// Usage counted since the last difference that the relay sent; `None` if nothing was counted.
     pub usage: Option<UsageDelta>,
-    /// Revision of the list of suspected requests in use.
+    /// Revision of the list of suspected work in use.
     pub suspicion_revision: u64,
 }
 
@@ -169,7 +169,7 @@
     pub group_unix_ms: Option<u64>,
     /// Sequence number of the newest committed usage difference of this relay incarnation; 0 if there is none.
     pub usage_taken: u64,
-    /// The list of suspected requests, if its revision differs from the relay's.
+    /// The list of suspected work, if its revision differs from the relay's.
     pub suspicions: Option<SuspicionList>,
 }
 
@@ -214,11 +214,11 @@
     },
     /// The status of the leader's duties towards the platform.
     Duties(DutyOverview),
-    /// The list of suspected requests.
+    /// The list of suspected work.
     Suspicions(SuspicionList),
-    /// The result of a request for the right to run a suspected request.
+    /// The result of a request for a trial lease.
     Trial(TrialAnswer),
-    /// The rights that could not be renewed because they are no longer held.
+    /// The trial leases that could not be renewed because they are no longer held.
     TrialsLost(Vec<HeldTrial>),
     /// The request was not carried out and will not be; retry later.
     Unavailable,
@@ -314,19 +314,19 @@
     UsageReported(UsageWindow),
     /// Sets the desired numbers of engines.
     SetWantedEngines(Vec<WantedEngines>),
-    /// Records evidence for or against suspected requests.
+    /// Records evidence for or against suspected work.
     RecordEvidence(WorkEvidence),
-    /// Grants an attempt the exclusive right to run a suspected request.
+    /// Grants an attempt a trial lease for suspected work.
     BeginTrial(TrialRequest),
-    /// Renews rights to run suspected requests.
+    /// Renews trial leases.
     RenewTrials(Vec<HeldTrial>),
-    /// Expires rights whose lease has run out, unless they were renewed meanwhile.
+    /// Removes trial leases that have expired, unless they were renewed meanwhile.
     ExpireTrials(Vec<TrialLease>),
-    /// Releases the right to run a suspected request.
+    /// Releases a trial lease.
     EndTrial {
-        /// Digest of the suspected request.
+        /// Digest of the suspected work.
         work: WorkDigest,
-        /// The attempt that holds the right.
+        /// The attempt that holds the trial lease.
         id: TrialId,
     },
     /// Removes expired suspicions; an expired quarantine is lowered to a suspicion.
@@ -335,12 +335,12 @@
     ReleaseWork(WorkDigest),
 }
 
-/// A request for the exclusive right to run a suspected request.
+/// A request for a trial lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TrialRequest {
-    /// Digest of the suspected request.
+    /// Digest of the suspected work.
     pub work: WorkDigest,
-    /// The attempt that holds the right.
+    /// The attempt that requests the trial lease.
     pub id: TrialId,
     /// The longest time that the attempt may take, in milliseconds.
     pub limit_ms: u64,
@@ -404,9 +404,9 @@
     NotFound,
     /// Results of these items (by index) were not listed, as their texts start beyond the end of the stored text.
     TextMissing(Vec<u32>),
-    /// The result of a request for the right to run a suspected request.
+    /// The result of a request for a trial lease.
     Trial(TrialAnswer),
-    /// The rights that could not be renewed because they are no longer held.
+    /// The trial leases that could not be renewed because they are no longer held.
     TrialsLost(Vec<HeldTrial>),
     /// The right to issue the recorded orders.
     Orders {
--- a/crates/types/src/protocol.rs
+++ b/crates/types/src/protocol.rs
@@ -66,7 +66,7 @@
     pub engines: u64,
     /// The weight version targets in use.
     pub targets: Vec<ModelTarget>,
-    /// The revision in use of the list of suspected requests.
+    /// The revision in use of the list of suspected work.
     pub suspicion_revision: u64,
 }
 
@@ -87,7 +87,7 @@
     pub targets: Vec<ModelTarget>,
     /// Number of relays with a valid lease; rollouts are shared among them.
     pub relay_count: u32,
-    /// The list of suspected requests, if newer than the relay's.
+    /// The list of suspected work, if newer than the relay's.
     pub suspicions: Option<SuspicionList>,
 }
 
@@ -344,6 +344,6 @@
     pub voter: bool,
     /// The match index: the last log index known to be replicated to it.
     pub matched: u64,
-    /// Milliseconds since its last response to the leader.
+    /// Milliseconds since its last reply to the leader.
     pub heard_milliseconds_ago: u64,
 }
--- a/crates/types/src/suspicion.rs
+++ b/crates/types/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! Requests suspected of crashing engines. A request is suspected if an engine process ended while running it, and
+//! Requests suspected of crashing engines. A request is suspected if an engine process terminated while running it, and
 //! quarantined if that happens repeatedly without a successful run in between.
 
 use crate::identity::Incarnation;
@@ -8,21 +8,21 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Number of engine processes ended while running a request, with no success in between, that quarantines the request.
+/// Number of engine processes terminated while running a request, without success in between, that quarantines it.
 /// Fewer may end by coincidence, as other requests run on the same engine.
 pub const QUARANTINE_THRESHOLD: usize = 3;
 
-/// Retry delay for a client whose suspected request is already being run by another attempt.
+/// Retry delay for a client whose suspected work is already being run by another attempt.
 pub const TRIAL_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// Lease of the right to run a suspected request. Bounds the wait for a failed holder; long enough to outlast a leader
-/// election and a lost renewal.
+/// Duration of a trial lease. Bounds the wait for a failed holder; long enough to outlast a leader election and a
+/// lost renewal.
 pub const TRIAL_LEASE: Duration = Duration::from_secs(2);
 
-/// Interval at which a holder renews its rights.
+/// Interval at which a holder renews its trial leases.
 pub const TRIAL_RENEWAL: Duration = Duration::from_millis(500);
 
-/// An engine process that ended while it ran a request.
+/// An engine process that terminated while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct EngineLoss {
     /// Digest of the request.
@@ -31,10 +31,10 @@
     pub instance: InstanceId,
 }
 
-/// Observations about suspected requests, collected by one process.
+/// Observations about suspected work, collected by one process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct WorkEvidence {
-    /// Engine processes that ended while running a request.
+    /// Engine processes that terminated while running a request.
     pub losses: Vec<EngineLoss>,
     /// Requests that an engine completed, which clears their suspicion.
     pub served: Vec<WorkDigest>,
@@ -52,9 +52,9 @@
 pub struct Suspicion {
     /// Digest of the request.
     pub work: WorkDigest,
-    /// Distinct instances that ended while running it since its last success, at most [`QUARANTINE_THRESHOLD`].
+    /// Distinct instances that terminated while running it since its last success, at most [`QUARANTINE_THRESHOLD`].
     pub engines: Vec<InstanceId>,
-    /// When an ended engine was last recorded or the quarantine last expired, in Unix milliseconds.
+    /// When a terminated engine was last recorded or the quarantine last expired, in Unix milliseconds.
     pub last_at: u64,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Identifies an attempt to run a suspected request.
+/// Identifies an attempt to run suspected work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TrialId {
     /// Incarnation of the process that makes the attempt.
@@ -74,38 +74,38 @@
     pub number: u64,
 }
 
-/// A right to run a suspected request.
+/// A trial lease, as its holder knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct HeldTrial {
     /// Digest of the request.
     pub work: WorkDigest,
-    /// The attempt that holds the right.
+    /// The attempt that holds the trial lease.
     pub id: TrialId,
 }
 
-/// A right to run a suspected request, as committed.
+/// A trial lease, as committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TrialLease {
-    /// The request and the attempt that holds the right.
+    /// The request and the attempt that holds the trial lease.
     pub held: HeldTrial,
     /// Number of renewals.
     pub renewals: u32,
 }
 
-/// Result of a request for the right to run a suspected request.
+/// Result of a request for a trial lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum TrialAnswer {
     /// The attempt may run the request, on one engine at a time, until its time limit.
     Granted,
-    /// Another attempt holds the right.
+    /// Another attempt holds the trial lease.
     Taken,
 }
 
-/// All suspected requests recorded by the control group.
+/// All suspected work recorded by the control group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct SuspicionList {
     /// Increases with each change.
     pub revision: u64,
-    /// The suspected requests.
+    /// The suspected work.
     pub suspicions: Vec<Suspicion>,
 }
