--- a/crates/simulator/src/backends.rs
+++ b/crates/simulator/src/backends.rs
@@ -55,7 +55,7 @@
     Machines(Vec<PlatformMachine>),
 }
 
-/// Serves an engine until its process ends.
+/// Serves the calls to an engine until its process ends.
 pub async fn serve_engine<W: WeightSource>(platform: SimRuntime, address: SocketAddr, engine: Engine<SimRuntime, W>) {
     let Ok(mut listener) = platform.listen(address).await else {
         return;
@@ -116,7 +116,7 @@
     pub score_time: Rc<Cell<Duration>>,
 }
 
-/// Serves the scorer or the platform until its process ends.
+/// Serves the calls to the scorer or the platform until its process ends.
 pub async fn serve_services(platform: SimRuntime, address: SocketAddr, services: Services) {
     let Ok(mut listener) = platform.listen(address).await else {
         return;
@@ -139,7 +139,7 @@
     }
 }
 
-/// Backends as reached from one process.
+/// Access of one process to the engines, the scorer and the platform.
 #[derive(Clone)]
 pub struct SimBackends {
     /// Runtime of the process.
@@ -180,7 +180,7 @@
     }
 
     async fn has_ended(&self, engine: &EngineDescription) -> bool {
-        // An attempt across a partition never completes.
+        // A connection attempt across a network partition never completes.
         let connected = timeout(&self.platform, LIVENESS_TIMEOUT, self.platform.connect(engine.address)).await;
         matches!(connected, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
     }
--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -37,7 +37,7 @@
 const REPORT_LAG: Duration = Duration::from_millis(200);
 const CACHED_PREFIXES: usize = 8;
 const QUEUE_LIMIT: usize = 64;
-/// Bound on the wall clock error of a control replica, in milliseconds.
+/// Upper bound of the wall clock error of a control replica, ahead or behind, in milliseconds.
 const CLOCK_ERROR: u64 = 400;
 
 /// Delay before a process that failed to start is started again.
@@ -50,13 +50,13 @@
 const SCORER_PORT: u16 = 5_000;
 const PLATFORM_PORT: u16 = 5_001;
 
-fn address(base: u16, place: usize) -> SocketAddr {
-    SocketAddr::from((Ipv4Addr::LOCALHOST, base + place as u16))
+fn address(base: u16, index: usize) -> SocketAddr {
+    SocketAddr::from((Ipv4Addr::LOCALHOST, base + index as u16))
 }
 
 /// The component of a process that faults are injected into.
 #[derive(Clone)]
-pub enum Running {
+pub enum Component {
     /// A control replica; `None` until it has recovered its state from disk.
     Control(Rc<RefCell<Option<ControlNode<SimRuntime, SimBackends>>>>),
     /// A relay; `None` until it has started.
@@ -73,7 +73,7 @@
     /// The process.
     pub process: Rc<Process>,
     /// The component that runs in it.
-    pub running: Running,
+    pub component: Component,
 }
 
 /// A simulated deployment.
@@ -84,7 +84,7 @@
     pub deployment: Deployment,
     /// Scheduling policy of all relays.
     pub policy: PolicyName,
-    /// Records of all stand-ins, in the order in which they were made.
+    /// Records of all simulated clients and engines, in the order in which they were made.
     pub records: Rc<RefCell<Vec<Record>>>,
     /// Processes by name.
     pub members: RefCell<BTreeMap<String, Member>>,
@@ -94,10 +94,10 @@
     pub engines: Vec<EngineDescription>,
     /// Signals trainers and callers to stop.
     pub stop: StopFlag,
-    /// Trainers that have ended.
+    /// Number of trainers that have finished.
     pub trainers_ended: Rc<Cell<usize>>,
     /// Number of requests in flight.
-    pub under_way: InFlight,
+    pub in_flight: InFlight,
     /// Virtual time at which two control replicas were first able to serve reads simultaneously.
     pub two_leaders_at: Cell<Option<Duration>>,
     weights: SimWeights,
@@ -121,7 +121,7 @@
             services: Services::default(),
             stop: Rc::default(),
             trainers_ended: Rc::default(),
-            under_way: Rc::default(),
+            in_flight: Rc::default(),
             two_leaders_at: Cell::new(None),
             weights,
             client,
@@ -148,26 +148,26 @@
     pub fn access(&self, platform: SimRuntime) -> SimAccess {
         SimAccess {
             platform,
-            relays: Rc::new((0..self.deployment.relays as usize).map(|place| address(RELAY_PORT, place)).collect()),
+            relays: Rc::new((0..self.deployment.relays as usize).map(|index| address(RELAY_PORT, index)).collect()),
             control: Rc::new(
-                (0..self.deployment.control as usize).map(|place| address(CONTROL_HTTP_PORT, place)).collect(),
+                (0..self.deployment.control as usize).map(|index| address(CONTROL_HTTP_PORT, index)).collect(),
             ),
             next_control: Rc::default(),
         }
     }
 
-    /// Creates an operator stand-in with this name.
+    /// Creates a simulated operator with this name.
     pub fn operator(&self, name: &str) -> Operator<SimRuntime, SimAccess> {
         let platform = self.client_platform();
         Operator { access: self.access(platform.clone()), platform, recorder: self.recorder(), name: name.to_string() }
     }
 
-    fn zone(&self, place: usize) -> usize {
-        place % self.deployment.zones.len()
+    fn zone(&self, index: usize) -> usize {
+        index % self.deployment.zones.len()
     }
 
     fn control_addresses(&self) -> Vec<SocketAddr> {
-        (0..self.deployment.control as usize).map(|place| address(CONTROL_PORT, place)).collect()
+        (0..self.deployment.control as usize).map(|index| address(CONTROL_PORT, index)).collect()
     }
 
     fn backends(&self, platform: &SimRuntime) -> SimBackends {
@@ -178,39 +178,39 @@
         }
     }
 
-    fn insert(&self, name: String, process: Rc<Process>, running: Running) {
-        self.members.borrow_mut().insert(name, Member { process, running });
+    fn insert(&self, name: String, process: Rc<Process>, component: Component) {
+        self.members.borrow_mut().insert(name, Member { process, component });
     }
 
     /// Starts a control replica.
-    pub fn start_control(&self, place: usize) {
-        let name = format!("control-{place}");
+    pub fn start_control(&self, index: usize) {
+        let name = format!("control-{index}");
         let clock_error = (self.world.random() % (2 * CLOCK_ERROR)) as i64 - CLOCK_ERROR as i64;
-        let process = self.world.start_process(&name, self.zone(place), clock_error);
+        let process = self.world.start_process(&name, self.zone(index), clock_error);
         let platform = self.platform(&process);
         let node = Rc::new(RefCell::new(None));
         let options = ReplicaOptions {
-            address: address(CONTROL_PORT, place),
+            address: address(CONTROL_PORT, index),
             peers: self.control_addresses(),
             founders: Vec::new(),
             secret: SECRET.to_string(),
             config: ReplicationConfig { snapshot_entries: 400, trailing_entries: 50, ..ReplicationConfig::default() },
         };
-        let task = run_control(platform.clone(), self.backends(&platform), options, place, node.clone());
+        let task = run_control(platform.clone(), self.backends(&platform), options, index, node.clone());
         self.world.spawn(&process, task);
-        self.insert(name, process, Running::Control(node));
+        self.insert(name, process, Component::Control(node));
     }
 
     /// Starts a relay.
-    pub fn start_relay(&self, place: usize) {
-        let name = format!("relay-{place}");
-        let process = self.world.start_process(&name, self.zone(place), 0);
+    pub fn start_relay(&self, index: usize) {
+        let name = format!("relay-{index}");
+        let process = self.world.start_process(&name, self.zone(index), 0);
         let platform = self.platform(&process);
         let relay = Rc::new(RefCell::new(None));
         let options = RelayOptions {
             name: name.clone(),
-            zone: Zone::new(&self.deployment.zones[self.zone(place)]),
-            address: address(RELAY_PORT, place),
+            zone: Zone::new(&self.deployment.zones[self.zone(index)]),
+            address: address(RELAY_PORT, index),
             control: self.control_addresses(),
             secret: SECRET.to_string(),
             policy: self.policy,
@@ -219,15 +219,15 @@
         let shutdown = Shutdown::default();
         let task = run_relay(platform.clone(), self.backends(&platform), options, relay.clone(), shutdown.clone());
         self.world.spawn(&process, task);
-        self.insert(name, process, Running::Relay(relay, shutdown));
+        self.insert(name, process, Component::Relay(relay, shutdown));
     }
 
     /// Starts an engine.
-    pub fn start_engine(&self, place: usize) {
-        let description = self.engines[place].clone();
+    pub fn start_engine(&self, index: usize) {
+        let description = self.engines[index].clone();
         let group = self.deployment.engines.iter().find(|group| group.model == description.model);
-        let name = format!("engine-{place}");
-        let process = self.world.start_process(&name, self.zone(place), 0);
+        let name = format!("engine-{index}");
+        let process = self.world.start_process(&name, self.zone(index), 0);
         let platform = self.platform(&process);
         let options = EngineOptions {
             token_time: group.map_or(Duration::ZERO, |group| group.token_time),
@@ -241,7 +241,7 @@
         let engine_address = options.description.address;
         let engine = Engine::start(platform.clone(), options, self.weights.clone(), self.recorder());
         self.world.spawn(&process, serve_engine(platform, engine_address, engine.clone()));
-        self.insert(name, process, Running::Engine(engine));
+        self.insert(name, process, Component::Engine(engine));
     }
 
     /// Starts the scorer.
@@ -250,7 +250,7 @@
         let process = self.world.start_process("scorer", 0, 0);
         let platform = self.platform(&process);
         self.world.spawn(&process, serve_services(platform, address(SCORER_PORT, 0), self.services.clone()));
-        self.insert("scorer".to_string(), process, Running::Other);
+        self.insert("scorer".to_string(), process, Component::Other);
     }
 
     /// Starts the platform's machine list service.
@@ -260,7 +260,7 @@
         let process = self.world.start_process("platform", 0, 0);
         let platform = self.platform(&process);
         self.world.spawn(&process, serve_services(platform, address(PLATFORM_PORT, 0), self.services.clone()));
-        self.insert("platform".to_string(), process, Running::Other);
+        self.insert("platform".to_string(), process, Component::Other);
     }
 
     /// Tenants that have a trainer.
@@ -268,13 +268,13 @@
         self.deployment.tenants.iter().filter(|tenant| tenant.trainer.is_some()).cloned().collect()
     }
 
-    /// Starts the trainer of the tenant at index `place` in `training_tenants`.
-    pub fn start_trainer(&self, place: usize) {
+    /// Starts the trainer of the tenant at `index` in `training_tenants`.
+    pub fn start_trainer(&self, index: usize) {
         let tenants = self.training_tenants();
-        let Some((tenant, load)) = tenants.get(place).and_then(|tenant| Some((tenant, tenant.trainer.clone()?))) else {
+        let Some((tenant, load)) = tenants.get(index).and_then(|tenant| Some((tenant, tenant.trainer.clone()?))) else {
             return;
         };
-        let name = format!("trainer-{place}");
+        let name = format!("trainer-{index}");
         let process = self.world.start_process(&name, self.deployment.zones.len(), 0);
         let platform = self.platform(&process);
         let options = TrainerOptions {
@@ -299,16 +299,16 @@
                 ended.set(ended.get() + 1);
             }
         });
-        self.insert(name, process, Running::Other);
+        self.insert(name, process, Component::Other);
     }
 
     /// Starts all processes except trainers and callers.
     pub fn start_all(&self) {
         self.start_scorer();
         self.start_platform();
-        (0..self.engines.len()).for_each(|place| self.start_engine(place));
-        (0..self.deployment.control as usize).for_each(|place| self.start_control(place));
-        (0..self.deployment.relays as usize).for_each(|place| self.start_relay(place));
+        (0..self.engines.len()).for_each(|index| self.start_engine(index));
+        (0..self.deployment.control as usize).for_each(|index| self.start_control(index));
+        (0..self.deployment.relays as usize).for_each(|index| self.start_relay(index));
     }
 
     /// The member with this process name.
@@ -317,11 +317,11 @@
     }
 
     /// Index of the control replica that is leader.
-    pub fn leader_place(&self) -> Option<usize> {
-        (0..self.deployment.control as usize).find(|place| {
-            let member = self.member(&format!("control-{place}"));
-            match member.map(|member| member.running) {
-                Some(Running::Control(node)) => {
+    pub fn leader_index(&self) -> Option<usize> {
+        (0..self.deployment.control as usize).find(|index| {
+            let member = self.member(&format!("control-{index}"));
+            match member.map(|member| member.component) {
+                Some(Component::Control(node)) => {
                     node.borrow().as_ref().is_some_and(|node| node.replica().leading_term().is_some())
                 }
                 _ => false,
@@ -331,11 +331,11 @@
 
     /// Records the first time at which two control replicas could both serve reads, one of which would be stale.
     pub fn record_concurrent_leaders(&self) {
-        let can_serve_reads = |place: &u32| {
-            let member = self.member(&format!("control-{place}"));
+        let can_serve_reads = |index: &u32| {
+            let member = self.member(&format!("control-{index}"));
             let running_member = member.filter(|member| member.process.is_alive() && !member.process.is_frozen());
-            match running_member.map(|member| member.running) {
-                Some(Running::Control(node)) => {
+            match running_member.map(|member| member.component) {
+                Some(Component::Control(node)) => {
                     node.borrow().as_ref().is_some_and(|node| node.replica().leading_term().is_some())
                 }
                 _ => false,
@@ -348,9 +348,9 @@
 
     /// Number of voters in the leader's view; 0 without a leader.
     pub fn voters(&self) -> usize {
-        let leader = self.leader_place().and_then(|place| self.member(&format!("control-{place}")));
-        match leader.map(|member| member.running) {
-            Some(Running::Control(node)) => {
+        let leader = self.leader_index().and_then(|index| self.member(&format!("control-{index}")));
+        match leader.map(|member| member.component) {
+            Some(Component::Control(node)) => {
                 let view = node.borrow().as_ref().and_then(|node| node.replica().view());
                 view.map_or(0, |view| view.replicas.iter().filter(|replica| replica.voter).count())
             }
@@ -360,10 +360,10 @@
 
     /// Whether every relay is ready to accept requests.
     pub fn relays_ready(&self) -> bool {
-        (0..self.deployment.relays).all(|place| {
-            let member = self.member(&format!("relay-{place}"));
-            match member.map(|member| member.running) {
-                Some(Running::Relay(relay, _)) => relay.borrow().as_ref().is_some_and(Relay::is_ready),
+        (0..self.deployment.relays).all(|index| {
+            let member = self.member(&format!("relay-{index}"));
+            match member.map(|member| member.component) {
+                Some(Component::Relay(relay, _)) => relay.borrow().as_ref().is_some_and(Relay::is_ready),
                 _ => false,
             }
         })
@@ -374,7 +374,7 @@
     platform: SimRuntime,
     backends: SimBackends,
     options: ReplicaOptions,
-    place: usize,
+    index: usize,
     slot: Rc<RefCell<Option<ControlNode<SimRuntime, SimBackends>>>>,
 ) {
     let (listen_address, peers, secret) = (options.address, options.peers.clone(), options.secret.clone());
@@ -387,13 +387,13 @@
             Ok(node) => break node,
             // Simulates a process that exits and is restarted by its supervisor.
             Err(StorageError::Io(_)) => platform.sleep(RESTART_DELAY).await,
-            Err(error) => panic!("control-{place}: {error}"),
+            Err(error) => panic!("control-{index}: {error}"),
         }
     };
     let handler = Rc::new(node.clone());
     platform.spawn(saddlerelay_rpc::server::serve(platform.clone(), listener, secret.clone(), handler));
     let client = ControlClient::new(platform.clone(), &peers, &secret);
-    platform.spawn(serve_operators(platform.clone(), address(CONTROL_HTTP_PORT, place), client));
+    platform.spawn(serve_operators(platform.clone(), address(CONTROL_HTTP_PORT, index), client));
     *slot.borrow_mut() = Some(node);
 }
 
@@ -419,11 +419,11 @@
     let mut engines = Vec::new();
     for group in &deployment.engines {
         for _ in 0..group.count {
-            let place = engines.len();
+            let index = engines.len();
             engines.push(EngineDescription {
-                id: EngineId(format!("engine-{place}")),
-                address: address(ENGINE_PORT, place),
-                zone: Zone::new(&deployment.zones[place % deployment.zones.len()]),
+                id: EngineId(format!("engine-{index}")),
+                address: address(ENGINE_PORT, index),
+                zone: Zone::new(&deployment.zones[index % deployment.zones.len()]),
                 model: group.model.clone(),
                 slots: group.slots,
             });
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -52,16 +52,16 @@
                 Some(Self::At { offset, bytes })
             }
             (2, Self::At { offset, mut bytes }) => {
-                lose_sectors(offset, &mut bytes, random);
+                zero_sectors(offset, &mut bytes, random);
                 Some(Self::At { offset, bytes })
             }
-            (_, whole) => Some(whole),
+            (_, write) => Some(write),
         }
     }
 }
 
 /// Zeroes each sector of a write at `offset` with a probability of one half.
-fn lose_sectors(offset: usize, bytes: &mut [u8], random: &impl Fn() -> u64) {
+fn zero_sectors(offset: usize, bytes: &mut [u8], random: &impl Fn() -> u64) {
     let (mut start, length) = (0, bytes.len());
     while start < length {
         let end = length.min(start + SECTOR_BYTES - (offset + start) % SECTOR_BYTES);
@@ -72,7 +72,7 @@
     }
 }
 
-/// A file's content, which directory entries refer to by number.
+/// A file's content, which directory entries refer to by number, as an inode.
 #[derive(Clone, Default)]
 struct Content {
     synced: Vec<u8>,
@@ -138,7 +138,7 @@
     next_content: u64,
     /// Number of changes made.
     steps: u64,
-    /// Number of changes after which further changes block.
+    /// Value of `steps` from which further changes block.
     last_step: Option<u64>,
 }
 
@@ -158,7 +158,7 @@
         self.contents.get_mut(&content)
     }
 
-    fn make(&mut self, name: &str) {
+    fn create_empty(&mut self, name: &str) {
         let content = self.next_content;
         self.next_content += 1;
         self.contents.insert(content, Content::default());
@@ -169,7 +169,7 @@
     fn create(&mut self, name: &str) {
         match self.content_mut(name) {
             Some(content) => content.unsynced.push(Write::Truncate),
-            None => self.make(name),
+            None => self.create_empty(name),
         }
     }
 
@@ -205,9 +205,9 @@
 pub struct DiskTable {
     folders: RefCell<BTreeMap<String, Folder>>,
     full: RefCell<BTreeSet<String>>,
-    /// Processes whose syncs fail.
+    /// Processes whose file syncs fail.
     failing: RefCell<BTreeSet<String>>,
-    /// Additional sync latency by process.
+    /// Additional latency of file syncs, by process.
     slow: RefCell<BTreeMap<String, Duration>>,
     syncs: Cell<u64>,
 }
@@ -245,29 +245,29 @@
     }
 
     /// Removes a file and syncs the folder.
-    pub fn take(&self, process: &str, file: &str) {
+    pub fn remove(&self, process: &str, file: &str) {
         if let Some(folder) = self.folders.borrow_mut().get_mut(process) {
             folder.unsynced_names.push(NameChange::Removed { name: file.to_string() });
             folder.sync_names();
         }
     }
 
-    /// Flips one bit in the synced content of a file.
-    pub fn damage(&self, process: &str, file: &str) {
+    /// Flips one bit in the middle of a file's synced content.
+    pub fn corrupt(&self, process: &str, file: &str) {
         let mut folders = self.folders.borrow_mut();
         let content = folders.get_mut(process).and_then(|folder| folder.content_mut(file));
         if let Some(content) = content {
-            let place = content.synced.len() / 2;
-            content.synced[place] ^= 1;
+            let middle = content.synced.len() / 2;
+            content.synced[middle] ^= 1;
         }
     }
 
     /// Deletes all files of a process.
-    pub fn lose(&self, process: &str) {
+    pub fn wipe(&self, process: &str) {
         self.folders.borrow_mut().remove(process);
     }
 
-    /// Sets the additional latency of each sync.
+    /// Sets the additional latency of each file sync.
     pub fn set_slow(&self, process: &str, by: Duration) {
         self.slow.borrow_mut().insert(process.to_string(), by);
     }
@@ -365,10 +365,10 @@
     async fn write(&self, time: Duration, file: &str, bytes: &[u8]) -> io::Result<()> {
         self.step(time, |folder| {
             let full = self.world.disks.full.borrow().contains(&self.process.name);
-            let taken = if full { bytes.len() / 2 } else { bytes.len() };
+            let written = if full { bytes.len() / 2 } else { bytes.len() };
             let content = folder.content_mut(file).ok_or(io::ErrorKind::NotFound)?;
             let offset = content.visible().len();
-            content.unsynced.push(Write::At { offset, bytes: bytes[..taken].to_vec() });
+            content.unsynced.push(Write::At { offset, bytes: bytes[..written].to_vec() });
             if full { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
         })
         .await
@@ -395,9 +395,9 @@
     }
 
     async fn read_range(&self, file: &str, offset: u64, length: usize) -> io::Result<Vec<u8>> {
-        let whole = self.read(file).await?.unwrap_or_default();
-        let start = usize::try_from(offset).unwrap_or(usize::MAX).min(whole.len());
-        Ok(whole[start..whole.len().min(start + length)].to_vec())
+        let content = self.read(file).await?.unwrap_or_default();
+        let start = usize::try_from(offset).unwrap_or(usize::MAX).min(content.len());
+        Ok(content[start..content.len().min(start + length)].to_vec())
     }
 
     async fn append(&self, file: &str, bytes: Vec<u8>) -> io::Result<()> {
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -1,6 +1,6 @@
 //! Injects faults into a simulated deployment and generates random faults.
 
-use crate::cluster::{Cluster, Member, Running};
+use crate::cluster::{Cluster, Component, Member};
 use crate::platform::SimRuntime;
 use fastrand::Rng;
 use saddlerelay_checker::record::Record;
@@ -17,7 +17,7 @@
 const MAX_FAULT_MILLISECONDS: u64 = 6_000;
 
 /// Injects one fault immediately and waits until it has ended.
-pub async fn cause(cluster: Rc<Cluster>, kind: FaultKind) {
+pub async fn inject(cluster: Rc<Cluster>, kind: FaultKind) {
     let platform = cluster.client_platform();
     let planned = matches!(kind, FaultKind::PlannedStop { .. });
     let what = format!("{kind:?}");
@@ -32,13 +32,13 @@
         }
         FaultKind::LoseDisk { target, restart_after_ms } => {
             if let Some(name) = kill(&cluster, &target) {
-                cluster.world.disks.lose(&name);
+                cluster.world.disks.wipe(&name);
                 sleep(restart_after_ms).await;
                 restart(&cluster, &name);
             }
         }
         FaultKind::Freeze { target, for_ms } => {
-            if let Some((_, member)) = find(&cluster, &target) {
+            if let Some((_, member)) = find_member(&cluster, &target) {
                 member.process.freeze();
                 sleep(for_ms).await;
                 member.process.thaw();
@@ -57,7 +57,7 @@
             cluster.world.network.heal(zone as usize);
         }
         FaultKind::FullDisk { target, for_ms } => {
-            if let Some((name, _)) = find(&cluster, &target) {
+            if let Some((name, _)) = find_member(&cluster, &target) {
                 cluster.world.disks.set_full(&name, true);
                 sleep(for_ms).await;
                 cluster.world.disks.set_full(&name, false);
@@ -70,7 +70,7 @@
             }
         }
         FaultKind::EngineLeaves { place } => {
-            if let Some(Running::Engine(engine)) = engine(&cluster, place) {
+            if let Some(Component::Engine(engine)) = engine(&cluster, place) {
                 engine.leave();
             }
         }
@@ -106,7 +106,7 @@
 
 fn name_of(cluster: &Cluster, target: &Target) -> Option<String> {
     match target {
-        Target::Leader => cluster.leader_place().map(|place| format!("control-{place}")),
+        Target::Leader => cluster.leader_index().map(|index| format!("control-{index}")),
         Target::Control { place } => Some(format!("control-{place}")),
         Target::Relay { place } => Some(format!("relay-{place}")),
         Target::Engine { place } => Some(format!("engine-{place}")),
@@ -115,25 +115,25 @@
     }
 }
 
-fn find(cluster: &Cluster, target: &Target) -> Option<(String, Member)> {
+fn find_member(cluster: &Cluster, target: &Target) -> Option<(String, Member)> {
     let name = name_of(cluster, target)?;
     let member = cluster.member(&name)?;
     Some((name, member))
 }
 
-fn engine(cluster: &Cluster, place: u32) -> Option<Running> {
-    cluster.member(&format!("engine-{place}")).map(|member| member.running)
+fn engine(cluster: &Cluster, index: u32) -> Option<Component> {
+    cluster.member(&format!("engine-{index}")).map(|member| member.component)
 }
 
-fn set_engine_faults(cluster: &Cluster, place: u32, faults: EngineFaults) {
-    if let Some(Running::Engine(engine)) = engine(cluster, place) {
+fn set_engine_faults(cluster: &Cluster, index: u32, faults: EngineFaults) {
+    if let Some(Component::Engine(engine)) = engine(cluster, index) {
         engine.set_faults(faults);
     }
 }
 
 /// Kills a process together with a power loss of its disk. Returns its name, or `None` if it was not running.
 fn kill(cluster: &Cluster, target: &Target) -> Option<String> {
-    let (name, member) = find(cluster, target)?;
+    let (name, member) = find_member(cluster, target)?;
     if !member.process.is_alive() {
         return None;
     }
@@ -146,13 +146,13 @@
     if cluster.member(name).is_some_and(|member| member.process.is_alive()) {
         return;
     }
-    let (role, place) = name.rsplit_once('-').unwrap_or((name, "0"));
-    let place: usize = place.parse().unwrap_or(0);
+    let (role, index) = name.rsplit_once('-').unwrap_or((name, "0"));
+    let index: usize = index.parse().unwrap_or(0);
     match role {
-        "control" => cluster.start_control(place),
-        "relay" => cluster.start_relay(place),
-        "engine" => cluster.start_engine(place),
-        "trainer" => cluster.start_trainer(place),
+        "control" => cluster.start_control(index),
+        "relay" => cluster.start_relay(index),
+        "engine" => cluster.start_engine(index),
+        "trainer" => cluster.start_trainer(index),
         "scorer" => cluster.start_scorer(),
         _ => {}
     }
@@ -160,27 +160,27 @@
 
 /// Stops a process gracefully. Returns its name, because `Target::Leader` resolves to another process afterwards.
 async fn stop_gracefully(cluster: &Rc<Cluster>, target: &Target) -> Option<String> {
-    let (name, member) = find(cluster, target)?;
+    let (name, member) = find_member(cluster, target)?;
     let (done, ended) = futures::channel::oneshot::channel();
-    let running = member.running.clone();
+    let component = member.component.clone();
     let platform = SimRuntime { world: cluster.world.clone(), process: member.process.clone() };
     // Runs in the process itself, so that freezing the process also freezes the shutdown.
     cluster.world.spawn(&member.process, async move {
-        match running {
-            Running::Control(node) => {
+        match component {
+            Component::Control(node) => {
                 let node = node.borrow().clone();
                 if let Some(node) = node {
                     node.transfer_leadership().await;
                 }
             }
-            Running::Relay(relay, shutdown) => {
+            Component::Relay(relay, shutdown) => {
                 let relay = relay.borrow().clone();
                 if let Some(relay) = relay {
                     relay.drain().await;
                     shutdown.close(&platform).await;
                 }
             }
-            Running::Engine(_) | Running::Other => {}
+            Component::Engine(_) | Component::Other => {}
         }
         let _ = done.send(());
     });
@@ -194,14 +194,14 @@
 
 /// Generates random faults: isolated, concurrent, and immediately after the previous fault has ended. At most one
 /// control replica loses its disk.
-pub fn draw(random: &mut Rng, cluster: &Cluster, count: u32, duration_ms: u64) -> Vec<Fault> {
+pub fn random_faults(random: &mut Rng, cluster: &Cluster, count: u32, duration_ms: u64) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut disks_lost = 0;
     let mut at_ms = 1_000;
     for _ in 0..count {
         let longest = MAX_FAULT_MILLISECONDS.min(duration_ms / 3);
         let fault_duration = 200 + random.u64(..longest);
-        let kind = draw_kind(random, cluster, fault_duration, &mut disks_lost);
+        let kind = random_kind(random, cluster, fault_duration, &mut disks_lost);
         faults.push(Fault { at_ms, kind });
         at_ms += match random.u32(..3) {
             0 => 0,
@@ -213,12 +213,12 @@
     faults
 }
 
-fn draw_kind(random: &mut Rng, cluster: &Cluster, fault_duration: u64, disks_lost: &mut u32) -> FaultKind {
+fn random_kind(random: &mut Rng, cluster: &Cluster, fault_duration: u64, disks_lost: &mut u32) -> FaultKind {
     let deployment = &cluster.deployment;
     let control = Target::Control { place: random.u32(..deployment.control) };
     let relay = Target::Relay { place: random.u32(..deployment.relays) };
-    let engine_place = random.u32(..cluster.engines.len() as u32);
-    let engine = Target::Engine { place: engine_place };
+    let engine_index = random.u32(..cluster.engines.len() as u32);
+    let engine = Target::Engine { place: engine_index };
     match random.u32(..19) {
         0 => FaultKind::Crash { target: Target::Leader, restart_after_ms: fault_duration },
         1 => FaultKind::Crash { target: control, restart_after_ms: fault_duration },
@@ -243,10 +243,10 @@
             *disks_lost += 1;
             FaultKind::LoseDisk { target: control, restart_after_ms: fault_duration }
         }
-        12 => FaultKind::FailSwap { place: engine_place },
-        13 => FaultKind::BreakStream { place: engine_place },
-        14 => FaultKind::DuplicateChunks { place: engine_place },
-        15 => FaultKind::SlowEngine { place: engine_place, factor: 4 },
+        12 => FaultKind::FailSwap { place: engine_index },
+        13 => FaultKind::BreakStream { place: engine_index },
+        14 => FaultKind::DuplicateChunks { place: engine_index },
+        15 => FaultKind::SlowEngine { place: engine_index, factor: 4 },
         17 => FaultKind::DeafenZone { zone: random.u32(..deployment.zones.len() as u32), for_ms: fault_duration },
         16 => FaultKind::FullDisk { target: control, for_ms: fault_duration },
         _ => FaultKind::PlannedStop { target: relay, restart_after_ms: fault_duration },
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! `world` holds the virtual clock, the single-threaded executor and the simulated processes. `network` and `disk`
 //! simulate connections and storage, and `platform` implements the runtime traits on top of them. `cluster` starts a
-//! deployment, `faults` injects faults, and `run` checks the records of the stand-ins. Runs with the same seed produce
-//! identical records.
+//! deployment, `faults` injects faults, and `run` checks the records that the simulated clients and engines make.
+//! Runs with the same seed produce identical records.
 
 pub mod backends;
 pub mod cluster;
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -13,8 +13,8 @@
 use std::task::{Poll, Waker};
 use std::time::Duration;
 
-/// Upper bound of the delay that `lost_handshakes` adds to a connection attempt.
-const LOST_HANDSHAKE_DELAY: Duration = Duration::from_millis(1000);
+/// Upper bound of the delay that `handshake_loss_per_mille` adds to a connection attempt.
+const MAX_HANDSHAKE_LOSS_DELAY: Duration = Duration::from_millis(1000);
 
 /// One-way delay within a zone.
 const LOCAL_DELAY: Duration = Duration::from_micros(100);
@@ -42,17 +42,17 @@
 }
 
 /// The sending and the receiving half of a connection.
-pub type Accepted = (SimSender, SimReceiver);
+pub type ConnectionHalves = (SimSender, SimReceiver);
 
-struct Listening {
+struct ListeningSocket {
     process: Rc<Process>,
-    queue: mpsc::UnboundedSender<Accepted>,
+    queue: mpsc::UnboundedSender<ConnectionHalves>,
 }
 
 /// The network between the zones.
 #[derive(Default)]
 pub struct Network {
-    listeners: RefCell<BTreeMap<SocketAddr, Listening>>,
+    listeners: RefCell<BTreeMap<SocketAddr, ListeningSocket>>,
     /// Partitioned pairs of zones: (sender, receiver).
     partitions: RefCell<BTreeSet<(usize, usize)>>,
     buffered: RefCell<Vec<Rc<Pipe>>>,
@@ -60,7 +60,7 @@
     client_delay: Cell<Duration>,
     zones: Cell<usize>,
     /// Probability per mille that the first packet of a connection is lost.
-    pub lost_handshakes: Cell<u64>,
+    pub handshake_loss_per_mille: Cell<u64>,
     link_faults: Cell<LinkFaults>,
     /// Faults of the links of single zones; these override the faults of all links.
     zone_link_faults: RefCell<BTreeMap<usize, LinkFaults>>,
@@ -104,7 +104,7 @@
         (self.frames.get(), self.bytes.get())
     }
 
-    fn count(&self, from: usize, to: usize, packet: &Packet) {
+    fn count_packet(&self, from: usize, to: usize, packet: &Packet) {
         if from != to {
             self.frames.set(self.frames.get() + 1);
             self.bytes.set(self.bytes.get() + packet.size());
@@ -170,17 +170,17 @@
     }
 }
 
-/// Random total delay by consecutive losses, with exponential backoff.
-fn retransmission_delay(world: &World, lost_per_mille: u64, first: Duration) -> Duration {
+/// Random total delay caused by consecutive losses, with exponential backoff.
+fn retransmission_delay(world: &World, lost_per_mille: u64, initial_timeout: Duration) -> Duration {
     let mut total = Duration::ZERO;
-    let mut wait = first;
+    let mut timeout = initial_timeout;
     // Draws no random number without losses, so that such runs do not depend on this function.
     for _ in 0..MAX_RETRANSMISSIONS {
         if lost_per_mille == 0 || world.random() % 1000 >= lost_per_mille {
             break;
         }
-        total += wait;
-        wait *= 2;
+        total += timeout;
+        timeout *= 2;
     }
     total
 }
@@ -191,8 +191,8 @@
     from: usize,
     to: usize,
     last_arrival: Cell<Duration>,
-    /// When earlier packets have been transmitted at the limited bandwidth.
-    earliest_order_time: Cell<Duration>,
+    /// When the transmission of earlier packets ends, at the limited bandwidth.
+    transmission_end: Cell<Duration>,
     buffered: RefCell<VecDeque<Packet>>,
     arrived: RefCell<VecDeque<Vec<u8>>>,
     closed: Cell<bool>,
@@ -207,7 +207,7 @@
             from,
             to,
             last_arrival: Cell::default(),
-            earliest_order_time: Cell::default(),
+            transmission_end: Cell::default(),
             buffered: RefCell::default(),
             arrived: RefCell::default(),
             closed: Cell::default(),
@@ -227,11 +227,11 @@
         let retransmission = retransmission_delay(&self.world, link_faults.lost_per_mille, RETRANSMISSION_TIMEOUT);
         let scaled_bytes = packet.size() * 1_000_000;
         let transfer = Duration::from_micros(scaled_bytes.checked_div(link_faults.bytes_per_second).unwrap_or(0));
-        let transmission_start = self.world.clock.now().max(self.earliest_order_time.get());
-        self.earliest_order_time.set(transmission_start + transfer);
+        let transmission_start = self.world.clock.now().max(self.transmission_end.get());
+        self.transmission_end.set(transmission_start + transfer);
         // Packets are delivered in order.
         let at = (transmission_start + transfer + delay + jitter + retransmission).max(self.last_arrival.get());
-        self.world.network.count(self.from, self.to, &packet);
+        self.world.network.count_packet(self.from, self.to, &packet);
         self.last_arrival.set(at);
         let pipe = self.clone();
         self.world.clock.schedule(at, Event::Call(Box::new(move || pipe.arrive(packet))));
@@ -264,19 +264,19 @@
     }
 }
 
-/// Sends frames.
+/// Sends frames on a simulated connection.
 pub struct SimSender {
     pipe: Rc<Pipe>,
 }
 
-/// Receives frames.
+/// Receives frames from a simulated connection.
 pub struct SimReceiver {
     pipe: Rc<Pipe>,
 }
 
-/// Accepts connections.
+/// Accepts simulated connections.
 pub struct SimListener {
-    queue: mpsc::UnboundedReceiver<Accepted>,
+    queue: mpsc::UnboundedReceiver<ConnectionHalves>,
 }
 
 impl FrameSender for SimSender {
@@ -318,8 +318,8 @@
 }
 
 impl SimListener {
-    /// Takes an established connection that has not been accepted.
-    pub fn backlog(&mut self) -> Option<Accepted> {
+    /// Removes a connection from the backlog, whose connections are established but not yet accepted.
+    pub fn backlog(&mut self) -> Option<ConnectionHalves> {
         self.queue.try_recv().ok()
     }
 }
@@ -328,7 +328,7 @@
     type Sender = SimSender;
     type Receiver = SimReceiver;
 
-    async fn accept(&mut self) -> io::Result<Accepted> {
+    async fn accept(&mut self) -> io::Result<ConnectionHalves> {
         use futures::StreamExt;
         match self.queue.next().await {
             Some(accepted) => Ok(accepted),
@@ -340,22 +340,22 @@
 /// Listens on `address` for `process`.
 pub fn listen(world: &World, process: &Rc<Process>, address: SocketAddr) -> SimListener {
     let (queue, accepted) = mpsc::unbounded();
-    let listening = Listening { process: process.clone(), queue };
+    let listening = ListeningSocket { process: process.clone(), queue };
     world.network.listeners.borrow_mut().insert(address, listening);
     SimListener { queue: accepted }
 }
 
-/// Random delay by a lost first packet; zero if it is not lost.
-fn lost_handshake(world: &World) -> Duration {
-    if world.random() % 1000 < world.network.lost_handshakes.get() {
-        world.jitter(LOST_HANDSHAKE_DELAY)
+/// Random delay caused by a lost first packet; zero if it is not lost.
+fn handshake_loss_delay(world: &World) -> Duration {
+    if world.random() % 1000 < world.network.handshake_loss_per_mille.get() {
+        world.jitter(MAX_HANDSHAKE_LOSS_DELAY)
     } else {
         Duration::ZERO
     }
 }
 
 /// Connects `process` to `address`. Never completes if the zones are partitioned in either direction.
-pub async fn connect(world: &Rc<World>, process: &Rc<Process>, address: SocketAddr) -> io::Result<Accepted> {
+pub async fn connect(world: &Rc<World>, process: &Rc<Process>, address: SocketAddr) -> io::Result<ConnectionHalves> {
     let refused = || io::Error::from(io::ErrorKind::ConnectionRefused);
     let zone_of_listener = |world: &World| {
         let listeners = world.network.listeners.borrow();
@@ -370,7 +370,7 @@
         if link_faults.connect_jitter.is_zero() { Duration::ZERO } else { world.jitter(link_faults.connect_jitter) };
     let retransmission = retransmission_delay(world, link_faults.lost_per_mille, HANDSHAKE_RETRANSMISSION_TIMEOUT);
     let extra_delay = link_faults.connect_delay + connect_jitter + retransmission;
-    let round_trip = world.network.delay(from, to) * 2 + lost_handshake(world) + extra_delay;
+    let round_trip = world.network.delay(from, to) * 2 + handshake_loss_delay(world) + extra_delay;
     crate::world::Sleep::new(world.clock.clone(), world.clock.now() + round_trip).await;
     if world.network.is_partitioned(from, to) || world.network.is_partitioned(to, from) {
         return std::future::pending().await;
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,6 +1,6 @@
 //! Runs a scenario with a seed and checks its records.
 
-use crate::cluster::{Cluster, Running};
+use crate::cluster::{Cluster, Component};
 use crate::faults;
 use crate::world::World;
 use anyhow::{Context, Result};
@@ -39,7 +39,7 @@
     pub events: u64,
     /// Virtual time at the end of the run.
     pub virtual_time: Duration,
-    /// Records of all stand-ins.
+    /// Records of all simulated clients and engines.
     pub records: Vec<Record>,
     /// The scenario with the faults and arrivals of this run, for replay.
     pub recorded: Scenario,
@@ -58,14 +58,14 @@
     let (world, mut pool) = World::new(seed);
     let cluster = Cluster::new(world.clone(), deployment, policy);
     bring_up(&cluster, &world, &mut pool)?;
-    world.network.lost_handshakes.set(scenario.lost_handshakes);
+    world.network.handshake_loss_per_mille.set(scenario.lost_handshakes);
     let duration = Duration::from_millis(scenario.duration_ms);
     let started_at = cluster.client_platform().unix_milliseconds();
     let races_ended = start_load(&cluster, scenario);
     let mut random = Rng::with_seed(seed ^ FAULT_SEED);
     let mut all_faults = scenario.faults.clone();
-    all_faults.extend(faults::draw(&mut random, &cluster, scenario.random_faults, scenario.duration_ms));
-    let faults_running = start_faults(&cluster, &all_faults);
+    all_faults.extend(faults::random_faults(&mut random, &cluster, scenario.random_faults, scenario.duration_ms));
+    let unfinished_faults = start_faults(&cluster, &all_faults);
     let load_ends = world.clock.now() + duration;
     let observe_leaders = |done: bool| {
         cluster.record_concurrent_leaders();
@@ -73,10 +73,10 @@
     };
     world.run(&mut pool, load_ends, || observe_leaders(false));
     let limit = world.clock.now() + END_LIMIT;
-    let faults_ended = world.run(&mut pool, limit, || observe_leaders(faults_running.get() == 0));
+    let faults_ended = world.run(&mut pool, limit, || observe_leaders(unfinished_faults.get() == 0));
     cluster.stop.set(true);
     let trainers = cluster.training_tenants().len();
-    let all_ended = || cluster.trainers_ended.get() >= trainers && cluster.under_way.get() == 0 && races_ended.get();
+    let all_ended = || cluster.trainers_ended.get() >= trainers && cluster.in_flight.get() == 0 && races_ended.get();
     let limit = world.clock.now() + END_LIMIT;
     let ended = faults_ended && world.run(&mut pool, limit, all_ended);
     let records = cluster.records.borrow().clone();
@@ -90,7 +90,7 @@
         let detail = format!(
             "load did not finish: {} of {trainers} trainers ended, {} requests in flight, concurrent changes ended: {}",
             cluster.trainers_ended.get(),
-            cluster.under_way.get(),
+            cluster.in_flight.get(),
             races_ended.get()
         );
         report.violations.push(Violation { promise: Promise::StatedOutcome, detail });
@@ -132,7 +132,7 @@
     platform.clone().spawn(async move {
         while !done.get() {
             platform.sleep(Duration::from_millis(50)).await;
-            let Some(Running::Control(node)) = cluster.member("control-0").map(|member| member.running) else {
+            let Some(Component::Control(node)) = cluster.member("control-0").map(|member| member.component) else {
                 continue;
             };
             let node = node.borrow().clone();
@@ -155,10 +155,10 @@
 }
 
 fn is_configuration_applied(cluster: &Cluster) -> bool {
-    (0..cluster.deployment.relays).all(|place| {
-        let member = cluster.member(&format!("relay-{place}"));
-        match member.map(|member| member.running) {
-            Some(Running::Relay(relay, _)) => relay.borrow().as_ref().is_some_and(|relay| {
+    (0..cluster.deployment.relays).all(|index| {
+        let member = cluster.member(&format!("relay-{index}"));
+        match member.map(|member| member.component) {
+            Some(Component::Relay(relay, _)) => relay.borrow().as_ref().is_some_and(|relay| {
                 cluster.deployment.tenants.iter().all(|tenant| relay.tenant(&tenant.id).is_some())
             }),
             _ => false,
@@ -170,7 +170,7 @@
 /// the operators have ended.
 fn start_load(cluster: &Rc<Cluster>, scenario: &Scenario) -> Rc<Cell<bool>> {
     let platform = cluster.client_platform();
-    (0..cluster.training_tenants().len()).for_each(|place| cluster.start_trainer(place));
+    (0..cluster.training_tenants().len()).for_each(|index| cluster.start_trainer(index));
     if scenario.arrivals.is_empty() {
         start_callers(cluster);
     } else {
@@ -215,9 +215,9 @@
     for tenant in &cluster.deployment.tenants {
         for load in &tenant.callers {
             let access = cluster.access(platform.clone());
-            let (stop, under_way) = (cluster.stop.clone(), cluster.under_way.clone());
+            let (stop, in_flight) = (cluster.stop.clone(), cluster.in_flight.clone());
             let options = caller_options(tenant, load);
-            let callers = callers::run_callers(platform.clone(), access, cluster.recorder(), options, stop, under_way);
+            let callers = callers::run_callers(platform.clone(), access, cluster.recorder(), options, stop, in_flight);
             platform.spawn(callers);
         }
     }
@@ -237,26 +237,26 @@
         let (cluster, runtime) = (cluster.clone(), platform.clone());
         platform.spawn(async move {
             runtime.sleep(Duration::from_millis(arrival.at_ms)).await;
-            let under_way = cluster.under_way.clone();
-            under_way.set(under_way.get() + 1);
+            let in_flight = cluster.in_flight.clone();
+            in_flight.set(in_flight.get() + 1);
             let access = cluster.access(runtime.clone());
             callers::run_arrival(runtime, access, cluster.recorder(), options, number as u64, &arrival).await;
-            under_way.set(under_way.get() - 1);
+            in_flight.set(in_flight.get() - 1);
         });
     }
 }
 
 /// Schedules every fault at its time. Returns a counter of the faults that have not ended.
 fn start_faults(cluster: &Rc<Cluster>, faults: &[Fault]) -> Rc<Cell<usize>> {
-    let running = Rc::new(Cell::new(faults.len()));
+    let unfinished = Rc::new(Cell::new(faults.len()));
     let platform = cluster.client_platform();
     for fault in faults.iter().cloned() {
-        let (cluster, runtime, running) = (cluster.clone(), platform.clone(), running.clone());
+        let (cluster, runtime, unfinished) = (cluster.clone(), platform.clone(), unfinished.clone());
         platform.spawn(async move {
             runtime.sleep(Duration::from_millis(fault.at_ms)).await;
-            faults::cause(cluster, fault.kind).await;
-            running.set(running.get() - 1);
+            faults::inject(cluster, fault.kind).await;
+            unfinished.set(unfinished.get() - 1);
         });
     }
-    running
+    unfinished
 }
--- a/crates/simulator/src/service.rs
+++ b/crates/simulator/src/service.rs
@@ -278,8 +278,8 @@
     }
 
     async fn change(&self, change: &ConfigurationChange) -> Option<ConfigurationOutcome> {
-        let place = self.next_control.replace(self.next_control.get() + 1) % self.control.len();
-        let (mut sender, mut receiver) = self.platform.connect(self.control[place]).await.ok()?;
+        let index = self.next_control.replace(self.next_control.get() + 1) % self.control.len();
+        let (mut sender, mut receiver) = self.platform.connect(self.control[index]).await.ok()?;
         sender.send(bitcode::encode(change)).await.ok()?;
         let frame = receiver.receive().await.ok().flatten()?;
         bitcode::decode::<Option<ConfigurationOutcome>>(&frame).ok().flatten()
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -20,7 +20,7 @@
 pub enum Event {
     /// Wakes a sleeping task.
     Wake(Waker),
-    /// Calls a function.
+    /// Calls a function, for example to deliver a packet.
     Call(Box<dyn FnOnce()>),
 }
 
@@ -140,7 +140,7 @@
     pub clock_error: i64,
     alive: Cell<bool>,
     frozen: Cell<bool>,
-    /// When the current suspension of its machine began.
+    /// Virtual time at which the current suspension of its machine began.
     suspended_at: Cell<Option<Duration>>,
     /// Total duration of earlier suspensions.
     suspended_for: Cell<Duration>,
@@ -237,11 +237,11 @@
 
 /// The simulated environment: clock, network, disks, random numbers and executor.
 pub struct World {
-    /// The clock.
+    /// The virtual clock.
     pub clock: Rc<Clock>,
-    /// Connections.
+    /// The network between the processes.
     pub network: Network,
-    /// Disks by process name.
+    /// The disks, by process name.
     pub disks: DiskTable,
     random: RefCell<Rng>,
     spawner: LocalSpawner,
@@ -297,7 +297,7 @@
     pub fn spawn(&self, process: &Rc<Process>, future: impl Future<Output = ()> + 'static) {
         let id = process.next_task.replace(process.next_task.get() + 1);
         let task = Task { process: process.clone(), id, future: Some(Box::pin(future)) };
-        // The executor lives as long as the run.
+        // Fails only after the executor was dropped, and the executor outlives the run.
         let _ = self.spawner.spawn_local(task);
     }
 
--- a/crates/simulator/tests/concurrent_trials.rs
+++ b/crates/simulator/tests/concurrent_trials.rs
@@ -12,9 +12,9 @@
 /// Time from the start of the request to the crash of its engine.
 const CRASH_TIME: Duration = Duration::from_millis(60);
 /// Time from an engine's crash until every relay has been notified.
-const KNOWN_AFTER: Duration = Duration::from_millis(10);
+const NOTIFICATION_TIME: Duration = Duration::from_millis(10);
 /// Time from the first engine's crash to the arrival of the client's retry.
-const SECOND_TRY_AFTER: Duration = Duration::from_millis(44);
+const CLIENT_RETRY_DELAY: Duration = Duration::from_millis(44);
 
 /// Deadline of a request.
 const REQUEST_LIMIT: Duration = Duration::from_millis(1_500);
@@ -50,7 +50,7 @@
         self.table.begin_trial(self.work, id, now.as_millis() as u64, limit_ms) == TrialAnswer::Granted
     }
 
-    /// Crashes an engine that runs the request for `relay`, and notifies every relay after `KNOWN_AFTER`.
+    /// Crashes an engine that runs the request for `relay`, and notifies every relay after `NOTIFICATION_TIME`.
     fn crash_engine(&mut self, relay: usize, engine: &'static str, now: Duration) {
         self.crashed.push(engine);
         let loss = EngineLoss { work: self.work, instance: InstanceId::named(engine) };
@@ -58,8 +58,8 @@
         let evidence = self.relays[relay].evidence().clone();
         self.table.record_evidence(evidence.clone(), now.as_millis() as u64);
         self.relays[relay].remove_committed(&evidence);
-        for known in &mut self.relays {
-            known.apply_list(self.table.list(), now + KNOWN_AFTER);
+        for notified in &mut self.relays {
+            notified.apply_list(self.table.list(), now + NOTIFICATION_TIME);
         }
     }
 }
@@ -67,20 +67,20 @@
 #[test]
 fn a_retry_of_a_crashing_request_does_not_crash_the_last_engine() {
     let mut fixture = Fixture::new();
-    let first_end = CRASH_TIME;
+    let crashed_at = CRASH_TIME;
     assert!(fixture.may_send(0, Duration::ZERO));
-    fixture.crash_engine(0, "first", first_end);
+    fixture.crash_engine(0, "first", crashed_at);
     // The relay retries once the group knows of the crash; the client's retry arrives meanwhile at the other relay.
-    let retried_at = first_end + KNOWN_AFTER;
-    let retried = fixture.may_send(0, retried_at);
-    let second_try_at = first_end + SECOND_TRY_AFTER;
-    let sent_at_once = fixture.may_send(1, second_try_at);
-    assert!(retried, "a request that lost one engine is retried immediately");
-    fixture.crash_engine(0, "second", retried_at + CRASH_TIME);
-    if sent_at_once {
-        fixture.crash_engine(1, "third", second_try_at + CRASH_TIME);
+    let relay_retry_at = crashed_at + NOTIFICATION_TIME;
+    let relay_retry_sent = fixture.may_send(0, relay_retry_at);
+    let client_retry_at = crashed_at + CLIENT_RETRY_DELAY;
+    let client_retry_sent = fixture.may_send(1, client_retry_at);
+    assert!(relay_retry_sent, "the relay did not retry a request that lost one engine");
+    fixture.crash_engine(0, "second", relay_retry_at + CRASH_TIME);
+    if client_retry_sent {
+        fixture.crash_engine(1, "third", client_retry_at + CRASH_TIME);
     }
-    assert_eq!(fixture.crashed, ["first", "second"], "no engine is left to serve others");
+    assert_eq!(fixture.crashed, ["first", "second"], "the client's retry crashed the last engine");
 }
 
 /// A trial lease ends with its request, or expires when it is not renewed. It does not expire by the wall clock in the
@@ -92,7 +92,7 @@
     let id = |holder: u64| TrialId { holder: Incarnation(holder), number: 1 };
     let mut request_trial = |holder, at| fixture.table.begin_trial(fixture.work, id(holder), at, 1_500);
     assert_eq!(request_trial(0, 100), TrialAnswer::Granted);
-    assert_eq!(request_trial(0, 101), TrialAnswer::Granted, "a resent request");
+    assert_eq!(request_trial(0, 101), TrialAnswer::Granted, "a resent request of the holder is granted");
     assert_eq!(request_trial(1, 102), TrialAnswer::Taken);
     fixture.table.end_trial(&fixture.work, id(1));
     let mut request_trial = |holder, at| fixture.table.begin_trial(fixture.work, id(holder), at, 1_500);
@@ -105,5 +105,9 @@
     fixture.table.end_trial(&fixture.work, id(1));
     let harmless = WorkDigest::of_post_request(None, "host", "/plans", b"innocent");
     assert_eq!(fixture.table.begin_trial(harmless, id(0), 1_700, 1_500), TrialAnswer::Granted);
-    assert_eq!(fixture.table.begin_trial(harmless, id(1), 1_700, 1_500), TrialAnswer::Granted, "it is not suspected");
+    assert_eq!(
+        fixture.table.begin_trial(harmless, id(1), 1_700, 1_500),
+        TrialAnswer::Granted,
+        "work that is not suspected needs no exclusive lease"
+    );
 }
--- a/crates/simulator/tests/connection_levels.rs
+++ b/crates/simulator/tests/connection_levels.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Serves as builds do that support a single level.
+/// Serves as a build that supports a single level.
 async fn serve_single_level(runtime: SimRuntime, level: FeatureLevel, requests: Rc<Cell<u32>>) {
     let mut listener = runtime.listen(address()).await.expect("the address is free");
     loop {
@@ -56,13 +56,13 @@
             let Ok(Some(hello)) = receiver.receive().await else {
                 return;
             };
-            let hello: Hello = bitcode::decode(&hello).expect("a greeting");
+            let hello: Hello = bitcode::decode(&hello).expect("the client's hello can be decoded");
             if hello.version != level.protocol() {
                 return;
             }
             while let Ok(Some(frame)) = receiver.receive().await {
                 requests.set(requests.get() + 1);
-                let Envelope { id, body } = bitcode::decode(&frame).expect("a request");
+                let Envelope { id, body } = bitcode::decode(&frame).expect("the request can be decoded");
                 let body = [body, vec![level.number() as u8]].concat();
                 if sender.send(bitcode::encode(&Envelope { id, body })).await.is_err() {
                     return;
@@ -76,7 +76,7 @@
     world: Rc<World>,
     pool: LocalPool,
     server: Option<Rc<Process>>,
-    /// Number of requests received by all servers.
+    /// Number of requests received by all server processes.
     requests: Rc<Cell<u32>>,
     client: Client<SimRuntime>,
     caller: Rc<Process>,
@@ -95,8 +95,8 @@
 
     /// Replaces the peer's process by another build.
     fn start(&mut self, build: PeerBuild) {
-        if let Some(before) = self.server.take() {
-            before.kill();
+        if let Some(previous) = self.server.take() {
+            previous.kill();
         }
         let process = self.world.start_process("server", 2, 0);
         let runtime = SimRuntime { world: self.world.clone(), process: process.clone() };
@@ -117,19 +117,19 @@
 
     /// Makes a call and returns the level at which the peer decoded it.
     fn call(&mut self) -> Result<FeatureLevel, CallError> {
-        let (client, answer) = (self.client.clone(), Rc::new(RefCell::new(None)));
-        let result = answer.clone();
+        let (client, reply) = (self.client.clone(), Rc::new(RefCell::new(None)));
+        let result = reply.clone();
         self.world.spawn(&self.caller, async move {
             let outcome = client.call(|level: FeatureLevel| Some(vec![level.number() as u8]), CALL_TIMEOUT).await;
             *result.borrow_mut() = Some(outcome);
         });
-        let completed = answer.clone();
+        let completed = reply.clone();
         self.world.run(&mut self.pool, CALL_TIMEOUT * 2, || completed.borrow().is_some());
-        let outcome = answer.take().expect("a call ends");
-        outcome.map(|answer| {
-            let number = answer.level.number() as u8;
-            assert_eq!(answer.body, [number, number], "both sides use the same level");
-            answer.level
+        let outcome = reply.take().expect("the call completed or timed out");
+        outcome.map(|reply| {
+            let number = reply.level.number() as u8;
+            assert_eq!(reply.body, [number, number], "both sides use the same level");
+            reply.level
         })
     }
 }
@@ -164,8 +164,8 @@
     for (build, level) in builds {
         fixture.start(build);
         // The first call may use the closed connection.
-        let answer = (0..3).find_map(|_| fixture.call().ok());
-        assert_eq!(answer, Some(level), "{build:?}");
+        let reply = (0..3).find_map(|_| fixture.call().ok());
+        assert_eq!(reply, Some(level), "{build:?}");
     }
 }
 
@@ -176,22 +176,22 @@
     assert_eq!(fixture.call(), Ok(FeatureLevel::One));
     assert_eq!(fixture.client.newest_level_of_peer(), Some(FeatureLevel::NEWEST));
     fixture.start(PeerBuild::Only(FeatureLevel::One));
-    let answer = (0..3).find_map(|_| fixture.call().ok());
-    assert_eq!(answer, Some(FeatureLevel::One));
+    let reply = (0..3).find_map(|_| fixture.call().ok());
+    assert_eq!(reply, Some(FeatureLevel::One));
     assert_eq!(fixture.client.newest_level_of_peer(), Some(FeatureLevel::One));
 }
 
 #[test]
 fn a_request_that_the_level_cannot_encode_is_not_sent() {
     let mut fixture = Fixture::new(PeerBuild::Only(FeatureLevel::One));
-    let (client, answer) = (fixture.client.clone(), Rc::new(RefCell::new(None)));
-    let result = answer.clone();
+    let (client, reply) = (fixture.client.clone(), Rc::new(RefCell::new(None)));
+    let result = reply.clone();
     fixture.world.spawn(&fixture.caller, async move {
         let newer = |level| (level > FeatureLevel::One).then(|| vec![1]);
         *result.borrow_mut() = Some(client.call(newer, CALL_TIMEOUT).await);
     });
-    let completed = answer.clone();
+    let completed = reply.clone();
     fixture.world.run(&mut fixture.pool, CALL_TIMEOUT * 2, || completed.borrow().is_some());
-    assert_eq!(answer.take(), Some(Err(CallError::UnsupportedByPeer)));
+    assert_eq!(reply.take(), Some(Err(CallError::UnsupportedByPeer)));
     assert_eq!(fixture.requests.get(), 0);
 }
--- a/crates/simulator/tests/control_group/mod.rs
+++ b/crates/simulator/tests/control_group/mod.rs
@@ -1,5 +1,5 @@
 //! A control group with more machines than members, and relays that discover it.
-#![allow(dead_code)] // Each test uses a part of it.
+#![allow(dead_code)] // Each test file uses a part of this module.
 
 use futures::executor::LocalPool;
 use saddlerelay_control::config::ControlConfig;
@@ -22,13 +22,13 @@
 pub const SECRET: &str = "a secret of sixteen signs";
 
 /// The machines listed in the settings, which are the founders.
-pub const NAMED: std::ops::RangeInclusive<u8> = 1..=3;
+pub const CONFIGURED: std::ops::RangeInclusive<u8> = 1..=3;
 
 /// All machines.
 pub const REPLICAS: u8 = 9;
 
 /// Time limit for replacing a member that is down, voter or learner.
-pub const REPLACED_WITHIN: Duration = Duration::from_secs(20);
+pub const REPLACEMENT_LIMIT: Duration = Duration::from_secs(20);
 
 pub type Node = ControlNode<SimRuntime, SimBackends>;
 
@@ -39,9 +39,9 @@
 }
 
 impl Replica {
-    fn record(&self, place: u8) -> StoreRecord {
-        let replica = self.node.borrow().as_ref().expect("it runs").replica().id();
-        StoreRecord { name: format!("replica-{place}"), replica, address: address(place), zone: "north".to_string() }
+    fn record(&self, index: u8) -> StoreRecord {
+        let replica = self.node.borrow().as_ref().expect("the replica is running").replica().id();
+        StoreRecord { name: format!("replica-{index}"), replica, address: address(index), zone: "north".to_string() }
     }
 }
 
@@ -56,26 +56,26 @@
 
 /// Times of the first and latest successful replies to a relay.
 #[derive(Default)]
-pub struct Answers {
+pub struct ReplyTimes {
     pub first: Cell<Option<Duration>>,
-    pub newest: Cell<Option<Duration>>,
+    pub latest: Cell<Option<Duration>>,
 }
 
-impl Answers {
-    fn record_response(&self, at: Duration) {
+impl ReplyTimes {
+    fn record_reply(&self, at: Duration) {
         self.first.set(self.first.get().or(Some(at)));
-        self.newest.set(Some(at));
+        self.latest.set(Some(at));
     }
 }
 
-/// Listen address of the machine at `place`.
-pub fn address(place: u8) -> SocketAddr {
-    ([10, 0, 0, place], 7_000).into()
+/// Listen address of the machine with index `index`, counted from 1.
+pub fn address(index: u8) -> SocketAddr {
+    ([10, 0, 0, index], 7_000).into()
 }
 
 /// The addresses in the settings.
-pub fn named() -> Vec<SocketAddr> {
-    NAMED.map(address).collect()
+pub fn configured_addresses() -> Vec<SocketAddr> {
+    CONFIGURED.map(address).collect()
 }
 
 impl Deployment {
@@ -85,7 +85,7 @@
         let (world, pool) = World::new(seed);
         world.network.set_delays(usize::from(REPLICAS) + 1, Duration::from_millis(1), Duration::from_millis(3));
         let mut deployment = Self { world, pool, replicas: BTreeMap::new(), clock_errors: BTreeMap::new() };
-        (1..=REPLICAS).for_each(|place| deployment.start_replica(place, true));
+        (1..=REPLICAS).for_each(|index| deployment.start_replica(index, true));
         deployment.run_for(Duration::from_secs(3));
         deployment.register_machines();
         deployment
@@ -95,23 +95,26 @@
     fn register_machines(&mut self) {
         let leader = self.leader().expect("there is a leader");
         let process = self.world.start_process("operator", 0, 0);
-        let records: Vec<StoreRecord> = self.replicas.iter().map(|(place, replica)| replica.record(*place)).collect();
+        let records: Vec<StoreRecord> = self.replicas.iter().map(|(index, replica)| replica.record(*index)).collect();
         self.world.spawn(&process, async move {
             for record in records {
-                leader.commit_gateway(GatewayCommand::RegisterStore(record)).await.expect("it is committed");
+                leader
+                    .commit_gateway(GatewayCommand::RegisterStore(record))
+                    .await
+                    .expect("the registration is committed");
             }
         });
         self.run_for(Duration::from_secs(1));
     }
 
-    pub fn start_replica(&mut self, place: u8, founding: bool) {
-        let clock_error = self.clock_errors.get(&place).copied().unwrap_or(0);
-        let process = self.world.start_process(&format!("replica-{place}"), place.into(), clock_error);
+    pub fn start_replica(&mut self, index: u8, founding: bool) {
+        let clock_error = self.clock_errors.get(&index).copied().unwrap_or(0);
+        let process = self.world.start_process(&format!("replica-{index}"), index.into(), clock_error);
         let runtime = SimRuntime { world: self.world.clone(), process: process.clone() };
         let options = ReplicaOptions {
-            address: address(place),
-            peers: named(),
-            founders: if founding { named() } else { Vec::new() },
+            address: address(index),
+            peers: configured_addresses(),
+            founders: if founding { configured_addresses() } else { Vec::new() },
             secret: SECRET.to_string(),
             config: ReplicationConfig { target_voters: 5, ..ReplicationConfig::default() },
         };
@@ -122,11 +125,13 @@
         self.world.spawn(&process, async move {
             let listener = runtime.listen(options.address).await.expect("the address is free");
             let config = ControlConfig::default();
-            let node = ControlNode::start(runtime.clone(), backends, config, options).await.expect("a sound disk");
+            let node = ControlNode::start(runtime.clone(), backends, config, options)
+                .await
+                .expect("the storage can be opened");
             *started.borrow_mut() = Some(node.clone());
             saddlerelay_rpc::server::serve(runtime, listener, SECRET.to_string(), Rc::new(node)).await;
         });
-        self.replicas.insert(place, Replica { process, node });
+        self.replicas.insert(index, Replica { process, node });
     }
 
     pub fn run_for(&mut self, time: Duration) {
@@ -147,18 +152,18 @@
     }
 
     /// Starts a relay that is configured with the addresses in the settings.
-    pub fn start_relay(&mut self) -> Rc<Answers> {
+    pub fn start_relay(&mut self) -> Rc<ReplyTimes> {
         let process = self.world.start_process("relay", 0, 0);
         let runtime = SimRuntime { world: self.world.clone(), process: process.clone() };
-        let answers = Rc::new(Answers::default());
-        self.world.spawn(&process, follow(runtime, answers.clone()));
-        answers
+        let reply_times = Rc::new(ReplyTimes::default());
+        self.world.spawn(&process, follow(runtime, reply_times.clone()));
+        reply_times
     }
 }
 
 /// Sends follow requests as a relay does, and records the time of each reply.
-async fn follow(runtime: SimRuntime, answers: Rc<Answers>) {
-    let control = ControlClient::new(runtime.clone(), &named(), SECRET);
+async fn follow(runtime: SimRuntime, reply_times: Rc<ReplyTimes>) {
+    let control = ControlClient::new(runtime.clone(), &configured_addresses(), SECRET);
     let timeout = Duration::from_millis(650);
     loop {
         let follow_request = GatewayRequest::Follow(FollowRequest {
@@ -173,8 +178,8 @@
             suspicion_revision: 0,
         });
         if let Ok(GatewayReply::Followed(reply)) = control.gateway(follow_request, timeout, timeout).await {
-            answers.record_response(runtime.monotonic());
-            control.set_replicas(reply.replicas.into_iter().chain(named()));
+            reply_times.record_reply(runtime.monotonic());
+            control.set_replicas(reply.replicas.into_iter().chain(configured_addresses()));
         } else {
             runtime.sleep(Duration::from_millis(20)).await;
         }
--- a/crates/simulator/tests/crashing_work.rs
+++ b/crates/simulator/tests/crashing_work.rs
@@ -45,7 +45,7 @@
     fn start(seed: u64) -> Self {
         let (world, mut pool) = World::new(seed);
         let cluster = Cluster::new(world.clone(), compact(andino()), PolicyName::PrefixAffinity);
-        bring_up(&cluster, &world, &mut pool).expect("it comes up");
+        bring_up(&cluster, &world, &mut pool).expect("the deployment starts");
         let crashes = Rc::new(Cell::new(0));
         cluster.client_platform().spawn(crash_engines(cluster.clone(), crashes.clone()));
         Self { cluster, world, pool, crashes }
@@ -54,14 +54,17 @@
     /// Runs a client's task to completion.
     fn run<T: 'static>(&mut self, task: impl Future<Output = T> + 'static) -> T {
         let result = Rc::new(RefCell::new(None));
-        let place = result.clone();
+        let task_result = result.clone();
         self.cluster.client_platform().spawn(async move {
             let value = task.await;
-            *place.borrow_mut() = Some(value);
+            *task_result.borrow_mut() = Some(value);
         });
         let limit = self.world.clock.now() + LIMIT;
-        assert!(self.world.run(&mut self.pool, limit, || result.borrow().is_some()), "the task did not end");
-        result.take().expect("it has ended")
+        assert!(
+            self.world.run(&mut self.pool, limit, || result.borrow().is_some()),
+            "the task did not complete in time"
+        );
+        result.take().expect("the task has completed")
     }
 }
 
@@ -71,34 +74,38 @@
     let mut seen = 0;
     loop {
         platform.sleep(Duration::from_millis(1)).await;
-        let begun: Vec<_> = {
+        let started: Vec<_> = {
             let records = cluster.records.borrow();
             let crashing = |record: &Record| match record {
                 Record::Execution { engine, prompt, .. } if prompt.contains(CRASHES) => Some(engine.clone()),
                 _ => None,
             };
-            let begun = records[seen..].iter().filter_map(crashing).collect();
+            let started = records[seen..].iter().filter_map(crashing).collect();
             seen = records.len();
-            begun
+            started
         };
-        for engine in begun {
-            let place = cluster.engines.iter().position(|known| known.id == engine).expect("an engine of the cluster");
-            platform.spawn(crash(cluster.clone(), place, crashes.clone()));
+        for engine in started {
+            let index = cluster
+                .engines
+                .iter()
+                .position(|description| description.id == engine)
+                .expect("an engine of the cluster");
+            platform.spawn(crash(cluster.clone(), index, crashes.clone()));
         }
     }
 }
 
-async fn crash(cluster: Rc<Cluster>, place: usize, crashes: Rc<Cell<usize>>) {
+async fn crash(cluster: Rc<Cluster>, index: usize, crashes: Rc<Cell<usize>>) {
     let platform = cluster.client_platform();
     platform.sleep(RUN_TIME).await;
-    let member = cluster.member(&format!("engine-{place}")).expect("it was started");
+    let member = cluster.member(&format!("engine-{index}")).expect("the process was started");
     if !member.process.is_alive() {
         return;
     }
     member.process.kill();
     crashes.set(crashes.get() + 1);
     platform.sleep(DOWN_TIME).await;
-    cluster.start_engine(place);
+    cluster.start_engine(index);
 }
 
 fn request(cluster: &Cluster, prompt: &str) -> CallerRequest {
@@ -163,8 +170,8 @@
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
         deployment.run(send_repeatedly(deployment.cluster.clone(), CONCURRENCY));
-        let most = QUARANTINE_THRESHOLD - 1 + CONCURRENCY;
-        assert!(deployment.crashes.get() <= most, "seed {seed}: {} ended", deployment.crashes.get());
+        let limit = QUARANTINE_THRESHOLD - 1 + CONCURRENCY;
+        assert!(deployment.crashes.get() <= limit, "seed {seed}: {} engines crashed", deployment.crashes.get());
     }
 }
 
@@ -175,11 +182,11 @@
         let cluster = deployment.cluster.clone();
         deployment.run(send_repeatedly(cluster.clone(), 1));
         let crashes = deployment.crashes.get();
-        let leader = cluster.leader_place().expect("there is a leader");
-        cluster.member(&format!("control-{leader}")).expect("it was started").process.kill();
-        for place in 0..cluster.deployment.relays as usize {
-            cluster.member(&format!("relay-{place}")).expect("it was started").process.kill();
-            cluster.start_relay(place);
+        let leader = cluster.leader_index().expect("there is a leader");
+        cluster.member(&format!("control-{leader}")).expect("the process was started").process.kill();
+        for index in 0..cluster.deployment.relays as usize {
+            cluster.member(&format!("relay-{index}")).expect("the process was started").process.kill();
+            cluster.start_relay(index);
         }
         let answers = deployment.run(send_repeatedly(cluster, 1));
         assert_eq!(deployment.crashes.get(), crashes, "seed {seed}: {answers:?}");
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -39,13 +39,13 @@
 /// Wall clock offset of a third of the machines, in milliseconds, ahead or behind.
 const WRONG_CLOCK_MS: i64 = 2_000;
 
-/// Lease of the right to send orders; `ORDER_DISTANCE` adds a margin, as the settings derive it.
+/// Duration of the lease for sending orders. `ORDER_SEPARATION` adds a margin, as the settings derive it.
 const ORDER_LEASE: Duration = Duration::from_millis(3_000);
-const ORDER_DISTANCE: Duration = Duration::from_millis(3_400);
+const ORDER_SEPARATION: Duration = Duration::from_millis(3_400);
 
-const TERMS: UsageReportConfig =
+const USAGE_REPORT_CONFIG: UsageReportConfig =
     UsageReportConfig { window: Duration::from_secs(2), due_after: Duration::from_secs(10) };
-const ENGINE_TERMS: EngineCountConfig =
+const ENGINE_COUNT_CONFIG: EngineCountConfig =
     EngineCountConfig { discovery_time: Duration::from_secs(2), replacement_delay: Duration::from_secs(1) };
 
 type Node = ControlNode<SimRuntime, SimBackends>;
@@ -129,13 +129,14 @@
         limit: Duration,
         may_send: impl Fn() -> bool,
     ) -> Result<StatusCode, Failure> {
-        let (fence, received) = self.calls.borrow()[call.path.parse::<usize>().expect("a number")].clone();
+        let (fence, received) =
+            self.calls.borrow()[call.path.parse::<usize>().expect("the path is the index of a call")].clone();
         let platform = self.platform.clone();
         let world = platform.world.clone();
         let pause = |limit: Duration| Sleep::new(world.clock.clone(), world.clock.now() + world.jitter(limit));
         pause(platform.connect_time.get()).await;
         if !may_send() {
-            return Err(Failure::NotSent("the right to call has expired".to_string()));
+            return Err(Failure::NotSent("the grant to call the platform has expired".to_string()));
         }
         let unanswered = world.random() % 100 < platform.unanswered_percent.get();
         if platform.is_down.get() || unanswered {
@@ -149,7 +150,7 @@
                 });
             }
             Sleep::new(world.clock.clone(), world.clock.now() + limit).await;
-            return Err(Failure::PossiblyExecuted("no answer in time".to_string()));
+            return Err(Failure::PossiblyExecuted("the platform did not respond in time".to_string()));
         }
         let status = platform.execute(&self.machine, fence, received, false);
         pause(Duration::from_millis(4)).await;
@@ -157,13 +158,13 @@
     }
 }
 
-/// Stores calls and refers to them by index in place of encoding them.
+/// Stores calls and refers to them by index instead of encoding them.
 struct IndexedDialect(Rc<RefCell<Vec<(u64, Received)>>>);
 
 impl IndexedDialect {
-    fn keep(&self, right: &CallGrant, call: Received) -> PlatformCall {
+    fn store(&self, grant: &CallGrant, call: Received) -> PlatformCall {
         let mut calls = self.0.borrow_mut();
-        calls.push((right.fence.0, call));
+        calls.push((grant.fence.0, call));
         PlatformCall {
             method: hyper::Method::POST,
             path: (calls.len() - 1).to_string(),
@@ -174,12 +175,12 @@
 }
 
 impl PlatformFormat for IndexedDialect {
-    fn usage_report(&self, right: &CallGrant, report: &UsageReport) -> PlatformCall {
-        self.keep(right, Received::Usage(report.clone()))
+    fn usage_report(&self, grant: &CallGrant, report: &UsageReport) -> PlatformCall {
+        self.store(grant, Received::Usage(report.clone()))
     }
 
-    fn engine_count(&self, right: &CallGrant, order: &EngineCountOrder) -> PlatformCall {
-        self.keep(right, Received::EngineCount(order.clone()))
+    fn engine_count(&self, grant: &CallGrant, order: &EngineCountOrder) -> PlatformCall {
+        self.store(grant, Received::EngineCount(order.clone()))
     }
 }
 
@@ -194,11 +195,11 @@
     platform: Rc<Platform>,
     machines: BTreeMap<u8, Machine>,
     /// Requests that relays counted, by true time.
-    truth: Rc<RefCell<BTreeMap<UsageWindow, TenantCounts>>>,
+    true_counts: Rc<RefCell<BTreeMap<UsageWindow, TenantCounts>>>,
 }
 
-fn address(place: u8) -> SocketAddr {
-    ([10, 0, 0, place], 7_000).into()
+fn address(index: u8) -> SocketAddr {
+    ([10, 0, 0, index], 7_000).into()
 }
 
 fn tenant(number: u64) -> TenantId {
@@ -206,9 +207,9 @@
 }
 
 /// Wall clock offset of a machine: ahead for every sixth, behind for every sixth.
-fn clock_error(place: u8, seed: u64) -> i64 {
-    let turn = (u64::from(place) + seed) % 6;
-    match turn {
+fn clock_error(index: u8, seed: u64) -> i64 {
+    let remainder = (u64::from(index) + seed) % 6;
+    match remainder {
         0 => WRONG_CLOCK_MS,
         3 => -WRONG_CLOCK_MS,
         _ => 0,
@@ -241,26 +242,26 @@
         let (world, pool) = World::new(seed);
         world.network.set_delays(9, Duration::from_millis(1), Duration::from_millis(3));
         let platform = Platform::new(&world);
-        let mut deployment = Self { world, pool, platform, machines: BTreeMap::new(), truth: Rc::default() };
-        for place in 1..=REPLICAS {
-            deployment.start_replica(place, seed, true);
+        let mut deployment = Self { world, pool, platform, machines: BTreeMap::new(), true_counts: Rc::default() };
+        for index in 1..=REPLICAS {
+            deployment.start_replica(index, seed, true);
         }
         deployment.await_leader();
         deployment.commit(GatewayCommand::PutRouting(document()));
-        for place in 1..=RELAYS {
-            deployment.start_relay(place, seed);
+        for index in 1..=RELAYS {
+            deployment.start_relay(index, seed);
         }
         deployment.run_for(Duration::from_secs(2));
         deployment
     }
 
-    fn start_replica(&mut self, place: u8, seed: u64, founding: bool) {
-        let name = format!("replica-{place}");
-        let process = self.world.start_process(&name, place.into(), clock_error(place, seed));
+    fn start_replica(&mut self, index: u8, seed: u64, founding: bool) {
+        let name = format!("replica-{index}");
+        let process = self.world.start_process(&name, index.into(), clock_error(index, seed));
         let runtime = SimRuntime { world: self.world.clone(), process: process.clone() };
         let founders: Vec<SocketAddr> = (1..=REPLICAS).map(address).collect();
         let options = ReplicaOptions {
-            address: address(place),
+            address: address(index),
             peers: founders.clone(),
             founders: if founding { founders } else { Vec::new() },
             secret: SECRET.to_string(),
@@ -272,7 +273,7 @@
         let instance_silence_timeout = Duration::from_secs(600);
         // With even seeds relays are redirected to followers.
         let leader_relays = if seed.is_multiple_of(2) { 0 } else { ControlConfig::default().leader_relays };
-        let order_separation = ORDER_DISTANCE;
+        let order_separation = ORDER_SEPARATION;
         let config =
             ControlConfig { order_separation, instance_silence_timeout, leader_relays, ..ControlConfig::default() };
         let node = Rc::new(RefCell::new(None));
@@ -280,24 +281,26 @@
         let platform = self.platform.clone();
         self.world.spawn(&process, async move {
             let listener = runtime.listen(options.address).await.expect("the address is free");
-            let node = ControlNode::start(runtime.clone(), backends, config, options).await.expect("a sound disk");
+            let node = ControlNode::start(runtime.clone(), backends, config, options)
+                .await
+                .expect("the storage can be opened");
             *started.borrow_mut() = Some(node.clone());
             start_duties(&runtime, &node, platform, name);
             let handler = Rc::new(node);
             saddlerelay_rpc::server::serve(runtime, listener, SECRET.to_string(), handler).await;
         });
-        self.machines.insert(place, Machine { process, node });
+        self.machines.insert(index, Machine { process, node });
     }
 
     /// Starts a relay that counts requests at random times.
-    fn start_relay(&self, place: u8, seed: u64) {
-        let process = self.world.start_process(&format!("relay-{place}"), 0, clock_error(place, seed + 1));
+    fn start_relay(&self, index: u8, seed: u64) {
+        let process = self.world.start_process(&format!("relay-{index}"), 0, clock_error(index, seed + 1));
         let runtime = SimRuntime { world: self.world.clone(), process: process.clone() };
         let clock = Rc::new(RefCell::new(GroupClockSamples::default()));
         let ledger = Rc::new(RefCell::new(UsageLedger::default()));
-        let follower = follow(runtime.clone(), clock.clone(), ledger.clone(), place);
+        let follower = follow(runtime.clone(), clock.clone(), ledger.clone(), index);
         self.world.spawn(&process, follower);
-        self.world.spawn(&process, count(runtime, clock, ledger, self.truth.clone()));
+        self.world.spawn(&process, count(runtime, clock, ledger, self.true_counts.clone()));
     }
 
     fn run_for(&mut self, time: Duration) {
@@ -310,14 +313,14 @@
 
     fn leader(&self) -> Option<(u8, Node)> {
         let running = self.machines.iter().filter(|(_, machine)| !machine.process.is_frozen());
-        let nodes = running.filter_map(|(place, machine)| Some((*place, machine.node.borrow().clone()?)));
+        let nodes = running.filter_map(|(index, machine)| Some((*index, machine.node.borrow().clone()?)));
         nodes.into_iter().find(|(_, node)| node.replica().leading_term().is_some())
     }
 
     fn await_leader(&mut self) {
         let until = self.world.clock.now() + Duration::from_secs(10);
         while self.leader().is_none() {
-            assert!(self.world.clock.now() < until, "no leader");
+            assert!(self.world.clock.now() < until, "no leader was elected in time");
             self.run_for(Duration::from_millis(20));
         }
     }
@@ -331,11 +334,11 @@
             committed.set(node.commit_gateway(command).await.is_ok());
         });
         self.run_for(Duration::from_millis(300));
-        assert!(done.get(), "it was not committed");
+        assert!(done.get(), "the command was not committed");
     }
 
-    fn kill(&mut self, place: u8) {
-        if let Some(machine) = self.machines.remove(&place) {
+    fn kill(&mut self, index: u8) {
+        if let Some(machine) = self.machines.remove(&index) {
             machine.process.kill();
             self.world.disks.crash(&machine.process.name, || self.world.random());
         }
@@ -348,8 +351,8 @@
             let Received::Usage(report) = &record.call else {
                 continue;
             };
-            let first_report = reported.entry(report.window).or_insert((report.counts.clone(), record.at));
-            assert_eq!(first_report.0, report.counts, "window {} was reported with other counts", report.window.0);
+            let accepted_report = reported.entry(report.window).or_insert((report.counts.clone(), record.at));
+            assert_eq!(accepted_report.0, report.counts, "window {} was reported with other counts", report.window.0);
         }
         reported
     }
@@ -362,10 +365,10 @@
             by_subject.entry(Platform::subject(&record.call)).or_default().push(record.clone());
         }
         for (subject, records) in by_subject {
-            let mut users: BTreeMap<u64, String> = BTreeMap::new();
+            let mut holders: BTreeMap<u64, String> = BTreeMap::new();
             for record in &records {
-                let user = users.entry(record.fence).or_insert_with(|| record.machine.clone());
-                assert_eq!(*user, record.machine, "{subject}: two machines used fencing token {}", record.fence);
+                let holder = holders.entry(record.fence).or_insert_with(|| record.machine.clone());
+                assert_eq!(*holder, record.machine, "{subject}: two machines used fencing token {}", record.fence);
             }
             let stale_call = records.iter().find(|record| !record.accepted && !record.delayed);
             assert!(stale_call.is_none(), "{subject}: sent after a higher fencing token: {stale_call:?}");
@@ -373,8 +376,8 @@
             for (index, first) in accepted.iter().enumerate() {
                 let within_lease = accepted[index..].iter().take_while(|record| record.at < first.at + ORDER_LEASE);
                 let machines: Vec<&str> = within_lease.map(|record| record.machine.as_str()).collect();
-                let back = machines.iter().rposition(|machine| *machine == first.machine).unwrap_or(0);
-                let alternates = machines[..back].iter().any(|machine| *machine != first.machine);
+                let last_own_call = machines.iter().rposition(|machine| *machine == first.machine).unwrap_or(0);
+                let alternates = machines[..last_own_call].iter().any(|machine| *machine != first.machine);
                 assert!(!alternates, "{subject}: holders alternated: {machines:?}");
             }
         }
@@ -385,15 +388,16 @@
         let reported = self.reported();
         let window_of = |at: Duration| {
             let unix_ms = START_UNIX_MILLISECONDS + at.as_millis() as u64;
-            UsageWindow::containing(unix_ms, TERMS.window.as_millis() as u64)
+            UsageWindow::containing(unix_ms, USAGE_REPORT_CONFIG.window.as_millis() as u64)
         };
-        let truth = self.truth.borrow();
-        let windows = truth.range(window_of(from).next()..window_of(until));
+        let true_counts = self.true_counts.borrow();
+        let windows = true_counts.range(window_of(from).next()..window_of(until));
         let mut compared = 0;
         for (window, counts) in windows {
             let (reported_counts, at) =
                 reported.get(window).unwrap_or_else(|| panic!("window {} is not reported", window.0));
-            let due_at_ms = window.ends_at_ms(TERMS.window.as_millis() as u64) + TERMS.due_after.as_millis() as u64;
+            let due_at_ms = window.ends_at_ms(USAGE_REPORT_CONFIG.window.as_millis() as u64)
+                + USAGE_REPORT_CONFIG.due_after.as_millis() as u64;
             let at_ms = START_UNIX_MILLISECONDS + at.as_millis() as u64;
             assert!(at_ms <= due_at_ms, "window {} was reported {} ms late", window.0, at_ms - due_at_ms);
             compare(window, reported_counts, counts);
@@ -405,13 +409,16 @@
 
 /// Compares the reported counts with the true ones. Requests near a window's boundary may be counted in the adjacent
 /// window.
-fn compare(window: &UsageWindow, reported_counts: &TenantCounts, truth: &TenantCounts) {
-    let all = |counts: &TenantCounts| counts.values().sum::<u64>();
-    let (reported_sum, true_sum) = (all(reported_counts), all(truth));
+fn compare(window: &UsageWindow, reported_counts: &TenantCounts, true_counts: &TenantCounts) {
+    let total = |counts: &TenantCounts| counts.values().sum::<u64>();
+    let (reported_sum, true_sum) = (total(reported_counts), total(true_counts));
     let difference = reported_sum.abs_diff(true_sum);
     let allowed = true_sum / 20;
     assert!(difference <= allowed, "window {}: {reported_sum} reported, {true_sum} expected", window.0);
-    assert!(reported_counts.keys().all(|tenant| truth.contains_key(tenant)), "a tenant without requests was reported");
+    assert!(
+        reported_counts.keys().all(|tenant| true_counts.contains_key(tenant)),
+        "a tenant without requests was reported"
+    );
 }
 
 fn start_duties(runtime: &SimRuntime, node: &Node, platform: Rc<Platform>, name: String) {
@@ -425,15 +432,15 @@
         name,
         metrics: Rc::new(PlatformMetrics::default()),
     });
-    runtime.spawn(saddlerelay_duties::usage_reports::run(duties.clone(), TERMS));
-    runtime.spawn(saddlerelay_duties::engine_counts::run(duties, ENGINE_TERMS, KeepInitial));
+    runtime.spawn(saddlerelay_duties::usage_reports::run(duties.clone(), USAGE_REPORT_CONFIG));
+    runtime.spawn(saddlerelay_duties::engine_counts::run(duties, ENGINE_COUNT_CONFIG, KeepInitial));
 }
 
 async fn follow(
     runtime: SimRuntime,
     clock: Rc<RefCell<GroupClockSamples>>,
     ledger: Rc<RefCell<UsageLedger>>,
-    place: u8,
+    index: u8,
 ) {
     let replicas: Vec<SocketAddr> = (1..=REPLICAS).map(address).collect();
     let control = ControlClient::new(runtime.clone(), &replicas, SECRET);
@@ -441,23 +448,23 @@
     let limit = Duration::from_millis(650);
     let follower = AssignedReplica::default();
     loop {
-        let named = follower.address(runtime.monotonic());
+        let assigned_address = follower.address(runtime.monotonic());
         let follow_request = GatewayRequest::Follow(FollowRequest {
             suspicion_revision: 0,
-            relay: format!("relay-{place}"),
+            relay: format!("relay-{index}"),
             zone: "north".to_string(),
             routing_version: Some(1),
             instance_revision: 0,
-            at_follower: named.is_some(),
+            at_follower: assigned_address.is_some(),
             incarnation,
             unix_ms: runtime.unix_milliseconds(),
             usage: ledger.borrow_mut().next_delta(),
         });
-        let answer = match named {
+        let follow_result = match assigned_address {
             Some(address) => control.call_replica(address, follow_request, limit).await,
             None => control.gateway(follow_request, limit, limit).await.ok(),
         };
-        match answer {
+        match follow_result {
             Some(GatewayReply::Followed(reply)) => {
                 follower.assign(reply.follower);
                 if let Some(unix_ms) = reply.group_unix_ms {
@@ -468,7 +475,7 @@
                 runtime.sleep(Duration::from_millis(200)).await;
             }
             _ => {
-                if let Some(address) = named {
+                if let Some(address) = assigned_address {
                     follower.skip_until(address, runtime.monotonic() + Duration::from_millis(500));
                 }
                 runtime.sleep(Duration::from_millis(20)).await;
@@ -481,9 +488,9 @@
     runtime: SimRuntime,
     clock: Rc<RefCell<GroupClockSamples>>,
     ledger: Rc<RefCell<UsageLedger>>,
-    truth: Rc<RefCell<BTreeMap<UsageWindow, TenantCounts>>>,
+    true_counts: Rc<RefCell<BTreeMap<UsageWindow, TenantCounts>>>,
 ) {
-    let length_ms = TERMS.window.as_millis() as u64;
+    let length_ms = USAGE_REPORT_CONFIG.window.as_millis() as u64;
     loop {
         runtime.sleep(runtime.jitter(Duration::from_millis(60))).await;
         let now = runtime.monotonic();
@@ -493,8 +500,8 @@
         let tenant = tenant(runtime.random() % 5);
         ledger.borrow_mut().count(&tenant, UsageWindow::containing(unix_ms, length_ms));
         let true_ms = START_UNIX_MILLISECONDS + now.as_millis() as u64;
-        let mut truth = truth.borrow_mut();
-        *truth.entry(UsageWindow::containing(true_ms, length_ms)).or_default().entry(tenant).or_default() += 1;
+        let mut true_counts = true_counts.borrow_mut();
+        *true_counts.entry(UsageWindow::containing(true_ms, length_ms)).or_default().entry(tenant).or_default() += 1;
     }
 }
 
@@ -511,7 +518,7 @@
         let mut deployment = Deployment::start(seed);
         let from = deployment.world.clock.now();
         deployment.run_for(Duration::from_secs(20));
-        let until = deployment.world.clock.now() - TERMS.due_after;
+        let until = deployment.world.clock.now() - USAGE_REPORT_CONFIG.due_after;
         deployment.check_usage(from, until);
         deployment.check_holders();
     });
@@ -526,10 +533,10 @@
         for _ in 0..3 {
             let pause = deployment.world.jitter(Duration::from_secs(6));
             deployment.run_for(Duration::from_secs(6) + pause);
-            if let Some((place, _)) = deployment.leader() {
-                deployment.kill(place);
+            if let Some((index, _)) = deployment.leader() {
+                deployment.kill(index);
                 deployment.run_for(Duration::from_millis(300));
-                deployment.start_replica(place, seed, false);
+                deployment.start_replica(index, seed, false);
             }
             deployment.await_leader();
         }
@@ -540,10 +547,10 @@
         let first = reported.first_key_value().expect("something is reported").0.0;
         let last = reported.last_key_value().expect("something is reported").0.0;
         assert_eq!(reported.len() as u64, last - first + 1, "a window is missing");
-        let truth = deployment.truth.borrow();
+        let true_counts = deployment.true_counts.borrow();
         let inner = from + Duration::from_secs(4);
         let inner = UsageWindow::containing(START_UNIX_MILLISECONDS + inner.as_millis() as u64, 2_000);
-        for (window, counts) in truth.range(inner..UsageWindow(last)) {
+        for (window, counts) in true_counts.range(inner..UsageWindow(last)) {
             compare(window, &reported[window].0, counts);
         }
     });
@@ -572,15 +579,15 @@
     for_each_seed(|seed| {
         let mut deployment = Deployment::start(seed);
         for _ in 0..4 {
-            // Connecting may take most of the time for which the right to call is valid.
+            // Connecting may take most of the validity of the grant.
             deployment.platform.connect_time.set(Duration::from_millis(390));
             let pause = deployment.world.jitter(Duration::from_secs(2));
             deployment.run_for(pause);
             deployment.platform.connect_time.set(Duration::from_millis(4));
-            let Some((place, _)) = deployment.leader() else {
+            let Some((index, _)) = deployment.leader() else {
                 continue;
             };
-            let process = deployment.machines[&place].process.clone();
+            let process = deployment.machines[&index].process.clone();
             match pause_kind {
                 PauseKind::Frozen => process.freeze(),
                 PauseKind::Suspended => process.suspend(deployment.world.clock.now()),
@@ -606,10 +613,10 @@
         let mut deployment = Deployment::start(seed);
         deployment.platform.unanswered_percent.set(50);
         for round in 0..24 {
-            if let Some((place, _)) = deployment.leader() {
-                deployment.kill(place);
+            if let Some((index, _)) = deployment.leader() {
+                deployment.kill(index);
                 deployment.run_for(Duration::from_millis(100));
-                deployment.start_replica(place, seed, false);
+                deployment.start_replica(index, seed, false);
             }
             // Every fourth leader may lead for long enough to become the holder.
             let longest = Duration::from_millis(if round % 4 == 0 { 7_000 } else { 800 });
@@ -626,7 +633,7 @@
         }
     });
     let seeds = seeds_with_two_holders.get();
-    assert!(seeds > 20, "a second machine reported on only {seeds} seeds");
+    assert!(seeds > 20, "a second machine sent calls with only {seeds} seeds");
 }
 
 #[test]
@@ -680,8 +687,8 @@
         deployment.platform.unanswered_percent.set(40);
         deployment.commit(GatewayCommand::RemoveInstance(InstanceId::named("engine-1")));
         deployment.run_for(Duration::from_secs(5));
-        if let Some((place, _)) = deployment.leader() {
-            deployment.kill(place);
+        if let Some((index, _)) = deployment.leader() {
+            deployment.kill(index);
         }
         deployment.await_leader();
         deployment.platform.unanswered_percent.set(0);
--- a/crates/simulator/tests/elections.rs
+++ b/crates/simulator/tests/elections.rs
@@ -19,10 +19,10 @@
 
 const SEEDS: std::ops::Range<u64> = 0..30;
 
-/// Threads that run the seeds of one test.
+/// Number of threads that run the seeds of one test.
 const THREADS: usize = 5;
 
-/// A leader counts as stable after this time.
+/// Time for which a leader must lead to count as stable.
 const STABLE_AFTER: Duration = Duration::from_secs(5);
 
 /// Time after which a run without a stable leader ends.
@@ -36,13 +36,14 @@
 
 /// Limit of frames between zones for a hundred proposals in 10 s without faults: an append and its reply for each of
 /// four peers, twice per proposal (the entry, then the commit index).
-const CALM_FRAMES: u64 = 1_600;
+const MAX_FRAMES: u64 = 1_600;
 
-/// Limit of their bytes: a hundred proposals of 1,000 bytes to four peers, and about 30 bytes of overhead per frame.
-const CALM_BYTES: u64 = 452_000;
+/// Limit of the bytes of these frames: a hundred proposals of 1,000 bytes to four peers, and about 30 bytes of overhead
+/// per frame.
+const MAX_BYTES: u64 = 452_000;
 
-/// Limit of syncs: one per voter and proposal.
-const CALM_SYNCS: u64 = 500;
+/// Limit of file syncs for these proposals: one per voter and proposal.
+const MAX_SYNCS: u64 = 500;
 
 const SECRET: &str = "a secret of sixteen signs";
 
@@ -63,7 +64,7 @@
     }
 
     fn restore(&mut self, bytes: &[u8], _level: FeatureLevel) {
-        self.0 = bitcode::decode(bytes).expect("a snapshot can be read");
+        self.0 = bitcode::decode(bytes).expect("the snapshot can be decoded");
     }
 }
 
@@ -94,7 +95,7 @@
 /// Faults after the power loss.
 #[derive(Clone, Copy, Default)]
 struct Faults {
-    /// Mean time of a sync; the actual time varies by a third.
+    /// Mean duration of a file sync; the actual duration varies by a third.
     sync: Duration,
     links: LinkFaults,
     /// Number of entries that one of the three voters lacks.
@@ -105,17 +106,17 @@
 #[derive(Clone, Copy, Debug)]
 struct RunResult {
     /// Time until the stable leader first held the lease; `None` without a stable leader.
-    searched: Option<Duration>,
-    /// Number of claims to leadership.
+    search_time: Option<Duration>,
+    /// Number of times that a replica claimed leadership in a new term.
     terms: u64,
-    /// Percentage of the following `STABLE_AFTER` in which it held the lease.
+    /// Percentage of the following `STABLE_AFTER` in which that leader held the lease.
     leased_percent: u64,
-    /// Proposals that it committed in this time.
+    /// Number of proposals that it committed in this time.
     committed: u64,
 }
 
-fn address(place: u8) -> SocketAddr {
-    ([10, 0, 0, place], 7_000).into()
+fn address(index: u8) -> SocketAddr {
+    ([10, 0, 0, index], 7_000).into()
 }
 
 /// Timing of deployments with automatic membership.
@@ -140,20 +141,20 @@
         let (world, pool) = World::new(seed);
         world.network.set_delays(9, Duration::from_millis(1), Duration::from_millis(3));
         let mut group = Self { world, pool, machines: BTreeMap::new(), acknowledged: Rc::default() };
-        (1..=5).for_each(|place| group.start(place));
+        (1..=5).for_each(|index| group.start(index));
         while group.leader().is_none() {
             group.run_for(Duration::from_millis(10));
         }
         group
     }
 
-    fn start(&mut self, place: u8) {
-        let name = format!("machine-{place}");
-        let process = self.world.start_process(&name, place.into(), 0);
+    fn start(&mut self, index: u8) {
+        let name = format!("machine-{index}");
+        let process = self.world.start_process(&name, index.into(), 0);
         let runtime = SimRuntime { world: self.world.clone(), process: process.clone() };
         let founders: Vec<SocketAddr> = (1..=5).map(address).collect();
         let options = ReplicaOptions {
-            address: address(place),
+            address: address(index),
             peers: founders.clone(),
             founders,
             secret: SECRET.to_string(),
@@ -164,20 +165,21 @@
         let task_runtime = runtime.clone();
         self.world.spawn(&process, async move {
             let listener = task_runtime.listen(options.address).await.expect("the address is free");
-            let replica =
-                Replica::open(task_runtime.clone(), options, Counter::default()).await.expect("the disk is sound");
+            let replica = Replica::open(task_runtime.clone(), options, Counter::default())
+                .await
+                .expect("the storage can be opened");
             replica.start();
             *started.borrow_mut() = Some(replica.clone());
             let handler = Rc::new(RequestHandler(replica));
             saddlerelay_rpc::server::serve(task_runtime, listener, SECRET.to_string(), handler).await;
         });
-        self.machines.insert(place, Machine { process, node });
+        self.machines.insert(index, Machine { process, node });
     }
 
-    fn kill(&mut self, place: u8) {
-        if let Some(machine) = self.machines.remove(&place) {
+    fn kill(&mut self, index: u8) {
+        if let Some(machine) = self.machines.remove(&index) {
             machine.process.kill();
-            self.world.disks.crash(&format!("machine-{place}"), || self.world.random());
+            self.world.disks.crash(&format!("machine-{index}"), || self.world.random());
         }
     }
 
@@ -245,12 +247,12 @@
 
     /// All machines lose power, and 4 and 5 do not restart. The others start 100 ms apart with the faults.
     fn lose_power(&mut self, faults: Faults) {
-        (1..=5).for_each(|place| self.kill(place));
+        (1..=5).for_each(|index| self.kill(index));
         self.run_for(Duration::from_secs(1));
         self.world.network.set_link_faults(faults.links);
-        for place in 1..=3 {
-            self.world.disks.set_slow(&format!("machine-{place}"), faults.sync * 2 / 3);
-            self.start(place);
+        for index in 1..=3 {
+            self.world.disks.set_slow(&format!("machine-{index}"), faults.sync * 2 / 3);
+            self.start(index);
             self.run_for(Duration::from_millis(100));
         }
     }
@@ -282,11 +284,11 @@
             let committed = self.acknowledged.get() - committed_before;
             if observations > 0 && self.world.clock.now() >= since + STABLE_AFTER && committed > 0 {
                 let leased_percent = leased * 100 / observations;
-                return RunResult { searched: Some(since - began), terms: claims, leased_percent, committed };
+                return RunResult { search_time: Some(since - began), terms: claims, leased_percent, committed };
             }
             self.propose_for(PROPOSAL_INTERVAL);
         }
-        RunResult { searched: None, terms: claims, leased_percent: 0, committed: 0 }
+        RunResult { search_time: None, terms: claims, leased_percent: 0, committed: 0 }
     }
 }
 
@@ -301,26 +303,26 @@
 }
 
 /// Runs all seeds, prints a row of the table in `docs/design/leader-elections.md`, and checks that each finds a stable
-/// leader in time, and that leaders hold the lease for `least_leased` percent of `STABLE_AFTER` on average.
-fn check(what: &str, faults: Faults, least_leased: u64) {
-    check_within(SEARCH_LIMIT, what, faults, least_leased);
+/// leader in time, and that leaders hold the lease for `min_leased_percent` percent of `STABLE_AFTER` on average.
+fn check(what: &str, faults: Faults, min_leased_percent: u64) {
+    check_within(SEARCH_LIMIT, what, faults, min_leased_percent);
 }
 
 /// Runs all seeds on several threads; the results are in the order of the seeds.
 fn run_all(faults: Faults) -> Vec<RunResult> {
     let seeds: Vec<u64> = SEEDS.collect();
-    let share = seeds.len().div_ceil(THREADS);
+    let chunk_size = seeds.len().div_ceil(THREADS);
     std::thread::scope(|scope| {
         let run_seeds = |seeds: &[u64]| seeds.iter().map(|seed| run_seed(*seed, faults)).collect::<Vec<RunResult>>();
-        let threads: Vec<_> = seeds.chunks(share).map(|seeds| scope.spawn(move || run_seeds(seeds))).collect();
+        let threads: Vec<_> = seeds.chunks(chunk_size).map(|seeds| scope.spawn(move || run_seeds(seeds))).collect();
         threads.into_iter().flat_map(|thread| thread.join().expect("the thread did not panic")).collect()
     })
 }
 
 /// Like `check`, with another time limit.
-fn check_within(longest_search: Duration, what: &str, faults: Faults, least_leased: u64) {
+fn check_within(search_limit: Duration, what: &str, faults: Faults, min_leased_percent: u64) {
     let results = run_all(faults);
-    let mut searches: Vec<Duration> = results.iter().filter_map(|result| result.searched).collect();
+    let mut searches: Vec<Duration> = results.iter().filter_map(|result| result.search_time).collect();
     searches.sort_unstable();
     let count = results.len() as u64;
     let mean = |value: fn(&RunResult) -> u64| results.iter().map(value).sum::<u64>() / count;
@@ -333,79 +335,79 @@
         mean(|result| result.leased_percent),
         mean(|result| result.committed),
     );
-    let late = |result: &&RunResult| result.searched.is_none_or(|searched| searched > longest_search);
-    let late: Vec<&RunResult> = results.iter().filter(late).collect();
+    let too_slow = |result: &&RunResult| result.search_time.is_none_or(|search_time| search_time > search_limit);
+    let too_slow: Vec<&RunResult> = results.iter().filter(too_slow).collect();
     assert!(
-        late.is_empty(),
-        "{what}: {} of {count} had no stable leader within {longest_search:?}: {late:?}",
-        late.len()
+        too_slow.is_empty(),
+        "{what}: {} of {count} had no stable leader within {search_limit:?}: {too_slow:?}",
+        too_slow.len()
     );
     let leased = mean(|result| result.leased_percent);
-    assert!(leased >= least_leased, "{what}: leaders held the lease for {leased} % of the time");
+    assert!(leased >= min_leased_percent, "{what}: leaders held the lease for {leased} % of the time");
 }
 
-fn syncs_of(milliseconds: u64) -> Faults {
+fn slow_syncs(milliseconds: u64) -> Faults {
     Faults { sync: Duration::from_millis(milliseconds), ..Faults::default() }
 }
 
-fn losing(per_mille: u64) -> Faults {
+fn packet_loss(per_mille: u64) -> Faults {
     Faults { links: LinkFaults { lost_per_mille: per_mille, ..LinkFaults::default() }, ..Faults::default() }
 }
 
 #[test]
-fn a_leader_lasts_where_nothing_is_slow() {
+fn leadership_is_stable_without_faults() {
     check("nothing slow", Faults::default(), 99);
 }
 
 #[test]
-fn a_leader_lasts_on_disks_that_take_150_ms_to_sync() {
-    check("syncs of 150 ms", syncs_of(150), 95);
+fn leadership_is_stable_on_disks_that_take_150_ms_to_sync() {
+    check("syncs of 150 ms", slow_syncs(150), 95);
 }
 
 #[test]
-fn a_leader_lasts_on_disks_that_take_250_ms_to_sync() {
-    check("syncs of 250 ms", syncs_of(250), 95);
+fn leadership_is_stable_on_disks_that_take_250_ms_to_sync() {
+    check("syncs of 250 ms", slow_syncs(250), 95);
 }
 
 #[test]
-fn a_leader_lasts_on_disks_that_take_350_ms_to_sync() {
-    check("syncs of 350 ms", syncs_of(350), 95);
+fn leadership_is_stable_on_disks_that_take_350_ms_to_sync() {
+    check("syncs of 350 ms", slow_syncs(350), 95);
 }
 
 #[test]
-fn a_leader_lasts_on_disks_that_take_600_ms_to_sync() {
-    check("syncs of 600 ms", syncs_of(600), 95);
+fn leadership_is_stable_on_disks_that_take_600_ms_to_sync() {
+    check("syncs of 600 ms", slow_syncs(600), 95);
 }
 
 #[test]
-fn a_leader_lasts_on_links_that_lose_a_twentieth() {
-    check("links lose 0.05", losing(50), 90);
+fn leadership_is_stable_with_5_percent_packet_loss() {
+    check("links lose 0.05", packet_loss(50), 90);
 }
 
 #[test]
-fn a_leader_lasts_on_links_that_lose_a_fifth() {
-    check("links lose 0.2", losing(200), 40);
+fn leadership_is_stable_with_20_percent_packet_loss() {
+    check("links lose 0.2", packet_loss(200), 40);
 }
 
 /// One voter lacks `entries` entries of 8 KB, and links have a bandwidth of 250 KB/s.
-fn behind(entries: u64) -> Faults {
+fn lagging_voter(entries: u64) -> Faults {
     let links = LinkFaults { bytes_per_second: 250_000, ..LinkFaults::default() };
     Faults { links, entries_behind: entries, ..Faults::default() }
 }
 
 #[test]
-fn a_leader_lasts_while_one_voter_is_sent_2_mb_at_250_kb_a_second() {
-    check("one 2 MB behind, 250 KB/s", behind(250), 95);
+fn leadership_is_stable_while_a_voter_receives_2_mb_at_250_kb_per_second() {
+    check("one 2 MB behind, 250 KB/s", lagging_voter(250), 95);
 }
 
 /// Nothing can be committed before the voter has caught up, which takes 33 s.
 #[test]
-fn a_leader_lasts_while_one_voter_is_sent_8_mb_at_250_kb_a_second() {
-    check_within(Duration::from_secs(38), "one 8 MB behind, 250 KB/s", behind(1_000), 95);
+fn leadership_is_stable_while_a_voter_receives_8_mb_at_250_kb_per_second() {
+    check_within(Duration::from_secs(38), "one 8 MB behind, 250 KB/s", lagging_voter(1_000), 95);
 }
 
 #[test]
-fn a_leader_lasts_where_connections_take_250_to_400_ms_to_open() {
+fn leadership_is_stable_with_connection_delays_of_250_to_400_ms() {
     let links = LinkFaults {
         connect_delay: Duration::from_millis(250),
         connect_jitter: Duration::from_millis(150),
@@ -415,14 +417,14 @@
 }
 
 #[test]
-fn a_leader_lasts_where_disks_are_slow_and_links_lose_frames() {
+fn leadership_is_stable_with_slow_disks_and_packet_loss() {
     let links = LinkFaults {
         lost_per_mille: 100,
         connect_delay: Duration::from_millis(100),
         connect_jitter: Duration::from_millis(200),
         ..LinkFaults::default()
     };
-    check("syncs of 250 ms, links lose 0.1, connects of 100 to 300 ms", Faults { links, ..syncs_of(250) }, 40);
+    check("syncs of 250 ms, links lose 0.1, connects of 100 to 300 ms", Faults { links, ..slow_syncs(250) }, 40);
 }
 
 /// Limits the frames, bytes and syncs of the whole group in 10 s without faults.
@@ -435,8 +437,8 @@
     group.propose_for(Duration::from_secs(10));
     let ((frames, bytes), syncs) = (group.world.network.sent_between_zones(), group.world.disks.syncs());
     let (frames, bytes, syncs) = (frames - frames_before, bytes - bytes_before, syncs - syncs_before);
-    println!("calm: {frames} frames, {bytes} bytes, {syncs} syncs");
-    assert!(frames <= CALM_FRAMES, "{frames} frames");
-    assert!(bytes <= CALM_BYTES, "{bytes} bytes");
-    assert!(syncs <= CALM_SYNCS, "{syncs} syncs");
+    println!("without faults: {frames} frames, {bytes} bytes, {syncs} syncs");
+    assert!(frames <= MAX_FRAMES, "{frames} frames were sent between zones");
+    assert!(bytes <= MAX_BYTES, "{bytes} bytes were sent between zones");
+    assert!(syncs <= MAX_SYNCS, "{syncs} file syncs were made");
 }
--- a/crates/simulator/tests/ended_jobs.rs
+++ b/crates/simulator/tests/ended_jobs.rs
@@ -5,7 +5,7 @@
 
 mod control_group;
 
-use control_group::{Deployment, REPLICAS, SECRET, named};
+use control_group::{Deployment, REPLICAS, SECRET, configured_addresses};
 use saddlerelay_control_client::{ControlClient, GatewayError};
 use saddlerelay_simulator::platform::SimRuntime;
 use saddlerelay_types::gateway::{GatewayReply, GatewayRequest};
@@ -19,7 +19,7 @@
 
 const HOUR_MS: i64 = 3_600_000;
 
-/// Timeout of a request.
+/// Timeout of a request to the group.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn job(name: &str) -> JobSubmission {
@@ -51,14 +51,14 @@
     let reply = Rc::new(RefCell::new(None));
     let result = reply.clone();
     deployment.world.spawn(&process, async move {
-        let control = ControlClient::new(runtime, &named(), SECRET);
+        let control = ControlClient::new(runtime, &configured_addresses(), SECRET);
         *result.borrow_mut() = Some(control.gateway(request, REQUEST_TIMEOUT, REQUEST_TIMEOUT).await);
     });
     let until = deployment.world.clock.now() + REQUEST_TIMEOUT;
     while reply.borrow().is_none() && deployment.world.clock.now() < until + REQUEST_TIMEOUT {
         deployment.run_for(Duration::from_millis(20));
     }
-    reply.take().expect("a request is answered in time")
+    reply.take().expect("the request completed in time")
 }
 
 fn open_jobs(deployment: &Deployment) -> Vec<JobId> {
@@ -68,12 +68,12 @@
 
 /// Restarts every replica with a wall clock offset of `clock_error` milliseconds.
 fn restart_all(deployment: &mut Deployment, clock_error: i64) {
-    for place in 1..=REPLICAS {
-        deployment.replicas.remove(&place).expect("it runs").process.kill();
-        deployment.clock_errors.insert(place, clock_error);
+    for index in 1..=REPLICAS {
+        deployment.replicas.remove(&index).expect("the replica is running").process.kill();
+        deployment.clock_errors.insert(index, clock_error);
     }
     deployment.run_for(Duration::from_secs(1));
-    (1..=REPLICAS).for_each(|place| deployment.start_replica(place, false));
+    (1..=REPLICAS).for_each(|index| deployment.start_replica(index, false));
     deployment.run_for(Duration::from_secs(3));
 }
 
--- a/crates/simulator/tests/refused_writes.rs
+++ b/crates/simulator/tests/failed_syncs.rs
@@ -14,7 +14,7 @@
     for seed in SEEDS {
         let mut group = Group::formed(seed);
         group.propose_for(Duration::from_millis(300));
-        let leader_name = name(group.leader_place().expect("there is a leader"));
+        let leader_name = name(group.leader_index().expect("there is a leader"));
         group.world.disks.set_slow(&leader_name, Duration::from_millis(60));
         group.world.disks.set_failing(&leader_name, true);
         group.propose_for(Duration::from_millis(200));
@@ -33,11 +33,11 @@
         let mut group = Group::formed(seed);
         group.propose_for(Duration::from_millis(800));
         let follower = group.followers()[0];
-        let node = group.node(follower).expect("it runs");
+        let node = group.node(follower).expect("the replica is running");
         let segment = node.read_local(|numbers| numbers.newest_released()).expect("segments were sealed");
-        group.world.disks.damage(&name(follower), &format!("segment-{segment}"));
+        group.world.disks.corrupt(&name(follower), &format!("segment-{segment}"));
         let read = group.read_concurrently(&node, segment, 3);
-        assert_eq!(read, 3, "seed {seed}: readers that got the segment");
+        assert_eq!(read, 3, "seed {seed}: number of readers that read the segment");
         assert!(node.is_ready(), "seed {seed}: the replica is not ready");
         let files = group.world.disks.names(&name(follower));
         assert!(!files.iter().any(|file| file.ends_with(".new")), "seed {seed}: {files:?}");
--- a/crates/simulator/tests/followers.rs
+++ b/crates/simulator/tests/followers.rs
@@ -28,7 +28,7 @@
 const SECRET: &str = "a secret of sixteen signs";
 const REPLICAS: u8 = 5;
 const RELAYS: u8 = 12;
-/// Few enough that every relay receives all of them.
+/// Number of engines, small enough that every relay receives all of them.
 const ENGINES: u8 = 30;
 /// Default of `ControlConfig::follow_lease`.
 const LEASE: Duration = Duration::from_millis(1_700);
@@ -59,8 +59,8 @@
     relays: Vec<Relay>,
 }
 
-fn address(place: u8) -> SocketAddr {
-    ([10, 0, 0, place], 7_000).into()
+fn address(index: u8) -> SocketAddr {
+    ([10, 0, 0, index], 7_000).into()
 }
 
 fn engine(number: u8) -> InstanceReport {
@@ -100,14 +100,15 @@
         let (world, pool) = World::new(seed);
         world.network.set_delays(9, Duration::from_millis(1), Duration::from_millis(3));
         let mut deployment = Self { world, pool, replicas: BTreeMap::new(), relays: Vec::new() };
-        (1..=REPLICAS).for_each(|place| deployment.start_replica(place, true));
+        (1..=REPLICAS).for_each(|index| deployment.start_replica(index, true));
         deployment.await_leader();
-        for place in 1..=REPLICAS {
-            let replica = deployment.replicas[&place].node.borrow().as_ref().expect("it runs").replica().id();
-            let name = format!("replica-{place}");
+        for index in 1..=REPLICAS {
+            let replica =
+                deployment.replicas[&index].node.borrow().as_ref().expect("the replica is running").replica().id();
+            let name = format!("replica-{index}");
             // Two replicas are in the zone of every third relay.
-            let zone = if place > 3 { "south" } else { "north" }.to_string();
-            let record = StoreRecord { name, replica, address: address(place), zone };
+            let zone = if index > 3 { "south" } else { "north" }.to_string();
+            let record = StoreRecord { name, replica, address: address(index), zone };
             deployment.commit(GatewayCommand::RegisterStore(record));
         }
         deployment.commit(GatewayCommand::PutRouting(document(1)));
@@ -117,12 +118,12 @@
         deployment
     }
 
-    fn start_replica(&mut self, place: u8, founding: bool) {
-        let process = self.world.start_process(&format!("replica-{place}"), place.into(), 0);
+    fn start_replica(&mut self, index: u8, founding: bool) {
+        let process = self.world.start_process(&format!("replica-{index}"), index.into(), 0);
         let runtime = SimRuntime { world: self.world.clone(), process: process.clone() };
         let founders: Vec<SocketAddr> = (1..=REPLICAS).map(address).collect();
         let options = ReplicaOptions {
-            address: address(place),
+            address: address(index),
             peers: founders.clone(),
             founders: if founding { founders } else { Vec::new() },
             secret: SECRET.to_string(),
@@ -137,11 +138,13 @@
         let started = node.clone();
         self.world.spawn(&process, async move {
             let listener = runtime.listen(options.address).await.expect("the address is free");
-            let node = ControlNode::start(runtime.clone(), backends, config, options).await.expect("a sound disk");
+            let node = ControlNode::start(runtime.clone(), backends, config, options)
+                .await
+                .expect("the storage can be opened");
             *started.borrow_mut() = Some(node.clone());
             saddlerelay_rpc::server::serve(runtime, listener, SECRET.to_string(), Rc::new(node)).await;
         });
-        self.replicas.insert(place, Replica { process, node });
+        self.replicas.insert(index, Replica { process, node });
     }
 
     fn start_relay(&mut self, number: u8) {
@@ -163,14 +166,14 @@
 
     fn leader(&self) -> Option<(u8, Node)> {
         let running = self.replicas.iter().filter(|(_, replica)| !replica.process.is_frozen());
-        let nodes = running.filter_map(|(place, replica)| Some((*place, replica.node.borrow().clone()?)));
+        let nodes = running.filter_map(|(index, replica)| Some((*index, replica.node.borrow().clone()?)));
         nodes.into_iter().find(|(_, node)| node.replica().leading_term().is_some())
     }
 
     fn await_leader(&mut self) {
         let until = self.world.clock.now() + Duration::from_secs(10);
         while self.leader().is_none() {
-            assert!(self.world.clock.now() < until, "no leader");
+            assert!(self.world.clock.now() < until, "no leader was elected in time");
             self.run_for(Duration::from_millis(20));
         }
     }
@@ -194,7 +197,7 @@
                 return at;
             }
         }
-        panic!("it was not committed");
+        panic!("the command was not committed");
     }
 
     /// Relays that may send requests to an engine now.
@@ -222,10 +225,10 @@
         self.relays.iter().filter(|relay| relay.view.borrow().is_leased(now)).count()
     }
 
-    /// A random follower.
-    fn some_follower(&self) -> u8 {
-        let leader = self.leader().map(|(place, _)| place);
-        let others: Vec<u8> = self.replicas.keys().copied().filter(|place| Some(*place) != leader).collect();
+    /// Index of a random follower.
+    fn random_follower(&self) -> u8 {
+        let leader = self.leader().map(|(index, _)| index);
+        let others: Vec<u8> = self.replicas.keys().copied().filter(|index| Some(*index) != leader).collect();
         others[self.world.random() as usize % others.len()]
     }
 }
@@ -238,30 +241,30 @@
     let limit = Duration::from_millis(650);
     loop {
         let requested_at = runtime.monotonic();
-        let named = follower.address(requested_at);
+        let assigned_address = follower.address(requested_at);
         let follow_request = GatewayRequest::Follow(FollowRequest {
             relay: format!("relay-{number}"),
             zone: if number.is_multiple_of(3) { "south" } else { "north" }.to_string(),
             routing_version: view.borrow().update_base(),
             instance_revision: view.borrow().instance_revision(),
-            at_follower: named.is_some(),
+            at_follower: assigned_address.is_some(),
             incarnation,
             unix_ms: runtime.unix_milliseconds(),
             usage: None,
             suspicion_revision: 0,
         });
-        let answer = match named {
+        let follow_result = match assigned_address {
             Some(address) => control.call_replica(address, follow_request, limit).await,
             None => control.gateway(follow_request, limit, limit).await.ok(),
         };
-        match answer {
+        match follow_result {
             Some(GatewayReply::Followed(reply)) => {
-                follower_responses.set(follower_responses.get() + u64::from(named.is_some()));
+                follower_responses.set(follower_responses.get() + u64::from(assigned_address.is_some()));
                 follower.assign(reply.follower);
                 view.borrow_mut().apply_reply(reply, requested_at, 0.0);
             }
             _ => {
-                if let Some(address) = named {
+                if let Some(address) = assigned_address {
                     follower.skip_until(address, runtime.monotonic() + Duration::from_millis(500));
                 }
                 runtime.sleep(Duration::from_millis(20)).await;
@@ -298,14 +301,14 @@
 fn no_relay_acts_on_a_state_older_than_the_lease() {
     for_each_seed(|seed, mut deployment| {
         for round in 0..6_u8 {
-            let place = deployment.some_follower();
-            let follower = deployment.replicas[&place].process.clone();
+            let index = deployment.random_follower();
+            let follower = deployment.replicas[&index].process.clone();
             // Before the change the follower is frozen, or its inbound traffic is blocked while relays still reach it.
             let frozen = deployment.world.random() % 2 == 0;
             if frozen {
                 follower.freeze()
             } else {
-                deployment.world.network.block_inbound(place.into())
+                deployment.world.network.block_inbound(index.into())
             }
             let pause = deployment.world.jitter(Duration::from_millis(700));
             deployment.run_for(pause);
@@ -319,7 +322,7 @@
             while deployment.world.clock.now() < committed_at + LEASE + Duration::from_secs(2) {
                 if !resumed && deployment.world.clock.now() >= committed_at + resume_after {
                     resumed = true;
-                    if frozen { follower.thaw() } else { deployment.world.network.heal(place.into()) }
+                    if frozen { follower.thaw() } else { deployment.world.network.heal(index.into()) }
                 }
                 if deployment.world.clock.now() > committed_at + LEASE {
                     let senders = deployment.senders(&engine.id);
@@ -327,7 +330,7 @@
                     assert_eq!(
                         deployment.behind(version),
                         0,
-                        "seed {seed}, round {round}: an old document is in force"
+                        "seed {seed}, round {round}: relays with a lease use an old routing document"
                     );
                 }
                 deployment.run_for(Duration::from_millis(5));
@@ -342,10 +345,13 @@
 #[test]
 fn relays_recover_from_the_loss_of_a_follower_or_the_leader() {
     for_each_seed(|seed, mut deployment| {
-        let place =
-            if seed % 2 == 0 { deployment.some_follower() } else { deployment.leader().expect("there is a leader").0 };
-        deployment.replicas[&place].process.kill();
-        deployment.replicas.remove(&place);
+        let index = if seed % 2 == 0 {
+            deployment.random_follower()
+        } else {
+            deployment.leader().expect("there is a leader").0
+        };
+        deployment.replicas[&index].process.kill();
+        deployment.replicas.remove(&index);
         deployment.run_for(RECOVERY_LIMIT);
         assert_eq!(deployment.leased(), usize::from(RELAYS), "seed {seed}");
         let responses_before: Vec<u64> = deployment.relays.iter().map(|relay| relay.follower_responses.get()).collect();
--- a/crates/simulator/tests/group/mod.rs
+++ b/crates/simulator/tests/group/mod.rs
@@ -1,4 +1,4 @@
-//! A replication group of a small state machine, with machines that can be killed, lose power or lose their disks.
+//! A replication group with a small state machine, with machines that can be killed, lose power or lose their disks.
 
 // Each test file uses a part of this module.
 #![allow(dead_code)]
@@ -32,10 +32,10 @@
 /// Size of such a payload.
 const LARGE_PAYLOAD_BYTES: usize = 1_700;
 
-/// Numbers in a sealed segment.
+/// Number of numbers in a sealed segment.
 const NUMBERS_PER_SEGMENT: usize = 8;
 
-/// Newest segments that the state refers to; older ones expire.
+/// Number of newest segments that the state refers to; older ones expire.
 const SEGMENTS_KEPT: usize = 4;
 
 /// Encodes a command; the layout depends on the feature level.
@@ -51,7 +51,7 @@
         FeatureLevel::One => bitcode::decode::<(Vec<u8>, u64)>(command).map(|(_, number)| number),
         FeatureLevel::Two => bitcode::decode::<(u64, Vec<u8>)>(command).map(|(number, _)| number),
     };
-    number.expect("a number was proposed")
+    number.expect("the command is a number")
 }
 
 /// A set of numbers, which are also sealed into segments of `NUMBERS_PER_SEGMENT`.
@@ -131,10 +131,12 @@
         self.level = level;
         match level {
             FeatureLevel::One => {
-                (self.sealed, self.unsealed, self.applied) = bitcode::decode(bytes).expect("a snapshot can be read");
+                (self.sealed, self.unsealed, self.applied) =
+                    bitcode::decode(bytes).expect("the snapshot can be decoded");
             }
             FeatureLevel::Two => {
-                (self.applied, self.unsealed, self.sealed) = bitcode::decode(bytes).expect("a snapshot can be read");
+                (self.applied, self.unsealed, self.sealed) =
+                    bitcode::decode(bytes).expect("the snapshot can be decoded");
             }
         }
         self.unreleased.clear();
@@ -145,13 +147,13 @@
 
 struct RequestHandler {
     node: Node,
-    drops_take_over_requests: Rc<Cell<bool>>,
+    drops_timeout_now: Rc<Cell<bool>>,
 }
 
 impl Handler for RequestHandler {
     async fn handle(self: Rc<Self>, level: FeatureLevel, body: Vec<u8>) -> Option<Vec<u8>> {
         let request = message_codec::decode_call(&body, level)?;
-        if matches!(request, ReplicaRequest::TimeoutNow { .. }) && self.drops_take_over_requests.get() {
+        if matches!(request, ReplicaRequest::TimeoutNow { .. }) && self.drops_timeout_now.get() {
             return None;
         }
         let reply = self.node.handle(request, level).await;
@@ -176,9 +178,9 @@
     /// Numbers whose commit was acknowledged to the client.
     pub acknowledged: Rc<RefCell<BTreeSet<u64>>>,
     /// Errors of replicas that failed to open their storage.
-    pub refusals: Rc<RefCell<Vec<String>>>,
+    pub open_errors: Rc<RefCell<Vec<String>>>,
     /// Whether replicas drop `TimeoutNow` requests, which transfer leadership.
-    pub drops_take_over_requests: Rc<Cell<bool>>,
+    pub drops_timeout_now: Rc<Cell<bool>>,
     next: u64,
 }
 
@@ -188,12 +190,12 @@
     (0..LARGE_PAYLOAD_BYTES).map(|_| random.u8(1..)).collect()
 }
 
-pub fn name(place: u8) -> String {
-    format!("machine-{place}")
+pub fn name(index: u8) -> String {
+    format!("machine-{index}")
 }
 
-pub fn address(place: u8) -> SocketAddr {
-    ([10, 0, 0, place], 7_000).into()
+pub fn address(index: u8) -> SocketAddr {
+    ([10, 0, 0, index], 7_000).into()
 }
 
 impl Group {
@@ -221,8 +223,8 @@
             founders: (1..=3).map(address).collect(),
             zones: BTreeMap::new(),
             acknowledged: Rc::default(),
-            refusals: Rc::default(),
-            drops_take_over_requests: Rc::default(),
+            open_errors: Rc::default(),
+            drops_timeout_now: Rc::default(),
             next: 0,
         }
     }
@@ -235,20 +237,20 @@
     /// Starts five machines and waits until they are voters.
     pub fn form(self) -> Self {
         let mut group = self;
-        (1..=3).for_each(|place| group.start(place, true));
+        (1..=3).for_each(|index| group.start(index, true));
         group.await_leader(Duration::from_secs(4), "after the first start");
-        (4..=5).for_each(|place| group.start(place, false));
+        (4..=5).for_each(|index| group.start(index, false));
         group.await_voters(5, Duration::from_secs(4), "five voters");
         group
     }
 
-    /// Starts the machine at `place`; with `founding`, as one of the three founders of the group.
-    pub fn start(&mut self, place: u8, founding: bool) {
-        let zone = self.zones.get(&place).copied().unwrap_or(place.into());
-        let process = self.world.start_process(&name(place), zone, 0);
+    /// Starts the machine at `index`; with `founding`, as one of the three founders of the group.
+    pub fn start(&mut self, index: u8, founding: bool) {
+        let zone = self.zones.get(&index).copied().unwrap_or(index.into());
+        let process = self.world.start_process(&name(index), zone, 0);
         let runtime = SimRuntime { world: self.world.clone(), process: process.clone() };
         let options = ReplicaOptions {
-            address: address(place),
+            address: address(index),
             peers: self.founders.clone(),
             founders: if founding { self.founders.clone() } else { Vec::new() },
             secret: SECRET.to_string(),
@@ -256,51 +258,51 @@
         };
         let node = Rc::new(RefCell::new(None));
         let started = node.clone();
-        let refusals = self.refusals.clone();
-        let drops_take_over_requests = self.drops_take_over_requests.clone();
+        let open_errors = self.open_errors.clone();
+        let drops_timeout_now = self.drops_timeout_now.clone();
         self.world.spawn(&process, async move {
             let listener = runtime.listen(options.address).await.expect("the address is free");
             let replica = match Replica::open(runtime.clone(), options, Numbers::default()).await {
                 Ok(replica) => replica,
                 Err(error) => {
-                    refusals.borrow_mut().push(format!("{}: {error}", name(place)));
+                    open_errors.borrow_mut().push(format!("{}: {error}", name(index)));
                     return;
                 }
             };
             replica.start();
             *started.borrow_mut() = Some(replica.clone());
-            let handler = Rc::new(RequestHandler { node: replica, drops_take_over_requests });
+            let handler = Rc::new(RequestHandler { node: replica, drops_timeout_now });
             saddlerelay_rpc::server::serve(runtime, listener, SECRET.to_string(), handler).await;
         });
-        self.machines.insert(place, Machine { process, node });
+        self.machines.insert(index, Machine { process, node });
     }
 
     /// Kills the process and keeps its files, including unsynced writes.
-    pub fn kill(&mut self, place: u8) {
-        if let Some(machine) = self.machines.remove(&place) {
+    pub fn kill(&mut self, index: u8) {
+        if let Some(machine) = self.machines.remove(&index) {
             machine.process.kill();
         }
-        self.world.disks.resume(&name(place));
+        self.world.disks.resume(&name(index));
     }
 
     /// Kills the process and drops a random part of the unsynced writes.
-    pub fn power_off(&mut self, place: u8) {
-        self.kill(place);
-        self.world.disks.crash(&name(place), || self.world.random());
+    pub fn power_off(&mut self, index: u8) {
+        self.kill(index);
+        self.world.disks.crash(&name(index), || self.world.random());
     }
 
     /// Kills the process and deletes its disk.
-    pub fn lose_disk(&mut self, place: u8) {
-        self.kill(place);
-        self.world.disks.lose(&name(place));
+    pub fn lose_disk(&mut self, index: u8) {
+        self.kill(index);
+        self.world.disks.wipe(&name(index));
     }
 
-    pub fn freeze(&mut self, place: u8) {
-        self.machines[&place].process.freeze();
+    pub fn freeze(&mut self, index: u8) {
+        self.machines[&index].process.freeze();
     }
 
-    pub fn thaw(&mut self, place: u8) {
-        self.machines[&place].process.thaw();
+    pub fn thaw(&mut self, index: u8) {
+        self.machines[&index].process.thaw();
     }
 
     /// Runs until `done` returns true; returns whether it did within `limit`.
@@ -321,45 +323,45 @@
         self.machines.values().filter_map(|machine| machine.node.borrow().clone()).collect()
     }
 
-    pub fn node(&self, place: u8) -> Option<Node> {
-        self.machines.get(&place)?.node.borrow().clone()
+    pub fn node(&self, index: u8) -> Option<Node> {
+        self.machines.get(&index)?.node.borrow().clone()
     }
 
-    /// Sends a request to the replica at `place` and returns its reply.
-    pub fn send_request(&mut self, place: u8, request: ReplicaRequest) -> Option<ReplicaReply> {
-        let node = self.node(place)?;
-        let answer = Rc::new(RefCell::new(None));
-        let result = answer.clone();
-        let process = self.machines[&place].process.clone();
+    /// Sends a request to the replica at `index` and returns its reply.
+    pub fn send_request(&mut self, index: u8, request: ReplicaRequest) -> Option<ReplicaReply> {
+        let node = self.node(index)?;
+        let received = Rc::new(RefCell::new(None));
+        let result = received.clone();
+        let process = self.machines[&index].process.clone();
         self.world.spawn(&process, async move {
             let reply = node.handle(request, FeatureLevel::NEWEST).await;
             *result.borrow_mut() = Some(reply);
         });
-        let completed = answer.clone();
+        let completed = received.clone();
         self.run_until(Duration::from_secs(1), move || completed.borrow().is_some());
-        answer.take()
+        received.take()
     }
 
     /// Reads a segment concurrently at a replica; returns the number of successful reads.
     pub fn read_concurrently(&mut self, node: &Node, segment: u64, readers: usize) -> usize {
-        let answers = Rc::new(RefCell::new(Vec::new()));
+        let reads = Rc::new(RefCell::new(Vec::new()));
         let process = self.world.start_process("reader", 0, 0);
         for _ in 0..readers {
-            let (node, result) = (node.clone(), answers.clone());
+            let (node, result) = (node.clone(), reads.clone());
             self.world.spawn(&process, async move {
                 let read = node.read_segment(segment).await.is_ok();
                 result.borrow_mut().push(read);
             });
         }
-        let completed = answers.clone();
+        let completed = reads.clone();
         self.run_until(Duration::from_secs(2), move || completed.borrow().len() == readers);
-        let answers = answers.borrow();
-        answers.iter().filter(|read| **read).count()
+        let reads = reads.borrow();
+        reads.iter().filter(|read| **read).count()
     }
 
-    /// Starts a leadership transfer at the machine at `place`, which keeps running.
-    pub fn transfer_leadership(&mut self, place: u8) {
-        let (Some(node), Some(machine)) = (self.node(place), self.machines.get(&place)) else {
+    /// Starts a leadership transfer at the machine at `index`, which keeps running.
+    pub fn transfer_leadership(&mut self, index: u8) {
+        let (Some(node), Some(machine)) = (self.node(index), self.machines.get(&index)) else {
             return;
         };
         self.world.spawn(&machine.process, async move {
@@ -371,16 +373,16 @@
         self.nodes().into_iter().find(|node| node.leading_term().is_some())
     }
 
-    pub fn leader_place(&self) -> Option<u8> {
-        let leads =
+    pub fn leader_index(&self) -> Option<u8> {
+        let is_leader =
             |machine: &&Machine| machine.node.borrow().as_ref().is_some_and(|node| node.leading_term().is_some());
-        self.machines.iter().find(|(_, machine)| leads(machine)).map(|(place, _)| *place)
+        self.machines.iter().find(|(_, machine)| is_leader(machine)).map(|(index, _)| *index)
     }
 
     /// Indexes of the running machines except the leader.
     pub fn followers(&self) -> Vec<u8> {
-        let leader = self.leader_place();
-        self.machines.keys().copied().filter(|place| Some(*place) != leader).collect()
+        let leader = self.leader_index();
+        self.machines.keys().copied().filter(|index| Some(*index) != leader).collect()
     }
 
     /// Proposes the next number to the leader, if there is one.
@@ -421,7 +423,11 @@
     pub fn await_leader(&mut self, limit: Duration, what: &str) {
         let until = self.world.clock.now() + limit;
         while self.leader().is_none() {
-            assert!(self.world.clock.now() < until, "{what}: no leader; refused {:?}", self.refusals.borrow());
+            assert!(
+                self.world.clock.now() < until,
+                "{what}: no leader; storage errors {:?}",
+                self.open_errors.borrow()
+            );
             self.run_for(Duration::from_millis(10));
         }
     }
@@ -468,8 +474,8 @@
             }
             assert!(
                 self.world.clock.now() < until,
-                "{what}: voters {voters:?}; running {running:?}; refused {:?}",
-                self.refusals.borrow()
+                "{what}: voters {voters:?}; running {running:?}; storage errors {:?}",
+                self.open_errors.borrow()
             );
             self.run_for(Duration::from_millis(10));
         }
@@ -478,10 +484,10 @@
     /// Checks that every replica opened its storage and that the leader has applied all acknowledged numbers.
     pub fn check(&mut self, what: &str) {
         self.await_leader(Duration::from_secs(5), what);
-        assert!(self.refusals.borrow().is_empty(), "{what}: refused {:?}", self.refusals.borrow());
+        assert!(self.open_errors.borrow().is_empty(), "{what}: storage errors {:?}", self.open_errors.borrow());
         let applied = self.leader().and_then(|leader| leader.read(|numbers| numbers.applied.clone()));
-        let applied = applied.expect("a leader reads");
+        let applied = applied.expect("the leader can serve reads");
         let missing: Vec<u64> = self.acknowledged.borrow().difference(&applied).copied().collect();
-        assert!(missing.is_empty(), "{what}: lost {missing:?}");
+        assert!(missing.is_empty(), "{what}: the leader has not applied {missing:?}");
     }
 }
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/leadership_transfer.rs
@@ -15,7 +15,7 @@
     for seed in SEEDS {
         let mut group = Group::formed(seed);
         group.propose_for(Duration::from_millis(300));
-        let leader = group.leader_place().expect("it has a leader");
+        let leader = group.leader_index().expect("there is a leader");
         test(seed, &mut group, leader);
     }
 }
@@ -23,7 +23,7 @@
 #[test]
 fn a_lost_leadership_transfer_request_does_not_prevent_an_election() {
     for_each_seed(|seed, group, leader| {
-        group.drops_take_over_requests.set(true);
+        group.drops_timeout_now.set(true);
         group.transfer_leadership(leader);
         group.run_for(Duration::from_millis(10));
         assert!(group.leader().is_none(), "seed {seed}: the leader still serves during the transfer");
@@ -36,7 +36,7 @@
 #[test]
 fn a_leader_frozen_during_a_leadership_transfer_is_replaced() {
     for_each_seed(|seed, group, leader| {
-        group.drops_take_over_requests.set(true);
+        group.drops_timeout_now.set(true);
         group.transfer_leadership(leader);
         let pause = group.world.jitter(Duration::from_millis(300));
         group.run_for(pause);
--- a/crates/simulator/tests/lease_safety.rs
+++ b/crates/simulator/tests/lease_safety.rs
@@ -24,6 +24,7 @@
 /// Delay of a simulated peer's reply to a vote request.
 const VOTE_DELAY: Duration = Duration::from_millis(100);
 
+/// Interval at which the test checks for a condition.
 const STEP: Duration = Duration::from_millis(5);
 
 struct EmptyStateMachine;
@@ -82,8 +83,8 @@
     peer_ids: [ReplicaId; 2],
 }
 
-fn address(place: u8) -> SocketAddr {
-    ([10, 0, 0, place], 7_000).into()
+fn address(index: u8) -> SocketAddr {
+    ([10, 0, 0, index], 7_000).into()
 }
 
 fn config() -> ReplicationConfig {
@@ -96,10 +97,10 @@
     }
 }
 
-fn options(place: u8) -> ReplicaOptions {
+fn options(index: u8) -> ReplicaOptions {
     let founders: Vec<SocketAddr> = (1..=3).map(address).collect();
     ReplicaOptions {
-        address: address(place),
+        address: address(index),
         peers: founders.clone(),
         founders,
         secret: SECRET.to_string(),
@@ -107,12 +108,14 @@
     }
 }
 
-/// Opens the replica at `place` and reads the group's identifier from its storage.
-async fn open(runtime: SimRuntime, place: u8) -> (Node, u64) {
-    let replica = Replica::open(runtime.clone(), options(place), EmptyStateMachine).await.expect("the disk is sound");
-    let (_, recovered) =
-        Storage::open(runtime.disk(), ReplicaId(1), FileFormat::MultipleLevels).await.expect("the disk is sound");
-    (replica, recovered.identity.group.expect("it founds a group"))
+/// Opens the replica at `index` and reads the group's identifier from its storage.
+async fn open(runtime: SimRuntime, index: u8) -> (Node, u64) {
+    let replica =
+        Replica::open(runtime.clone(), options(index), EmptyStateMachine).await.expect("the storage can be opened");
+    let (_, recovered) = Storage::open(runtime.disk(), ReplicaId(1), FileFormat::MultipleLevels)
+        .await
+        .expect("the storage can be opened");
+    (replica, recovered.identity.group.expect("the replica belongs to a group"))
 }
 
 impl Fixture {
@@ -123,26 +126,26 @@
         let vote_requests: Rc<RefCell<Vec<VoteRequest>>> = Rc::default();
         let opened: Rc<RefCell<Vec<(Node, u64)>>> = Rc::default();
         let mut processes = Vec::new();
-        for place in 1..=3_u8 {
-            let process = world.start_process(&format!("machine-{place}"), place.into(), 0);
+        for index in 1..=3_u8 {
+            let process = world.start_process(&format!("machine-{index}"), index.into(), 0);
             let runtime = SimRuntime { world: world.clone(), process: process.clone() };
             let (result, peer) =
                 (opened.clone(), SimulatedPeer { world: world.clone(), vote_requests: vote_requests.clone() });
             world.spawn(&process, async move {
                 // The replicas of the simulated peers are opened only for their identifiers.
-                let node = open(runtime.clone(), place).await;
-                if place == 1 {
+                let node = open(runtime.clone(), index).await;
+                if index == 1 {
                     node.0.start();
                     result.borrow_mut().insert(0, node);
                     return;
                 }
                 result.borrow_mut().push(node);
-                let listener = runtime.listen(address(place)).await.expect("the address is free");
+                let listener = runtime.listen(address(index)).await.expect("the address is free");
                 saddlerelay_rpc::server::serve(runtime, listener, SECRET.to_string(), Rc::new(peer)).await;
             });
             processes.push(process);
             let limit = world.clock.now() + Duration::from_secs(1);
-            world.run(&mut pool, limit, || opened.borrow().len() == usize::from(place));
+            world.run(&mut pool, limit, || opened.borrow().len() == usize::from(index));
         }
         let opened = opened.borrow();
         let (node, group) = opened[0].clone();
@@ -166,7 +169,7 @@
     fn start_request(&mut self, request: ReplicaRequest) -> Rc<RefCell<Option<ReplicaReply>>> {
         let reply = Rc::new(RefCell::new(None));
         let (result, node) = (reply.clone(), self.node.clone());
-        let process = self.world.start_process("asks", 0, 0);
+        let process = self.world.start_process("client", 0, 0);
         self.world.spawn(&process, async move {
             *result.borrow_mut() = Some(node.handle(request, FeatureLevel::NEWEST).await);
         });
@@ -181,7 +184,7 @@
         reply.take().expect("the reply was received")
     }
 
-    /// An empty append that follows the founding entry.
+    /// An append without entries that follows the first entry of the group.
     fn append(&self, peer: usize, term: u64) -> ReplicaRequest {
         let header = self.header(peer, term);
         ReplicaRequest::Append { header, previous_index: 1, previous_term: 0, entries: Vec::new(), commit: 0 }
@@ -224,7 +227,7 @@
     let vote = fixture.vote(1, 9);
     let granted = fixture.start_request(vote);
     fixture.run_for(Duration::from_millis(100));
-    assert!(granted.borrow().is_none(), "the vote is being written to disk");
+    assert!(granted.borrow().is_none(), "the replica replied before the vote was persisted");
     assert_eq!(fixture.heartbeat(0, 3), ReplicaReply::Heartbeat { term: 9, acknowledged: false });
     fixture.run_for(Duration::from_secs(1));
     assert_eq!(granted.take(), Some(ReplicaReply::Vote { term: 9, granted: true }));
@@ -239,7 +242,7 @@
     assert!(matches!(fixture.send_request(append), ReplicaReply::Append { accepted: true, .. }));
     assert!(is_acknowledged(fixture.heartbeat(0, 3)));
     assert!(!is_acknowledged(fixture.heartbeat(1, 2)), "an older leader");
-    assert!(!is_acknowledged(fixture.heartbeat(1, 3)), "another in the leader's term");
+    assert!(!is_acknowledged(fixture.heartbeat(1, 3)), "another replica in the leader's term");
 }
 
 #[test]
@@ -256,7 +259,7 @@
         fixture.run_for(Duration::from_millis(450));
         let vote_requests = fixture.vote_requests.borrow();
         let premature_votes: Vec<&VoteRequest> =
-            vote_requests.iter().filter(|vote_requests| !vote_requests.pre_vote).collect();
+            vote_requests.iter().filter(|vote_request| !vote_request.pre_vote).collect();
         assert!(premature_votes.is_empty(), "seed {seed}: append received at {append_at:?}, then {premature_votes:?}");
     }
 }
--- a/crates/simulator/tests/level_raise.rs
+++ b/crates/simulator/tests/level_raise.rs
@@ -8,11 +8,11 @@
 use saddlerelay_types::feature_level::FeatureLevel;
 use std::time::Duration;
 
-/// Maximum number of disk operations before the power loss: those of a raise, its adjacent appends and a later
-/// snapshot.
+/// Maximum number of disk operations before the power loss: those of a level raise, of the appends around it and of a
+/// later snapshot.
 const STEPS: u64 = 40;
 
-/// Time limit for a disk to make that many operations.
+/// Time limit for a disk to make `STEPS` operations.
 const STEPS_LIMIT: Duration = Duration::from_secs(2);
 
 /// Time limit for the remaining replicas to elect a leader.
@@ -22,7 +22,7 @@
 const REJOIN_LIMIT: Duration = Duration::from_secs(6);
 
 /// Time in which several snapshots are taken.
-const SOME_SNAPSHOTS: Duration = Duration::from_millis(1_500);
+const SEVERAL_SNAPSHOTS_TIME: Duration = Duration::from_millis(1_500);
 
 fn new_at_level_one(seed: u64) -> Group {
     let mut group = Group::new(seed);
@@ -51,37 +51,38 @@
     }
 }
 
-fn all_are_at(group: &Group, level: FeatureLevel) -> bool {
+fn all_are_at_level(group: &Group, level: FeatureLevel) -> bool {
     group.nodes().iter().all(|node: &Node| node.level() == Some(level))
 }
 
 /// Raises the level and retries until every running machine has reached it.
 fn raise_and_await(group: &mut Group, what: &str) {
     let until = group.world.clock.now() + REJOIN_LIMIT;
-    while !all_are_at(group, FeatureLevel::Two) {
+    while !all_are_at_level(group, FeatureLevel::Two) {
         assert!(group.world.clock.now() < until, "{what}: not all machines are at level two");
         raise(group);
         group.propose_for(Duration::from_millis(100));
     }
 }
 
-fn format_of(group: &Group, place: u8) -> u32 {
-    let bytes = group.world.disks.content(&name(place), "format").expect("a format");
-    bitcode::decode(wal::unframe(&bytes).expect("whole").expect("whole")).expect("a number")
+fn stored_format(group: &Group, index: u8) -> u32 {
+    let bytes = group.world.disks.content(&name(index), "format").expect("there is a format file");
+    bitcode::decode(wal::unframe(&bytes).expect("the frame is valid").expect("the frame is complete"))
+        .expect("the format is a number")
 }
 
 #[test]
 fn files_keep_the_old_format_until_the_level_is_raised() {
     let mut group = formed_at_level_one(1);
-    group.propose_for(SOME_SNAPSHOTS);
-    assert!(all_are_at(&group, FeatureLevel::One));
-    assert!((1..=5).all(|place| format_of(&group, place) == FeatureLevel::One.file_format()));
-    raise_and_await(&mut group, "a calm group");
+    group.propose_for(SEVERAL_SNAPSHOTS_TIME);
+    assert!(all_are_at_level(&group, FeatureLevel::One));
+    assert!((1..=5).all(|index| stored_format(&group, index) == FeatureLevel::One.file_format()));
+    raise_and_await(&mut group, "a group without faults");
     let older = FeatureLevel::ALL.map(FeatureLevel::file_format);
-    assert!((1..=5).all(|place| !older.contains(&format_of(&group, place))));
-    group.check("a calm group");
+    assert!((1..=5).all(|index| !older.contains(&stored_format(&group, index))));
+    group.check("a group without faults");
     let new = Group::formed(1);
-    assert!((1..=5).all(|place| format_of(&new, place) == FeatureLevel::Two.file_format()));
+    assert!((1..=5).all(|index| stored_format(&new, index) == FeatureLevel::Two.file_format()));
 }
 
 #[test]
@@ -91,13 +92,13 @@
             let what = format!("seed {seed}, step {step}");
             let mut group = formed_at_level_one(seed * STEPS + step);
             group.propose_for(Duration::from_millis(200));
-            let watched = 1 + (group.world.random() % 5) as u8;
-            group.world.disks.halt_after(&name(watched), step);
+            let halted = 1 + (group.world.random() % 5) as u8;
+            group.world.disks.halt_after(&name(halted), step);
             raise(&group);
             let disks = group.world.clone();
-            group.propose_until(STEPS_LIMIT, move || disks.disks.is_halted(&name(watched)));
-            (1..=5).for_each(|place| group.power_off(place));
-            (1..=5).for_each(|place| group.start(place, false));
+            group.propose_until(STEPS_LIMIT, move || disks.disks.is_halted(&name(halted)));
+            (1..=5).for_each(|index| group.power_off(index));
+            (1..=5).for_each(|index| group.start(index, false));
             group.await_leader(ELECTION_LIMIT, &what);
             group.check(&what);
             raise_and_await(&mut group, &what);
@@ -115,13 +116,13 @@
         raise(&group);
         group.propose_for(Duration::from_millis(seed * 5));
         let lost = [1 + (seed % 5) as u8, 1 + ((seed + 1 + seed / 5 % 4) % 5) as u8];
-        let left: Vec<u8> = (1..=5).filter(|place| !lost.contains(place)).collect();
-        lost.iter().for_each(|place| group.lose_disk(*place));
-        left.iter().for_each(|place| group.power_off(*place));
-        left.iter().for_each(|place| group.start(*place, false));
+        let survivors: Vec<u8> = (1..=5).filter(|index| !lost.contains(index)).collect();
+        lost.iter().for_each(|index| group.lose_disk(*index));
+        survivors.iter().for_each(|index| group.power_off(*index));
+        survivors.iter().for_each(|index| group.start(*index, false));
         group.await_leader(ELECTION_LIMIT, &what);
         group.check(&what);
-        lost.iter().for_each(|place| group.start(*place, false));
+        lost.iter().for_each(|index| group.start(*index, false));
         group.await_voters(5, REJOIN_LIMIT, &what);
         raise_and_await(&mut group, &what);
         group.check(&what);
@@ -136,7 +137,7 @@
         group.propose_for(Duration::from_millis(200));
         raise(&group);
         group.propose_for(Duration::from_millis(seed % 10));
-        let leader = group.leader_place().expect("a leader");
+        let leader = group.leader_index().expect("there is a leader");
         group.kill(leader);
         group.await_leader(ELECTION_LIMIT, &what);
         group.propose_for(Duration::from_millis(100));
@@ -147,23 +148,23 @@
     }
 }
 
-/// The machine has files of level one, and the others have compacted the log up to the raise.
+/// The machine that was down has files of level one, and the others have compacted the log up to the raise.
 #[test]
 fn a_machine_down_during_the_raise_rejoins_with_its_old_files() {
     for seed in 0..20 {
         let what = format!("seed {seed}");
         let mut group = formed_at_level_one(seed);
         group.propose_for(Duration::from_millis(200));
-        let away = group.followers()[seed as usize % 4];
-        group.kill(away);
+        let stopped = group.followers()[seed as usize % 4];
+        group.kill(stopped);
         raise_and_await(&mut group, &what);
         group.propose_for(Duration::from_millis(50 + 100 * (seed % 10)));
-        group.start(away, false);
+        group.start(stopped, false);
         group.await_voters(5, REJOIN_LIMIT, &what);
         raise_and_await(&mut group, &what);
         // The state that it received must be on its disk.
-        group.power_off(away);
-        group.start(away, false);
+        group.power_off(stopped);
+        group.start(stopped, false);
         group.await_voters(5, REJOIN_LIMIT, &what);
         raise_and_await(&mut group, &what);
         group.check(&what);
@@ -185,8 +186,8 @@
         group.await_voters(5, REJOIN_LIMIT, &what);
         raise_and_await(&mut group, &what);
         group.check(&what);
-        (1..=5).for_each(|place| group.power_off(place));
-        (1..=5).for_each(|place| group.start(place, false));
+        (1..=5).for_each(|index| group.power_off(index));
+        (1..=5).for_each(|index| group.start(index, false));
         group.check(&what);
         raise_and_await(&mut group, &what);
     }
@@ -197,6 +198,6 @@
     let mut group = Group::formed(3);
     raise(&group);
     group.propose_for(Duration::from_millis(200));
-    assert!((1..=5).all(|place| format_of(&group, place) == FeatureLevel::Two.file_format()));
+    assert!((1..=5).all(|index| stored_format(&group, index) == FeatureLevel::Two.file_format()));
     group.check("a group of the newest level");
 }
--- a/crates/simulator/tests/member_changes.rs
+++ b/crates/simulator/tests/member_changes.rs
@@ -19,7 +19,7 @@
 /// Time limit of a replacement, which starts after a voter has been silent for 1.5 s.
 const REPLACEMENT_LIMIT: Duration = Duration::from_secs(4);
 
-fn for_each_moment(test: impl Fn(u64, usize, u8)) {
+fn for_each_change_and_victim(test: impl Fn(u64, usize, u8)) {
     for seed in SEEDS {
         for changes in 0..=CHANGES {
             (0..4).for_each(|victim| test(seed, changes, victim));
@@ -27,10 +27,10 @@
     }
 }
 
-/// Loses the disks at `lost_places` and checks that the remaining replicas elect a leader with all acknowledged
+/// Deletes the disks at `lost_indexes` and checks that the remaining replicas elect a leader with all acknowledged
 /// entries.
-fn lose(group: &mut Group, lost_places: &[u8], what: &str) {
-    lost_places.iter().for_each(|place| group.lose_disk(*place));
+fn lose_disks(group: &mut Group, lost_indexes: &[u8], what: &str) {
+    lost_indexes.iter().for_each(|index| group.lose_disk(*index));
     group.run_for(Duration::from_millis(600));
     group.await_leader(ELECTION_LIMIT, what);
     group.propose_for(Duration::from_millis(100));
@@ -39,7 +39,7 @@
 
 #[test]
 fn loss_of_a_rejoining_machine_and_another_at_any_point_is_tolerated() {
-    for_each_moment(|seed, changes, victim| {
+    for_each_change_and_victim(|seed, changes, victim| {
         let what = format!("seed {seed}, after {changes} changes, victim {victim}");
         let mut group = Group::formed(seed);
         group.propose_for(Duration::from_millis(200));
@@ -49,42 +49,42 @@
         group.propose_for(Duration::from_millis(200));
         group.start(empty, false);
         group.await_member_changes(changes, REPLACEMENT_LIMIT);
-        let others: Vec<u8> = (1..=5).filter(|place| *place != empty).collect();
-        lose(&mut group, &[empty, others[usize::from(victim)]], &what);
+        let others: Vec<u8> = (1..=5).filter(|index| *index != empty).collect();
+        lose_disks(&mut group, &[empty, others[usize::from(victim)]], &what);
     });
 }
 
 #[test]
 fn loss_of_a_machine_at_any_point_of_a_replacement_is_tolerated() {
-    for_each_moment(|seed, changes, victim| {
+    for_each_change_and_victim(|seed, changes, victim| {
         let what = format!("seed {seed}, after {changes} changes, victim {victim}");
         let mut group = Group::formed(seed);
         group.start(6, false);
         group.propose_for(Duration::from_millis(500));
         let followers = group.followers();
-        let replaced_place =
-            followers.iter().copied().filter(|place| *place != 6).nth(seed as usize % 4).expect("four followers");
-        group.lose_disk(replaced_place);
+        let replaced_index =
+            followers.iter().copied().filter(|index| *index != 6).nth(seed as usize % 4).expect("four followers");
+        group.lose_disk(replaced_index);
         group.await_member_changes(changes, REPLACEMENT_LIMIT);
-        let others: Vec<u8> = (1..=6).filter(|place| *place != replaced_place).collect();
-        lose(&mut group, &[others[usize::from(victim)]], &what);
+        let others: Vec<u8> = (1..=6).filter(|index| *index != replaced_index).collect();
+        lose_disks(&mut group, &[others[usize::from(victim)]], &what);
     });
 }
 
 /// Two machines restart with empty disks, and lose these again at any point of their return.
 #[test]
 fn loss_of_two_rejoining_machines_at_any_point_is_tolerated() {
-    for_each_moment(|seed, changes, victim| {
+    for_each_change_and_victim(|seed, changes, victim| {
         let what = format!("seed {seed}, after {changes} changes, victim {victim}");
         let mut group = Group::formed(seed);
         group.propose_for(Duration::from_millis(200));
         let followers = group.followers();
-        let empty: Vec<u8> = (0..2).map(|place| followers[(usize::from(victim) + place) % followers.len()]).collect();
-        empty.iter().for_each(|place| group.lose_disk(*place));
+        let empty: Vec<u8> = (0..2).map(|index| followers[(usize::from(victim) + index) % followers.len()]).collect();
+        empty.iter().for_each(|index| group.lose_disk(*index));
         group.propose_for(Duration::from_millis(200));
-        empty.iter().for_each(|place| group.start(*place, false));
+        empty.iter().for_each(|index| group.start(*index, false));
         group.await_member_changes(changes * 2, REPLACEMENT_LIMIT);
-        lose(&mut group, &empty, &what);
+        lose_disks(&mut group, &empty, &what);
     });
 }
 
--- a/crates/simulator/tests/members.rs
+++ b/crates/simulator/tests/members.rs
@@ -24,7 +24,7 @@
 
 const SEEDS: std::ops::Range<u64> = 0..40;
 
-/// Number of seeds for events that occur with few of them.
+/// Number of seeds for events that occur with few seeds.
 const MANY_SEEDS: u64 = 400;
 /// Time limit for a new leader after the old one is frozen: an election timeout with its jitter, and a second round.
 const ELECTION_LIMIT: Duration = Duration::from_millis(1_500);
@@ -38,11 +38,11 @@
     static RESTORED: Cell<u32> = const { Cell::new(0) };
     /// Number of oldest segments that the state no longer refers to.
     static EXPIRED_SEGMENTS: Cell<usize> = const { Cell::new(0) };
-    /// Padding bytes in each segment.
+    /// Number of padding bytes in each segment.
     static SEGMENT_PADDING: Cell<usize> = const { Cell::new(2_000) };
 }
 
-/// Numbers in a sealed segment.
+/// Number of numbers in a sealed segment.
 const NUMBERS_PER_SEGMENT: usize = 16;
 
 /// A set of numbers, which are also sealed into segments of `NUMBERS_PER_SEGMENT`.
@@ -70,7 +70,7 @@
 
 /// Decodes the numbers in a segment.
 fn numbers_in(segment: &[u8]) -> Vec<u64> {
-    let (numbers, _): (Vec<u64>, Vec<u8>) = bitcode::decode(segment).expect("a segment can be read");
+    let (numbers, _): (Vec<u64>, Vec<u8>) = bitcode::decode(segment).expect("the segment can be decoded");
     numbers
 }
 
@@ -78,7 +78,7 @@
     type Outcome = usize;
 
     fn apply(&mut self, command: &[u8]) -> usize {
-        let number: u64 = bitcode::decode(command).expect("a number was proposed");
+        let number: u64 = bitcode::decode(command).expect("the command is a number");
         self.applied.insert(number);
         self.unsealed.push(number);
         if self.unsealed.len() >= NUMBERS_PER_SEGMENT {
@@ -117,7 +117,7 @@
     fn restore(&mut self, bytes: &[u8], _level: FeatureLevel) {
         RESTORED.with(|restored| restored.set(restored.get() + 1));
         (self.applied, self.padding_bytes, self.unsealed, self.sealed) =
-            bitcode::decode(bytes).expect("a snapshot can be read");
+            bitcode::decode(bytes).expect("the snapshot can be decoded");
         self.unreleased.clear();
     }
 }
@@ -148,8 +148,8 @@
     next: u64,
 }
 
-fn address(place: u8) -> SocketAddr {
-    ([10, 0, 0, place], 7_000).into()
+fn address(index: u8) -> SocketAddr {
+    ([10, 0, 0, index], 7_000).into()
 }
 
 fn config() -> ReplicationConfig {
@@ -174,14 +174,14 @@
         Self { world, pool, machines: BTreeMap::new(), config: config(), acknowledged: Rc::default(), next: 0 }
     }
 
-    /// Starts the machine at `place`; with `founding`, as one of the three founders of the group.
-    fn start(&mut self, place: u8, founding: bool) {
-        let name = format!("machine-{place}");
-        let process = self.world.start_process(&name, place.into(), 0);
+    /// Starts the machine at `index`; with `founding`, as one of the three founders of the group.
+    fn start(&mut self, index: u8, founding: bool) {
+        let name = format!("machine-{index}");
+        let process = self.world.start_process(&name, index.into(), 0);
         let runtime = SimRuntime { world: self.world.clone(), process: process.clone() };
         let founders: Vec<SocketAddr> = (1..=3).map(address).collect();
         let options = ReplicaOptions {
-            address: address(place),
+            address: address(index),
             peers: founders.clone(),
             founders: if founding { founders } else { Vec::new() },
             secret: SECRET.to_string(),
@@ -192,23 +192,24 @@
         let task_runtime = runtime.clone();
         self.world.spawn(&process, async move {
             let listener = task_runtime.listen(options.address).await.expect("the address is free");
-            let replica =
-                Replica::open(task_runtime.clone(), options, Numbers::default()).await.expect("the disk is sound");
+            let replica = Replica::open(task_runtime.clone(), options, Numbers::default())
+                .await
+                .expect("the storage can be opened");
             replica.start();
             *started.borrow_mut() = Some(replica.clone());
             let handler = Rc::new(RequestHandler(replica));
             saddlerelay_rpc::server::serve(task_runtime, listener, SECRET.to_string(), handler).await;
         });
-        self.machines.insert(place, Machine { process, node });
+        self.machines.insert(index, Machine { process, node });
     }
 
-    fn kill(&mut self, place: u8, loses_disk: bool) {
-        if let Some(machine) = self.machines.remove(&place) {
+    fn kill(&mut self, index: u8, loses_disk: bool) {
+        if let Some(machine) = self.machines.remove(&index) {
             machine.process.kill();
-            let name = format!("machine-{place}");
+            let name = format!("machine-{index}");
             self.world.disks.crash(&name, || self.world.random());
             if loses_disk {
-                self.world.disks.lose(&name);
+                self.world.disks.wipe(&name);
             }
         }
     }
@@ -230,10 +231,10 @@
         self.nodes().into_iter().find(|node| node.leading_term().is_some())
     }
 
-    fn leader_place(&self) -> Option<u8> {
-        let leads =
+    fn leader_index(&self) -> Option<u8> {
+        let is_leader =
             |machine: &&Machine| machine.node.borrow().as_ref().is_some_and(|node| node.leading_term().is_some());
-        self.machines.iter().find(|(_, machine)| leads(machine)).map(|(place, _)| *place)
+        self.machines.iter().find(|(_, machine)| is_leader(machine)).map(|(index, _)| *index)
     }
 
     /// Proposes a number to the leader every 20 ms for `time`.
@@ -259,7 +260,7 @@
     fn await_leader(&mut self, limit: Duration, what: &str) {
         let until = self.world.clock.now() + limit;
         while self.leader().is_none() {
-            assert!(self.world.clock.now() < until, "no leader {what}");
+            assert!(self.world.clock.now() < until, "{what}: no leader");
             self.run_for(Duration::from_millis(10));
         }
     }
@@ -270,16 +271,16 @@
         replicas.into_iter().filter(|replica| replica.voter).map(|replica| replica.id).collect()
     }
 
-    fn id(&self, place: u8) -> Option<ReplicaId> {
-        self.machines.get(&place)?.node.borrow().as_ref().map(Node::id)
+    fn id(&self, index: u8) -> Option<ReplicaId> {
+        self.machines.get(&index)?.node.borrow().as_ref().map(Node::id)
     }
 
-    /// Waits until exactly the machines at `places` are voters; fails the test after `limit`.
-    fn await_voters(&mut self, places: &[u8], limit: Duration, what: &str) {
+    /// Waits until exactly the machines at `indexes` are voters; fails the test after `limit`.
+    fn await_voters(&mut self, indexes: &[u8], limit: Duration, what: &str) {
         let until = self.world.clock.now() + limit;
         loop {
-            let wanted: BTreeSet<ReplicaId> = places.iter().filter_map(|place| self.id(*place)).collect();
-            if wanted.len() == places.len() && self.voters() == wanted {
+            let wanted: BTreeSet<ReplicaId> = indexes.iter().filter_map(|index| self.id(*index)).collect();
+            if wanted.len() == indexes.len() && self.voters() == wanted {
                 return;
             }
             assert!(self.world.clock.now() < until, "{what}: voters {:?}, wanted {wanted:?}", self.voters());
@@ -291,13 +292,13 @@
     fn check(&mut self, what: &str) {
         self.await_leader(Duration::from_secs(5), what);
         let applied = self.leader().and_then(|leader| leader.read(|numbers| numbers.applied.clone()));
-        let applied = applied.expect("a leader reads");
+        let applied = applied.expect("the leader can serve reads");
         let lost_numbers: Vec<u64> = self.acknowledged.borrow().difference(&applied).copied().collect();
-        assert!(lost_numbers.is_empty(), "{what}: lost {lost_numbers:?}");
+        assert!(lost_numbers.is_empty(), "{what}: the leader has not applied {lost_numbers:?}");
         assert!(!self.acknowledged.borrow().is_empty(), "{what}: nothing was acknowledged");
         for node in self.nodes() {
-            let unread = self.numbers_not_in_segments(&node);
-            assert!(unread.is_empty(), "{what}: {unread:?} cannot be read at replica {}", node.id().0);
+            let unreadable = self.numbers_not_in_segments(&node);
+            assert!(unreadable.is_empty(), "{what}: {unreadable:?} cannot be read at replica {}", node.id().0);
         }
     }
 
@@ -324,7 +325,7 @@
         while read.borrow().is_none() {
             self.run_for(Duration::from_millis(5));
         }
-        for number in read.take().expect("it was read") {
+        for number in read.take().expect("the segments were read") {
             missing.remove(&number);
         }
         missing
@@ -336,12 +337,12 @@
 }
 
 fn formed_of(mut group: Group) -> Group {
-    for place in 1..=3 {
+    for index in 1..=3 {
         let pause = group.world.jitter(Duration::from_millis(300));
         group.run_for(pause);
-        group.start(place, true);
+        group.start(index, true);
     }
-    group.await_leader(Duration::from_secs(4), "after the first start");
+    group.await_leader(Duration::from_secs(4), "first start");
     group
 }
 
@@ -355,18 +356,18 @@
 fn founders_form_one_group_with_any_start_order_and_an_early_restart() {
     for_each_seed(|seed| {
         let mut group = Group::new(seed);
-        for place in 1..=3 {
+        for index in 1..=3 {
             let pause = group.world.jitter(Duration::from_millis(300));
             group.run_for(pause);
-            group.start(place, true);
+            group.start(index, true);
         }
         let pause = group.world.jitter(Duration::from_millis(900));
         group.propose_for(pause);
-        let place = 1 + (group.world.random() % 3) as u8;
-        group.kill(place, false);
+        let index = 1 + (group.world.random() % 3) as u8;
+        group.kill(index, false);
         group.propose_for(Duration::from_millis(400));
-        // It is started as a founder again.
-        group.start(place, true);
+        // The machine is started as a founder again.
+        group.start(index, true);
         group.propose_for(Duration::from_secs(2));
         group.await_voters(&[1, 2, 3], Duration::from_secs(4), "founders");
         group.check("founders");
@@ -374,20 +375,20 @@
 }
 
 #[test]
-fn a_machine_with_an_empty_disk_votes_again_and_then_another_may_lose_its_disk() {
+fn machines_that_lose_their_disks_in_turn_become_voters_again() {
     for_each_seed(|seed| {
         let mut group = formed(seed);
         group.propose_for(Duration::from_secs(1));
-        for place in [1, 2, 3] {
-            group.kill(place, true);
+        for index in [1, 2, 3] {
+            group.kill(index, true);
             group.propose_for(Duration::from_millis(1_200));
-            group.start(place, false);
+            group.start(index, false);
             let started_at = group.world.clock.now();
             group.propose_for(Duration::from_millis(500));
             group.await_voters(&[1, 2, 3], Duration::from_millis(4_000), "after a lost disk");
             assert!(group.world.clock.now() < started_at + Duration::from_millis(4_500));
         }
-        group.check("lost disks");
+        group.check("after lost disks");
     });
 }
 
@@ -400,19 +401,20 @@
             ReplicationConfig { snapshot_entries: 100_000, memory_bytes: 200, memory_bytes_behind: 400, ..config() };
         let mut group = formed_of(group);
         group.propose_for(Duration::from_millis(500));
-        let behind = (1..=3).find(|place| Some(*place) != group.leader_place()).unwrap_or(1);
-        group.kill(behind, false);
+        let lagging_index = (1..=3).find(|index| Some(*index) != group.leader_index()).unwrap_or(1);
+        group.kill(lagging_index, false);
         group.propose_for(Duration::from_millis(2_500));
-        let read_before = RESTORED.with(|restored| restored.get());
-        group.start(behind, false);
+        let restored_before = RESTORED.with(|restored| restored.get());
+        group.start(lagging_index, false);
         group.propose_for(Duration::from_millis(1_500));
-        group.await_voters(&[1, 2, 3], Duration::from_secs(2), "one that was far behind");
-        // The replica has caught up, and can be elected when another one ends.
-        let last = group.leader_place().filter(|place| *place != behind).unwrap_or(1 + behind % 3);
-        group.kill(last, false);
-        group.check("far behind");
-        let read = RESTORED.with(|restored| restored.get()) - read_before;
-        assert_eq!(read, 0, "no snapshot was needed");
+        group.await_voters(&[1, 2, 3], Duration::from_secs(2), "after a replica caught up");
+        // The replica has caught up, and can be elected when another one stops.
+        let stopped_index =
+            group.leader_index().filter(|index| *index != lagging_index).unwrap_or(1 + lagging_index % 3);
+        group.kill(stopped_index, false);
+        group.check("after a replica caught up");
+        let restored = RESTORED.with(|restored| restored.get()) - restored_before;
+        assert_eq!(restored, 0, "a snapshot was restored");
     });
 }
 
@@ -426,33 +428,33 @@
         group.start(4, false);
         let pause = group.world.jitter(Duration::from_millis(400));
         group.propose_for(pause);
-        let leader_place = group.leader_place().expect("there is a leader");
-        group.kill(leader_place, false);
+        let leader_index = group.leader_index().expect("there is a leader");
+        group.kill(leader_index, false);
         group.propose_for(Duration::from_secs(1));
-        group.start(leader_place, false);
+        group.start(leader_index, false);
         group.propose_for(Duration::from_secs(2));
-        group.check("segments");
+        group.check("after a segment transfer");
         assert_eq!(group.nodes().len(), 4);
     }
     SEGMENT_PADDING.with(|padding| padding.set(2_000));
 }
 
 #[test]
-fn a_replica_whose_disk_fills_up_while_it_receives_segments_votes_once_there_is_room() {
+fn a_replica_whose_disk_fills_up_while_it_receives_segments_becomes_a_voter() {
     for_each_seed(|seed| {
         let mut group = formed(seed);
         group.propose_for(Duration::from_secs(2));
-        let place = 1 + (seed % 3) as u8;
-        group.kill(place, true);
-        group.start(place, false);
+        let index = 1 + (seed % 3) as u8;
+        group.kill(index, true);
+        group.start(index, false);
         let pause = group.world.jitter(Duration::from_millis(900));
         group.propose_for(pause);
-        let name = format!("machine-{place}");
+        let name = format!("machine-{index}");
         group.world.disks.set_full(&name, true);
         group.propose_for(Duration::from_secs(1));
         group.world.disks.set_full(&name, false);
-        group.await_voters(&[1, 2, 3], Duration::from_secs(5), "after there was room");
-        group.check("full disk");
+        group.await_voters(&[1, 2, 3], Duration::from_secs(5), "after the disk had free space again");
+        group.check("after a full disk");
     });
 }
 
@@ -462,15 +464,15 @@
     for_each_seed(|seed| {
         let mut group = formed(seed);
         group.propose_for(Duration::from_secs(2));
-        let place = 1 + (seed % 3) as u8;
-        group.world.disks.damage(&format!("machine-{place}"), "segment-1");
-        let lost_place = 1 + ((seed + 1) % 3) as u8;
-        group.kill(lost_place, true);
-        group.start(lost_place, false);
+        let index = 1 + (seed % 3) as u8;
+        group.world.disks.corrupt(&format!("machine-{index}"), "segment-1");
+        let lost_index = 1 + ((seed + 1) % 3) as u8;
+        group.kill(lost_index, true);
+        group.start(lost_index, false);
         group.propose_for(Duration::from_secs(1));
-        group.await_voters(&[1, 2, 3], Duration::from_secs(5), "beside a damaged segment");
+        group.await_voters(&[1, 2, 3], Duration::from_secs(5), "with a corrupt segment");
         // Checks that every replica can read its segments.
-        group.check("damaged segment");
+        group.check("with a corrupt segment");
     });
 }
 
@@ -485,8 +487,8 @@
     // The first two segments expire while new ones are sealed.
     EXPIRED_SEGMENTS.with(|expired| expired.set(2));
     group.propose_for(Duration::from_secs(4));
-    for place in 1..=3 {
-        let files = group.world.disks.names(&format!("machine-{place}"));
+    for index in 1..=3 {
+        let files = group.world.disks.names(&format!("machine-{index}"));
         assert!(!files.contains(&"segment-0".to_string()) && !files.contains(&"segment-1".to_string()), "{files:?}");
         assert!(files.contains(&"segment-2".to_string()), "{files:?}");
     }
@@ -495,16 +497,16 @@
 
 /// Two of five voters are lost and one is replaced: the group then tolerates the loss of another.
 #[test]
-fn a_replacement_makes_up_for_one_loss_while_another_is_still_open() {
+fn the_replacement_of_one_of_two_lost_voters_restores_fault_tolerance() {
     for_each_seed(|seed| {
         let mut group = Group::new(seed);
         group.config.target_voters = 5;
         let mut group = formed_of(group);
-        (4..=5).for_each(|place| group.start(place, false));
+        (4..=5).for_each(|index| group.start(index, false));
         group.await_voters(&[1, 2, 3, 4, 5], Duration::from_secs(4), "five voters");
         group.propose_for(Duration::from_millis(500));
-        let leader_place = group.leader_place().expect("there is a leader");
-        let others: Vec<u8> = (1..=5).filter(|place| *place != leader_place).collect();
+        let leader_index = group.leader_index().expect("there is a leader");
+        let others: Vec<u8> = (1..=5).filter(|index| *index != leader_index).collect();
         group.kill(others[0], true);
         group.kill(others[1], true);
         group.start(7, false);
@@ -512,7 +514,7 @@
         group.kill(others[2], true);
         group.run_for(Duration::from_millis(1_000));
         group.propose_for(Duration::from_millis(500));
-        group.check("another loss");
+        group.check("after another loss");
     });
 }
 
@@ -524,63 +526,63 @@
         group.run_for(Duration::from_secs(1));
         let committed = |group: &Group| group.leader().and_then(|leader| leader.view()).map(|view| view.committed);
         let before = committed(&group).expect("there is a leader");
-        for place in 1..=3 {
-            group.world.disks.set_slow(&format!("machine-{place}"), Duration::from_millis(60));
+        for index in 1..=3 {
+            group.world.disks.set_slow(&format!("machine-{index}"), Duration::from_millis(60));
         }
-        (4..=24).for_each(|place| group.start(place, false));
+        (4..=24).for_each(|index| group.start(index, false));
         let first_number = group.next;
         group.propose_for(Duration::from_secs(1));
         group.run_for(Duration::from_millis(500));
         let numbers = group.next - first_number;
-        let written = committed(&group).expect("there is a leader") - before - numbers;
+        let added_entries = committed(&group).expect("there is a leader") - before - numbers;
         // The group adds one learner to its three voters.
-        assert_eq!(written, 1, "entries that changed the members, seed {seed}");
+        assert_eq!(added_entries, 1, "seed {seed}: log entries that changed the members");
     });
 }
 
 #[test]
-fn a_machine_that_is_gone_for_good_is_replaced_by_one_at_another_address() {
+fn a_permanently_lost_machine_is_replaced_by_one_at_another_address() {
     for_each_seed(|seed| {
         let mut group = formed(seed);
         group.propose_for(Duration::from_secs(1));
-        let lost_leader = group.leader_place().unwrap_or(1);
+        let lost_leader = group.leader_index().unwrap_or(1);
         group.kill(lost_leader, true);
         group.propose_for(Duration::from_secs(1));
         group.start(7, false);
         group.propose_for(Duration::from_millis(300));
-        let mut places: Vec<u8> = (1..=3).filter(|place| *place != lost_leader).collect();
-        places.push(7);
-        group.await_voters(&places, Duration::from_millis(4_300), "after a replacement");
+        let mut indexes: Vec<u8> = (1..=3).filter(|index| *index != lost_leader).collect();
+        indexes.push(7);
+        group.await_voters(&indexes, Duration::from_millis(4_300), "after a replacement");
         // Another voter is lost immediately.
-        let next = places[0];
+        let next = indexes[0];
         group.kill(next, true);
         group.propose_for(Duration::from_secs(1));
-        group.check("replaced");
+        group.check("after a replacement");
     });
 }
 
 #[test]
-fn a_removed_member_that_comes_back_joins_again() {
+fn a_removed_member_joins_again_after_it_resumes() {
     for_each_seed(|seed| {
         let mut group = formed(seed);
         group.start(4, false);
         group.propose_for(Duration::from_secs(2));
-        let away = (1..=3).find(|place| Some(*place) != group.leader_place()).unwrap_or(1);
-        group.machines[&away].process.freeze();
-        // The learner replaces it.
+        let removed_index = (1..=3).find(|index| Some(*index) != group.leader_index()).unwrap_or(1);
+        group.machines[&removed_index].process.freeze();
+        // The learner replaces the frozen voter.
         group.propose_for(Duration::from_secs(4));
-        let mut places: Vec<u8> = (1..=4).filter(|place| *place != away).collect();
-        group.await_voters(&places, Duration::from_secs(3), "the spare");
-        group.machines[&away].process.thaw();
+        let mut indexes: Vec<u8> = (1..=4).filter(|index| *index != removed_index).collect();
+        group.await_voters(&indexes, Duration::from_secs(3), "after the learner replaced the frozen voter");
+        group.machines[&removed_index].process.thaw();
         group.propose_for(Duration::from_secs(3));
-        // It must be able to replace the next lost voter.
-        let lost_place = places.iter().copied().find(|place| Some(*place) != group.leader_place()).unwrap_or(4);
-        group.kill(lost_place, true);
+        // The returned machine must be able to replace the next lost voter.
+        let lost_index = indexes.iter().copied().find(|index| Some(*index) != group.leader_index()).unwrap_or(4);
+        group.kill(lost_index, true);
         group.propose_for(Duration::from_secs(4));
-        places.retain(|place| *place != lost_place);
-        places.push(away);
-        group.await_voters(&places, Duration::from_secs(4), "the one that came back");
-        group.check("came back");
+        indexes.retain(|index| *index != lost_index);
+        indexes.push(removed_index);
+        group.await_voters(&indexes, Duration::from_secs(4), "after the removed member joined again");
+        group.check("after the removed member joined again");
     });
 }
 
@@ -589,8 +591,8 @@
     for_each_seed(|seed| {
         let mut group = formed(seed);
         group.propose_for(Duration::from_secs(1));
-        let unwanted_place = 1 + (seed % 3) as u8;
-        let unwanted = group.id(unwanted_place).expect("it runs");
+        let unwanted_index = 1 + (seed % 3) as u8;
+        let unwanted = group.id(unwanted_index).expect("the replica is running");
         let mark_unwanted = |group: &Group| {
             for node in group.nodes() {
                 node.set_excluded_replicas([unwanted].into());
@@ -598,13 +600,13 @@
         };
         mark_unwanted(&group);
         group.propose_for(Duration::from_secs(1));
-        assert!(group.voters().contains(&unwanted), "there is no replacement yet");
+        assert!(group.voters().contains(&unwanted), "the unwanted replica was removed before it was replaced");
         group.start(5, false);
         for _ in 0..60 {
             mark_unwanted(&group);
             let leader = group.leader();
             if let Some(leader) = leader.filter(|leader| leader.id() == unwanted && leader.can_leave()) {
-                let process = group.machines[&unwanted_place].process.clone();
+                let process = group.machines[&unwanted_index].process.clone();
                 group.world.spawn(&process, async move {
                     leader.transfer_leadership().await;
                 });
@@ -619,11 +621,11 @@
             "the unwanted replica was not replaced"
         );
         // The machine is removed, and another loses its disk immediately.
-        group.kill(unwanted_place, true);
-        let other = (1..=3).find(|place| *place != unwanted_place).unwrap_or(1);
+        group.kill(unwanted_index, true);
+        let other = (1..=3).find(|index| *index != unwanted_index).unwrap_or(1);
         group.kill(other, true);
         group.propose_for(Duration::from_secs(1));
-        group.check("left");
+        group.check("after the unwanted replica left");
     });
 }
 
@@ -634,77 +636,77 @@
         for _ in 0..3 {
             let pause = group.world.jitter(Duration::from_millis(1_500));
             group.propose_for(pause);
-            for place in 1..=3 {
-                group.kill(place, false);
+            for index in 1..=3 {
+                group.kill(index, false);
             }
-            for place in 1..=3 {
-                group.start(place, false);
+            for index in 1..=3 {
+                group.start(index, false);
             }
-            group.await_leader(Duration::from_secs(4), "after the power was lost");
+            group.await_leader(Duration::from_secs(4), "after a power loss");
         }
         group.propose_for(Duration::from_millis(200));
-        group.check("power");
+        group.check("after power losses");
     });
 }
 
 /// After a power loss the preferred replica is elected, unless the others start after its vote requests.
 #[test]
 fn the_preferred_replica_is_usually_elected_again() {
-    let leads_again = |seed: u64| {
+    let is_reelected = |seed: u64| {
         PREFERRED.with(|preferred| preferred.set(None));
         let mut group = formed(seed);
         group.propose_for(Duration::from_millis(300));
         group.run_for(Duration::from_millis(500));
-        let place = 1 + (seed % 3) as u8;
-        let preferred = group.id(place);
+        let index = 1 + (seed % 3) as u8;
+        let preferred = group.id(index);
         PREFERRED.with(|cell| cell.set(preferred));
-        for place in 1..=3 {
-            group.kill(place, false);
+        for index in 1..=3 {
+            group.kill(index, false);
         }
-        for place in 1..=3 {
-            group.start(place, false);
+        for index in 1..=3 {
+            group.start(index, false);
         }
-        group.await_leader(Duration::from_secs(4), "after the power was lost");
+        group.await_leader(Duration::from_secs(4), "after a power loss");
         PREFERRED.with(|cell| cell.set(None));
         group.leader().map(|leader| leader.id()) == preferred
     };
-    let count = SEEDS.filter(|seed| leads_again(*seed)).count();
-    assert!(count >= 30, "{count} of {} seeds", SEEDS.count());
+    let count = SEEDS.filter(|seed| is_reelected(*seed)).count();
+    assert!(count >= 30, "the replica was elected with {count} of {} seeds", SEEDS.count());
 }
 
 /// After a power loss the previous leader is usually elected again.
 #[test]
 fn the_previous_leader_is_usually_elected_again() {
-    let leads_again = |seed: u64| {
+    let is_reelected = |seed: u64| {
         let mut group = formed(seed);
         group.propose_for(Duration::from_millis(300));
         let leader_id = group.leader().map(|leader| leader.id());
-        for place in 1..=3 {
-            group.kill(place, false);
+        for index in 1..=3 {
+            group.kill(index, false);
         }
-        for place in 1..=3 {
-            group.start(place, false);
+        for index in 1..=3 {
+            group.start(index, false);
         }
-        group.await_leader(Duration::from_secs(4), "after the power was lost");
+        group.await_leader(Duration::from_secs(4), "after a power loss");
         leader_id.is_some() && group.leader().map(|leader| leader.id()) == leader_id
     };
-    let count = SEEDS.filter(|seed| leads_again(*seed)).count();
-    assert!(count >= 34, "{count} of {} seeds", SEEDS.count());
+    let count = SEEDS.filter(|seed| is_reelected(*seed)).count();
+    assert!(count >= 34, "the replica was elected with {count} of {} seeds", SEEDS.count());
 }
 
 /// Replicas that start simultaneously must not repeat split votes.
 #[test]
-fn two_machines_that_start_together_soon_have_a_leader() {
+fn two_machines_that_start_simultaneously_elect_a_leader_in_time() {
     for_each_seed(|seed| {
         let mut group = formed(seed);
         group.propose_for(Duration::from_millis(300));
         group.run_for(Duration::from_millis(300));
-        for place in 1..=3 {
-            group.kill(place, false);
+        for index in 1..=3 {
+            group.kill(index, false);
         }
         group.start(1, false);
         group.start(2, false);
-        group.await_leader(Duration::from_millis(1_550), &format!("of two, seed {seed}"));
+        group.await_leader(Duration::from_millis(1_550), &format!("seed {seed}, two of three machines"));
     });
 }
 
@@ -715,12 +717,12 @@
     for seed in 0..MANY_SEEDS {
         let mut group = formed(seed);
         group.propose_for(Duration::from_millis(200));
-        let frozen = group.leader_place().expect("there is a leader");
+        let frozen = group.leader_index().expect("there is a leader");
         group.machines[&frozen].process.freeze();
         let frozen_at = group.world.clock.now();
         let mut others: Vec<Node> = Vec::new();
-        for (place, machine) in &group.machines {
-            if *place != frozen {
+        for (index, machine) in &group.machines {
+            if *index != frozen {
                 others.extend(machine.node.borrow().clone());
             }
         }
@@ -729,8 +731,8 @@
         }
         waits.push(group.world.clock.now() - frozen_at);
     }
-    let longest = waits.iter().max().expect("there are seeds");
-    assert!(*longest < ELECTION_LIMIT, "the longest took {longest:?}");
+    let longest = waits.iter().max().expect("there are results");
+    assert!(*longest < ELECTION_LIMIT, "the longest election took {longest:?}");
 }
 
 #[test]
@@ -748,18 +750,23 @@
             result.map(|(_, recovered)| recovered.identity.id).map_err(|error| error.to_string())
         };
         let first = open().await;
-        let own_format = disk.read(FORMAT_FILE).await.expect("a sound disk").expect("a format");
+        let own_format =
+            disk.read(FORMAT_FILE).await.expect("the disk can be accessed").expect("there is a format file");
         let unknown = wal::frame(&bitcode::encode(&2_u32));
-        disk.replace(FORMAT_FILE, unknown.clone()).await.expect("a sound disk");
-        let refused = open().await;
-        assert_eq!(disk.read(FORMAT_FILE).await.expect("a sound disk"), Some(unknown), "rejected files are unchanged");
-        disk.replace(FORMAT_FILE, own_format).await.expect("a sound disk");
+        disk.replace(FORMAT_FILE, unknown.clone()).await.expect("the disk can be accessed");
+        let rejected = open().await;
+        assert_eq!(
+            disk.read(FORMAT_FILE).await.expect("the disk can be accessed"),
+            Some(unknown),
+            "the rejected file was changed"
+        );
+        disk.replace(FORMAT_FILE, own_format).await.expect("the disk can be accessed");
         let again = open().await;
-        results.borrow_mut().extend([first, refused, again]);
+        results.borrow_mut().extend([first, rejected, again]);
     });
     world.run(&mut pool, Duration::from_secs(1), || opened.borrow().len() == 3);
-    let refused = "the files are in format 2, this build reads 4, 9 and 10; keep the data folder and start the build that wrote \
+    let error = "the files are in format 2, this build reads 4, 9 and 10; keep the data folder and start the build that wrote \
                    it, or one that reads it";
-    let expected = [Ok(ReplicaId(7)), Err(refused.to_string()), Ok(ReplicaId(7))];
+    let expected = [Ok(ReplicaId(7)), Err(error.to_string()), Ok(ReplicaId(7))];
     assert_eq!(*opened.borrow(), expected);
 }
