--- a/crates/simulator/tests/power_loss.rs
+++ b/crates/simulator/tests/power_loss.rs
@@ -10,7 +10,7 @@
 /// Maximum number of disk operations before the power loss: those of several appends and a snapshot with its segments.
 const STEPS: u64 = 48;
 
-/// Time limit for a disk to make that many operations.
+/// Time limit for a disk to make `STEPS` operations.
 const STEPS_LIMIT: Duration = Duration::from_secs(2);
 
 /// Time limit for the remaining replicas to elect a leader.
@@ -25,23 +25,23 @@
     }
 }
 
-/// Selects two of `places` by `choice`; also returns the others.
-fn choose_two(places: &[u8], choice: u64) -> (Vec<u8>, Vec<u8>) {
-    let mut others = places.to_vec();
+/// Selects two of `indexes` by `choice`; also returns the others.
+fn choose_two(indexes: &[u8], choice: u64) -> (Vec<u8>, Vec<u8>) {
+    let mut others = indexes.to_vec();
     let first = others.remove(choice as usize % others.len());
     let second = others.remove(choice as usize / 7 % others.len());
     (vec![first, second], others)
 }
 
-/// All machines lose power, and those at `lost` their disks. Those at `left` must elect a leader with all acknowledged
-/// entries; then those at `lost` start with empty disks and must become voters.
-fn lose_power(group: &mut Group, lost: &[u8], left: &[u8], what: &str) {
-    lost.iter().for_each(|place| group.lose_disk(*place));
-    left.iter().for_each(|place| group.power_off(*place));
-    left.iter().for_each(|place| group.start(*place, false));
+/// All machines lose power, and those at the indexes `lost` also their disks. Those at `survivors` must elect a leader
+/// with all acknowledged entries; then those at `lost` start with empty disks and must become voters.
+fn lose_power(group: &mut Group, lost: &[u8], survivors: &[u8], what: &str) {
+    lost.iter().for_each(|index| group.lose_disk(*index));
+    survivors.iter().for_each(|index| group.power_off(*index));
+    survivors.iter().for_each(|index| group.start(*index, false));
     group.await_leader(ELECTION_LIMIT, what);
     group.check(what);
-    lost.iter().for_each(|place| group.start(*place, false));
+    lost.iter().for_each(|index| group.start(*index, false));
     group.await_voters(5, REJOIN_LIMIT, what);
     group.check(what);
 }
@@ -56,9 +56,9 @@
         group.world.disks.halt_after(&name(watched), step);
         let disks = group.world.clone();
         let halted = group.propose_until(STEPS_LIMIT, move || disks.disks.is_halted(&name(watched)));
-        assert!(halted, "{what}: the disk is not used");
-        let (lost, left) = choose_two(&[1, 2, 3, 4, 5], group.world.random());
-        lose_power(&mut group, &lost, &left, &what);
+        assert!(halted, "{what}: the disk made too few operations");
+        let (lost, survivors) = choose_two(&[1, 2, 3, 4, 5], group.world.random());
+        lose_power(&mut group, &lost, &survivors, &what);
     });
 }
 
@@ -72,31 +72,31 @@
         group.config.memory_bytes = 1_000_000;
         let mut group = group.form();
         let down = group.followers()[0];
-        assert!(down <= 3, "seed {seed}: a founder");
+        assert!(down <= 3, "seed {seed}: the stopped follower is not a founder");
         group.power_off(down);
         group.propose_for(Duration::from_millis(40));
-        let lost: Vec<u8> = (1..=3).filter(|place| *place != down).collect();
+        let lost: Vec<u8> = (1..=3).filter(|index| *index != down).collect();
         lose_power(&mut group, &lost, &[down, 4, 5], &format!("seed {seed}"));
     }
 }
 
 /// Power loss at any disk operation of a voter that restarts and installs a snapshot, with the loss of two other disks.
 #[test]
-fn two_disks_lost_while_a_voter_that_was_away_installs_a_snapshot() {
+fn two_disks_lost_while_a_restarted_voter_installs_a_snapshot() {
     for_each_step(0..4, STEPS, |seed, step| {
         let what = format!("seed {seed}, step {step}");
         let mut group = Group::formed(seed * STEPS + step);
-        let away = 1 + (group.world.random() % 5) as u8;
-        group.power_off(away);
+        let stopped = 1 + (group.world.random() % 5) as u8;
+        group.power_off(stopped);
         group.propose_for(Duration::from_millis(1_200));
-        group.world.disks.halt_after(&name(away), step);
-        group.start(away, false);
+        group.world.disks.halt_after(&name(stopped), step);
+        group.start(stopped, false);
         let disks = group.world.clone();
-        group.propose_until(STEPS_LIMIT, move || disks.disks.is_halted(&name(away)));
-        let others: Vec<u8> = (1..=5).filter(|place| *place != away).collect();
-        let (lost, mut left) = choose_two(&others, group.world.random());
-        left.push(away);
-        lose_power(&mut group, &lost, &left, &what);
+        group.propose_until(STEPS_LIMIT, move || disks.disks.is_halted(&name(stopped)));
+        let others: Vec<u8> = (1..=5).filter(|index| *index != stopped).collect();
+        let (lost, mut survivors) = choose_two(&others, group.world.random());
+        survivors.push(stopped);
+        lose_power(&mut group, &lost, &survivors, &what);
     });
 }
 
@@ -114,10 +114,10 @@
         group.start(empty, false);
         let disks = group.world.clone();
         group.propose_until(STEPS_LIMIT, move || disks.disks.is_halted(&name(empty)));
-        let others: Vec<u8> = (1..=5).filter(|place| *place != empty).collect();
-        let (lost, mut left) = choose_two(&others, group.world.random());
-        left.extend([empty, lost[1]]);
-        lose_power(&mut group, &lost[..1], &left, &what);
+        let others: Vec<u8> = (1..=5).filter(|index| *index != empty).collect();
+        let (lost, mut survivors) = choose_two(&others, group.world.random());
+        survivors.extend([empty, lost[1]]);
+        lose_power(&mut group, &lost[..1], &survivors, &what);
     });
 }
 
@@ -134,10 +134,10 @@
         group.config.target_voters = 3;
         let founder = 1 + (seed % 3) as u8;
         group.world.disks.halt_after(&name(founder), step);
-        (1..=3).for_each(|place| group.start(place, true));
+        (1..=3).for_each(|index| group.start(index, true));
         let disks = group.world.clone();
         let halted = group.run_until(STEPS_LIMIT, move || disks.disks.is_halted(&name(founder)));
-        assert!(halted, "{what}: the disk is not used");
+        assert!(halted, "{what}: the disk made too few operations");
         group.power_off(founder);
         group.start(founder, false);
         group.await_leader(ELECTION_LIMIT, &what);
@@ -149,18 +149,18 @@
 
 /// All founders lose power at any disk operation of the first start of one of them, and restart as founders.
 #[test]
-fn founders_that_all_lose_power_at_their_first_start_form_their_group_at_the_next() {
+fn founders_that_all_lose_power_at_their_first_start_form_the_group_at_the_second() {
     for_each_step(0..10, FOUNDING_STEPS, |seed, step| {
         let what = format!("seed {seed}, step {step}");
         let mut group = Group::new(seed * FOUNDING_STEPS + step);
         group.config.target_voters = 3;
         let founder = 1 + (seed % 3) as u8;
         group.world.disks.halt_after(&name(founder), step);
-        (1..=3).for_each(|place| group.start(place, true));
+        (1..=3).for_each(|index| group.start(index, true));
         let disks = group.world.clone();
         group.run_until(STEPS_LIMIT, move || disks.disks.is_halted(&name(founder)));
-        (1..=3).for_each(|place| group.power_off(place));
-        (1..=3).for_each(|place| group.start(place, true));
+        (1..=3).for_each(|index| group.power_off(index));
+        (1..=3).for_each(|index| group.start(index, true));
         group.await_voters(3, ELECTION_LIMIT, &what);
         group.propose_for(Duration::from_millis(100));
         group.check(&what);
@@ -168,9 +168,9 @@
 }
 
 /// Whether a founder's log contains its first entry after a power loss.
-fn holds_founding_entry(group: &Group, place: u8) -> bool {
-    let bytes = group.world.disks.content(&name(place), "wal").unwrap_or_default();
-    let content = wal::read(&bytes).expect("a loss of power leaves a log that can be read");
+fn has_first_entry(group: &Group, index: u8) -> bool {
+    let bytes = group.world.disks.content(&name(index), "wal").unwrap_or_default();
+    let content = wal::read(&bytes).expect("the log is readable after a power loss");
     content.records.iter().any(|record| matches!(record, WalRecord::Entry(_)))
 }
 
@@ -183,19 +183,19 @@
         let what = format!("seed {seed}, step {step}");
         let mut group = Group::new(seed * FOUNDING_STEPS + step);
         group.config.target_voters = 3;
-        (1..=3).for_each(|place| group.world.disks.halt_after(&name(place), step));
-        (1..=3).for_each(|place| group.start(place, true));
+        (1..=3).for_each(|index| group.world.disks.halt_after(&name(index), step));
+        (1..=3).for_each(|index| group.start(index, true));
         group.run_for(Duration::from_millis(20));
-        (1..=3).for_each(|place| group.power_off(place));
-        let founders = (1..=3).filter(|place| holds_founding_entry(&group, *place)).count();
-        (1..=3).for_each(|place| group.start(place, false));
+        (1..=3).for_each(|index| group.power_off(index));
+        let founders = (1..=3).filter(|index| has_first_entry(&group, *index)).count();
+        (1..=3).for_each(|index| group.start(index, false));
         if founders >= 2 {
             formed += 1;
             group.await_leader(ELECTION_LIMIT, &what);
             group.check(&what);
         }
     });
-    assert!(formed > 20, "{formed} runs with a group");
+    assert!(formed > 20, "the group formed in only {formed} runs");
 }
 
 /// Two followers are killed with a written but unsynced entry and restart: entries that they then acknowledge must
@@ -207,20 +207,20 @@
         let mut group = Group::formed(seed * STEPS + step);
         group.propose_for(Duration::from_millis(200));
         let (down, up) = choose_two(&group.followers(), group.world.random());
-        let led = group.leader_place().expect("there is a leader");
-        down.iter().for_each(|place| group.power_off(*place));
-        up.iter().for_each(|place| group.world.disks.halt_after(&name(*place), step));
+        let leader = group.leader_index().expect("there is a leader");
+        down.iter().for_each(|index| group.power_off(*index));
+        up.iter().for_each(|index| group.world.disks.halt_after(&name(*index), step));
         let disks = group.world.clone();
-        let watched: Vec<String> = up.iter().map(|place| name(*place)).collect();
+        let watched: Vec<String> = up.iter().map(|index| name(*index)).collect();
         group.propose_until(STEPS_LIMIT, move || watched.iter().all(|name| disks.disks.is_halted(name)));
-        up.iter().for_each(|place| group.kill(*place));
-        up.iter().for_each(|place| group.start(*place, false));
+        up.iter().for_each(|index| group.kill(*index));
+        up.iter().for_each(|index| group.start(*index, false));
         // The leader keeps its term and resends unacknowledged entries.
-        let known = group.acknowledged.borrow().len();
+        let acknowledged_before = group.acknowledged.borrow().len();
         let acknowledged = group.acknowledged.clone();
-        group.run_until(Duration::from_secs(1), move || acknowledged.borrow().len() > known);
-        let left: Vec<u8> = (1..=5).filter(|place| *place != led).collect();
-        lose_power(&mut group, &[led], &left, &what);
+        group.run_until(Duration::from_secs(1), move || acknowledged.borrow().len() > acknowledged_before);
+        let survivors: Vec<u8> = (1..=5).filter(|index| *index != leader).collect();
+        lose_power(&mut group, &[leader], &survivors, &what);
     });
 }
 
@@ -237,21 +237,21 @@
         let mut group = Group::formed(seed);
         group.propose_for(Duration::from_millis(200));
         let (down, up) = choose_two(&group.followers(), group.world.random());
-        let led = group.leader_place().expect("there is a leader");
-        down.iter().for_each(|place| group.power_off(*place));
+        let leader = group.leader_index().expect("there is a leader");
+        down.iter().for_each(|index| group.power_off(*index));
         let killed = up[0];
         let disks = group.world.clone();
-        let cuts_log = move || disks.disks.names(&name(killed)).contains(&"wal.new".to_string());
-        assert!(group.propose_until(STEPS_LIMIT, cuts_log), "{what}: the log was never compacted");
+        let is_compacting = move || disks.disks.names(&name(killed)).contains(&"wal.new".to_string());
+        assert!(group.propose_until(STEPS_LIMIT, is_compacting), "{what}: the log was never compacted");
         group.world.disks.halt_after(&name(killed), STEPS_TO_RENAME);
         let disks = group.world.clone();
         group.run_until(STEPS_LIMIT, move || disks.disks.is_halted(&name(killed)));
         group.kill(killed);
         group.start(killed, false);
-        let known = group.acknowledged.borrow().len();
+        let acknowledged_before = group.acknowledged.borrow().len();
         let acknowledged = group.acknowledged.clone();
-        group.propose_until(Duration::from_secs(1), move || acknowledged.borrow().len() > known + 3);
-        lose_power(&mut group, &[led, up[1]], &[down[0], down[1], killed], &what);
+        group.propose_until(Duration::from_secs(1), move || acknowledged.borrow().len() > acknowledged_before + 3);
+        lose_power(&mut group, &[leader, up[1]], &[down[0], down[1], killed], &what);
     }
 }
 
--- a/crates/simulator/tests/suspicion_ways.rs
+++ b/crates/simulator/tests/quarantine_policies.rs
@@ -43,31 +43,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Policy {
     /// No quarantine.
-    Nothing,
+    NoQuarantine,
     /// Quarantine after three crashed engines.
-    Counting,
+    ThreeCrashes,
     /// Quarantine after three crashed engines, with a pause before the third attempt.
-    CountingWithPause,
+    ThreeCrashesWithPause,
     /// Quarantine after two crashed engines.
-    TwoEngines,
-    /// As `CountingWithPause`, and a request that has crashed an engine needs a trial lease: the implemented policy.
-    OneAtATime,
-    /// As `OneAtATime`, and suspected work is not sent to the last running engine.
-    OneAtATimeNotAtTheLast,
-    /// As `CountingWithPause`, and suspected work is not sent to the last running engine.
-    NotAtTheLast,
+    TwoCrashes,
+    /// As `ThreeCrashesWithPause`, and a request that has crashed an engine needs a trial lease: the implemented policy.
+    TrialLease,
+    /// As `TrialLease`, and suspected work is not sent to the last running engine.
+    TrialLeaseExceptLastEngine,
+    /// As `ThreeCrashesWithPause`, and suspected work is not sent to the last running engine.
+    ExceptLastEngine,
 }
 
 impl Policy {
     fn allows(self, suspicions: &Suspicions, work: &WorkDigest, now: Duration) -> bool {
         let verdict = |pause| suspicions.verdict(work, now, pause) == Verdict::Send;
         match self {
-            Self::Nothing => true,
-            Self::Counting => verdict(Duration::ZERO),
-            Self::CountingWithPause | Self::OneAtATime | Self::OneAtATimeNotAtTheLast | Self::NotAtTheLast => {
-                verdict(DEFAULT_LAST_TRIAL_PAUSE)
-            }
-            Self::TwoEngines => suspicions.engines_ended(work) < 2,
+            Self::NoQuarantine => true,
+            Self::ThreeCrashes => verdict(Duration::ZERO),
+            Self::ThreeCrashesWithPause
+            | Self::TrialLease
+            | Self::TrialLeaseExceptLastEngine
+            | Self::ExceptLastEngine => verdict(DEFAULT_LAST_TRIAL_PAUSE),
+            Self::TwoCrashes => suspicions.engines_ended(work) < 2,
         }
     }
 }
@@ -117,14 +118,14 @@
 #[derive(Debug, Default)]
 struct Outcome {
     harmless: usize,
-    /// Harmless requests whose last attempt was rejected because they were suspected.
-    refused_as_suspects: usize,
-    /// Harmless requests whose last attempt failed with its engine or found no engine.
+    /// Number of harmless requests whose last attempt was rejected because they were suspected.
+    rejected_as_suspects: usize,
+    /// Number of harmless requests whose last attempt failed with its engine or found no engine.
     failed: usize,
     /// Number of engines crashed by each crashing request.
     crashed_by: BTreeMap<u32, usize>,
     /// Total time without a running engine.
-    none_up: Duration,
+    time_without_engines: Duration,
 }
 
 struct Model {
@@ -201,15 +202,15 @@
                 break;
             }
             if self.engines.iter().all(|engine| !engine.is_up) {
-                self.outcome.none_up += at - self.now;
+                self.outcome.time_without_engines += at - self.now;
             }
             self.now = at;
-            self.take(event);
+            self.handle(event);
         }
         self.outcome
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(attempt) => {
                 self.outcome.harmless += usize::from(!attempt.crashing && attempt.number == 0);
@@ -242,12 +243,12 @@
         let relay = &self.relays[attempt.relay];
         let work = digest(attempt.work);
         let suspected = relay.engines_ended(&work) > 0;
-        let spares_last = matches!(self.policy, Policy::NotAtTheLast | Policy::OneAtATimeNotAtTheLast);
-        if suspected && spares_last && up.len() == 1 {
+        let protects_last_engine = matches!(self.policy, Policy::ExceptLastEngine | Policy::TrialLeaseExceptLastEngine);
+        if suspected && protects_last_engine && up.len() == 1 {
             return self.fail_attempt(attempt, true);
         }
-        let takes_trials = matches!(self.policy, Policy::OneAtATime | Policy::OneAtATimeNotAtTheLast);
-        if suspected && takes_trials && attempt.trial.is_none() {
+        let requires_trial_lease = matches!(self.policy, Policy::TrialLease | Policy::TrialLeaseExceptLastEngine);
+        if suspected && requires_trial_lease && attempt.trial.is_none() {
             return self.after(COMMIT_TIME, Event::RequestTrial(attempt));
         }
         attempt.attempts += 1;
@@ -288,7 +289,7 @@
                 .after(CLIENT_PAUSE, Event::Arrive(Attempt { relay, number: 1, attempts: 0, trial: None, ..attempt }));
         }
         if !attempt.crashing {
-            self.outcome.refused_as_suspects += usize::from(suspected);
+            self.outcome.rejected_as_suspects += usize::from(suspected);
             self.outcome.failed += usize::from(!suspected);
         }
     }
@@ -297,10 +298,10 @@
         if self.engines[engine].start != start || !self.engines[engine].is_up {
             return;
         }
-        let attempt = self.engines[engine].running.remove(&run).expect("it runs there");
+        let attempt = self.engines[engine].running.remove(&run).expect("the engine runs the attempt");
         self.end_trial(&attempt);
         if self.relays[attempt.relay].record_served(&digest(attempt.work)) {
-            self.hand_over(attempt.relay);
+            self.report_evidence(attempt.relay);
         }
     }
 
@@ -317,7 +318,7 @@
         for attempt in lost.into_values() {
             let loss = EngineLoss { work: digest(attempt.work), instance: instance.clone() };
             self.relays[attempt.relay].record_loss(loss, self.now);
-            self.hand_over(attempt.relay);
+            self.report_evidence(attempt.relay);
             // The relay retries after the group has committed the evidence.
             self.after(COMMIT_TIME + NOTIFICATION_TIME + Duration::from_millis(1), Event::Send(attempt));
         }
@@ -332,7 +333,7 @@
         self.after(pause, Event::Crash { engine, start });
     }
 
-    fn hand_over(&mut self, relay: usize) {
+    fn report_evidence(&mut self, relay: usize) {
         let evidence = self.relays[relay].evidence().clone();
         self.relays[relay].remove_committed(&evidence);
         self.after(COMMIT_TIME, Event::Commit(evidence));
@@ -342,52 +343,63 @@
 /// Results of one policy over all seeds.
 struct PolicyResult {
     harmless: usize,
-    refused_as_suspects: usize,
+    rejected_as_suspects: usize,
     failed: usize,
     /// Mean number of engines crashed by one crashing request; `most_crashed` is the maximum.
     mean_crashed: f64,
     most_crashed: usize,
-    none_up: Duration,
+    time_without_engines: Duration,
 }
 
 fn measure(policy: Policy, relays: usize, engines: usize) -> PolicyResult {
     let outcomes: Vec<Outcome> =
         SEEDS.map(|seed| Model::new(policy, relays, engines, seed).run(CRASHING_REQUESTS)).collect();
     let sum = |of: fn(&Outcome) -> usize| outcomes.iter().map(of).sum::<usize>();
-    let ended: Vec<usize> = outcomes.iter().flat_map(|outcome| outcome.crashed_by.values().copied()).collect();
+    let crashes: Vec<usize> = outcomes.iter().flat_map(|outcome| outcome.crashed_by.values().copied()).collect();
     PolicyResult {
         harmless: sum(|outcome| outcome.harmless),
-        refused_as_suspects: sum(|outcome| outcome.refused_as_suspects),
+        rejected_as_suspects: sum(|outcome| outcome.rejected_as_suspects),
         failed: sum(|outcome| outcome.failed),
-        mean_crashed: ended.iter().sum::<usize>() as f64 / ended.len().max(1) as f64,
-        most_crashed: ended.into_iter().max().unwrap_or(0),
-        none_up: outcomes.iter().map(|outcome| outcome.none_up).sum(),
+        mean_crashed: crashes.iter().sum::<usize>() as f64 / crashes.len().max(1) as f64,
+        most_crashed: crashes.into_iter().max().unwrap_or(0),
+        time_without_engines: outcomes.iter().map(|outcome| outcome.time_without_engines).sum(),
     }
 }
 
 #[test]
-fn the_implemented_policy_limits_crashes_and_refuses_few_harmless_requests() {
-    println!("way, relays, engines: innocent, refused as suspects, failed, engines ended (mean, most), none up");
+fn the_implemented_policy_limits_crashes_and_rejects_few_harmless_requests() {
+    println!(
+        "policy, relays, engines: harmless, rejected as suspects, failed, engines crashed (mean, maximum), no engine up"
+    );
     for (relays, engines) in [(3, 3), (7, 9), (67, 30)] {
         for policy in [
-            Policy::Nothing,
-            Policy::Counting,
-            Policy::CountingWithPause,
-            Policy::TwoEngines,
-            Policy::NotAtTheLast,
-            Policy::OneAtATimeNotAtTheLast,
-            Policy::OneAtATime,
+            Policy::NoQuarantine,
+            Policy::ThreeCrashes,
+            Policy::ThreeCrashesWithPause,
+            Policy::TwoCrashes,
+            Policy::ExceptLastEngine,
+            Policy::TrialLeaseExceptLastEngine,
+            Policy::TrialLease,
         ] {
-            let PolicyResult { harmless, refused_as_suspects, failed, mean_crashed, most_crashed, none_up } =
-                measure(policy, relays, engines);
+            let PolicyResult {
+                harmless,
+                rejected_as_suspects,
+                failed,
+                mean_crashed,
+                most_crashed,
+                time_without_engines,
+            } = measure(policy, relays, engines);
             println!(
-                "{policy:?}, {relays}, {engines}: {harmless}, {refused_as_suspects}, {failed}, {mean_crashed:.2}, {most_crashed}, \
+                "{policy:?}, {relays}, {engines}: {harmless}, {rejected_as_suspects}, {failed}, {mean_crashed:.2}, {most_crashed}, \
                  {:.1} s",
-                none_up.as_secs_f64()
+                time_without_engines.as_secs_f64()
             );
-            if matches!(policy, Policy::CountingWithPause | Policy::OneAtATime) {
-                assert!(refused_as_suspects * 10_000 < harmless, "{refused_as_suspects} of {harmless} refused");
-                assert!(most_crashed <= 4, "one kind of work ended {most_crashed} engines");
+            if matches!(policy, Policy::ThreeCrashesWithPause | Policy::TrialLease) {
+                assert!(
+                    rejected_as_suspects * 10_000 < harmless,
+                    "{rejected_as_suspects} of {harmless} harmless requests were rejected"
+                );
+                assert!(most_crashed <= 4, "one crashing request crashed {most_crashed} engines");
             }
         }
     }
@@ -395,10 +407,10 @@
 
 /// Spontaneous crashes alone must not cause rejections.
 #[test]
-fn spontaneous_crashes_alone_cause_no_refusals() {
+fn spontaneous_crashes_alone_cause_no_rejections() {
     for (relays, engines) in [(3, 3), (67, 30)] {
-        let refused =
-            SEEDS.map(|seed| Model::new(Policy::OneAtATime, relays, engines, seed).run(0).refused_as_suspects);
-        assert_eq!(refused.sum::<usize>(), 0, "{relays} relays, {engines} engines");
+        let rejected =
+            SEEDS.map(|seed| Model::new(Policy::TrialLease, relays, engines, seed).run(0).rejected_as_suspects);
+        assert_eq!(rejected.sum::<usize>(), 0, "{relays} relays, {engines} engines");
     }
 }
--- a/crates/simulator/tests/granted_rights.rs
+++ b/crates/simulator/tests/relay_grants.rs
@@ -6,7 +6,7 @@
 use saddlerelay_policies::PolicyName;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_scenarios::deployment::{andino, compact};
-use saddlerelay_simulator::cluster::{Cluster, Running};
+use saddlerelay_simulator::cluster::{Cluster, Component};
 use saddlerelay_simulator::platform::SimRuntime;
 use saddlerelay_simulator::run::bring_up;
 use saddlerelay_simulator::world::{Process, World};
@@ -28,7 +28,8 @@
 /// check, a commit and a waiting caller's next poll.
 const DETECTION_LIMIT: Duration = Duration::from_millis(4_800);
 
-/// The same if the leader fails too: the new leader is elected first and restarts the silence limit of every relay.
+/// As `DETECTION_LIMIT`, if the leader fails too: the new leader is elected first and restarts the silence limit of
+/// every relay.
 const DETECTION_LIMIT_WITH_ELECTION: Duration = Duration::from_millis(7_500);
 
 /// Time limit from a relay's restart until the grants of its previous incarnation are revoked.
@@ -51,7 +52,7 @@
 const SCORER_ZONE: usize = 0;
 const REPLICAS_IN_SCORER_ZONE: [&str; 2] = ["control-0", "control-3"];
 
-/// Time limit from the end of all engines until relays have been notified.
+/// Time limit from the kill of all engines until relays have been notified.
 const ENGINE_LOSS_DETECTION_LIMIT: Duration = Duration::from_secs(5);
 
 /// Duration of a relay's freeze.
@@ -77,7 +78,7 @@
     fn start(seed: u64) -> Self {
         let (world, mut pool) = World::new(seed);
         let cluster = Cluster::new(world.clone(), compact(andino()), PolicyName::PrefixAffinity);
-        bring_up(&cluster, &world, &mut pool).expect("it comes up");
+        bring_up(&cluster, &world, &mut pool).expect("the deployment starts");
         Self { cluster, world, pool }
     }
 
@@ -85,8 +86,11 @@
     fn run<T: 'static>(&mut self, task: impl Future<Output = T> + 'static) -> T {
         let result = spawn_task(&self.cluster, task);
         let limit = self.world.clock.now() + LIMIT;
-        assert!(self.world.run(&mut self.pool, limit, || result.borrow().is_some()), "the task did not end");
-        result.take().expect("it has ended")
+        assert!(
+            self.world.run(&mut self.pool, limit, || result.borrow().is_some()),
+            "the task did not complete in time"
+        );
+        result.take().expect("the task has completed")
     }
 }
 
@@ -95,16 +99,16 @@
 /// Starts a client's task; the returned cell receives its result.
 fn spawn_task<T: 'static>(cluster: &Cluster, task: impl Future<Output = T> + 'static) -> Slot<T> {
     let slot: Slot<T> = Rc::default();
-    let place = slot.clone();
+    let task_slot = slot.clone();
     cluster.client_platform().spawn(async move {
         let value = task.await;
-        *place.borrow_mut() = Some(value);
+        *task_slot.borrow_mut() = Some(value);
     });
     slot
 }
 
 fn process(cluster: &Cluster, name: &str) -> Rc<Process> {
-    cluster.member(name).expect("it was started").process
+    cluster.member(name).expect("the process was started").process
 }
 
 fn kill(cluster: &Cluster, name: &str) {
@@ -113,7 +117,7 @@
 }
 
 fn leader(cluster: &Cluster) -> usize {
-    cluster.leader_place().expect("there is a leader")
+    cluster.leader_index().expect("there is a leader")
 }
 
 /// A fault of a relay.
@@ -132,8 +136,8 @@
 impl RelayFault {
     const ALL: [Self; 4] = [Self::Killed, Self::Restarted, Self::Frozen, Self::KilledWithLeader];
 
-    /// Time limit until the relay's grants are available to others.
-    fn detection_limit(self) -> Duration {
+    /// Time limit until others may use the relay's grants.
+    fn availability_limit(self) -> Duration {
         match self {
             Self::Killed | Self::Frozen => DETECTION_LIMIT,
             Self::Restarted => REVOCATION_LIMIT,
@@ -141,13 +145,13 @@
         }
     }
 
-    fn inject(self, cluster: &Rc<Cluster>, place: usize) {
-        let name = format!("relay-{place}");
+    fn inject(self, cluster: &Rc<Cluster>, index: usize) {
+        let name = format!("relay-{index}");
         match self {
             Self::Killed => kill(cluster, &name),
             Self::Restarted => {
                 kill(cluster, &name);
-                cluster.start_relay(place);
+                cluster.start_relay(index);
             }
             Self::Frozen => {
                 let (platform, frozen) = (cluster.client_platform(), process(cluster, &name));
@@ -165,7 +169,7 @@
     }
 }
 
-/// A keyed request that takes about a second.
+/// A request with an idempotency key that takes about a second.
 fn request(cluster: &Cluster, repeatability: Repeatability) -> CallerRequest {
     let tenant = &cluster.deployment.tenants[0];
     CallerRequest {
@@ -185,7 +189,7 @@
     }
 }
 
-/// Number of times that engines have started `request`.
+/// Number of times that engines have started to run `request`.
 fn executions(cluster: &Cluster, request: &CallerRequest) -> usize {
     let records = cluster.records.borrow();
     let of_request = |record: &&Record| matches!(record, Record::Execution { prompt, .. } if *prompt == request.prompt);
@@ -215,7 +219,7 @@
     (answer, took)
 }
 
-fn is_whole(answer: &CallerResponse) -> bool {
+fn is_complete(answer: &CallerResponse) -> bool {
     matches!(answer, CallerResponse::Whole { .. })
 }
 
@@ -234,13 +238,13 @@
             fault.inject(&cluster, 0);
             send_again(&cluster, &request).await
         });
-        assert!(is_whole(&answer), "seed {seed}, {fault:?}: {answer:?}");
-        assert!(took <= fault.detection_limit(), "seed {seed}, {fault:?}: waited {took:?}");
+        assert!(is_complete(&answer), "seed {seed}, {fault:?}: {answer:?}");
+        assert!(took <= fault.availability_limit(), "seed {seed}, {fault:?}: waited {took:?}");
     }
 }
 
 #[test]
-fn a_non_repeatable_request_of_a_lost_relay_is_refused_and_runs_once() {
+fn a_non_repeatable_request_of_a_lost_relay_is_rejected_and_runs_once() {
     for (seed, fault) in SEEDS.flat_map(|seed| RelayFault::ALL.map(|fault| (seed, fault))) {
         let mut deployment = Deployment::start(seed);
         let cluster = deployment.cluster.clone();
@@ -254,7 +258,7 @@
             (answer, took, executions(&cluster, &request))
         });
         assert!(has_code(&answer, FailureCode::EarlierAttemptLost), "seed {seed}, {fault:?}: {answer:?}");
-        assert!(took <= fault.detection_limit(), "seed {seed}, {fault:?}: waited {took:?}");
+        assert!(took <= fault.availability_limit(), "seed {seed}, {fault:?}: waited {took:?}");
         assert_eq!(runs, 1, "seed {seed}, {fault:?}");
     }
 }
@@ -271,7 +275,7 @@
             let again = send_again(&cluster, &request).await;
             (first, again, executions(&cluster, &request))
         });
-        assert!(is_whole(&again) && first.borrow().as_ref().is_some_and(is_whole), "seed {seed}: {again:?}");
+        assert!(is_complete(&again) && first.borrow().as_ref().is_some_and(is_complete), "seed {seed}: {again:?}");
         assert!(took <= RECOVERY_LIMIT, "seed {seed}: waited {took:?}");
         assert_eq!(runs, 1, "seed {seed}");
     }
@@ -280,9 +284,9 @@
 /// Kills every control replica and restarts all of them after `down`.
 async fn restart_group(cluster: &Rc<Cluster>, down: Duration) {
     let replicas = cluster.deployment.control as usize;
-    (0..replicas).for_each(|place| kill(cluster, &format!("control-{place}")));
+    (0..replicas).for_each(|index| kill(cluster, &format!("control-{index}")));
     cluster.client_platform().sleep(down).await;
-    (0..replicas).for_each(|place| cluster.start_control(place));
+    (0..replicas).for_each(|index| cluster.start_control(index));
 }
 
 #[test]
@@ -298,8 +302,8 @@
             let again = send_again(&cluster, &request).await;
             (first, again, executions(&cluster, &request))
         });
-        assert!(first.borrow().as_ref().is_some_and(is_whole), "seed {seed}: {first:?}");
-        assert!(is_whole(&again), "seed {seed}: after {took:?} {again:?}");
+        assert!(first.borrow().as_ref().is_some_and(is_complete), "seed {seed}: {first:?}");
+        assert!(is_complete(&again), "seed {seed}: after {took:?} {again:?}");
         assert!(took <= REVOCATION_LIMIT, "seed {seed}: waited {took:?}");
         assert_eq!(runs, 1, "seed {seed}");
     }
@@ -313,14 +317,14 @@
         let (first, (again, took), runs) = deployment.run(async move {
             let platform = cluster.client_platform();
             let engines = 0..cluster.engines.len();
-            engines.clone().for_each(|place| kill(&cluster, &format!("engine-{place}")));
+            engines.clone().for_each(|index| kill(&cluster, &format!("engine-{index}")));
             platform.sleep(ENGINE_LOSS_DETECTION_LIMIT).await;
             let request = request(&cluster, Repeatability::NotRepeatable);
             let (access, sent_request) = (cluster.access(platform.clone()), request.clone());
             let first = spawn_task(&cluster, async move { access.ask(0, &sent_request).await });
             platform.sleep(CLAIM_TIME).await;
             restart_group(&cluster, LONG_OUTAGE).await;
-            engines.for_each(|place| cluster.start_engine(place));
+            engines.for_each(|index| cluster.start_engine(index));
             platform.sleep(RECOVERY_LIMIT).await;
             let again = send_again(&cluster, &request).await;
             (first, again, executions(&cluster, &request))
@@ -335,11 +339,11 @@
 
 /// Keeps the leader's proposal queue full for `FLOOD_TIME`.
 async fn flood(cluster: &Rc<Cluster>) {
-    let member = cluster.member(&format!("control-{}", leader(cluster))).expect("it was started");
-    let Running::Control(node) = member.running else {
-        panic!("a control replica");
+    let member = cluster.member(&format!("control-{}", leader(cluster))).expect("the process was started");
+    let Component::Control(node) = member.component else {
+        panic!("the process does not run a control replica");
     };
-    let node = node.borrow().clone().expect("it has opened its disk");
+    let node = node.borrow().clone().expect("the replica has opened its storage");
     let platform = SimRuntime { world: cluster.world.clone(), process: member.process.clone() };
     let until = platform.monotonic() + FLOOD_TIME;
     let mut proposed = FLOOD;
@@ -367,8 +371,8 @@
         let again = send_again(&cluster, &request).await;
         (first, again, executions(&cluster, &request))
     });
-    assert!(first.borrow().as_ref().is_some_and(is_whole), "{first:?}");
-    assert!(is_whole(&again), "after {took:?} {again:?}");
+    assert!(first.borrow().as_ref().is_some_and(is_complete), "{first:?}");
+    assert!(is_complete(&again), "after {took:?} {again:?}");
     assert!(took <= REVOCATION_LIMIT, "waited {took:?}");
     assert_eq!(runs, 1);
 }
@@ -389,7 +393,7 @@
         let step = Self { cluster: cluster.clone(), incarnation: Incarnation(1), samples: 64 };
         let access = cluster.access(cluster.client_platform());
         let tenant = cluster.training_tenants()[0].id.clone();
-        access.open_trainer(TRAINER_RELAY, &tenant, step.incarnation).await.expect("the trainer opens");
+        access.open_trainer(TRAINER_RELAY, &tenant, step.incarnation).await.expect("the trainer session opens");
         let prompts = (0..16).map(|number| format!("prompt {number}")).collect();
         let request = StepRequest { step: StepNumber(1), prompts, group_size: 4, max_tokens: 100 };
         access.open_step(TRAINER_RELAY, &tenant, step.incarnation, &request).await.expect("the step opens");
@@ -399,9 +403,9 @@
         step
     }
 
-    fn running_at_relay(&self, place: usize) -> usize {
-        match self.cluster.member(&format!("relay-{place}")).expect("it was started").running {
-            Running::Relay(relay, _) => relay.borrow().as_ref().map_or(0, |relay| relay.in_progress()),
+    fn running_at_relay(&self, index: usize) -> usize {
+        match self.cluster.member(&format!("relay-{index}")).expect("the process was started").component {
+            Component::Relay(relay, _) => relay.borrow().as_ref().map_or(0, |relay| relay.in_progress()),
             _ => 0,
         }
     }
@@ -433,8 +437,8 @@
             fault.inject(&cluster, 0);
             step.fetch_all().await
         });
-        let limit = fault.detection_limit() + SAMPLE_TIME;
-        assert!(took <= limit, "seed {seed}, {fault:?}: the step was whole after {took:?}");
+        let limit = fault.availability_limit() + SAMPLE_TIME;
+        assert!(took <= limit, "seed {seed}, {fault:?}: the step was complete after {took:?}");
     }
 }
 
@@ -448,7 +452,7 @@
             restart_group(&cluster, LONG_OUTAGE).await;
             step.fetch_all().await
         });
-        assert!(took <= RECOVERY_LIMIT, "seed {seed}: the step was whole after {took:?}");
+        assert!(took <= RECOVERY_LIMIT, "seed {seed}: the step was complete after {took:?}");
     }
 }
 
@@ -466,7 +470,7 @@
             cluster.world.network.partition_between(SCORER_ZONE, HOLDER);
             step.fetch_all().await
         });
-        assert!(took <= RESCORING_LIMIT, "seed {seed}: the step was whole after {took:?}");
+        assert!(took <= RESCORING_LIMIT, "seed {seed}: the step was complete after {took:?}");
     }
 }
 
@@ -483,6 +487,6 @@
             cluster.start_scorer();
             step.fetch_all().await
         });
-        assert!(took <= SAMPLE_TIME * 3, "seed {seed}: the step was whole after {took:?}");
+        assert!(took <= SAMPLE_TIME * 3, "seed {seed}: the step was complete after {took:?}");
     }
 }
--- a/crates/simulator/tests/reports.rs
+++ b/crates/simulator/tests/reports.rs
@@ -20,7 +20,7 @@
 
 const SECRET: &str = "a secret of sixteen signs";
 const SEEDS: std::ops::Range<u64> = 0..10;
-/// Number of engines that report to the machine, each every `REPORT_INTERVAL`.
+/// Number of engines that report to the machine, each once per `REPORT_INTERVAL`.
 const ENGINES: usize = 500;
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 /// Time that the leader takes to commit a message.
@@ -37,8 +37,9 @@
     reported_in_full: RefCell<BTreeSet<InstanceId>>,
     messages: Cell<usize>,
     /// Number of full reports received.
-    news: Cell<usize>,
-    answers: Cell<bool>,
+    full_reports: Cell<usize>,
+    /// Whether it replies to messages; if not, it stalls them.
+    responds: Cell<bool>,
 }
 
 impl Handler for Leader {
@@ -47,7 +48,7 @@
             return None;
         };
         self.messages.set(self.messages.get() + 1);
-        if !self.answers.get() {
+        if !self.responds.get() {
             self.runtime.sleep(Duration::from_secs(60)).await;
         }
         self.runtime.sleep(COMMIT_TIME).await;
@@ -61,10 +62,10 @@
         }
         assert!(
             missing.iter().all(|id| self.reported_in_full.borrow().contains(id)),
-            "a heartbeat of an engine that was never reported in full"
+            "received a heartbeat of an engine that was never reported in full"
         );
         self.reported_in_full.borrow_mut().extend(reports.changed.iter().map(|report| report.id.clone()));
-        self.news.set(self.news.get() + reports.changed.len());
+        self.full_reports.set(self.full_reports.get() + reports.changed.len());
         committed.extend(reports.changed.into_iter().map(|report| (report.id.clone(), report)));
         drop(committed);
         let reply = if missing.is_empty() { GatewayReply::Done } else { GatewayReply::ReportsMissing(missing) };
@@ -77,7 +78,7 @@
     pool: LocalPool,
     leader: Rc<Leader>,
     machine: Rc<Process>,
-    gatherer: Rc<ReportBatcher<SimRuntime>>,
+    batcher: Rc<ReportBatcher<SimRuntime>>,
 }
 
 fn report(number: usize, sequence: u64) -> InstanceReport {
@@ -106,8 +107,8 @@
             committed: RefCell::default(),
             reported_in_full: RefCell::default(),
             messages: Cell::new(0),
-            news: Cell::new(0),
-            answers: Cell::new(true),
+            full_reports: Cell::new(0),
+            responds: Cell::new(true),
         });
         let handler = leader.clone();
         world.spawn(&process, async move {
@@ -117,27 +118,27 @@
         let machine = world.start_process("machine", 2, 0);
         let runtime = SimRuntime { world: world.clone(), process: machine.clone() };
         let control = ControlClient::new(runtime.clone(), &[address], SECRET);
-        let gatherer = ReportBatcher::start(runtime, control, REPORT_INTERVAL);
-        Self { world, pool, leader, machine, gatherer }
+        let batcher = ReportBatcher::start(runtime, control, REPORT_INTERVAL);
+        Self { world, pool, leader, machine, batcher }
     }
 
     /// Sends an engine's report; the returned cell receives the result.
     fn report(&self, report: InstanceReport) -> Rc<Cell<ReportResult>> {
-        let answer = Rc::new(Cell::new(None));
-        let result = answer.clone();
-        let (gatherer, clock, leader) = (self.gatherer.clone(), self.world.clock.clone(), self.leader.clone());
+        let result = Rc::new(Cell::new(None));
+        let task_result = result.clone();
+        let (batcher, clock, leader) = (self.batcher.clone(), self.world.clock.clone(), self.leader.clone());
         let leaving = report.leaving;
         let id = report.id.clone();
-        let first = leader.committed.borrow().get(&id).is_none_or(|stored| stored.leaving != leaving);
+        let is_first = leader.committed.borrow().get(&id).is_none_or(|stored| stored.leaving != leaving);
         self.world.spawn(&self.machine, async move {
-            let acknowledged = gatherer.report(report).await == Ok(GatewayReply::Done);
-            if acknowledged && leaving && first {
+            let acknowledged = batcher.report(report).await == Ok(GatewayReply::Done);
+            if acknowledged && leaving && is_first {
                 let committed = leader.committed.borrow().get(&id).is_some_and(|stored| stored.leaving == leaving);
                 assert!(committed, "{id:?} was acknowledged before it was committed");
             }
-            result.set(Some((acknowledged, clock.now())));
+            task_result.set(Some((acknowledged, clock.now())));
         });
-        answer
+        result
     }
 
     fn run_for(&mut self, time: Duration) {
@@ -150,16 +151,18 @@
 
     /// Sends a report of every engine, spread over the interval; returns the number not acknowledged within a second.
     fn round(&mut self, sequence: u64) -> usize {
-        let mut answers = Vec::new();
+        let mut results = Vec::new();
         for number in 0..ENGINES {
-            answers.push((self.world.clock.now(), self.report(report(number, sequence))));
+            results.push((self.world.clock.now(), self.report(report(number, sequence))));
             self.run_for(REPORT_INTERVAL / ENGINES as u32);
         }
         self.run_for(Duration::from_secs(1));
-        let in_time = |(at, answer): &&(Duration, Rc<Cell<ReportResult>>)| {
-            answer.get().is_some_and(|(acknowledged, told_at)| acknowledged && told_at < *at + Duration::from_secs(1))
+        let in_time = |(at, result): &&(Duration, Rc<Cell<ReportResult>>)| {
+            result
+                .get()
+                .is_some_and(|(acknowledged, completed_at)| acknowledged && completed_at < *at + Duration::from_secs(1))
         };
-        ENGINES - answers.iter().filter(in_time).count()
+        ENGINES - results.iter().filter(in_time).count()
     }
 }
 
@@ -170,13 +173,17 @@
         assert_eq!(fixture.round(1), 0, "seed {seed}");
         assert_eq!(fixture.leader.committed.borrow().len(), ENGINES);
         let before = fixture.leader.messages.get();
-        assert_eq!(fixture.leader.news.get(), ENGINES);
+        assert_eq!(fixture.leader.full_reports.get(), ENGINES);
         assert_eq!(fixture.round(2), 0, "seed {seed}");
         let messages = fixture.leader.messages.get() - before;
         assert!(messages <= 18, "seed {seed}: {messages} messages for {ENGINES} reports in 6 s");
         let updated = fixture.leader.committed.borrow().values().filter(|stored| stored.sequence == 2).count();
-        assert_eq!(updated, ENGINES, "seed {seed}: every report reaches the leader");
-        assert_eq!(fixture.leader.news.get(), ENGINES, "seed {seed}: a known engine was reported in full again");
+        assert_eq!(updated, ENGINES, "seed {seed}: a report did not reach the leader");
+        assert_eq!(
+            fixture.leader.full_reports.get(),
+            ENGINES,
+            "seed {seed}: a known engine was reported in full again"
+        );
     }
 }
 
@@ -186,12 +193,12 @@
 fn concurrent_registrations_are_acknowledged_in_time_and_batched() {
     for seed in SEEDS {
         let mut fixture = Fixture::start(seed);
-        fixture.leader.answers.set(false);
-        let answers: Vec<_> = (0..3 * ENGINES).map(|number| fixture.report(report(number, 1))).collect();
+        fixture.leader.responds.set(false);
+        let results: Vec<_> = (0..3 * ENGINES).map(|number| fixture.report(report(number, 1))).collect();
         fixture.run_for(Duration::from_millis(900));
-        let acknowledged = answers.iter().filter(|answer| answer.get().is_some_and(|(done, _)| done)).count();
+        let acknowledged = results.iter().filter(|result| result.get().is_some_and(|(done, _)| done)).count();
         assert_eq!(acknowledged, 3 * ENGINES, "seed {seed}: an engine was not acknowledged within a second");
-        fixture.leader.answers.set(true);
+        fixture.leader.responds.set(true);
         fixture.run_for(Duration::from_millis(2_500));
         assert_eq!(fixture.leader.committed.borrow().len(), 3 * ENGINES, "seed {seed}: a report was lost");
         assert!(fixture.leader.messages.get() <= 8, "seed {seed}: {} messages", fixture.leader.messages.get());
@@ -219,7 +226,7 @@
     for seed in SEEDS {
         let mut fixture = Fixture::start(seed);
         assert_eq!(fixture.round(1), 0);
-        fixture.leader.answers.set(false);
+        fixture.leader.responds.set(false);
         let during = fixture.report(report(1, 2));
         fixture.run_for(Duration::from_millis(1_600));
         assert!(
@@ -228,7 +235,7 @@
         );
         fixture.run_for(REPORT_INTERVAL);
         assert_eq!(fixture.round(2), ENGINES, "seed {seed}");
-        fixture.leader.answers.set(true);
+        fixture.leader.responds.set(true);
         fixture.run_for(Duration::from_millis(1_500));
         assert_eq!(fixture.round(3), 0, "seed {seed}");
     }
@@ -245,17 +252,17 @@
             fixture.report(report(number, 1));
         }
         fixture.run_for(Duration::from_secs(1));
-        assert_eq!(fixture.leader.news.get(), 2, "seed {seed}");
+        assert_eq!(fixture.leader.full_reports.get(), 2, "seed {seed}");
         fixture.leader.committed.borrow_mut().remove(&lost);
         for sequence in 2..=3 {
             for number in 1..=2 {
-                let answer = fixture.report(report(number, sequence));
+                let result = fixture.report(report(number, sequence));
                 fixture.run_for(Duration::from_secs(1));
-                assert!(answer.get().is_some_and(|(acknowledged, _)| acknowledged), "seed {seed}");
+                assert!(result.get().is_some_and(|(acknowledged, _)| acknowledged), "seed {seed}");
             }
         }
         assert!(fixture.leader.committed.borrow().contains_key(&lost), "seed {seed}");
-        assert_eq!(fixture.leader.news.get(), 3, "seed {seed}: the known engine was reported in full again");
+        assert_eq!(fixture.leader.full_reports.get(), 3, "seed {seed}: the known engine was reported in full again");
     }
 }
 
--- a/crates/simulator/tests/trial_leases.rs
+++ b/crates/simulator/tests/trial_leases.rs
@@ -3,7 +3,7 @@
 
 mod control_group;
 
-use control_group::{Deployment, REPLICAS, SECRET, address, named};
+use control_group::{Deployment, REPLICAS, SECRET, address, configured_addresses};
 use futures::future::{self, Either};
 use saddlerelay_control_client::ControlClient;
 use saddlerelay_control_client::trials::TrialLeases;
@@ -22,16 +22,16 @@
 const SEEDS: std::ops::Range<u64> = 0..24;
 
 /// Seeds that spread the time of a partition over the interval between renewals.
-const CUT_SEEDS: std::ops::Range<u64> = 0..200;
+const PARTITION_SEEDS: std::ops::Range<u64> = 0..200;
 
-/// Time limit of an attempt.
+/// Time for which a lease is requested.
 const LIMIT: Duration = Duration::from_secs(40);
 
 /// Time limit from the end of a holder to the grant to the next: a lease, an expiry check, a retry interval and a
 /// commit.
 const GRANT_LIMIT: Duration = Duration::from_millis(2_600);
 
-/// The same with an election.
+/// As `GRANT_LIMIT`, with an election before the grant.
 const GRANT_LIMIT_AFTER_ELECTION: Duration = Duration::from_secs(5);
 
 /// Zone of the first holder and of replica 8.
@@ -52,7 +52,7 @@
     /// Whether it was notified of the loss of its lease.
     lost: Cell<bool>,
     /// Set by the test to release the lease and stop.
-    stops: Cell<bool>,
+    stop_requested: Cell<bool>,
     /// Whether its lease permits it to start an attempt.
     may_start_attempt: Cell<bool>,
 }
@@ -81,11 +81,11 @@
 async fn run_work(runtime: SimRuntime, state: Rc<HolderState>) {
     let control = ControlClient::new(runtime.clone(), &(1..=REPLICAS).map(address).collect::<Vec<_>>(), SECRET);
     let keeper = TrialLeases::start(runtime.clone(), control);
-    while !state.stops.get() {
+    while !state.stop_requested.get() {
         if let Some(guard) = keeper.begin(work(), LIMIT).await {
             state.running_since.set(Some(runtime.monotonic()));
             let stops = async {
-                while !state.stops.get() {
+                while !state.stop_requested.get() {
                     state.may_start_attempt.set(guard.holds());
                     runtime.sleep(Duration::from_millis(10)).await;
                 }
@@ -117,7 +117,7 @@
         let process = deployment.world.start_process("witness", 0, 0);
         let runtime = SimRuntime { world: deployment.world.clone(), process: process.clone() };
         deployment.world.spawn(&process, async move {
-            let control = ControlClient::new(runtime, &named(), SECRET);
+            let control = ControlClient::new(runtime, &configured_addresses(), SECRET);
             let loss = EngineLoss { work: work(), instance: InstanceId::named("engine") };
             let evidence = GatewayRequest::ReportEvidence(WorkEvidence { losses: vec![loss], served: Vec::new() });
             let limit = Duration::from_secs(5);
@@ -165,19 +165,19 @@
         self.deployment.world.clock.now()
     }
 
-    fn leader_place(&self) -> u8 {
+    fn leader_index(&self) -> u8 {
         let leader = self.deployment.leader().expect("there is a leader").replica().id();
-        let led_by = |place: &u8| {
-            let node = self.deployment.replicas[place].node.borrow();
+        let is_leader = |index: &u8| {
+            let node = self.deployment.replicas[index].node.borrow();
             node.as_ref().is_some_and(|node| node.replica().id() == leader)
         };
-        (1..=REPLICAS).find(led_by).expect("it is one of the replicas")
+        (1..=REPLICAS).find(is_leader).expect("the leader is one of the replicas")
     }
 
     fn kill_leader(&mut self) {
-        let place = self.leader_place();
-        self.deployment.replicas[&place].process.kill();
-        self.deployment.replicas.remove(&place);
+        let index = self.leader_index();
+        self.deployment.replicas[&index].process.kill();
+        self.deployment.replicas.remove(&index);
     }
 }
 
@@ -206,13 +206,13 @@
     for seed in SEEDS {
         let mut fixture = Fixture::start(seed);
         fixture.first.process.kill();
-        for place in 1..=REPLICAS {
-            if let Some(replica) = fixture.deployment.replicas.remove(&place) {
+        for index in 1..=REPLICAS {
+            if let Some(replica) = fixture.deployment.replicas.remove(&index) {
                 replica.process.kill();
             }
         }
         fixture.deployment.run_for(Duration::from_secs(1));
-        (1..=REPLICAS).for_each(|place| fixture.deployment.start_replica(place, false));
+        (1..=REPLICAS).for_each(|index| fixture.deployment.start_replica(index, false));
         fixture.await_second_grant(GRANT_LIMIT_AFTER_ELECTION);
     }
 }
@@ -224,7 +224,7 @@
         let mut fixture = Fixture::start(seed);
         fixture.kill_leader();
         fixture.check_first_keeps_lease(Duration::from_secs(8));
-        fixture.first.state.stops.set(true);
+        fixture.first.state.stop_requested.set(true);
         let took = fixture.await_second_grant(GRANT_LIMIT);
         assert!(took < TRIAL_LEASE, "seed {seed}: the lease was released, but the next grant took {took:?}");
     }
@@ -239,8 +239,10 @@
         let renewed_before = fixture.now();
         fixture.first.process.freeze();
         let took = fixture.await_second_grant(GRANT_LIMIT);
-        let run_for = fixture.now().saturating_sub(fixture.first.state.running_since.get().expect("it runs"));
-        assert!(run_for > TRIAL_LEASE, "seed {seed}");
+        let running_time = fixture
+            .now()
+            .saturating_sub(fixture.first.state.running_since.get().expect("the first holder runs the work"));
+        assert!(running_time > TRIAL_LEASE, "seed {seed}");
         assert!(took + Duration::from_secs(1) > TRIAL_LEASE, "seed {seed}: {took:?} after {renewed_before:?}");
         fixture.deployment.run_for(Duration::from_secs(3));
         fixture.first.process.thaw();
@@ -256,7 +258,7 @@
     for seed in SEEDS {
         let mut fixture = Fixture::start(seed);
         fixture.deployment.world.network.partition(FIRST_ZONE, false);
-        fixture.first.state.stops.set(true);
+        fixture.first.state.stop_requested.set(true);
         fixture.await_second_grant(GRANT_LIMIT);
     }
 }
@@ -268,12 +270,12 @@
     const HOUR_MS: i64 = 3_600_000;
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
-        for place in 1..=REPLICAS {
-            deployment.replicas.remove(&place).expect("it runs").process.kill();
-            deployment.clock_errors.insert(place, ((seed as i64 + i64::from(place)) % 3 - 1) * HOUR_MS);
+        for index in 1..=REPLICAS {
+            deployment.replicas.remove(&index).expect("the process is running").process.kill();
+            deployment.clock_errors.insert(index, ((seed as i64 + i64::from(index)) % 3 - 1) * HOUR_MS);
         }
         deployment.run_for(Duration::from_secs(1));
-        (1..=REPLICAS).for_each(|place| deployment.start_replica(place, false));
+        (1..=REPLICAS).for_each(|index| deployment.start_replica(index, false));
         deployment.run_for(Duration::from_secs(3));
         let mut fixture = Fixture::start_in(deployment, seed);
         fixture.first.process.kill();
@@ -287,8 +289,8 @@
 fn a_running_holder_keeps_its_lease_when_the_leader_is_frozen() {
     for seed in SEEDS {
         let mut fixture = Fixture::start(seed);
-        let place = fixture.leader_place();
-        fixture.deployment.replicas[&place].process.freeze();
+        let index = fixture.leader_index();
+        fixture.deployment.replicas[&index].process.freeze();
         fixture.check_first_keeps_lease(Duration::from_secs(8));
     }
 }
@@ -297,8 +299,8 @@
 fn a_running_holder_keeps_its_lease_when_the_leader_is_partitioned() {
     for seed in SEEDS {
         let mut fixture = Fixture::start(seed);
-        let place = fixture.leader_place();
-        fixture.deployment.world.network.partition(place.into(), false);
+        let index = fixture.leader_index();
+        fixture.deployment.world.network.partition(index.into(), false);
         fixture.check_first_keeps_lease(Duration::from_secs(8));
     }
 }
@@ -306,13 +308,13 @@
 /// A leader that resumes has unprocessed renewals in its queue.
 #[test]
 fn a_running_holder_keeps_its_lease_when_the_leader_is_frozen_briefly() {
-    for stands_still_ms in [900, 1_300, 1_700, 2_500] {
+    for frozen_ms in [900, 1_300, 1_700, 2_500] {
         for seed in SEEDS {
             let mut fixture = Fixture::start(seed);
-            let place = fixture.leader_place();
-            fixture.deployment.replicas[&place].process.freeze();
-            fixture.check_first_keeps_lease(Duration::from_millis(stands_still_ms));
-            fixture.deployment.replicas[&place].process.thaw();
+            let index = fixture.leader_index();
+            fixture.deployment.replicas[&index].process.freeze();
+            fixture.check_first_keeps_lease(Duration::from_millis(frozen_ms));
+            fixture.deployment.replicas[&index].process.thaw();
             fixture.check_first_keeps_lease(Duration::from_secs(4));
         }
     }
@@ -346,13 +348,13 @@
     const HOUR_MS: i64 = 3_600_000;
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
-        let ahead = |place: u8| if (u64::from(place) + seed) % 3 == 0 { 0 } else { HOUR_MS };
-        for place in 1..=REPLICAS {
-            deployment.replicas.remove(&place).expect("it runs").process.kill();
-            deployment.clock_errors.insert(place, ahead(place));
+        let clock_error = |index: u8| if (u64::from(index) + seed) % 3 == 0 { 0 } else { HOUR_MS };
+        for index in 1..=REPLICAS {
+            deployment.replicas.remove(&index).expect("the process is running").process.kill();
+            deployment.clock_errors.insert(index, clock_error(index));
         }
         deployment.run_for(Duration::from_secs(1));
-        (1..=REPLICAS).for_each(|place| deployment.start_replica(place, false));
+        (1..=REPLICAS).for_each(|index| deployment.start_replica(index, false));
         deployment.run_for(Duration::from_secs(3));
         let mut fixture = Fixture::start_in(deployment, seed);
         fixture.kill_leader();
@@ -373,21 +375,21 @@
 /// another that a crash caused by the attempt is observed first.
 #[test]
 fn a_partitioned_holder_stops_starting_work_before_the_next_grant() {
-    const SHOWN_AFTER: Duration = Duration::from_millis(200);
-    for seed in CUT_SEEDS {
+    const CRASH_DETECTION_TIME: Duration = Duration::from_millis(200);
+    for seed in PARTITION_SEEDS {
         let mut fixture = Fixture::start(seed);
         fixture.deployment.world.network.partition(FIRST_ZONE, false);
-        let mut last_begin = fixture.now();
+        let mut last_possible_start = fixture.now();
         while !fixture.second.runs() {
             fixture.deployment.run_for(Duration::from_millis(5));
             if fixture.first.state.may_start_attempt.get() {
-                last_begin = fixture.now();
+                last_possible_start = fixture.now();
             }
         }
-        let apart = fixture.now().saturating_sub(last_begin);
+        let margin = fixture.now().saturating_sub(last_possible_start);
         assert!(
-            apart > SHOWN_AFTER,
-            "seed {seed}: the next grant came only {apart:?} after the first holder's last possible start"
+            margin > CRASH_DETECTION_TIME,
+            "seed {seed}: the lease was granted to the second process only {margin:?} after the first holder's last possible start"
         );
     }
 }
--- a/crates/simulator/tests/trial_renewals.rs
+++ b/crates/simulator/tests/trial_renewals.rs
@@ -23,8 +23,8 @@
     at: RefCell<BTreeMap<u64, Duration>>,
     /// Longest time between renewals of a lease.
     longest: Cell<Duration>,
-    /// Lease whose first renewal is lost.
-    loses: Cell<Option<u64>>,
+    /// Number of the lease whose first renewal is lost.
+    lost_renewal: Cell<Option<u64>>,
 }
 
 impl Renewals {
@@ -48,11 +48,11 @@
     }
 
     async fn renew(&self, leases: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, CallFailure> {
-        let is_lost = leases.iter().any(|lease| Some(lease.id.number) == self.renewals.loses.get());
+        let is_lost = leases.iter().any(|lease| Some(lease.id.number) == self.renewals.lost_renewal.get());
         if is_lost {
-            self.renewals.loses.set(None);
+            self.renewals.lost_renewal.set(None);
             self.runtime.sleep(TRIAL_RENEWAL).await;
-            return Err("no answer in time".to_string());
+            return Err("the group did not reply in time".to_string());
         }
         self.runtime.sleep(RESPONSE_TIME).await;
         leases.iter().for_each(|lease| self.renewals.record_renewal(lease.id.number, self.runtime.monotonic()));
@@ -64,20 +64,20 @@
     }
 }
 
-/// Longest time between renewals when a process requests a second lease `later` after the first. The first renewal of
-/// the lease `loses` is lost.
-fn longest_renewal_gap(later: Duration, loses: Option<u64>) -> Duration {
+/// Longest time between renewals when a process requests a second lease `delay` after the first. The first renewal of
+/// the lease with the number `lost_renewal` is lost.
+fn longest_renewal_gap(delay: Duration, lost_renewal: Option<u64>) -> Duration {
     let (world, mut pool): (Rc<World>, LocalPool) = World::new(1);
     let process = world.start_process("holder", 0, 0);
     let runtime = SimRuntime { world: world.clone(), process: process.clone() };
     let renewals = Rc::new(Renewals::default());
-    renewals.loses.set(loses);
+    renewals.lost_renewal.set(lost_renewal);
     let group = Group { runtime: runtime.clone(), renewals: renewals.clone() };
     world.spawn(&process, async move {
         let keeper = TrialLeases::start(runtime.clone(), group);
         let limit = Duration::from_secs(40);
         let _first = keeper.begin(WorkDigest::of_post_request(None, "host", "/", b"first"), limit).await;
-        runtime.sleep(later).await;
+        runtime.sleep(delay).await;
         let _second = keeper.begin(WorkDigest::of_post_request(None, "host", "/", b"second"), limit).await;
         runtime.sleep(Duration::from_secs(10)).await;
     });
@@ -88,18 +88,21 @@
 #[test]
 fn a_lost_renewal_does_not_expire_a_lease() {
     for step in 0..50 {
-        let later = Duration::from_millis(1_000 + step * 20);
-        let gap = longest_renewal_gap(later, Some(2));
+        let delay = Duration::from_millis(1_000 + step * 20);
+        let gap = longest_renewal_gap(delay, Some(2));
         // Replicas check for expiry every 100 ms, and a holder does not use an expired lease.
-        assert!(gap < TRIAL_LEASE, "asked for {later:?} after the first: not renewed for {gap:?}");
+        assert!(gap < TRIAL_LEASE, "second lease requested {delay:?} after the first: no renewal for {gap:?}");
     }
 }
 
 #[test]
 fn a_lease_is_renewed_four_times_per_lease_duration() {
     for step in 0..50 {
-        let later = Duration::from_millis(1_000 + step * 20);
-        let gap = longest_renewal_gap(later, None);
-        assert!(gap < TRIAL_LEASE / 4 + TRIAL_RENEWAL / 4, "{later:?}: not renewed for {gap:?}");
+        let delay = Duration::from_millis(1_000 + step * 20);
+        let gap = longest_renewal_gap(delay, None);
+        assert!(
+            gap < TRIAL_LEASE / 4 + TRIAL_RENEWAL / 4,
+            "second lease requested {delay:?} after the first: no renewal for {gap:?}"
+        );
     }
 }
--- a/crates/simulator/tests/search_past_gone.rs
+++ b/crates/simulator/tests/unreachable_members.rs
@@ -2,7 +2,7 @@
 
 mod control_group;
 
-use control_group::{Answers, Deployment, REPLACED_WITHIN, REPLICAS, address, named};
+use control_group::{Deployment, REPLACEMENT_LIMIT, REPLICAS, ReplyTimes, address, configured_addresses};
 use saddlerelay_control::config::ControlConfig;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,24 +12,24 @@
 /// Number of members that fail permanently before the leader does.
 const REMOVED_MEMBERS: usize = 3;
 
-/// After this time no response can come from the old leader; no new leader is elected earlier.
-const LAST_OLD_RESPONSE: Duration = Duration::from_millis(700);
+/// Time after which no reply can arrive from the old leader; no new leader is elected earlier.
+const LAST_OLD_REPLY: Duration = Duration::from_millis(700);
 
-/// Timeout of the test for a relay that never receives a response.
+/// Timeout of the test for a relay that never receives a reply.
 const HANG_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Resolution of the measurement.
+/// Interval at which the test checks for a new leader and for replies.
 const STEP: Duration = Duration::from_millis(20);
 
 impl Deployment {
-    fn place_of(&self, address: SocketAddr) -> u8 {
-        (1..=REPLICAS).find(|place| self::address(*place) == address).expect("one of the machines")
+    fn index_of(&self, address: SocketAddr) -> u8 {
+        (1..=REPLICAS).find(|index| self::address(*index) == address).expect("the address belongs to a machine")
     }
 
     /// Kills a machine and partitions it, so that connections to it are not refused.
-    fn disconnect_and_kill(&mut self, place: u8) {
-        self.world.network.partition(place.into(), false);
-        self.replicas.remove(&place).expect("it ran").process.kill();
+    fn disconnect_and_kill(&mut self, index: u8) {
+        self.world.network.partition(index.into(), false);
+        self.replicas.remove(&index).expect("the replica is running").process.kill();
     }
 
     /// Removes members that the settings do not list, one at a time, each after the previous one was replaced.
@@ -37,10 +37,11 @@
         for _ in 0..REMOVED_MEMBERS {
             let leader = self.leader().expect("there is a leader").replica().address();
             let members = self.members();
-            let may_go = |address: &&SocketAddr| **address != leader && !named().contains(*address);
-            let removed = *members.iter().find(may_go).expect("members that the settings do not name");
-            self.disconnect_and_kill(self.place_of(removed));
-            let until = self.world.clock.now() + REPLACED_WITHIN;
+            let is_removable =
+                |address: &&SocketAddr| **address != leader && !configured_addresses().contains(*address);
+            let removed = *members.iter().find(is_removable).expect("there are members that the settings do not list");
+            self.disconnect_and_kill(self.index_of(removed));
+            let until = self.world.clock.now() + REPLACEMENT_LIMIT;
             while self.members().is_empty() || self.members().contains(&removed) {
                 assert!(self.world.clock.now() < until, "{removed} is still a member");
                 self.run_for(Duration::from_millis(200));
@@ -49,20 +50,20 @@
         }
     }
 
-    /// Times from the leader's failure to the election of another, and to the relay's first response from it.
-    fn lose_leader(&mut self, answers: &Answers) -> (Duration, Duration) {
-        let ended_at = self.world.clock.now();
+    /// Times from the leader's failure to the election of another, and to the relay's first reply from that leader.
+    fn lose_leader(&mut self, reply_times: &ReplyTimes) -> (Duration, Duration) {
+        let killed_at = self.world.clock.now();
         let leader = self.leader().expect("there is a leader").replica().address();
-        self.disconnect_and_kill(self.place_of(leader));
+        self.disconnect_and_kill(self.index_of(leader));
         let mut elected_after = None;
         loop {
             self.run_for(STEP);
-            let after = self.world.clock.now().saturating_sub(ended_at);
+            let after = self.world.clock.now().saturating_sub(killed_at);
             if elected_after.is_none() && self.leader().is_some() {
                 elected_after = Some(after);
             }
-            if answers.newest.get().is_some_and(|at| at > ended_at + LAST_OLD_RESPONSE) || after > HANG_TIMEOUT {
-                return (elected_after.expect("another leader"), after);
+            if reply_times.latest.get().is_some_and(|at| at > killed_at + LAST_OLD_REPLY) || after > HANG_TIMEOUT {
+                return (elected_after.expect("another leader was elected"), after);
             }
         }
     }
@@ -76,10 +77,10 @@
     for seed in SEEDS {
         let mut deployment = Deployment::start(seed);
         deployment.replace_members();
-        let answers = deployment.start_relay();
+        let reply_times = deployment.start_relay();
         deployment.run_for(Duration::from_secs(3));
-        assert!(answers.newest.get().is_some(), "seed {seed}: the relay received no response");
-        let (elected, found) = deployment.lose_leader(&answers);
+        assert!(reply_times.latest.get().is_some(), "seed {seed}: the relay received no reply");
+        let (elected, found) = deployment.lose_leader(&reply_times);
         println!("seed {seed}: elected after {} ms, found after {} ms", elected.as_millis(), found.as_millis());
         longest = longest.max(found);
     }
--- a/crates/simulator/tests/votes.rs
+++ b/crates/simulator/tests/votes.rs
@@ -14,15 +14,15 @@
 /// The replica under test.
 const VOTER: u8 = 2;
 
-/// Longer than a replica refuses votes after its last contact with a leader.
+/// Time after a replica's last contact with a leader after which it grants votes again.
 const LEADER_CONTACT_EXPIRY: Duration = Duration::from_millis(800);
 
 /// The group's identifier, from a replica's storage.
 fn group_id(group: &Group) -> u64 {
-    let file = group.world.disks.content(&name(VOTER), "identity").expect("it has an identity");
-    let body = wal::unframe(&file).expect("a sound file").expect("a whole file");
-    let identity: Identity = bitcode::decode(body).expect("an identity");
-    identity.group.expect("it belongs to a group")
+    let file = group.world.disks.content(&name(VOTER), "identity").expect("there is an identity file");
+    let body = wal::unframe(&file).expect("the frame is valid").expect("the frame is complete");
+    let identity: Identity = bitcode::decode(body).expect("the identity can be decoded");
+    identity.group.expect("the replica belongs to a group")
 }
 
 /// A group of which only the voter runs, after its leader's election timeout, and that leader's term.
@@ -30,7 +30,7 @@
     let mut group = Group::formed(seed);
     group.propose_for(Duration::from_millis(100));
     let term = group.leader().and_then(|leader| leader.leading_term()).expect("there is a leader");
-    [1, 3, 4, 5].iter().for_each(|place| group.kill(*place));
+    [1, 3, 4, 5].iter().for_each(|index| group.kill(*index));
     group.run_for(LEADER_CONTACT_EXPIRY);
     (group, term)
 }
@@ -51,14 +51,17 @@
 fn a_vote_is_durable_across_a_power_loss() {
     for seed in SEEDS {
         let (mut group, _) = single_running_voter(seed);
-        let voter = group.node(VOTER).expect("it runs").id();
-        assert!(is_granted(&request_vote(&mut group, voter, 71, 50)), "seed {seed}: the first candidate");
+        let voter = group.node(VOTER).expect("the replica is running").id();
+        assert!(is_granted(&request_vote(&mut group, voter, 71, 50)), "seed {seed}: the first candidate got no vote");
         group.power_off(VOTER);
         group.start(VOTER, false);
         group.run_for(Duration::from_millis(50));
         let second = request_vote(&mut group, voter, 72, 50);
         assert!(second.is_some() && !is_granted(&second), "seed {seed}: the second candidate got {second:?}");
-        assert!(is_granted(&request_vote(&mut group, voter, 71, 50)), "seed {seed}: the first candidate again");
+        assert!(
+            is_granted(&request_vote(&mut group, voter, 71, 50)),
+            "seed {seed}: the first candidate got no vote after the restart"
+        );
     }
 }
 
@@ -66,7 +69,7 @@
 fn a_candidate_votes_for_no_other_in_its_term_after_a_power_loss() {
     for seed in SEEDS {
         let (mut group, term) = single_running_voter(seed);
-        let voter = group.node(VOTER).expect("it runs").id();
+        let voter = group.node(VOTER).expect("the replica is running").id();
         let header = Header { group: group_id(&group), from: ReplicaId(71), to: voter, term };
         group.send_request(VOTER, ReplicaRequest::TimeoutNow { header });
         group.run_for(Duration::from_millis(20));
@@ -81,12 +84,12 @@
 /// A `TimeoutNow` request bypasses the lease of the leader that sent it. A delayed one must not bypass a newer leader's
 /// lease.
 #[test]
-fn a_take_over_request_of_an_earlier_term_is_refused() {
+fn a_timeout_now_request_of_an_earlier_term_is_rejected() {
     for seed in SEEDS {
         let (mut group, term) = single_running_voter(seed);
-        let voter = group.node(VOTER).expect("it runs").id();
-        // The vote moves the voter to a newer term.
-        assert!(is_granted(&request_vote(&mut group, voter, 71, term + 10)), "seed {seed}: the vote");
+        let voter = group.node(VOTER).expect("the replica is running").id();
+        // Granting the vote moves the voter to a newer term.
+        assert!(is_granted(&request_vote(&mut group, voter, 71, term + 10)), "seed {seed}: the vote was not granted");
         let header = Header { group: group_id(&group), from: ReplicaId(72), to: voter, term };
         let reply = group.send_request(VOTER, ReplicaRequest::TimeoutNow { header });
         assert_eq!(reply, Some(ReplicaReply::Rejected), "seed {seed}");
