--- a/crates/simulator/tests/quarantine_policies.rs
+++ b/crates/simulator/tests/quarantine_policies.rs
@@ -50,7 +50,8 @@
     ThreeCrashesWithPause,
     /// Quarantine after two crashed engines.
     TwoCrashes,
-    /// As `ThreeCrashesWithPause`, and a request that has crashed an engine needs a trial lease: the implemented policy.
+    /// As `ThreeCrashesWithPause`, and a request that has crashed an engine needs a trial lease. This is the implemented
+    /// policy.
     TrialLease,
     /// As `TrialLease`, and suspected work is not sent to the last running engine.
     TrialLeaseExceptLastEngine,
--- a/crates/simulator/tests/relay_search.rs
+++ b/crates/simulator/tests/relay_search.rs
@@ -107,7 +107,7 @@
         ReplicaRequest::Announce { group: other_group, leader: foreign_leader, members: vec![foreign_leader] };
     let reply = Rc::new(RefCell::new(None));
     let result = reply.clone();
-    let process = deployment.world.start_process("stranger", 0, 0);
+    let process = deployment.world.start_process("foreign-peer", 0, 0);
     let replica = leader.replica().clone();
     deployment.world.spawn(&process, async move {
         *result.borrow_mut() = Some(replica.handle(announcement, FeatureLevel::NEWEST).await);
--- a/crates/soak/src/addresses.rs
+++ b/crates/soak/src/addresses.rs
@@ -5,21 +5,22 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::rc::Rc;
 
-/// Coordinators that every settings file lists as seeds, and that bootstrap the group. One of them may be lost.
-pub const NAMED_COORDINATORS: u8 = 3;
+/// Number of coordinators that every settings file lists as seeds and that bootstrap the group. The loss of one of them
+/// is tolerated.
+pub const SEED_COORDINATORS: u8 = 3;
 
 /// Numbers of processes in a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Coordinators. Those beyond [`NAMED_COORDINATORS`] discover the group through the seeds.
+    /// Number of coordinators. Those beyond [`SEED_COORDINATORS`] discover the group through the seeds.
     pub coordinators: u8,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: u8,
 }
 
 impl Size {
     /// The smallest deployment: as many coordinators as voters, and three gateways.
-    pub const SMALL: Self = Self { coordinators: NAMED_COORDINATORS, gateways: 3 };
+    pub const SMALL: Self = Self { coordinators: SEED_COORDINATORS, gateways: 3 };
 
     /// The largest deployment that fits into a soak's network.
     pub const LARGEST: Self = Self { coordinators: FIRST_ENGINE - FIRST_COORDINATOR, gateways: 190 };
@@ -34,7 +35,7 @@
 /// Ports, below the ephemeral port range.
 const CONTROL_PORT: u16 = 21_001;
 pub(crate) const PEER_PORT: u16 = 21_002;
-const FRONT_PORT: u16 = 21_003;
+const GATEWAY_PORT: u16 = 21_003;
 const READINESS_PORT: u16 = 21_004;
 const ENGINE_PORT: u16 = 21_005;
 const PLATFORM_PORT: u16 = 21_006;
@@ -42,16 +43,16 @@
 /// Offset from the port of a proxy to the port of the listener behind it.
 const PROXY_PORT_OFFSET: u16 = 100;
 
-/// Last byte of the first address of each kind of process.
+/// Last byte of the address of the first process of each kind.
 const FIRST_COORDINATOR: u8 = 10;
 const FIRST_ENGINE: u8 = 40;
 const FIRST_GATEWAY: u8 = 60;
 const PLATFORM: u8 = 5;
 
-/// Maximum attempts to find a free network.
+/// Maximum number of attempts to reserve a network.
 const NETWORK_ATTEMPTS: u32 = 100;
 
-/// The loopback network of a soak. A bound port reserves it against other soaks.
+/// The loopback network of a soak, reserved against other soaks by a bound port.
 #[derive(Clone)]
 pub struct Addresses {
     /// Deployment size.
@@ -73,28 +74,28 @@
         anyhow::bail!("no free network of loopback addresses was found")
     }
 
-    fn at(&self, last: u8, port: u16) -> SocketAddr {
+    fn address(&self, last: u8, port: u16) -> SocketAddr {
         SocketAddr::new(ip(self.network, last), port)
     }
 
     /// A coordinator's address for engines, trainers and operators.
     pub fn control(&self, number: u8) -> SocketAddr {
-        self.at(FIRST_COORDINATOR + number, CONTROL_PORT)
+        self.address(FIRST_COORDINATOR + number, CONTROL_PORT)
     }
 
     /// A gateway's address for clients.
-    pub fn front(&self, number: u8) -> SocketAddr {
-        self.at(FIRST_GATEWAY + number, FRONT_PORT)
+    pub fn gateway(&self, number: u8) -> SocketAddr {
+        self.address(FIRST_GATEWAY + number, GATEWAY_PORT)
     }
 
     /// A gateway's readiness address; not proxied.
     pub fn readiness(&self, number: u8) -> SocketAddr {
-        self.at(FIRST_GATEWAY + number, READINESS_PORT)
+        self.address(FIRST_GATEWAY + number, READINESS_PORT)
     }
 
     /// An engine's address.
     pub fn engine(&self, number: u8) -> SocketAddr {
-        self.at(FIRST_ENGINE + number, ENGINE_PORT)
+        self.address(FIRST_ENGINE + number, ENGINE_PORT)
     }
 
     /// An engine's listener behind its proxy.
@@ -104,12 +105,12 @@
 
     /// The platform's address; not proxied.
     pub fn platform(&self) -> SocketAddr {
-        self.at(PLATFORM, PLATFORM_PORT)
+        self.address(PLATFORM, PLATFORM_PORT)
     }
 
     /// A coordinator's address for other processes.
     pub fn peer(&self, number: u8) -> SocketAddr {
-        self.at(FIRST_COORDINATOR + number, PEER_PORT)
+        self.address(FIRST_COORDINATOR + number, PEER_PORT)
     }
 }
 
--- a/crates/soak/src/builds.rs
+++ b/crates/soak/src/builds.rs
@@ -10,9 +10,9 @@
 /// A build of the product.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Build {
-    /// Build under test.
+    /// The build under test.
     Newest,
-    /// Older build that it replaces.
+    /// The older build that it replaces.
     Production,
 }
 
@@ -34,12 +34,12 @@
 
     /// The build that `party` runs.
     pub fn of(&self, party: Party) -> Build {
-        let first = if self.production.is_some() { Build::Production } else { Build::Newest };
-        self.current.borrow().get(&party).copied().unwrap_or(first)
+        let initial = if self.production.is_some() { Build::Production } else { Build::Newest };
+        self.current.borrow().get(&party).copied().unwrap_or(initial)
     }
 
     /// Sets the build that `party` runs from its next start.
-    pub fn choose(&self, party: Party, build: Build) {
+    pub fn set(&self, party: Party, build: Build) {
         self.current.borrow_mut().insert(party, build);
     }
 
@@ -48,7 +48,7 @@
         match self.of(party) {
             Build::Newest => Ok((self.newest.clone(), Program::Product)),
             Build::Production => {
-                let production = self.production.clone().context("no build in production was given")?;
+                let production = self.production.clone().context("no production build was given")?;
                 Ok((production, Program::Whole))
             }
         }
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -5,7 +5,7 @@
 use crate::journal::{ClientRequest, Journal, Outcome};
 use crate::workload::{
     self, CRASH_BODY_PREFIX, Features, HOST, MOVING, ONCE, REPEATABLE, STREAMS, TIMEOUT_MS, UNKNOWN_KEY,
-    UNKNOWN_KEY_REQUEST,
+    UNKNOWN_KEY_ID_PREFIX,
 };
 use hyper::{Method, StatusCode};
 use saddlerelay_http::client::WholeResponse;
@@ -19,7 +19,7 @@
 /// Maximum pause between a client's requests, in milliseconds.
 const MAX_PAUSE_MS: u64 = 120;
 
-/// Requests per kind of crashing work, and maximum pause between them in milliseconds.
+/// Number of requests per kind of crashing work, and maximum pause between them in milliseconds.
 const CRASHING_ATTEMPTS: u32 = 10;
 const MAX_CRASHING_PAUSE_MS: u64 = 2_500;
 
@@ -61,7 +61,7 @@
         Self { path: format!("{prefix}{id}"), id, prefix, body, events }
     }
 
-    /// Request headers, except the host and the key.
+    /// Headers of the request, without the host and the key.
     pub fn headers(&self) -> Vec<(&'static str, String)> {
         let mut headers =
             vec![("saddlerelay-request", self.id.clone()), ("saddlerelay-deadline-ms", TIMEOUT_MS.to_string())];
@@ -96,7 +96,7 @@
             let path = format!("{prefix}crashing-{kind}");
             let request = Request { id, prefix, path, body: format!("{CRASH_BODY_PREFIX}{kind}"), events: None };
             if send(&request, random_gateway(&addresses), &addresses, &journal).await == Outcome::Complete {
-                journal.violation("every caller gets the whole answer to its own request", request.id.clone());
+                journal.violation("every caller receives the complete response to its own request", request.id.clone());
             }
             compio::time::sleep(Duration::from_millis(fastrand::u64(1..MAX_CRASHING_PAUSE_MS))).await;
         }
@@ -105,10 +105,10 @@
 
 /// Sends a request with an unknown key, which must be rejected.
 async fn send_with_unknown_key(number: u64, addresses: &Addresses, journal: &Journal) {
-    let id = format!("{UNKNOWN_KEY_REQUEST}{number}-{:04x}", fastrand::u16(..));
+    let id = format!("{UNKNOWN_KEY_ID_PREFIX}{number}-{:04x}", fastrand::u16(..));
     let path = format!("{REPEATABLE}{id}");
     let headers = [("host", HOST), ("saddlerelay-request", id.as_str()), (KEY_HEADER, UNKNOWN_KEY)];
-    let address = addresses.front(random_gateway(addresses));
+    let address = addresses.gateway(random_gateway(addresses));
     let response_timeout = Duration::from_millis(TIMEOUT_MS);
     let response = send_request(address, Method::POST, &path, &headers, Vec::new(), response_timeout).await;
     let rejected = response
@@ -116,7 +116,7 @@
         .is_none_or(|response| matches!(response.status, StatusCode::UNAUTHORIZED | StatusCode::SERVICE_UNAVAILABLE));
     if !rejected {
         let status = response.map(|response| response.status);
-        journal.violation("an unknown key is refused", format!("{id} got {status:?}"));
+        journal.violation("a request with an unknown key is rejected", format!("{id} received {status:?}"));
     }
 }
 
@@ -148,8 +148,8 @@
     };
     match response.status {
         StatusCode::OK => {
-            if let Some(fault) = mismatch_of(request, &response) {
-                journal.violation("every caller gets the whole answer to its own request", fault);
+            if let Some(mismatch) = mismatch_of(request, &response) {
+                journal.violation("every caller receives the complete response to its own request", mismatch);
             }
             Outcome::Complete
         }
@@ -166,13 +166,15 @@
     let text = String::from_utf8_lossy(&response.body).into_owned();
     let Some(events) = request.events else {
         let expected = workload::expected_response(&request.path, &request.id, request.body.as_bytes());
-        return (text != expected).then(|| format!("{} got {} bytes of another answer", request.id, text.len()));
+        return (text != expected).then(|| {
+            format!("{} received a response of {} bytes that does not match the request", request.id, text.len())
+        });
     };
     let numbers: Vec<Option<u32>> = text
         .lines()
         .filter_map(|line| line.strip_prefix("data: "))
-        .map(|data| workload::read_event_data(data, &request.path).map(|(number, _)| number))
+        .map(|data| workload::parse_event_data(data, &request.path).map(|(number, _)| number))
         .collect();
     let expected: Vec<Option<u32>> = (1..=events).map(Some).collect();
-    (numbers != expected).then(|| format!("{} of {events} events got {numbers:?}", request.id))
+    (numbers != expected).then(|| format!("{} received events {numbers:?} of {events}", request.id))
 }
--- a/crates/soak/src/calls.rs
+++ b/crates/soak/src/calls.rs
@@ -73,7 +73,7 @@
     response_timeout: Duration,
 ) -> Option<WholeResponse> {
     let headers = [headers, &[("host", HOST), (KEY_HEADER, KEY)]].concat();
-    send_request(addresses.front(gateway), method, path, &headers, body, response_timeout).await
+    send_request(addresses.gateway(gateway), method, path, &headers, body, response_timeout).await
 }
 
 /// A random gateway.
--- a/crates/soak/src/case.rs
+++ b/crates/soak/src/case.rs
@@ -1,6 +1,6 @@
 //! A soak case and its textual form: `SEED`, `KIND:SEED` or `KIND:SEED:COORDINATORS+GATEWAYS`.
 
-use crate::deployment::{NAMED_COORDINATORS, Size};
+use crate::deployment::{SEED_COORDINATORS, Size};
 use crate::trainer::StepShape;
 use crate::workload::Features;
 use anyhow::{Context, Result, ensure};
@@ -14,7 +14,7 @@
     Single,
     /// As `Single`, plus series of overlapping signals and process suspensions.
     Overlapping,
-    /// As `Overlapping`; at the end, the group's members are replaced by coordinators that the settings do not name.
+    /// As `Overlapping`; at the end, the group's members are replaced by coordinators that the settings do not list.
     Replaced,
     /// Pairs of faults: engines end, hang or are cut off, and shortly after a fault hits a process that holds state.
     Paired,
@@ -24,11 +24,11 @@
     Lossy,
 }
 
-/// Coordinators for the lossy plan: two in the lossy zone, and the group's five voters in the other zones.
+/// Number of coordinators in the lossy plan: two in the lossy zone, and the group's five voters in the other zones.
 const LOSSY_COORDINATORS: u8 = 7;
 
-/// Coordinators for the replacement plan: the named ones, as many replacement voters, one learner and one spare.
-const REPLACED_COORDINATORS: u8 = 2 * NAMED_COORDINATORS + 2;
+/// Number of coordinators in the replacement plan: the seeds, as many replacement voters, one learner and one more.
+const REPLACED_COORDINATORS: u8 = 2 * SEED_COORDINATORS + 2;
 
 impl PlanKind {
     const ALL: [Self; 6] = [Self::Single, Self::Overlapping, Self::Replaced, Self::Paired, Self::Upgrade, Self::Lossy];
@@ -45,7 +45,7 @@
     }
 
     /// Shape of the trainer's steps.
-    pub fn steps(self) -> StepShape {
+    pub fn step_shape(self) -> StepShape {
         match self {
             Self::Single | Self::Overlapping | Self::Replaced | Self::Upgrade | Self::Lossy => StepShape::SHORT,
             Self::Paired => StepShape::LONG,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Simultaneous disk losses that the group tolerates.
+    /// Number of simultaneous disk losses that the group tolerates.
     pub fn tolerated_losses(self) -> u8 {
         match self {
             Self::Single | Self::Overlapping | Self::Replaced | Self::Paired | Self::Upgrade => 1,
@@ -95,7 +95,7 @@
         let size = Self { coordinators: coordinators.parse()?, gateways: gateways.parse()? };
         let Self { coordinators: max_coordinators, gateways: max_gateways } = Self::LARGEST;
         ensure!(
-            (NAMED_COORDINATORS..=max_coordinators).contains(&size.coordinators),
+            (SEED_COORDINATORS..=max_coordinators).contains(&size.coordinators),
             "coordinators: 3 to {max_coordinators}"
         );
         ensure!((1..=max_gateways).contains(&size.gateways), "gateways: 1 to {max_gateways}");
--- a/crates/soak/src/command_line.rs
+++ b/crates/soak/src/command_line.rs
@@ -138,11 +138,11 @@
 }
 
 fn soak_all(options: &Options) -> Result<bool> {
-    let mut clean = true;
+    let mut all_clean = true;
     for case in &options.cases {
-        clean &= soak(*case, options)?.is_clean();
+        all_clean &= soak(*case, options)?.is_clean();
     }
-    Ok(clean)
+    Ok(all_clean)
 }
 
 fn soak(case: Case, options: &Options) -> Result<Report> {
@@ -156,7 +156,7 @@
     let report = compio::runtime::Runtime::new()?.block_on(run(&soak));
     let report = report.inspect_err(|_| eprintln!("{case}: its files are in {}", folder.display()))?;
     println!("{report}");
-    if report.is_clean() && report.not_judged.is_empty() && !options.keep {
+    if report.is_clean() && report.inconclusive.is_empty() && !options.keep {
         std::fs::remove_dir_all(&folder)?;
     } else {
         println!("{case}: its files are in {}", folder.display());
--- a/crates/soak/src/convergence.rs
+++ b/crates/soak/src/convergence.rs
@@ -3,33 +3,33 @@
 use crate::journal::{Journal, Moment};
 use std::time::Duration;
 
-/// Time limit for recovery after the last fault; restarted whenever the soak itself is late.
+/// Time limit for recovery after the last fault; restarted whenever the soak's own tasks lag.
 pub const RECOVERY_LIMIT: Duration = Duration::from_secs(12);
 
-/// Total time limit while the soak itself is repeatedly late.
+/// Total time limit while the soak's own tasks lag repeatedly.
 pub const HANG_LIMIT: Duration = Duration::from_secs(90);
 
-const TRIAL_PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// State of a wait.
+/// State of a wait for a condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wait {
-    /// The limit has not passed.
+    /// No time limit has passed.
     InTime,
-    /// [`RECOVERY_LIMIT`] has passed without lag of the soak itself.
-    Over,
-    /// [`HANG_LIMIT`] has passed, with too much lag of the soak itself for a verdict.
-    NotJudged,
+    /// [`RECOVERY_LIMIT`] has passed without lag of the soak's own tasks.
+    Expired,
+    /// [`HANG_LIMIT`] has passed, with too much lag of the soak's own tasks to blame the product.
+    Lagged,
 }
 
-/// State at `now` of a wait that began at `since`, where the soak itself was last late at `late_at`. All connections
-/// pass through the soak process, so its lag prevents recovery and restarts [`RECOVERY_LIMIT`].
-pub fn evaluate(since: Moment, late_at: Option<Moment>, now: Moment) -> Wait {
-    let in_time_since = late_at.map_or(since, |late_at| late_at.max(since));
-    if now > in_time_since + RECOVERY_LIMIT {
-        Wait::Over
+/// State at `now` of a wait that began at `since`; the soak's own tasks last lagged at `lagged_at`. All connections pass
+/// through the soak process, so its lag prevents recovery and restarts [`RECOVERY_LIMIT`].
+pub fn evaluate(since: Moment, lagged_at: Option<Moment>, now: Moment) -> Wait {
+    let restarted_at = lagged_at.map_or(since, |lagged_at| lagged_at.max(since));
+    if now > restarted_at + RECOVERY_LIMIT {
+        Wait::Expired
     } else if now > since + HANG_LIMIT {
-        Wait::NotJudged
+        Wait::Lagged
     } else {
         Wait::InTime
     }
@@ -54,7 +54,7 @@
     }
 
     fn wait(&self) -> Wait {
-        evaluate(self.since, self.journal.late_at(), self.journal.now())
+        evaluate(self.since, self.journal.lagged_at(), self.journal.now())
     }
 
     /// Whether the time limit has passed.
@@ -63,13 +63,13 @@
     }
 
     /// Polls a condition until it holds; records a violation if the time limit passes.
-    pub async fn wait_for<Trial: Future<Output = bool>>(&self, name: String, mut try_once: impl FnMut() -> Trial) {
-        while !try_once().await {
-            let waited = self.journal.now().saturating_sub(self.since).as_millis();
+    pub async fn wait_for<Attempt: Future<Output = bool>>(&self, name: String, mut condition: impl FnMut() -> Attempt) {
+        while !condition().await {
+            let ms = self.journal.now().saturating_sub(self.since).as_millis();
             match self.wait() {
-                Wait::InTime => compio::time::sleep(TRIAL_PAUSE).await,
-                Wait::Over => return self.journal.violation(self.invariant, format!("not within {waited} ms: {name}")),
-                Wait::NotJudged => return self.journal.late(self.invariant, format!("not within {waited} ms: {name}")),
+                Wait::InTime => compio::time::sleep(POLL_INTERVAL).await,
+                Wait::Expired => return self.journal.violation(self.invariant, format!("not within {ms} ms: {name}")),
+                Wait::Lagged => return self.journal.timeout(self.invariant, format!("not within {ms} ms: {name}")),
             }
         }
     }
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -1,12 +1,12 @@
 //! The deployment under test: addresses, settings files, child processes and their proxies.
 
-pub use crate::addresses::{Addresses, NAMED_COORDINATORS, Size};
+pub use crate::addresses::{Addresses, SEED_COORDINATORS, Size};
 use crate::addresses::{PEER_PORT, backend_address};
 use crate::builds::{Build, Builds};
 use crate::case::Case;
 use crate::journal::Journal;
 use crate::links::{Links, Party};
-use crate::proxy::{self, Identify, ProcessTable, ProxyEndpoint};
+use crate::proxy::{self, CallerLookup, ProcessTable, ProxyEndpoint};
 use anyhow::{Context, Result, ensure};
 use saddlerelay_fleet_runner::process::{ChildSpec, RunningChild};
 use std::cell::{Cell, RefCell};
@@ -19,10 +19,10 @@
 /// Report interval of engines.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A draining engine receives no new work this long after the drain was acknowledged.
+/// Time after the acknowledgement of a drain from which the engine receives no new work.
 pub const DRAIN_BOUND: Duration = Duration::from_millis(2_000);
 
-/// A routing document takes effect this long after it was acknowledged.
+/// Time after the acknowledgement of a routing document from which it is in effect.
 pub const CONFIGURATION_BOUND: Duration = Duration::from_millis(2_000);
 
 /// Lease duration of the holder that orders weight loads.
@@ -31,13 +31,13 @@
 /// Graceful shutdown limit in the settings.
 pub const SHUTDOWN_GRACE: Duration = Duration::from_secs(5);
 
-/// How long to wait for a process to end after a stop signal.
+/// Timeout for a process to end after a stop signal.
 const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Shared secret in the settings.
 const SECRET: &str = "soak-shared-secret-0123456789";
 
-/// Length of a usage window, and time after its end by which its report is due.
+/// Duration of a usage window, and time from its end until its report is due.
 const USAGE_WINDOW: Duration = Duration::from_secs(2);
 const USAGE_DUE: Duration = Duration::from_secs(10);
 
@@ -59,11 +59,12 @@
     journal: Journal,
     builds: Builds,
     folder: PathBuf,
-    /// Simultaneous disk losses that the group tolerates.
+    /// Number of simultaneous disk losses that the group tolerates.
     tolerated_losses: u8,
     children: RefCell<BTreeMap<Party, RunningChild>>,
     processes: ProcessTable,
-    /// Coordinator listed first in settings files. Each reload changes it, so that the content of the file changes.
+    /// Coordinator listed first in the seeds of settings files. Each reload changes it, so that the content of the file
+    /// changes.
     first_seed: Cell<u8>,
 }
 
@@ -80,7 +81,7 @@
 
 /// The role of the coordinator at `peer` in a `members proposed` log line, which lists voters by address and learners
 /// by `+` and address.
-pub fn membership_in(line: &str, peer: SocketAddr) -> MemberKind {
+pub fn parse_membership(line: &str, peer: SocketAddr) -> MemberKind {
     let members = line.split_once(" members=\"").map_or("", |(_, rest)| rest.trim_end_matches('"'));
     let (voter, learner) = (peer.to_string(), format!("+{peer}"));
     let kind = members.split(' ').find_map(|member| match member {
@@ -91,22 +92,22 @@
     kind.unwrap_or(MemberKind::None)
 }
 
-/// A log line of a coordinator that became leader. Ordered by time.
+/// A change of leader, read from the log of the new leader. Ordered by time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Leadership {
-    /// The log line, which begins with its timestamp.
+pub struct LeadershipChange {
+    /// The coordinator's log line, which begins with its timestamp.
     line: String,
-    /// Coordinator number.
+    /// Number of the coordinator.
     pub number: u8,
 }
 
 /// A process that has received a stop signal.
-pub struct Stopping {
+pub struct StoppingProcess {
     party: Party,
     child: RunningChild,
 }
 
-impl Stopping {
+impl StoppingProcess {
     /// Sends the stop signal again.
     pub fn signal_stop_again(&self) {
         self.child.signal_stop();
@@ -151,8 +152,8 @@
     }
 
     async fn start_proxies(&self, engines: u8) -> Result<()> {
-        let outside = Identify::Always(Party::Outside);
-        let by_process = Identify::ByProcess(self.processes.clone());
+        let outside = CallerLookup::Always(Party::Outside);
+        let by_process = CallerLookup::ByProcess(self.processes.clone());
         let mut endpoints = Vec::new();
         for number in 0..self.addresses.size.coordinators {
             let party = Party::Coordinator(number);
@@ -160,13 +161,13 @@
             endpoints.push((self.addresses.peer(number), party, by_process.clone()));
         }
         for number in 0..self.addresses.size.gateways {
-            endpoints.push((self.addresses.front(number), Party::Gateway(number), outside.clone()));
+            endpoints.push((self.addresses.gateway(number), Party::Gateway(number), outside.clone()));
         }
         for number in 0..engines {
             endpoints.push((self.addresses.engine(number), Party::Engine(number), by_process.clone()));
         }
-        for (address, party, identify) in endpoints {
-            let endpoint = ProxyEndpoint { party, target: backend_address(address), identify };
+        for (address, party, caller_lookup) in endpoints {
+            let endpoint = ProxyEndpoint { party, target: backend_address(address), caller_lookup };
             proxy::start(address, endpoint, self.links.clone()).await.with_context(|| format!("proxy at {address}"))?;
         }
         Ok(())
@@ -194,7 +195,7 @@
 
     /// A coordinator's role in the latest proposed membership.
     pub fn membership_of(&self, number: u8) -> MemberKind {
-        membership_in(&self.newest_members(), self.addresses.peer(number))
+        parse_membership(&self.newest_members(), self.addresses.peer(number))
     }
 
     /// The feature level that a coordinator last logged; 0 if it logged none.
@@ -208,17 +209,17 @@
 
     /// The coordinator that last became leader, from the coordinators' logs.
     pub fn leader(&self) -> Option<u8> {
-        self.newest_leadership().map(|leadership| leadership.number)
+        self.latest_leadership_change().map(|change| change.number)
     }
 
     /// The latest change of leader, from the coordinators' logs.
-    pub fn newest_leadership(&self) -> Option<Leadership> {
-        let leaderships = (0..self.addresses.size.coordinators).filter_map(|number| {
+    pub fn latest_leadership_change(&self) -> Option<LeadershipChange> {
+        let changes = (0..self.addresses.size.coordinators).filter_map(|number| {
             let text = std::fs::read_to_string(self.log_file(Party::Coordinator(number))).ok()?;
             let line = text.lines().rfind(|line| line.contains(BECAME_LEADER)).map(str::to_string)?;
-            Some(Leadership { line, number })
+            Some(LeadershipChange { line, number })
         });
-        leaderships.max()
+        changes.max()
     }
 
     /// The log lines of a process so far.
@@ -246,12 +247,12 @@
 
     /// Sets the build that `party` runs from its next start.
     pub fn choose_build(&self, party: Party, build: Build) {
-        self.builds.choose(party, build);
+        self.builds.set(party, build);
     }
 
     /// Writes a process's settings file; `first_start` is true only for the initial start of the deployment.
     pub fn write_settings(&self, party: Party, first_start: bool) -> Result<()> {
-        let seed_numbers = (0..NAMED_COORDINATORS).map(|offset| (self.first_seed.get() + offset) % NAMED_COORDINATORS);
+        let seed_numbers = (0..SEED_COORDINATORS).map(|offset| (self.first_seed.get() + offset) % SEED_COORDINATORS);
         let seeds: Vec<String> = seed_numbers.map(|number| format!("\"{}\"", self.addresses.control(number))).collect();
         let role_settings = match party {
             Party::Coordinator(number) => format!(
@@ -264,10 +265,10 @@
             ),
             Party::Gateway(number) => format!(
                 "role = \"gateway\"\nclient_address = \"{}\"\nreadiness_address = \"{}\"\n",
-                backend_address(self.addresses.front(number)),
+                backend_address(self.addresses.gateway(number)),
                 self.addresses.readiness(number),
             ),
-            Party::Engine(_) | Party::Outside => anyhow::bail!("{} has no settings", process_name(party)),
+            Party::Engine(_) | Party::Outside => anyhow::bail!("{} has no settings file", process_name(party)),
         };
         let text = format!(
             "name = \"{}\"\nzone = \"north\"\nseeds = [{}]\npeer_port = {PEER_PORT}\nshared_secret = \"{SECRET}\"\n{role_settings}\n\
@@ -285,9 +286,9 @@
         );
         // Replaces the file atomically: a process may be reading it.
         let file = self.settings_file(party);
-        let written = file.with_extension("new");
-        std::fs::write(&written, text)?;
-        Ok(std::fs::rename(written, file)?)
+        let new_file = file.with_extension("new");
+        std::fs::write(&new_file, text)?;
+        Ok(std::fs::rename(new_file, file)?)
     }
 
     /// Starts or restarts a process.
@@ -311,13 +312,13 @@
         Ok(())
     }
 
-    /// Removes a process from supervision. Its connections remain attributed to it until [`Self::forget_process`].
+    /// Removes a process from supervision. Its connections remain attributed to it until [`Self::remove_process`].
     fn remove_child(&self, party: Party) -> Option<RunningChild> {
         self.children.borrow_mut().remove(&party)
     }
 
     /// Stops attributing connections to the process id, which the system may reuse.
-    fn forget_process(&self, process: u32) {
+    fn remove_process(&self, process: u32) {
         self.processes.remove(process);
     }
 
@@ -327,35 +328,39 @@
             return false;
         };
         child.kill();
-        self.forget_process(child.id());
+        self.remove_process(child.id());
         true
     }
 
     /// Sends a stop signal. The caller completes the stop with [`Self::finish_stop`] or [`Self::abort_stop`]. `None`
     /// if the process is not running.
-    pub async fn begin_stop(&self, party: Party) -> Option<Stopping> {
+    pub async fn begin_stop(&self, party: Party) -> Option<StoppingProcess> {
         let mut child = self.remove_child(party)?;
         child.ask_to_stop().await;
-        Some(Stopping { party, child })
+        Some(StoppingProcess { party, child })
     }
 
     /// Waits for a process to end after a stop signal; an error if it does not exit successfully in time.
-    pub async fn finish_stop(&self, mut stopping: Stopping) -> Result<()> {
+    pub async fn finish_stop(&self, mut stopping: StoppingProcess) -> Result<()> {
         let ended = stopping.child.wait(STOP_TIMEOUT).await;
-        self.forget_process(stopping.child.id());
-        ensure!(ended == Some(true), "{}: the planned stop ended with {ended:?}", process_name(stopping.party));
+        self.remove_process(stopping.child.id());
+        ensure!(
+            ended == Some(true),
+            "{}: the process did not end successfully after a stop signal: {ended:?}",
+            process_name(stopping.party)
+        );
         Ok(())
     }
 
     /// Kills a process that has received a stop signal.
-    pub fn abort_stop(&self, mut stopping: Stopping) {
+    pub fn abort_stop(&self, mut stopping: StoppingProcess) {
         stopping.child.kill();
-        self.forget_process(stopping.child.id());
+        self.remove_process(stopping.child.id());
     }
 
     /// Rewrites a process's settings with the same values in another order.
     pub fn change_settings(&self, party: Party) -> Result<()> {
-        self.first_seed.set((self.first_seed.get() + 1) % NAMED_COORDINATORS);
+        self.first_seed.set((self.first_seed.get() + 1) % SEED_COORDINATORS);
         self.write_settings(party, false)
     }
 
@@ -397,7 +402,7 @@
         for party in ended {
             self.journal.violation("processes do not end by themselves", process_name(party));
             if let Some(child) = self.remove_child(party) {
-                self.forget_process(child.id());
+                self.remove_process(child.id());
             }
             self.start_process(party)?;
         }
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -4,7 +4,7 @@
 use crate::calls::KEY_HEADER;
 use crate::deployment::Addresses;
 use crate::journal::{EngineSample, ItemRunEnd, Journal, OrderRecord, Run};
-use crate::workload::{self, Features, MODEL, MODEL_SERVICE, ROLLOUTS, SCORES, SLOTS, TENANT, UNKNOWN_KEY_REQUEST};
+use crate::workload::{self, Features, MODEL, MODEL_SERVICE, ROLLOUTS, SCORES, SLOTS, TENANT, UNKNOWN_KEY_ID_PREFIX};
 use bytes::Bytes;
 use compio::net::TcpListener;
 use hyper::body::Incoming;
@@ -39,18 +39,18 @@
 /// Delay from the start of crashing work to the crash.
 const CRASH_TIME: Duration = Duration::from_millis(25);
 
-/// How long a hanging engine holds a request.
+/// Time for which a hanging engine holds a request.
 const HANG_TIME: Duration = Duration::from_secs(6);
 
-/// Requests in progress per slot above which new ones are rejected.
+/// Number of requests in progress per slot from which new ones are rejected.
 const QUEUE_LIMIT_FACTOR: u32 = 3;
 
 /// Behavior on requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Conduct {
+pub enum EngineBehavior {
     /// Executes them.
     Normal,
-    /// Executes them this many times slower.
+    /// Executes them slower by this factor.
     Slow(u32),
     /// Rejects them without executing them.
     Refusing,
@@ -66,7 +66,7 @@
 
 /// Behavior on orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderConduct {
+pub enum OrderBehavior {
     /// Accepts them.
     Normal,
     /// Executes them after this delay and does not respond in time.
@@ -79,15 +79,15 @@
     journal: Journal,
     addresses: Addresses,
     incarnation: Cell<u32>,
-    conduct: Cell<Conduct>,
-    order_conduct: Cell<OrderConduct>,
+    behavior: Cell<EngineBehavior>,
+    order_behavior: Cell<OrderBehavior>,
     version: Cell<u64>,
     loading: Cell<bool>,
     orders_taken: Cell<u64>,
     highest_fence: Cell<u64>,
     running: Cell<u32>,
     leaving: Cell<bool>,
-    /// Whether it sends no reports, as an engine that is gone.
+    /// Whether it sends no reports, like an engine that has crashed.
     silent: Cell<bool>,
     sequence: Cell<u64>,
     /// Notified when crashing work has started.
@@ -159,8 +159,8 @@
             journal,
             addresses,
             incarnation: Cell::new(1),
-            conduct: Cell::new(Conduct::Normal),
-            order_conduct: Cell::new(OrderConduct::Normal),
+            behavior: Cell::new(EngineBehavior::Normal),
+            order_behavior: Cell::new(OrderBehavior::Normal),
             version: Cell::new(1),
             loading: Cell::new(false),
             orders_taken: Cell::new(0),
@@ -178,12 +178,12 @@
         Ok(engine)
     }
 
-    /// Engine number.
+    /// Number of the engine in the deployment, from 0.
     pub fn number(&self) -> u8 {
         self.state.number
     }
 
-    /// Current instance.
+    /// Identifier of the current instance.
     pub fn instance(&self) -> InstanceId {
         InstanceId::named(format!("engine-{}-{}", self.state.number, self.state.incarnation.get()))
     }
@@ -204,13 +204,13 @@
     }
 
     /// Sets the behavior on requests.
-    pub fn set_conduct(&self, conduct: Conduct) {
-        self.state.conduct.set(conduct);
+    pub fn set_behavior(&self, behavior: EngineBehavior) {
+        self.state.behavior.set(behavior);
     }
 
     /// Sets the behavior on orders.
-    pub fn set_order_conduct(&self, conduct: OrderConduct) {
-        self.state.order_conduct.set(conduct);
+    pub fn set_order_behavior(&self, behavior: OrderBehavior) {
+        self.state.order_behavior.set(behavior);
     }
 
     /// Announces a drain in its reports from now on.
@@ -232,20 +232,20 @@
     pub fn sample(&self, is_reachable: bool) -> EngineSample {
         let state = &self.state;
         let behaves_normally =
-            state.conduct.get() == Conduct::Normal && state.order_conduct.get() == OrderConduct::Normal;
+            state.behavior.get() == EngineBehavior::Normal && state.order_behavior.get() == OrderBehavior::Normal;
         let is_available = !state.loading.get() && !state.leaving.get();
         EngineSample {
             number: state.number,
             version: state.version.get(),
             running: state.running.get(),
-            takes_items: is_reachable && behaves_normally && is_available,
+            accepts_items: is_reachable && behaves_normally && is_available,
         }
     }
 
     /// Ends this instance and its requests; the next instance uses the same address.
     pub fn start_next_incarnation(&self) {
         let state = &self.state;
-        state.journal.engine_ended(&self.instance());
+        state.journal.end_engine_runs(&self.instance());
         state.incarnation.set(state.incarnation.get() + 1);
         state.version.set(state.newest_version.get());
         state.loading.set(false);
@@ -253,8 +253,8 @@
         state.highest_fence.set(0);
         state.leaving.set(false);
         state.sequence.set(0);
-        state.conduct.set(Conduct::Normal);
-        state.order_conduct.set(OrderConduct::Normal);
+        state.behavior.set(EngineBehavior::Normal);
+        state.order_behavior.set(OrderBehavior::Normal);
     }
 
     /// The instance id in reports. If older builds take part, it includes a start time, which some of them do not
@@ -289,8 +289,8 @@
 
     fn add_response_headers(&self, reply: &mut Reply, request: &str) {
         let stamp = HeaderValue::from_str(&self.instance().name);
-        let echo = match self.state.conduct.get() {
-            Conduct::Mistaken => HeaderValue::from_str("another request"),
+        let echo = match self.state.behavior.get() {
+            EngineBehavior::Mistaken => HeaderValue::from_str("another request"),
             _ => HeaderValue::from_str(request),
         };
         let headers = reply.headers_mut();
@@ -301,7 +301,7 @@
         headers.insert("saddlerelay-version", HeaderValue::from(self.state.version.get()));
     }
 
-    fn not_executed(&self, status: StatusCode, request: &str) -> Reply {
+    fn rejection(&self, status: StatusCode, request: &str) -> Reply {
         let mut reply = whole(status, "text/plain", "not executed");
         self.add_response_headers(&mut reply, request);
         reply.headers_mut().insert("saddlerelay-not-executed", HeaderValue::from_static("1"));
@@ -320,15 +320,15 @@
             fence: order.fence,
         };
         state.journal.write(|records| records.orders.push(observed));
-        match state.order_conduct.get() {
-            OrderConduct::Normal => self.take_order(order),
-            OrderConduct::Late(delay) => {
+        match state.order_behavior.get() {
+            OrderBehavior::Normal => self.execute_order(order),
+            OrderBehavior::Late(delay) => {
                 let engine = self.clone();
                 let incarnation = state.incarnation.get();
                 compio::runtime::spawn(async move {
                     compio::time::sleep(delay).await;
                     if engine.state.incarnation.get() == incarnation {
-                        engine.take_order(order);
+                        engine.execute_order(order);
                     }
                 })
                 .detach();
@@ -338,7 +338,7 @@
         }
     }
 
-    fn take_order(&self, order: WeightOrder) -> Reply {
+    fn execute_order(&self, order: WeightOrder) -> Reply {
         let state = &self.state;
         if order.fence < state.highest_fence.get() {
             return whole(StatusCode::PRECONDITION_FAILED, "text/plain", "");
@@ -376,9 +376,9 @@
             return;
         }
         let tenant = header(headers, "saddlerelay-tenant");
-        if tenant != Some(TENANT) || headers.contains_key(KEY_HEADER) || request.starts_with(UNKNOWN_KEY_REQUEST) {
-            let observed = format!("{request} came to {} for tenant {tenant:?}", self.instance().name);
-            self.state.journal.violation("an engine is told the tenant of the key, and never the key", observed);
+        if tenant != Some(TENANT) || headers.contains_key(KEY_HEADER) || request.starts_with(UNKNOWN_KEY_ID_PREFIX) {
+            let observed = format!("{request} reached {} with tenant {tenant:?}", self.instance().name);
+            self.state.journal.violation("an engine receives the tenant of the key, and never the key", observed);
         }
     }
 
@@ -389,11 +389,11 @@
         let requested_version: Option<u64> =
             header(&headers, "saddlerelay-for-version").and_then(|version| version.parse().ok());
         if requested_version.is_some_and(|requested_version| requested_version != state.version.get()) {
-            return self.not_executed(StatusCode::MISDIRECTED_REQUEST, &request);
+            return self.rejection(StatusCode::MISDIRECTED_REQUEST, &request);
         }
         let is_full = state.running.get() >= SLOTS * QUEUE_LIMIT_FACTOR;
-        if state.conduct.get() == Conduct::Refusing || is_full || state.loading.get() {
-            return self.not_executed(StatusCode::SERVICE_UNAVAILABLE, &request);
+        if state.behavior.get() == EngineBehavior::Refusing || is_full || state.loading.get() {
+            return self.rejection(StatusCode::SERVICE_UNAVAILABLE, &request);
         }
         let item = path.starts_with(ROLLOUTS).then(|| ItemId(request.clone()));
         let in_progress = InProgress::begin(state, item, self.instance());
@@ -413,10 +413,10 @@
             // Never returns: the connection is closed with the instance.
             std::future::pending::<()>().await;
         }
-        if state.conduct.get() == Conduct::Hanging {
+        if state.behavior.get() == EngineBehavior::Hanging {
             compio::time::sleep(HANG_TIME).await;
         }
-        if state.conduct.get() == Conduct::Failing {
+        if state.behavior.get() == EngineBehavior::Failing {
             state.journal.write(|records| *records.item_failures.entry(request.clone()).or_default() += 1);
             in_progress.end(ItemRunEnd::Failed);
             let mut reply = whole(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "failed");
@@ -430,8 +430,8 @@
     }
 
     fn slowdown_factor(&self) -> u32 {
-        match self.state.conduct.get() {
-            Conduct::Slow(times) => times,
+        match self.state.behavior.get() {
+            EngineBehavior::Slow(factor) => factor,
             _ => 1,
         }
     }
@@ -443,7 +443,7 @@
         let text = workload::expected_response(&path, request, &body);
         let has_ended = self.state.incarnation.get() != incarnation;
         let mut reply = whole(StatusCode::OK, "text/plain", text.clone());
-        if has_ended || self.state.conduct.get() == Conduct::BreakingOff {
+        if has_ended || self.state.behavior.get() == EngineBehavior::BreakingOff {
             let half = Bytes::from(text.into_bytes()).slice(..path.len());
             let parts = futures::stream::iter([Ok(half), Err(BrokenOff)]);
             *reply.body_mut() = LocalBody::Breakable(Box::pin(parts));
@@ -464,7 +464,7 @@
                 }
                 compio::time::sleep(EVENT_TIME * engine.slowdown_factor()).await;
                 let state = &engine.state;
-                let aborts = state.conduct.get() == Conduct::BreakingOff && sent > after;
+                let aborts = state.behavior.get() == EngineBehavior::BreakingOff && sent > after;
                 if state.incarnation.get() != incarnation || aborts {
                     return Some((Err(BrokenOff), (sent, in_progress)));
                 }
@@ -497,7 +497,7 @@
         let expected = header(&head.headers, "saddlerelay-for-instance");
         if expected.is_some_and(|expected| expected != self.instance().name) {
             let id = header(&head.headers, "saddlerelay-request").unwrap_or_default().to_string();
-            return self.not_executed(StatusCode::MISDIRECTED_REQUEST, &id);
+            return self.rejection(StatusCode::MISDIRECTED_REQUEST, &id);
         }
         let path = head.uri.path_and_query().map(|path| path.to_string()).unwrap_or_default();
         match path.as_str() {
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,8 +1,8 @@
 //! Injects planned faults and heals them.
 
 use crate::convergence::ConvergenceCheck;
-use crate::deployment::{Deployment, MemberKind, NAMED_COORDINATORS};
-use crate::engine::{Conduct, Engine, OrderConduct};
+use crate::deployment::{Deployment, MemberKind, SEED_COORDINATORS};
+use crate::engine::{Engine, EngineBehavior, OrderBehavior};
 use crate::journal::{Journal, Moment};
 use crate::links::{Condition, Party};
 use crate::operator::{self, Operator};
@@ -19,13 +19,13 @@
 /// Time after a coordinator's fault until its group tolerates a disk loss again.
 const REPAIR_TIME: Duration = Duration::from_secs(8);
 
-/// Downtime of an engine that crashed under its work.
+/// Downtime of an engine that its work has crashed.
 const CRASH_DOWNTIME: Duration = Duration::from_millis(1_500);
 
 /// Time without contact after which the group removes a learner; a voter is replaced after 1.5 s.
 const LEARNER_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Pause after a membership change, in which the group adds the next learner.
+/// Pause after a membership change, during which the group adds the next learner.
 const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 
 /// Downtime of processes that are killed together.
@@ -34,10 +34,10 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A process that receives a stop signal ends with a successful exit status.
-pub const STOP_ENDS_WELL: &str = "a planned stop ends well";
+pub const STOP_SUCCEEDS: &str = "a process that receives a stop signal ends successfully";
 
-/// A coordinator's write-ahead log.
-const LOG_FILE: &str = "wal";
+/// File of a coordinator's write-ahead log.
+const WAL_FILE: &str = "wal";
 
 /// Size of a log record header and of the length field at its start, in bytes.
 const RECORD_HEADER_BYTES: usize = 12;
@@ -58,7 +58,7 @@
     coordinators_healed_at: Cell<Moment>,
 }
 
-/// Reserves a party for one fault or planned operation; released on drop.
+/// Reservation of a party for one fault or planned operation; released on drop.
 pub(crate) struct Reservation<'a> {
     faults: &'a FaultInjector,
     pub(crate) party: Party,
@@ -67,7 +67,7 @@
 impl Drop for Reservation<'_> {
     fn drop(&mut self) {
         self.faults.reserved.borrow_mut().remove(&self.party);
-        self.faults.journal.end_disruption(self.party);
+        self.faults.journal.end_faults(self.party);
         if matches!(self.party, Party::Coordinator(_)) {
             self.faults.coordinators_healed_at.set(self.faults.journal.now());
         }
@@ -84,7 +84,7 @@
     /// Reserves a party for a fault; `None` if it is reserved already.
     pub(crate) fn reserve(&self, party: Party) -> Option<Reservation<'_>> {
         let reservation = self.reserve_for_planned_work(party)?;
-        self.journal.begin_disruption(party);
+        self.journal.begin_fault(party);
         Some(reservation)
     }
 
@@ -142,7 +142,7 @@
                 self.refuse_writes(Party::Coordinator(number), time).await;
                 Ok(())
             }
-            Fault::LossyZone(zone) => self.lose_packets(zone).await,
+            Fault::LossyZone(zone) => self.inject_packet_loss(zone).await,
             Fault::HarmLeader(leader_fault) => self.inject_leader_fault(leader_fault).await,
             engine_fault => {
                 self.inject_engine_fault(engine_fault).await;
@@ -172,11 +172,11 @@
         self.log_fault(&format!("{party:?}: {end:?}, down {} ms", down.as_millis()));
         match end {
             End::Stop => {
-                let planned = self.journal.begin_planned(party);
+                let planned = self.journal.begin_planned_work(party);
                 if let Err(error) = self.deployment.stop(party).await {
-                    self.journal.violation(STOP_ENDS_WELL, format!("{error:#}"));
+                    self.journal.violation(STOP_SUCCEEDS, format!("{error:#}"));
                 }
-                self.journal.end_planned(planned);
+                self.journal.end_planned_work(planned);
             }
             End::Kill | End::LoseDisk | End::TearLog => {
                 self.deployment.kill(party);
@@ -189,11 +189,11 @@
             End::Kill | End::Stop => {}
         }
         compio::time::sleep(down).await;
-        self.start_again(party)
+        self.restart_process(party)
     }
 
     /// Restarts a process that has ended.
-    pub(crate) fn start_again(&self, party: Party) -> Result<()> {
+    pub(crate) fn restart_process(&self, party: Party) -> Result<()> {
         self.deployment.write_settings(party, false)?;
         self.deployment.start_process(party)
     }
@@ -216,24 +216,24 @@
         }
         compio::time::sleep(down).await;
         for party in parties {
-            self.start_again(party)?;
+            self.restart_process(party)?;
         }
         Ok(())
     }
 
-    /// Kills the coordinators named in the settings one after the other, each once the previous one is no longer a
+    /// Kills the coordinators listed in the settings one after the other, each once the previous one is no longer a
     /// member, and restarts them. Then kills every process and restarts it with the same settings.
     async fn replace_members(&self) -> Result<()> {
         let reservations = self.reserve_all().await;
-        let named_coordinators = (0..NAMED_COORDINATORS).map(Party::Coordinator);
-        for number in 0..NAMED_COORDINATORS {
+        let seed_coordinators = (0..SEED_COORDINATORS).map(Party::Coordinator);
+        for number in 0..SEED_COORDINATORS {
             self.log_fault(&format!("coordinator {number} is killed, to be replaced"));
             self.deployment.kill(Party::Coordinator(number));
             self.wait_for_replacement(number).await;
             compio::time::sleep(SETTLE_TIME).await;
         }
-        for party in named_coordinators {
-            self.start_again(party)?;
+        for party in seed_coordinators {
+            self.restart_process(party)?;
         }
         compio::time::sleep(SETTLE_TIME).await;
         self.log_fault(&format!("all processes are killed; members: {}", self.deployment.newest_members()));
@@ -243,14 +243,14 @@
     /// Checks that a killed voter loses its vote in time, and that it is removed from the group at the latest
     /// [`LEARNER_TIMEOUT`] after that.
     async fn wait_for_replacement(&self, number: u8) {
-        const INVARIANT: &str = "a lost member is replaced";
+        const INVARIANT: &str = "a failed member is replaced";
         let membership = || self.deployment.membership_of(number);
         let is_not_voter = || async { membership() != MemberKind::Voter };
         let replaced = ConvergenceCheck::begin(INVARIANT, &self.journal);
         replaced.wait_for(format!("coordinator {number} is no longer a voter"), is_not_voter).await;
-        let is_dropped = || async { membership() == MemberKind::None };
-        let dropped = ConvergenceCheck::begin_after(LEARNER_TIMEOUT, INVARIANT, &self.journal);
-        dropped.wait_for(format!("coordinator {number} is no longer a member"), is_dropped).await;
+        let is_not_member = || async { membership() == MemberKind::None };
+        let removed = ConvergenceCheck::begin_after(LEARNER_TIMEOUT, INVARIANT, &self.journal);
+        removed.wait_for(format!("coordinator {number} is no longer a member"), is_not_member).await;
     }
 
     async fn suspend(&self, parties: &[Party], time: Duration) {
@@ -357,14 +357,14 @@
         let Some(process) = process.and_then(|process| Pid::from_raw(process as i32)) else {
             return;
         };
-        let refused = Rlimit { current: Some(FILE_SIZE_LIMIT), maximum: None };
-        let Ok(before) = prlimit(Some(process), Resource::Fsize, refused) else {
+        let limit = Rlimit { current: Some(FILE_SIZE_LIMIT), maximum: None };
+        let Ok(previous_limit) = prlimit(Some(process), Resource::Fsize, limit) else {
             return;
         };
         compio::time::sleep(time).await;
         if self.deployment.is_running(party) {
             // The process may have ended, and its limit with it.
-            let _ = prlimit(Some(process), Resource::Fsize, before);
+            let _ = prlimit(Some(process), Resource::Fsize, previous_limit);
         }
     }
 
@@ -390,17 +390,17 @@
                 engine.set_silent(false);
             }
             Fault::ReplaceEngine { .. } => {
-                operator::replace(engine.clone(), self.deployment.addresses.clone(), self.journal.clone()).await;
+                operator::replace_engine(engine.clone(), self.deployment.addresses.clone(), self.journal.clone()).await;
             }
             Fault::Misconduct { conduct, time, .. } => {
-                engine.set_conduct(conduct);
+                engine.set_behavior(conduct);
                 compio::time::sleep(time).await;
-                engine.set_conduct(Conduct::Normal);
+                engine.set_behavior(EngineBehavior::Normal);
             }
             Fault::LateOrders { delay, time, .. } => {
-                engine.set_order_conduct(OrderConduct::Late(delay));
+                engine.set_order_behavior(OrderBehavior::Late(delay));
                 compio::time::sleep(time).await;
-                engine.set_order_conduct(OrderConduct::Normal);
+                engine.set_order_behavior(OrderBehavior::Normal);
             }
             _ => {}
         }
@@ -419,27 +419,27 @@
 
     async fn crash(&self, engine: &Engine, down: Duration) {
         let party = Party::Engine(engine.number());
-        self.journal.begin_disruption(party);
+        self.journal.begin_fault(party);
         self.deployment.links.set_down(party, true);
-        let set = |condition| {
+        let set_links = |condition| {
             for other in self.deployment.processes() {
                 self.deployment.links.set_both(other, party, condition);
             }
         };
-        set(Condition::Reset);
+        set_links(Condition::Reset);
         engine.start_next_incarnation();
         compio::time::sleep(down).await;
-        set(Condition::Open);
+        set_links(Condition::Open);
         self.deployment.links.set_down(party, false);
-        self.journal.end_disruption(party);
+        self.journal.end_faults(party);
     }
 
     /// Opens all links and resets all engines to normal behavior; faults in progress end on their own.
     pub fn heal_all(&self) {
         self.deployment.links.heal_all();
         for engine in &self.engines {
-            engine.set_conduct(Conduct::Normal);
-            engine.set_order_conduct(OrderConduct::Normal);
+            engine.set_behavior(EngineBehavior::Normal);
+            engine.set_order_behavior(OrderBehavior::Normal);
         }
         self.journal.record_resumption();
     }
@@ -447,7 +447,7 @@
 
 /// Appends the beginning of a record to the log, as a process does that is killed during a write.
 fn append_torn_record(folder: &Path) -> Result<()> {
-    let file = folder.join(LOG_FILE);
+    let file = folder.join(WAL_FILE);
     let Ok(mut bytes) = std::fs::read(&file) else {
         return Ok(());
     };
--- a/crates/soak/src/journal.rs
+++ b/crates/soak/src/journal.rs
@@ -66,7 +66,7 @@
     /// Requests in progress, including items.
     pub running: u32,
     /// Whether it accepts items: reachable, not loading weights, not draining and behaving normally.
-    pub takes_items: bool,
+    pub accepts_items: bool,
 }
 
 /// States of all engines that run the model, at one moment.
@@ -239,7 +239,7 @@
     pub item_runs: Vec<ItemRun>,
     /// Periodic samples of the engines that run the model.
     pub engine_samples: Vec<EnginesSample>,
-    /// Times of the first send and of the acknowledgement of each published model version.
+    /// Times of the first send and of the acknowledgement of every published model version, in one list.
     pub versions_published: Vec<Moment>,
     /// Events that engines generated: item id, event number, model version.
     pub events: BTreeSet<(String, u32, u64)>,
@@ -250,13 +250,13 @@
     /// Requests on keep-alive connections.
     pub keep_alive: Vec<KeepAliveRequest>,
     /// Planned stops and reloads, each until the process has ended or the reload is complete.
-    pub planned: Vec<Disturbance>,
+    pub planned_work: Vec<Disturbance>,
     /// Faults of parties, excluding planned work.
-    pub disruptions: Vec<Disturbance>,
+    pub fault_intervals: Vec<Disturbance>,
     /// Orders received by engines.
     pub orders: Vec<OrderRecord>,
     /// Time when a drain was acknowledged, by engine instance.
-    pub leaving: BTreeMap<InstanceId, Moment>,
+    pub drains_acknowledged_at: BTreeMap<InstanceId, Moment>,
     /// Routing documents sent by operators.
     pub documents: Vec<SentDocument>,
     /// Routing documents read back.
@@ -269,8 +269,8 @@
     pub violations: Vec<Violation>,
     /// Maximum scheduling lag of the soak's own tasks.
     pub own_lag: Duration,
-    /// Last time when the lag of the soak's own tasks exceeded the limit.
-    pub late_at: Option<Moment>,
+    /// Last time at which the lag of the soak's own tasks exceeded the limit.
+    pub lagged_at: Option<Moment>,
     /// Injected faults, with start time and description.
     pub faults: Vec<(Moment, String)>,
 }
@@ -311,13 +311,13 @@
         inspect(&self.records.borrow())
     }
 
-    /// Records a violated invariant.
+    /// Records a violated invariant, other than a time limit.
     pub fn violation(&self, invariant: &'static str, observed: String) {
         self.record_violation(Violation { invariant, observed, time_bound: false });
     }
 
     /// Records a violated time limit.
-    pub fn late(&self, invariant: &'static str, observed: String) {
+    pub fn timeout(&self, invariant: &'static str, observed: String) {
         self.record_violation(Violation { invariant, observed, time_bound: true });
     }
 
@@ -329,49 +329,49 @@
     }
 
     /// Records that the lag of one of the soak's own tasks exceeded the limit.
-    pub fn record_lateness(&self) {
+    pub fn record_excessive_lag(&self) {
         let now = self.now();
-        self.write(|records| records.late_at = Some(now));
+        self.write(|records| records.lagged_at = Some(now));
     }
 
     /// Last time when the lag of the soak's own tasks exceeded the limit.
-    pub fn late_at(&self) -> Option<Moment> {
-        self.read(|records| records.late_at)
+    pub fn lagged_at(&self) -> Option<Moment> {
+        self.read(|records| records.lagged_at)
     }
 
-    /// Records the start of planned work on `party`; returns an index for [`Self::end_planned`].
-    pub fn begin_planned(&self, party: Party) -> usize {
+    /// Records the start of planned work on `party`; returns an index for [`Self::end_planned_work`].
+    pub fn begin_planned_work(&self, party: Party) -> usize {
         let from = self.now();
         self.write(|records| {
-            records.planned.push(Disturbance { party, from, until: None });
-            records.planned.len() - 1
+            records.planned_work.push(Disturbance { party, from, until: None });
+            records.planned_work.len() - 1
         })
     }
 
     /// Records the end of planned work.
-    pub fn end_planned(&self, number: usize) {
+    pub fn end_planned_work(&self, number: usize) {
         let now = self.now();
-        self.write(|records| records.planned[number].until = Some(now));
+        self.write(|records| records.planned_work[number].until = Some(now));
     }
 
     /// Whether planned work on `party` is in progress.
     pub fn is_under_planned_work(&self, party: Party) -> bool {
-        let under_way = |work: &Disturbance| work.party == party && work.until.is_none();
-        self.read(|records| records.planned.iter().any(under_way))
+        let in_progress = |work: &Disturbance| work.party == party && work.until.is_none();
+        self.read(|records| records.planned_work.iter().any(in_progress))
     }
 
     /// Records the start of a fault of `party`.
-    pub fn begin_disruption(&self, party: Party) {
+    pub fn begin_fault(&self, party: Party) {
         let from = self.now();
-        self.write(|records| records.disruptions.push(Disturbance { party, from, until: None }));
+        self.write(|records| records.fault_intervals.push(Disturbance { party, from, until: None }));
     }
 
     /// Records the end of all faults of `party`.
-    pub fn end_disruption(&self, party: Party) {
+    pub fn end_faults(&self, party: Party) {
         let now = self.now();
         self.write(|records| {
-            let lasting = |fault: &&mut Disturbance| fault.party == party && fault.until.is_none();
-            records.disruptions.iter_mut().filter(lasting).for_each(|fault| fault.until = Some(now));
+            let in_progress = |fault: &&mut Disturbance| fault.party == party && fault.until.is_none();
+            records.fault_intervals.iter_mut().filter(in_progress).for_each(|fault| fault.until = Some(now));
         });
     }
 
@@ -396,8 +396,8 @@
         self.write(|records| end_if_open(&mut records.item_runs[number], now, end));
     }
 
-    /// Records the end of an engine and of the items in progress there.
-    pub fn engine_ended(&self, instance: &InstanceId) {
+    /// Records that an engine ended, which ends the executions of items in progress there.
+    pub fn end_engine_runs(&self, instance: &InstanceId) {
         let now = self.now();
         self.write(|records| {
             let affected = records.item_runs.iter_mut().filter(|run| run.instance == *instance);
--- a/crates/soak/src/keep_alive.rs
+++ b/crates/soak/src/keep_alive.rs
@@ -67,7 +67,7 @@
     pub async fn run(self) {
         let mut sent = 0;
         while !self.stop.get() {
-            let connecting = Connection::open(self.addresses.front(self.gateway));
+            let connecting = Connection::open(self.addresses.gateway(self.gateway));
             if let Ok(Ok(mut connection)) = compio::time::timeout(CLIENT_TIMEOUT, connecting).await {
                 self.use_until_closed(&mut connection, &mut sent).await;
             }
--- a/crates/soak/src/lossy_zone.rs
+++ b/crates/soak/src/lossy_zone.rs
@@ -1,12 +1,12 @@
 //! Packet loss between the leader's zone and all other zones.
 //!
 //! The zone consists of the current leader, another coordinator and a gateway. Leadership must move to another zone,
-//! and voters in other zones must keep their votes. All coordinators are killed before or after the leadership
+//! and voters in other zones must remain voters. All coordinators are killed before or after the leadership
 //! change; afterwards, too, a coordinator of another zone must become leader in time.
 
 use crate::case::Case;
 use crate::convergence::ConvergenceCheck;
-use crate::deployment::{Leadership, MemberKind};
+use crate::deployment::{LeadershipChange, MemberKind};
 use crate::faults::{FaultInjector, Reservation};
 use crate::links::{Condition, Party};
 use crate::plan::{ENGINES, Fault, Planned, milliseconds};
@@ -15,7 +15,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Chunk loss per thousand.
+/// Lost chunks per thousand.
 const LOST_PER_MILLE: u32 = 200;
 
 /// Start of the packet loss, in milliseconds.
@@ -30,7 +30,7 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-const INVARIANT: &str = "a leader whose zone loses packets hands its lead over";
+const INVARIANT: &str = "leadership moves out of a zone that loses packets";
 
 /// Parameters of the fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,69 +63,72 @@
 
 impl FaultInjector {
     /// Injects the packet loss and checks that leadership leaves the zone.
-    pub(crate) async fn lose_packets(&self, zone: LossyZone) -> Result<()> {
+    pub(crate) async fn inject_packet_loss(&self, zone: LossyZone) -> Result<()> {
         let reservations = self.reserve_all().await;
-        let first_leadership = self.wait_for_leader().await;
-        let companion = (first_leadership.number + zone.companion) % self.deployment.addresses.size.coordinators;
-        let members =
-            [Party::Coordinator(first_leadership.number), Party::Coordinator(companion), Party::Gateway(zone.gateway)];
-        self.log_fault(&format!("{members:?}: {LOST_PER_MILLE} chunks per thousand are lost"));
-        self.set_zone(&members, Condition::Lossy(LOST_PER_MILLE));
-        let voters = self.voters_outside(&members);
+        let first_change = self.wait_for_leader().await;
+        let companion = (first_change.number + zone.companion) % self.deployment.addresses.size.coordinators;
+        let zone_parties =
+            [Party::Coordinator(first_change.number), Party::Coordinator(companion), Party::Gateway(zone.gateway)];
+        self.log_fault(&format!("{zone_parties:?}: {LOST_PER_MILLE} chunks per thousand are lost"));
+        self.set_zone(&zone_parties, Condition::Lossy(LOST_PER_MILLE));
+        let voters = self.voters_outside(&zone_parties);
         if zone.killed_after_handover {
-            self.check_leader_outside(&members, &first_leadership, "while it runs").await;
+            self.check_leader_outside(&zone_parties, &first_change, "while it runs").await;
         }
         compio::time::sleep(zone.calm).await;
         self.check_voters(&voters);
         self.log_fault("all coordinators are killed");
-        let last_leadership = self.wait_for_leader().await;
+        let last_change = self.wait_for_leader().await;
         self.kill_together(coordinators_of(&reservations).into_iter(), zone.down).await?;
-        self.check_leader_outside(&members, &last_leadership, "after all coordinators were killed").await;
-        self.set_zone(&members, Condition::Open);
+        self.check_leader_outside(&zone_parties, &last_change, "after all coordinators were killed").await;
+        self.set_zone(&zone_parties, Condition::Open);
         Ok(())
     }
 
-    async fn wait_for_leader(&self) -> Leadership {
+    async fn wait_for_leader(&self) -> LeadershipChange {
         loop {
-            if let Some(newest) = self.deployment.newest_leadership() {
+            if let Some(newest) = self.deployment.latest_leadership_change() {
                 return newest;
             }
             compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn set_zone(&self, members: &[Party], condition: Condition) {
+    fn set_zone(&self, zone_parties: &[Party], condition: Condition) {
         let engines = (0..ENGINES).map(Party::Engine);
         let all_parties = self.deployment.processes().into_iter().chain(engines);
-        for other in all_parties.filter(|party| !members.contains(party)) {
-            for party in members {
+        for other in all_parties.filter(|party| !zone_parties.contains(party)) {
+            for party in zone_parties {
                 self.deployment.links.set_both(*party, other, condition);
             }
         }
     }
 
     /// Checks that a coordinator outside the zone becomes leader after `previous`.
-    async fn check_leader_outside(&self, members: &[Party], previous: &Leadership, when: &str) {
+    async fn check_leader_outside(&self, zone_parties: &[Party], previous: &LeadershipChange, when: &str) {
         let is_outside = || async {
-            let newest = self.deployment.newest_leadership();
-            newest.is_some_and(|newest| newest > *previous && !members.contains(&Party::Coordinator(newest.number)))
+            let newest = self.deployment.latest_leadership_change();
+            newest
+                .is_some_and(|newest| newest > *previous && !zone_parties.contains(&Party::Coordinator(newest.number)))
         };
         let check = ConvergenceCheck::begin(INVARIANT, &self.journal);
         check.wait_for(when.to_string(), is_outside).await;
         self.log_fault(&format!("led by {:?}, {when}", self.deployment.leader()));
     }
 
-    fn voters_outside(&self, members: &[Party]) -> Vec<u8> {
+    fn voters_outside(&self, zone_parties: &[Party]) -> Vec<u8> {
         let numbers = 0..self.deployment.addresses.size.coordinators;
-        let outside = numbers.filter(|number| !members.contains(&Party::Coordinator(*number)));
+        let outside = numbers.filter(|number| !zone_parties.contains(&Party::Coordinator(*number)));
         outside.filter(|number| self.deployment.membership_of(*number) == MemberKind::Voter).collect()
     }
 
     fn check_voters(&self, voters: &[u8]) {
         for number in voters {
             if self.deployment.membership_of(*number) != MemberKind::Voter {
-                self.journal
-                    .violation("sound voters keep their places", format!("coordinator {number} is no longer a voter"));
+                self.journal.violation(
+                    "voters outside a lossy zone remain voters",
+                    format!("coordinator {number} is no longer a voter"),
+                );
             }
         }
     }
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -19,10 +19,10 @@
 const READ_PAUSE: Duration = Duration::from_millis(150);
 
 /// Maximum number of unused routes in a document.
-const MAX_IDLE_ROUTES: usize = 200;
+const MAX_UNUSED_ROUTES: usize = 200;
 
-/// Additional time beyond the drain bound before a drained engine ends.
-const LINGER: Duration = Duration::from_millis(1_200);
+/// Time after the drain bound until a drained engine ends.
+const SHUTDOWN_DELAY: Duration = Duration::from_millis(1_200);
 
 /// Timeout for the acknowledgement of a drain.
 const DRAIN_ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(8);
@@ -49,7 +49,7 @@
         let version = self.version.get() + fastrand::u64(1..4);
         self.version.set(version);
         let moving_to = WEB_SERVICES[fastrand::usize(..WEB_SERVICES.len())];
-        let document = workload::document(self.features, version, moving_to, fastrand::usize(..MAX_IDLE_ROUTES));
+        let document = workload::document(self.features, version, moving_to, fastrand::usize(..MAX_UNUSED_ROUTES));
         let body = serde_json::to_vec(&document).unwrap_or_default();
         let sent =
             SentDocument { version, moving_to, body: body.clone(), sent_at: self.journal.now(), acknowledged_at: None };
@@ -78,15 +78,16 @@
     }
 
     async fn send(&self, version: u64, body: Vec<u8>, keep_trying: impl Fn() -> bool) -> bool {
-        let done = change_until_acknowledged(&self.addresses, Method::PUT, ROUTING_PATH, body, keep_trying).await;
-        if done {
+        let acknowledged =
+            change_until_acknowledged(&self.addresses, Method::PUT, ROUTING_PATH, body, keep_trying).await;
+        if acknowledged {
             let now = self.journal.now();
             self.journal.write(|records| {
                 let sent = records.documents.iter_mut().filter(|sent| sent.version == version);
                 sent.for_each(|sent| sent.acknowledged_at = sent.acknowledged_at.or(Some(now)));
             });
         }
-        done
+        acknowledged
     }
 
     /// Sends other content with an acknowledged version; it must not replace the document.
@@ -154,7 +155,7 @@
         if acknowledged && report.leaving {
             let now = journal.now();
             journal.write(|records| {
-                records.leaving.entry(instance).or_insert(now);
+                records.drains_acknowledged_at.entry(instance).or_insert(now);
             });
         }
         let pause = if acknowledged { REPORT_INTERVAL } else { REPORT_INTERVAL / 5 };
@@ -163,15 +164,15 @@
 }
 
 /// Drains an engine and starts a new instance at its address.
-pub async fn replace(engine: Engine, addresses: Addresses, journal: Journal) {
+pub async fn replace_engine(engine: Engine, addresses: Addresses, journal: Journal) {
     let instance = engine.instance();
     engine.leave();
     let requested_at = journal.now();
-    let acknowledged = || journal.read(|records| records.leaving.contains_key(&instance));
+    let acknowledged = || journal.read(|records| records.drains_acknowledged_at.contains_key(&instance));
     while !acknowledged() && journal.now() < requested_at + DRAIN_ACKNOWLEDGEMENT_TIMEOUT {
         compio::time::sleep(REPORT_INTERVAL / 5).await;
     }
-    compio::time::sleep(DRAIN_BOUND + LINGER).await;
+    compio::time::sleep(DRAIN_BOUND + SHUTDOWN_DELAY).await;
     if engine.instance() != instance {
         return;
     }
--- a/crates/soak/src/owner.rs
+++ b/crates/soak/src/owner.rs
@@ -17,7 +17,7 @@
 pub fn owner_of(local: SocketAddr, remote: SocketAddr, process_ids: &[u32]) -> Option<u32> {
     let inode = crate::socket_query::inode_of(local, remote).or_else(|| inode_in_table(local, remote))?;
     let socket_link = PathBuf::from(format!("socket:[{inode}]"));
-    process_ids.iter().copied().find(|process_id| has_open(*process_id, &socket_link))
+    process_ids.iter().copied().find(|process_id| has_socket_open(*process_id, &socket_link))
 }
 
 /// The socket inode from `/proc/net/tcp`, for systems without `SOCK_DIAG`.
@@ -41,7 +41,7 @@
     Some(SocketAddr::new(IpAddr::V4(Ipv4Addr::from(address.to_ne_bytes())), port))
 }
 
-fn has_open(process_id: u32, socket_link: &PathBuf) -> bool {
+fn has_socket_open(process_id: u32, socket_link: &PathBuf) -> bool {
     let Ok(descriptors) = std::fs::read_dir(format!("/proc/{process_id}/fd")) else {
         return false;
     };
--- a/crates/soak/src/pairs.rs
+++ b/crates/soak/src/pairs.rs
@@ -2,7 +2,7 @@
 //! hits a process that holds state. A quiet period follows, in which stalled items become visible.
 
 use crate::case::Case;
-use crate::engine::Conduct;
+use crate::engine::EngineBehavior;
 use crate::links::{Condition, Party};
 use crate::plan::{Direction, ENGINES, End, Fault, LeaderFault, MODEL_ENGINES, Planned, milliseconds};
 use crate::waits::{ITEM_WAIT_BOUND, QUIET_PERIOD};
@@ -17,7 +17,7 @@
 /// progress meanwhile.
 const GAP_MS: RangeInclusive<u64> = 300..=3_000;
 
-/// Added to the quiet period, so that a wait can exceed its bound.
+/// Time added to the quiet period, so that an item wait can exceed its bound.
 const QUIET_SLACK: Duration = Duration::from_millis(500);
 
 /// Number of engines affected by one fault, of the four that run the model.
@@ -26,8 +26,8 @@
 /// Duration of an engine fault, in milliseconds; most end before the quiet period.
 const ENGINE_FAULT_MS: Range<u64> = 100..2_000;
 
-/// Time until a permanently ended engine is replaced, in milliseconds.
-const GONE_MS: Range<u64> = 5_000..8_000;
+/// Time until an engine that has ended permanently is replaced, in milliseconds.
+const REPLACEMENT_MS: Range<u64> = 5_000..8_000;
 
 /// Downtime of a process, in milliseconds.
 const DOWN_MS: Range<u64> = 50..1_500;
@@ -64,15 +64,15 @@
     let kind = random.u8(..8);
     let draw_fault = |number| match kind {
         0..3 => Fault::CrashEngine { number, down: milliseconds(random, ENGINE_FAULT_MS) },
-        3..5 => Fault::EndEngine { number, down: milliseconds(random, GONE_MS) },
-        5 => misconduct(random, number, Conduct::Hanging),
-        6 => misconduct(random, number, Conduct::BreakingOff),
+        3..5 => Fault::EndEngine { number, down: milliseconds(random, REPLACEMENT_MS) },
+        5 => misbehavior(random, number, EngineBehavior::Hanging),
+        6 => misbehavior(random, number, EngineBehavior::BreakingOff),
         _ => cut_engine(random, number),
     };
     numbers.into_iter().map(draw_fault).collect()
 }
 
-fn misconduct(random: &mut Rng, number: u8, conduct: Conduct) -> Fault {
+fn misbehavior(random: &mut Rng, number: u8, conduct: EngineBehavior) -> Fault {
     Fault::Misconduct { number, conduct, time: milliseconds(random, ENGINE_FAULT_MS) }
 }
 
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -8,9 +8,9 @@
 use fastrand::Rng;
 use std::time::Duration;
 
-/// Engines of each of the two web services.
+/// Number of engines of each of the two web services.
 pub const WEB_ENGINES: u8 = 2;
-/// Engines that run the model.
+/// Number of engines that run the model.
 pub const MODEL_ENGINES: u8 = 4;
 /// Total number of engines.
 pub const ENGINES: u8 = 2 * WEB_ENGINES + MODEL_ENGINES;
@@ -24,6 +24,7 @@
 /// XORed into the seed for overlapping faults, so that the other faults are the same as in a `single` plan.
 const OVERLAPPING_SEED: u64 = 0x5e_71e5;
 
+/// Maximum number of rounds in a series.
 const MAX_ROUNDS: usize = 4;
 
 /// Gap between two signals of a round, in milliseconds. Extends beyond half of the shutdown grace, when a stopping
@@ -101,7 +102,7 @@
     CutFromProcesses(Duration),
     /// Partitioned from all processes and engines for this duration; clients, trainers and operators still reach it.
     CutFromAll(Duration),
-    /// File writes fail for this duration.
+    /// Its file writes fail for this duration.
     RefuseWrites(Duration),
 }
 
@@ -122,7 +123,7 @@
         /// Duration.
         time: Duration,
     },
-    /// The coordinators named in the settings are replaced one at a time; then all processes are killed and restarted
+    /// The coordinators listed in the settings are replaced one at a time; then all processes are killed and restarted
     /// with the same settings.
     ReplaceMembers,
     /// The leader's zone loses packets on its links to all other zones.
@@ -205,7 +206,7 @@
         /// Affected engine.
         number: u8,
         /// Misbehavior.
-        conduct: crate::engine::Conduct,
+        conduct: crate::engine::EngineBehavior,
         /// Duration.
         time: Duration,
     },
@@ -271,15 +272,15 @@
     Fault::Cut { party, condition, direction, time, coordinators_only: random.bool() }
 }
 
-fn misconduct(random: &mut Rng) -> Fault {
-    use crate::engine::Conduct;
+fn misbehavior(random: &mut Rng) -> Fault {
+    use crate::engine::EngineBehavior;
     let conduct = match random.u8(..6) {
-        0 => Conduct::Slow(random.u32(3..12)),
-        1 => Conduct::Refusing,
-        2 => Conduct::Failing,
-        3 => Conduct::BreakingOff,
-        4 => Conduct::Hanging,
-        _ => Conduct::Mistaken,
+        0 => EngineBehavior::Slow(random.u32(3..12)),
+        1 => EngineBehavior::Refusing,
+        2 => EngineBehavior::Failing,
+        3 => EngineBehavior::BreakingOff,
+        4 => EngineBehavior::Hanging,
+        _ => EngineBehavior::Mistaken,
     };
     Fault::Misconduct { number: random_engine(random), conduct, time: milliseconds(random, 300..4_000) }
 }
@@ -298,7 +299,7 @@
             delay: milliseconds(random, 1_000..4_000),
             time: milliseconds(random, 1_000..4_000),
         },
-        _ => misconduct(random),
+        _ => misbehavior(random),
     }
 }
 
--- a/crates/soak/src/platform.rs
+++ b/crates/soak/src/platform.rs
@@ -53,11 +53,11 @@
     }
 
     fn record(&self, holder: String, fence: u64, report: UsageReport) -> StatusCode {
-        const INVARIANT: &str = "usage is reported once, with the same counts, by one holder at a time";
+        const INVARIANT: &str = "usage is reported with the same counts and by one lease holder at a time";
         let mut received = self.received.borrow_mut();
-        let first = received.holders.entry(fence).or_insert_with(|| holder.clone());
-        if *first != holder {
-            self.journal.violation(INVARIANT, format!("fencing token {fence} is used by {first} and {holder}"));
+        let first_holder = received.holders.entry(fence).or_insert_with(|| holder.clone());
+        if *first_holder != holder {
+            self.journal.violation(INVARIANT, format!("fencing token {fence} is used by {first_holder} and {holder}"));
         }
         if fence < received.highest_fence {
             return StatusCode::CONFLICT;
@@ -80,7 +80,7 @@
         let fence = text(&head.headers, FENCE_HEADER).parse();
         let report = serde_json::from_slice(&body);
         let (Ok(fence), Ok(report), USAGE_PATH) = (fence, report, head.uri.path()) else {
-            self.journal.violation("the platform can read what it is told", format!("{} {body:?}", head.uri));
+            self.journal.violation("the platform receives valid usage reports", format!("{} {body:?}", head.uri));
             return whole(StatusCode::BAD_REQUEST, "text/plain", "");
         };
         let status = self.record(text(&head.headers, HOLDER_HEADER), fence, report);
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -17,16 +17,16 @@
 /// Delay before a failed bind is retried.
 const REBIND_PAUSE: Duration = Duration::from_millis(10);
 
-/// How a proxy identifies the party that opened a connection.
+/// How a proxy finds the party that opened a connection.
 #[derive(Clone)]
-pub enum Identify {
+pub enum CallerLookup {
     /// Always this party.
     Always(Party),
     /// The process that owns the connection; [`Party::Outside`] if it is not in the table.
     ByProcess(ProcessTable),
 }
 
-impl Identify {
+impl CallerLookup {
     /// The party that opened the connection from `peer` to `local`. The lookup blocks for milliseconds, so it runs on
     /// another thread.
     async fn caller(&self, peer: SocketAddr, local: SocketAddr) -> Party {
@@ -46,15 +46,15 @@
     }
 }
 
-/// The party behind a proxy and how its callers are identified.
+/// The party behind a proxy, and how the parties that connect to it are found.
 #[derive(Clone)]
 pub struct ProxyEndpoint {
     /// Party that listens behind the proxy.
     pub party: Party,
     /// Address that the proxy connects to.
     pub target: SocketAddr,
-    /// Identification of callers.
-    pub identify: Identify,
+    /// How callers are found.
+    pub caller_lookup: CallerLookup,
 }
 
 /// Binds `address` and serves connections in the background.
@@ -64,7 +64,7 @@
     Ok(())
 }
 
-/// Binds an address, also while old connections of it are closing.
+/// Binds an address, even while old connections to it are closing.
 fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
@@ -93,7 +93,7 @@
             Ok((stream, peer)) => {
                 let (endpoint, links) = (endpoint.clone(), links.clone());
                 compio::runtime::spawn(async move {
-                    let caller = endpoint.identify.caller(peer, address).await;
+                    let caller = endpoint.caller_lookup.caller(peer, address).await;
                     forward_connection(stream, caller, endpoint, links).await;
                 })
                 .detach();
@@ -126,8 +126,8 @@
     let _ = (downstream.set_nodelay(true), upstream.set_nodelay(true));
     let (downstream_reader, downstream_writer) = downstream.clone().into_split();
     let (upstream_reader, upstream_writer) = upstream.clone().into_split();
-    let to_upstream = pump(downstream_reader, upstream_writer, caller, party, links.clone());
-    let to_downstream = pump(upstream_reader, downstream_writer, party, caller, links.clone());
+    let to_upstream = forward(downstream_reader, upstream_writer, caller, party, links.clone());
+    let to_downstream = forward(upstream_reader, downstream_writer, party, caller, links.clone());
     let ended = join_directions(to_upstream, to_downstream);
     let wait_for_reset = links.wait_for_reset(caller, party);
     let is_broken = match future::select(pin!(ended), pin!(wait_for_reset)).await {
@@ -150,7 +150,13 @@
 }
 
 /// Forwards bytes in one direction; returns whether it ended with an orderly shutdown.
-async fn pump<R: AsyncRead, W: AsyncWrite>(mut reader: R, mut writer: W, from: Party, to: Party, links: Links) -> bool {
+async fn forward<R: AsyncRead, W: AsyncWrite>(
+    mut reader: R,
+    mut writer: W,
+    from: Party,
+    to: Party,
+    links: Links,
+) -> bool {
     let mut buffer = Vec::with_capacity(CHUNK_BYTES);
     loop {
         let BufResult(count, read) = reader.read(buffer).await;
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -7,42 +7,42 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Lag of the soak's own tasks above which violated time limits are not judged. All connections and clocks are the
+/// Lag of the soak's own tasks above which violated time limits are inconclusive. All connections and clocks are the
 /// soak's, and its shortest time limit is as long.
-pub const LATENESS_LIMIT: Duration = crate::checks::LOSS_SLACK;
+pub const LAG_LIMIT: Duration = crate::checks::CLOSE_RACE_WINDOW;
 
 /// Results of one soak.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Case.
+    /// The case that was run.
     pub case: Case,
-    /// Injected faults.
+    /// Number of injected faults.
     pub faults: usize,
-    /// Clients' requests: total, complete, not executed, and failed or broken.
+    /// Numbers of clients' requests: total, complete, not executed, and failed or broken.
     pub requests: [usize; 4],
-    /// Requests on keep-alive connections: total, and those that closed a connection that had served earlier
+    /// Numbers of requests on keep-alive connections: total, and those that closed a connection that had served earlier
     /// requests.
     pub keep_alive: [usize; 2],
-    /// Planned stops and reloads.
+    /// Number of planned stops and reloads.
     pub planned: usize,
-    /// Routing documents: acknowledged, and reads.
+    /// Numbers of acknowledged routing documents and of reads.
     pub documents: [usize; 2],
-    /// Batch jobs accepted, items completed, items aborted.
+    /// Numbers of batch jobs accepted, items completed and items aborted.
     pub jobs: [usize; 3],
-    /// Orders received by engines.
+    /// Number of orders received by engines.
     pub orders: usize,
-    /// Requests and items executed by engines.
+    /// Number of requests and items executed by engines.
     pub runs: usize,
     /// Largest resident memory of any one process, in bytes.
     pub memory: u64,
-    /// Longest wait of an accepted item at no engine while engines had capacity.
+    /// Longest time for which an accepted item was at no engine while engines had capacity.
     pub longest_wait: Option<ItemWait>,
     /// Maximum scheduling lag of the soak's own tasks.
     pub own_lag: Duration,
     /// Violated invariants.
     pub violations: Vec<Violation>,
-    /// Exceeded time limits that are not judged because the soak itself was late.
-    pub not_judged: Vec<Violation>,
+    /// Exceeded time limits that are inconclusive because the soak's own tasks lagged.
+    pub inconclusive: Vec<Violation>,
 }
 
 impl Report {
@@ -54,9 +54,9 @@
             let results = |end: ItemEnd| {
                 records.jobs.values().flat_map(|job| job.results.values()).filter(|result| result.end == end).count()
             };
-            let is_late = records.own_lag > LATENESS_LIMIT;
-            let (not_judged, violations) =
-                records.violations.iter().cloned().partition(|violation| is_late && violation.time_bound);
+            let is_lagging = records.own_lag > LAG_LIMIT;
+            let (inconclusive, violations) =
+                records.violations.iter().cloned().partition(|violation| is_lagging && violation.time_bound);
             Self {
                 case,
                 faults: records.faults.len(),
@@ -74,7 +74,7 @@
                         .filter(|keep_alive| keep_alive.outcome == KeepAliveOutcome::Closed && !keep_alive.is_first)
                         .count(),
                 ],
-                planned: records.planned.len(),
+                planned: records.planned_work.len(),
                 documents: [
                     records.documents.iter().filter(|document| document.acknowledged_at.is_some()).count(),
                     records.reads.len(),
@@ -90,12 +90,12 @@
                 longest_wait: longest_waits(records).into_iter().next(),
                 own_lag: records.own_lag,
                 violations,
-                not_judged,
+                inconclusive,
             }
         })
     }
 
-    /// Whether no judged invariant was violated.
+    /// Whether no invariant was violated, apart from inconclusive time limits.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
@@ -125,8 +125,8 @@
             Some(wait) => write!(formatter, "; longest wait of an item: {wait}")?,
             None => write!(formatter, "; no item waited while engines had room")?,
         }
-        if self.own_lag > LATENESS_LIMIT {
-            let (limit, findings) = (LATENESS_LIMIT.as_millis(), self.not_judged.len());
+        if self.own_lag > LAG_LIMIT {
+            let (limit, findings) = (LAG_LIMIT.as_millis(), self.inconclusive.len());
             write!(
                 formatter,
                 "; time limits not judged, because the soak was late by more than {limit} ms: {findings} findings"
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -7,14 +7,14 @@
 use crate::convergence::{ConvergenceCheck, RECOVERY_LIMIT};
 use crate::deployment::{Deployment, MemberKind, REPORT_INTERVAL};
 use crate::engine::Engine;
-use crate::faults::{FaultInjector, STOP_ENDS_WELL};
+use crate::faults::{FaultInjector, STOP_SUCCEEDS};
 use crate::journal::Journal;
 use crate::keep_alive;
 use crate::links::Party;
 use crate::operator::{self, Operator};
 use crate::plan::{self, ENGINES, MODEL_ENGINES, WEB_ENGINES};
 use crate::platform::Platform;
-use crate::report::{LATENESS_LIMIT, Report};
+use crate::report::{LAG_LIMIT, Report};
 use crate::trainer::Trainer;
 use crate::waits;
 use crate::workload::{Features, MODEL_SERVICE, MOVING, ONCE, REPEATABLE, STREAMS, WEB_SERVICES};
@@ -58,7 +58,7 @@
 pub async fn run(options: &SoakOptions) -> Result<Report> {
     fastrand::seed(options.case.seed);
     let journal = Journal::default();
-    let _lag = compio::runtime::spawn(measure_own_lag(journal.clone()));
+    let _lag_task = compio::runtime::spawn(measure_own_lag(journal.clone()));
     let features = options.case.kind.features();
     let builds = Builds::new(options.executable.clone(), options.production.clone());
     let deployment = Deployment::start(builds, &options.folder, journal.clone(), ENGINES, options.case).await?;
@@ -73,8 +73,9 @@
         compio::runtime::spawn(report).detach();
     }
     let operator = Rc::new(Operator::new(addresses.clone(), journal.clone(), features));
-    let trainer = Rc::new(Trainer::new(addresses.clone(), journal.clone(), newest_version, options.case.kind.steps()));
-    wait_until_up(&deployment, &operator).await?;
+    let trainer =
+        Rc::new(Trainer::new(addresses.clone(), journal.clone(), newest_version, options.case.kind.step_shape()));
+    wait_until_ready(&deployment, &operator).await?;
     compio::runtime::spawn(waits::watch_engines(engines.clone(), deployment.links.clone(), journal.clone())).detach();
     let mut tasks = vec![
         compio::runtime::spawn(operator.clone().run(stop.clone())),
@@ -104,15 +105,15 @@
         check_newest_level(&deployment, &journal).await;
     }
     stop.set(true);
-    end_load(tasks, &journal).await;
+    await_load_tasks(tasks, &journal).await;
     read_back(&operator, &trainer, &journal).await;
     if features == Features::All && platform.windows() == 0 {
-        journal.violation("the platform is told the usage", "no window was reported".to_string());
+        journal.violation("usage is reported to the platform", "no usage window was reported".to_string());
     }
     reports_stop.set(true);
     stop_processes(&deployment, &journal).await;
     keep_alive_stop.set(true);
-    end_load(keep_alive, &journal).await;
+    await_load_tasks(keep_alive, &journal).await;
     report_slow_owner_lookups(&deployment, &journal);
     for violation in journal.read(checks::check) {
         journal.record_violation(violation);
@@ -146,7 +147,7 @@
     response.is_some_and(|response| response.status == StatusCode::OK)
 }
 
-async fn wait_until_up(deployment: &Rc<Deployment>, operator: &Operator) -> Result<()> {
+async fn wait_until_ready(deployment: &Rc<Deployment>, operator: &Operator) -> Result<()> {
     let until = Instant::now() + START_TIMEOUT;
     if !operator.change(|| Instant::now() < until).await {
         bail!("the first routing document was not accepted within {START_TIMEOUT:?}");
@@ -197,7 +198,7 @@
 
 /// Checks that all gateways serve requests, a routing document is accepted and a training step completes in time.
 async fn check_recovery(deployment: &Rc<Deployment>, operator: &Operator, trainer: &Trainer, journal: &Journal) {
-    const INVARIANT: &str = "everything works again soon after the last fault";
+    const INVARIANT: &str = "the deployment recovers in time after the last fault";
     let serving = ConvergenceCheck::begin(INVARIANT, journal);
     let gateways = 0..deployment.addresses.size.gateways;
     let probes = gateways.flat_map(|gateway| [REPEATABLE, ONCE, MOVING, STREAMS].map(|prefix| (gateway, prefix)));
@@ -214,7 +215,8 @@
 
 /// Checks that the group raises its feature level to the newest once all processes run the newest build.
 async fn check_newest_level(deployment: &Rc<Deployment>, journal: &Journal) {
-    let upgraded = ConvergenceCheck::begin("the group goes to the newest level once every process knows it", journal);
+    let upgraded =
+        ConvergenceCheck::begin("the group raises its feature level once every process supports the newest", journal);
     for number in 0..deployment.addresses.size.coordinators {
         // A coordinator outside the group has no replicated state.
         let is_member = || deployment.membership_of(number) != MemberKind::None;
@@ -233,15 +235,15 @@
 }
 
 /// Waits for load tasks to end after they were signalled to stop.
-async fn end_load<T>(tasks: Vec<JoinHandle<T>>, journal: &Journal) {
+async fn await_load_tasks<T>(tasks: Vec<JoinHandle<T>>, journal: &Journal) {
     if compio::time::timeout(END_TIMEOUT, future::join_all(tasks)).await.is_err() {
-        journal.violation("every caller gets an answer", "a load task did not end".to_string());
+        journal.violation("every call completes or times out", "a load task did not end".to_string());
     }
 }
 
 /// Reads back the acknowledged routing document and the results of every acknowledged job.
 async fn read_back(operator: &Operator, trainer: &Trainer, journal: &Journal) {
-    let read_back_check = ConvergenceCheck::begin("what was acknowledged can be read back", journal);
+    let read_back_check = ConvergenceCheck::begin("acknowledged documents and results can be read", journal);
     read_back_check.wait_for("the routing document".to_string(), || operator.read()).await;
     let acknowledged: Vec<_> = journal.read(|records| {
         let acknowledged_jobs = records.jobs.iter().filter(|(_, record)| record.acknowledged_at.is_some());
@@ -263,11 +265,11 @@
 }
 
 async fn stop_process(deployment: &Rc<Deployment>, party: Party, journal: &Journal) {
-    let planned = journal.begin_planned(party);
+    let planned = journal.begin_planned_work(party);
     if let Err(error) = deployment.stop(party).await {
-        journal.violation(STOP_ENDS_WELL, format!("{error:#}"));
+        journal.violation(STOP_SUCCEEDS, format!("{error:#}"));
     }
-    journal.end_planned(planned);
+    journal.end_planned_work(planned);
 }
 
 /// Counts the slowest lookup of a connection's owner as lag of the soak: the proxy delays the connection meanwhile.
@@ -289,8 +291,8 @@
         compio::time::sleep(POLL_INTERVAL).await;
         let lag = began.elapsed().saturating_sub(POLL_INTERVAL);
         journal.write(|records| records.own_lag = records.own_lag.max(lag));
-        if lag > LATENESS_LIMIT {
-            journal.record_lateness();
+        if lag > LAG_LIMIT {
+            journal.record_excessive_lag();
         }
         if lag > REPORTED_LAG {
             println!("{:>8.3} s  the soak's own tasks lagged by {} ms", journal.now().as_secs_f64(), lag.as_millis());
--- a/crates/soak/src/series.rs
+++ b/crates/soak/src/series.rs
@@ -1,6 +1,6 @@
 //! Series of overlapping signals, restarts and reloads of one process.
 
-use crate::faults::{FaultInjector, STOP_ENDS_WELL};
+use crate::faults::{FaultInjector, STOP_SUCCEEDS};
 use crate::links::{Condition, Party};
 use crate::plan::{ENGINES, Overlap, Round};
 use anyhow::Result;
@@ -27,14 +27,14 @@
         if round.overlap == Overlap::RestartUnderOldConnections {
             return self.restart_under_old_connections(party, round).await;
         }
-        let planned = self.journal.begin_planned(party);
+        let planned = self.journal.begin_planned_work(party);
         let ended = self.stop_overlapping(party, round).await;
-        self.journal.end_planned(planned);
+        self.journal.end_planned_work(planned);
         if let Err(error) = ended {
-            self.journal.violation(STOP_ENDS_WELL, format!("{:?}: {error:#}", round.overlap));
+            self.journal.violation(STOP_SUCCEEDS, format!("{:?}: {error:#}", round.overlap));
         }
         compio::time::sleep(round.down).await;
-        self.start_again(party)
+        self.restart_process(party)
     }
 
     /// Performs a graceful stop with the additional signals of a round.
@@ -60,7 +60,7 @@
                 stopping.signal_reload();
             }
             Overlap::KillWhileStopping => {
-                self.journal.begin_disruption(party);
+                self.journal.begin_fault(party);
                 self.deployment.abort_stop(stopping);
                 return Ok(());
             }
@@ -71,14 +71,14 @@
 
     /// Kills and restarts a process while its outgoing traffic, including connection closes, is blocked.
     async fn restart_under_old_connections(&self, party: Party, round: &Round) -> Result<()> {
-        self.journal.begin_disruption(party);
+        self.journal.begin_fault(party);
         let mut others = self.deployment.processes();
         others.extend((0..ENGINES).map(Party::Engine));
         others.push(Party::Outside);
         let set = |condition| others.iter().for_each(|other| self.deployment.links.set(party, *other, condition));
         set(Condition::Silent);
         self.deployment.kill(party);
-        self.start_again(party)?;
+        self.restart_process(party)?;
         compio::time::sleep(round.gap + round.down).await;
         set(Condition::Open);
         self.journal.record_resumption();
--- a/crates/soak/src/trainer.rs
+++ b/crates/soak/src/trainer.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Groups per job and items per group.
+/// Number of groups per job, and of items per group.
 const GROUPS: u32 = 6;
 const GROUP_SIZE: u32 = 4;
 
@@ -39,7 +39,7 @@
         Self { min_events: 80, max_events: 250, limit: Duration::from_secs(20), crashing_every: Some(3) };
 
     /// Whether a step has an item that crashes its engine.
-    pub fn crashes_in(&self, step: u64) -> bool {
+    pub fn has_crashing_item(&self, step: u64) -> bool {
         self.crashing_every.is_some_and(|every| step % every == every - 1)
     }
 }
@@ -47,7 +47,7 @@
 /// First kind of crashing work of the trainer; the clients' kinds count from 0.
 const FIRST_CRASHING_ITEM: u64 = 1_000_000;
 
-const BODY_BYTES: usize = 300;
+const ITEM_BODY_BYTES: usize = 300;
 
 /// Timeout of a call, in addition to the long-poll time of a read.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_600);
@@ -61,7 +61,7 @@
 const JOB_VISIBILITY_BOUND: Duration = Duration::from_secs(1);
 
 fn random_body() -> Vec<u8> {
-    (0..BODY_BYTES).map(|_| fastrand::u8(..)).collect()
+    (0..ITEM_BODY_BYTES).map(|_| fastrand::u8(..)).collect()
 }
 
 /// Body of an item that crashes its engine; each step has its own kind.
@@ -102,11 +102,11 @@
 
     async fn train_step(&self, stop: &Cell<bool>) {
         let keep_trying = || !stop.get();
-        let crashes = self.sends_crashing.get() && self.shape.crashes_in(self.step.get());
+        let crashes = self.sends_crashing.get() && self.shape.has_crashing_item(self.step.get());
         let job = self.next_job(crashes);
         if self.submit(&job, keep_trying).await {
-            self.read_until(&job.id, self.shape.limit, keep_trying).await;
-            self.end(&job.id, keep_trying).await;
+            self.read_results(&job.id, self.shape.limit, keep_trying).await;
+            self.cancel(&job.id, keep_trying).await;
         }
         if fastrand::u32(..3) > 0 {
             self.publish_version(keep_trying).await;
@@ -118,14 +118,15 @@
         let until = self.journal.now() + limit;
         let keep_trying = || self.journal.now() < until;
         if !self.publish_version(keep_trying).await {
-            return Some("a version was not published".to_string());
+            return Some("the version was not published".to_string());
         }
         let job = self.next_job(false);
         if !self.submit(&job, keep_trying).await {
-            return Some("a job was not accepted".to_string());
+            return Some("the job was not accepted".to_string());
         }
-        let listed = self.read_until(&job.id, limit, keep_trying).await;
-        (listed < job.items.len()).then(|| format!("{listed} of {} items of job {}", job.items.len(), job.id.0))
+        let listed = self.read_results(&job.id, limit, keep_trying).await;
+        (listed < job.items.len())
+            .then(|| format!("only {listed} of {} items of job {} are listed", job.items.len(), job.id.0))
     }
 
     fn next_job(&self, crashes: bool) -> JobSubmission {
@@ -208,7 +209,7 @@
     }
 
     /// Reads a job's results until all items but the crashing ones are listed; returns the number of listed results.
-    async fn read_until(&self, job: &JobId, limit: Duration, keep_trying: impl Fn() -> bool) -> usize {
+    async fn read_results(&self, job: &JobId, limit: Duration, keep_trying: impl Fn() -> bool) -> usize {
         let until = self.journal.now() + limit;
         let counts = |record: &JobRecord| (record.results.len(), record.items.len() - record.crashing);
         let listed = || self.journal.read(|records| records.jobs.get(job).map_or((0, 0), counts));
@@ -243,12 +244,15 @@
             return false;
         };
         if response.status == StatusCode::NOT_FOUND {
-            let settled = self.journal.read(|records| {
+            let must_be_visible = self.journal.read(|records| {
                 let acknowledged = records.jobs.get(job).and_then(|record| record.acknowledged_at);
                 acknowledged.is_some_and(|at| requested_at > at + JOB_VISIBILITY_BOUND)
             });
-            if settled {
-                self.journal.late("an accepted job lasts", format!("{} was reported as not found", job.0));
+            if must_be_visible {
+                self.journal.timeout(
+                    "an accepted job is found until it is cancelled",
+                    format!("{} was reported as not found", job.0),
+                );
             }
             return false;
         }
@@ -266,7 +270,7 @@
         let mut violations = Vec::new();
         self.update_job(job, |record| {
             if page.total != record.items.len() as u64 {
-                violations.push(format!("{} has {} items", job.0, page.total));
+                violations.push(format!("{} is listed with {} items", job.0, page.total));
             }
             for (position, (item, result)) in (after..).zip(page.results) {
                 let received = ResultRecord {
@@ -278,16 +282,16 @@
                 };
                 let recorded = record.results.entry(position).or_insert_with(|| received.clone());
                 if *recorded != received {
-                    violations.push(format!("position {position} of {} changed", job.0));
+                    violations.push(format!("the result at position {position} of {} changed", job.0));
                 }
             }
         });
-        for fault in violations {
-            self.journal.violation("a result keeps its position and content", fault);
+        for observed in violations {
+            self.journal.violation("a result keeps its position and content", observed);
         }
     }
 
-    async fn end(&self, job: &JobId, keep_trying: impl Fn() -> bool) {
+    async fn cancel(&self, job: &JobId, keep_trying: impl Fn() -> bool) {
         let path = format!("/v1/jobs/{}", job.0);
         let requested_at = self.journal.now();
         self.update_job(job, |record| record.end_requested_at = Some(requested_at));
@@ -323,8 +327,9 @@
         // Engines may receive orders for it from the first send on.
         self.newest_version.set(version);
         self.record_published_version();
-        let done = change_until_acknowledged(&self.addresses, Method::POST, "/v1/versions", body, keep_trying).await;
+        let acknowledged =
+            change_until_acknowledged(&self.addresses, Method::POST, "/v1/versions", body, keep_trying).await;
         self.record_published_version();
-        done
+        acknowledged
     }
 }
--- a/crates/soak/src/upgrades.rs
+++ b/crates/soak/src/upgrades.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Range of the soak's length in which processes are upgraded, in percent.
-const REPLACED_PERCENT: Range<u32> = 8..75;
+const UPGRADE_PERCENT: Range<u32> = 8..75;
 
 /// One process out of this many is rolled back once.
 const ROLLBACK_EVERY: u32 = 4;
@@ -44,7 +44,7 @@
 pub fn draw(case: Case, length: Duration) -> Vec<Planned> {
     let mut random = Rng::with_seed(case.seed);
     let replacement_steps = replacement_steps(&mut random, case);
-    let (from, until) = (length * REPLACED_PERCENT.start / 100, length * REPLACED_PERCENT.end / 100);
+    let (from, until) = (length * UPGRADE_PERCENT.start / 100, length * UPGRADE_PERCENT.end / 100);
     let gap = (until - from) / replacement_steps.len() as u32;
     let mut planned = Vec::new();
     for (index, (party, build)) in replacement_steps.into_iter().enumerate() {
--- a/crates/soak/src/waits.rs
+++ b/crates/soak/src/waits.rs
@@ -10,10 +10,10 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Maximum time for which an accepted item may be at no engine in a steady state.
+/// Maximum time for which an accepted item may be at no engine in a steady state with free engine capacity.
 pub const ITEM_WAIT_BOUND: Duration = Duration::from_secs(5);
 
-/// Time without disturbance after which the state counts as steady.
+/// Time without faults and planned work after which the state counts as steady.
 pub const QUIET_PERIOD: Duration = crate::checks::PROPAGATION_BOUND;
 
 /// The group counts as having a leader for this time after a change is acknowledged; operators change the routing at
@@ -34,7 +34,7 @@
     pub waited: Duration,
     /// End of the wait.
     pub until: Moment,
-    /// Engines that had crashed under the item by then.
+    /// Number of engines that the item had crashed by then.
     pub engines_ended: usize,
 }
 
@@ -52,9 +52,10 @@
 /// Periodically records the state of the engines that run the model.
 pub async fn watch_engines(engines: Vec<Engine>, links: Links, journal: Journal) {
     loop {
-        let hosts = engines.iter().filter(|engine| engine.hosts_model());
-        let observed = hosts.map(|engine| engine.sample(!links.is_down(Party::Engine(engine.number())))).collect();
-        let observed = EnginesSample { at: journal.now(), engines: observed };
+        let model_engines = engines.iter().filter(|engine| engine.hosts_model());
+        let samples =
+            model_engines.map(|engine| engine.sample(!links.is_down(Party::Engine(engine.number())))).collect();
+        let observed = EnginesSample { at: journal.now(), engines: samples };
         journal.write(|records| records.engine_samples.push(observed));
         compio::time::sleep(SAMPLE_INTERVAL).await;
     }
@@ -70,11 +71,11 @@
     let mut waits = Vec::new();
     for (job, record) in &records.jobs {
         let open_samples: Vec<&Sample> = samples.iter().filter(|sample| is_open(record, sample.at)).collect();
-        let has_room_at: Vec<bool> =
-            open_samples.iter().map(|sample| sample.has_room(record.minimum_version)).collect();
+        let has_capacity_at: Vec<bool> =
+            open_samples.iter().map(|sample| sample.has_capacity(record.minimum_version)).collect();
         for item in record.items.keys() {
             let runs = runs.get(item).map(Vec::as_slice).unwrap_or_default();
-            waits.extend(longest_wait(job, item, runs, &open_samples, &has_room_at));
+            waits.extend(longest_wait(job, item, runs, &open_samples, &has_capacity_at));
         }
     }
     waits.sort_by_key(|wait| std::cmp::Reverse(wait.waited));
@@ -91,16 +92,16 @@
     item: &ItemId,
     runs: &[&ItemRun],
     samples: &[&Sample],
-    has_room_at: &[bool],
+    has_capacity_at: &[bool],
 ) -> Option<ItemWait> {
     let mut longest: Option<ItemWait> = None;
     let mut since: Option<Moment> = None;
-    for (sample, has_room) in samples.iter().zip(has_room_at) {
+    for (sample, has_capacity) in samples.iter().zip(has_capacity_at) {
         let state = ItemState::at(runs, sample.at);
         if state.is_excluded {
             break;
         }
-        if !has_room || !sample.is_steady || state.is_at_engine {
+        if !has_capacity || !sample.is_steady || state.is_at_engine {
             since = None;
             continue;
         }
@@ -123,14 +124,14 @@
 
 impl ItemState {
     fn at(runs: &[&ItemRun], at: Moment) -> Self {
-        let begun_runs = || runs.iter().filter(|run| run.from <= at);
-        let ended_runs = || begun_runs().filter(|run| run.until.is_some_and(|until| until <= at));
+        let started_runs = || runs.iter().filter(|run| run.from <= at);
+        let ended_runs = || started_runs().filter(|run| run.until.is_some_and(|until| until <= at));
         let done = ended_runs().any(|run| matches!(run.end, ItemRunEnd::Finished | ItemRunEnd::Failed));
         let ended = ended_runs().filter(|run| run.end == ItemRunEnd::EngineEnded);
         let engines_ended = ended.map(|run| &run.instance).collect::<BTreeSet<_>>().len();
         Self {
             is_excluded: done || engines_ended >= QUARANTINE_THRESHOLD,
-            is_at_engine: begun_runs().any(|run| run.until.is_none_or(|until| at < until)),
+            is_at_engine: started_runs().any(|run| run.until.is_none_or(|until| at < until)),
             engines_ended,
         }
     }
@@ -156,12 +157,11 @@
     }
 
     /// Whether the engines eligible for an item with this minimum version are less than half full.
-    fn has_room(&self, version: u64) -> bool {
-        let can_take =
-            self.observed.engines.iter().filter(|engine| {
-                engine.takes_items && engine.version >= version && self.healthy.contains(&engine.number)
-            });
-        let (engines, running) = can_take.fold((0, 0), |(count, sum), engine| (count + 1, sum + engine.running));
+    fn has_capacity(&self, version: u64) -> bool {
+        let eligible = self.observed.engines.iter().filter(|engine| {
+            engine.accepts_items && engine.version >= version && self.healthy.contains(&engine.number)
+        });
+        let (engines, running) = eligible.fold((0, 0), |(count, sum), engine| (count + 1, sum + engine.running));
         2 * running < engines * SLOTS
     }
 }
@@ -177,7 +177,7 @@
 
 /// Whether a fault or planned work of a matching party is in progress or ended recently.
 fn is_disturbed(records: &Records, at: Moment, concerns: impl Fn(Party) -> bool) -> bool {
-    let mut disturbances = records.disruptions.iter().chain(&records.planned);
+    let mut disturbances = records.fault_intervals.iter().chain(&records.planned_work);
     disturbances.any(|disturbance| {
         concerns(disturbance.party)
             && disturbance.from <= at
--- a/crates/soak/src/workload.rs
+++ b/crates/soak/src/workload.rs
@@ -52,7 +52,7 @@
 pub const UNKNOWN_KEY: &str = "key-of-nobody";
 
 /// Id prefix of requests with an unknown key.
-pub const UNKNOWN_KEY_REQUEST: &str = "stranger-";
+pub const UNKNOWN_KEY_ID_PREFIX: &str = "stranger-";
 
 /// Body prefix of work that crashes its engine; followed by the number of its kind.
 pub const CRASH_BODY_PREFIX: &str = "crashes its engine ";
@@ -65,14 +65,14 @@
 /// Timeout of every route, in milliseconds.
 pub const TIMEOUT_MS: u64 = 2_000;
 
-/// Maximum attempts of a request or item.
+/// Maximum number of attempts of a request or item.
 pub const MAX_ATTEMPTS: u32 = 3;
 
 /// Time after a job's submission from which items may be aborted, in milliseconds; longer than a soak keeps a job
 /// open.
 pub const GIVE_UP_AFTER_MS: u64 = 120_000;
 
-/// Concurrent requests per engine.
+/// Number of concurrent requests per engine.
 pub const SLOTS: u32 = 6;
 
 fn route(prefix: &str, kind: RouteKind, service: &str) -> Route {
@@ -144,7 +144,7 @@
 }
 
 /// Parses an event's number and model version; `None` if it belongs to another path.
-pub fn read_event_data(data: &str, path: &str) -> Option<(u32, u64)> {
+pub fn parse_event_data(data: &str, path: &str) -> Option<(u32, u64)> {
     let rest = data.strip_prefix(path)?.strip_prefix(' ')?;
     let (number, version) = rest.split_once(" v")?;
     Some((number.parse().ok()?, version.parse().ok()?))
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,17 +1,17 @@
 //! Each check reports the violation that it is meant for, and none in conforming records.
 
 use saddlerelay_soak_runner::checks::{
-    AT_MOST_ONCE, ATTEMPTS, CONFIGURATION, CRASHING_WORK, JOB_ENDS, KEEP_ALIVE_ANSWERED, LEAVING, NOT_RUN, ORDERS,
-    RESULTS, SCORES_ARE_REAL, STALENESS, check,
+    AT_MOST_ONCE, ATTEMPTS, CONFIGURATION, CRASHING_WORK, DRAINED_ENGINES, JOB_ENDS, KEEP_ALIVE_ANSWERED, NOT_RUN,
+    ORDERS, RESULTS, SCORE_STAMPS, STALENESS, check,
 };
 use saddlerelay_soak_runner::convergence::{ConvergenceCheck, HANG_LIMIT, RECOVERY_LIMIT, Wait, evaluate};
-use saddlerelay_soak_runner::deployment::{MemberKind, membership_in};
+use saddlerelay_soak_runner::deployment::{MemberKind, parse_membership};
 use saddlerelay_soak_runner::journal::{
     ClientRequest, Disturbance, JobRecord, Journal, KeepAliveOutcome, KeepAliveRequest, OrderRecord, Outcome,
     ReadDocument, Records, ResultRecord, Run, SentDocument,
 };
 use saddlerelay_soak_runner::links::Party;
-use saddlerelay_soak_runner::report::{LATENESS_LIMIT, Report};
+use saddlerelay_soak_runner::report::{LAG_LIMIT, Report};
 use saddlerelay_soak_runner::workload::{self, Features, MOVING, ONCE, REPEATABLE, ROLLOUTS};
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_types::job::{ItemEnd, ItemId, JobId};
@@ -74,17 +74,18 @@
 
 #[test]
 fn a_draining_engine_receives_no_new_work_after_the_bound() {
-    let leaving = [(InstanceId::named("engine-0-1"), at(1_000))].into();
-    let mut records = Records { leaving, runs: vec![run("r", 2_990)], ..Records::default() };
+    let drains_acknowledged_at = [(InstanceId::named("engine-0-1"), at(1_000))].into();
+    let mut records = Records { drains_acknowledged_at, runs: vec![run("r", 2_990)], ..Records::default() };
     assert!(violated_invariants(&records).is_empty());
     records.runs.push(run("s", 3_010));
-    assert_eq!(violated_invariants(&records), [LEAVING]);
+    assert_eq!(violated_invariants(&records), [DRAINED_ENGINES]);
     records.resumptions.push(at(2_900));
     assert!(violated_invariants(&records).is_empty(), "work in progress when a process resumed may still arrive");
 }
 
 fn document(version: u64, moving_to: &'static str, sent: u64, acknowledged: Option<u64>) -> SentDocument {
-    let body = serde_json::to_vec(&workload::document(Features::All, version, moving_to, 0)).expect("JSON");
+    let body = serde_json::to_vec(&workload::document(Features::All, version, moving_to, 0))
+        .expect("the document can be encoded");
     SentDocument { version, moving_to, body, sent_at: at(sent), acknowledged_at: acknowledged.map(at) }
 }
 
@@ -111,7 +112,8 @@
     let documents = vec![document(1, "web-a", 0, Some(100)), document(2, "web-b", 200, Some(300))];
     let read = |body: Option<Vec<u8>>| ReadDocument { requested_at: at(400), body };
     let (old, new) = (documents[0].body.clone(), documents[1].body.clone());
-    let other = serde_json::to_vec(&workload::document(Features::All, 2, "web-a", 1)).expect("JSON");
+    let other =
+        serde_json::to_vec(&workload::document(Features::All, 2, "web-a", 1)).expect("the document can be encoded");
     let with = |body| Records { documents: documents.clone(), reads: vec![read(body)], ..Records::default() };
     assert!(violated_invariants(&with(Some(new))).is_empty());
     for body in [Some(old), Some(other), None] {
@@ -163,7 +165,7 @@
     assert_eq!(
         violated_invariants(&records_of(vec![result(&[4], &[(1, 4), (2, 4)])])),
         [RESULTS; 2],
-        "never generated"
+        "the events were never generated"
     );
 }
 
@@ -173,10 +175,10 @@
     let with =
         |score: Option<&str>| records_of(vec![ResultRecord { score: score.map(str::to_string), ..scored.clone() }]);
     assert!(violated_invariants(&with(Some("engine-0-1"))).is_empty());
-    assert_eq!(violated_invariants(&with(None)), [SCORES_ARE_REAL]);
-    assert_eq!(violated_invariants(&with(Some("engine-3-1"))), [SCORES_ARE_REAL], "another engine's");
+    assert_eq!(violated_invariants(&with(None)), [SCORE_STAMPS]);
+    assert_eq!(violated_invariants(&with(Some("engine-3-1"))), [SCORE_STAMPS], "the stamp is of another engine");
     let never_called = Records { runs: Vec::new(), ..with(Some("engine-0-1")) };
-    assert_eq!(violated_invariants(&never_called), [SCORES_ARE_REAL]);
+    assert_eq!(violated_invariants(&never_called), [SCORE_STAMPS]);
 }
 
 #[test]
@@ -236,7 +238,7 @@
     assert_eq!(
         violated_invariants(&with(vec![order(1_000, "a", 1), order(4_100, "b", 1)])),
         [ORDERS],
-        "a shared fencing token"
+        "two holders share a fencing token"
     );
     let between = order_to("engine-5-1", 2_000, "a", 1);
     let consecutive = vec![order(1_000, "a", 1), between, order(3_900, "b", 2)];
@@ -248,7 +250,7 @@
     assert_eq!(
         violated_invariants(&with(vec![order(1_000, "b", 2), order(5_000, "a", 1)])),
         [ORDERS],
-        "a lower fencing token"
+        "the fencing token decreases"
     );
     let shared = vec![order(1_000, "a", 1), order_to("engine-5-1", 9_000, "b", 1)];
     assert_eq!(violated_invariants(&with(shared)), [ORDERS], "a fencing token shared across engines");
@@ -278,7 +280,10 @@
 #[test]
 fn an_executed_request_on_a_keep_alive_connection_is_answered() {
     let mut records = Records { keep_alive: vec![keep_alive("r", 50, KeepAliveOutcome::Closed)], ..Records::default() };
-    assert!(violated_invariants(&records).is_empty(), "it may have been in transit when the connection was closed");
+    assert!(
+        violated_invariants(&records).is_empty(),
+        "the request may have been in transit when the connection was closed"
+    );
     records.runs.push(run("r", 9_010));
     assert_eq!(violated_invariants(&records), [KEEP_ALIVE_ANSWERED]);
     records.keep_alive[0].outcome = KeepAliveOutcome::Answered;
@@ -293,48 +298,52 @@
     records.keep_alive[0] = keep_alive("r", 2_000, KeepAliveOutcome::Closed);
     assert!(violated_invariants(&records).is_empty(), "the route's timeout had passed");
     records.keep_alive[0] = KeepAliveRequest { is_first: true, ..keep_alive("r", 250, KeepAliveOutcome::Closed) };
-    assert!(violated_invariants(&records).is_empty(), "the proxy may have held it while the process was down");
+    assert!(violated_invariants(&records).is_empty(), "the proxy may have held the request while the process was down");
     records.runs.push(run("r", 9_010));
-    assert_eq!(violated_invariants(&records), [KEEP_ALIVE_ANSWERED], "it ran");
+    assert_eq!(violated_invariants(&records), [KEEP_ALIVE_ANSWERED], "the request was executed");
 }
 
 #[test]
-fn a_closed_connection_is_not_judged_during_a_fault_of_its_gateway_or_engine() {
+fn a_closed_connection_is_allowed_during_a_fault_of_its_gateway_or_engine() {
     let fault = |party, from, until: Option<u64>| Disturbance { party, from: at(from), until: until.map(at) };
     let with = |disruption| Records {
         keep_alive: vec![keep_alive("r", 250, KeepAliveOutcome::Closed)],
         runs: vec![run("r", 9_010)],
-        disruptions: vec![disruption],
+        fault_intervals: vec![disruption],
         ..Records::default()
     };
     assert!(violated_invariants(&with(fault(Party::Gateway(1), 9_200, None))).is_empty());
     assert!(
         violated_invariants(&with(fault(Party::Engine(0), 5_000, Some(6_000)))).is_empty(),
-        "it ended shortly before"
+        "the fault ended shortly before"
     );
     assert_eq!(
         violated_invariants(&with(fault(Party::Gateway(1), 5_000, Some(5_999)))),
         [KEEP_ALIVE_ANSWERED],
-        "it ended long before"
+        "the fault ended long before"
     );
     assert_eq!(
         violated_invariants(&with(fault(Party::Gateway(1), 9_251, None))),
         [KEEP_ALIVE_ANSWERED],
-        "it began later"
+        "the fault began later"
     );
     assert_eq!(
         violated_invariants(&with(fault(Party::Gateway(2), 9_000, None))),
         [KEEP_ALIVE_ANSWERED],
-        "another gateway's"
+        "the fault is of another gateway"
     );
     assert_eq!(
         violated_invariants(&with(fault(Party::Engine(1), 9_000, None))),
         [KEEP_ALIVE_ANSWERED],
-        "another engine's"
+        "the fault is of another engine"
     );
     let mut planned = with(fault(Party::Gateway(2), 9_000, None));
-    planned.planned.push(fault(Party::Gateway(1), 8_000, None));
-    assert_eq!(violated_invariants(&planned), [KEEP_ALIVE_ANSWERED], "planned work is judged");
+    planned.planned_work.push(fault(Party::Gateway(1), 8_000, None));
+    assert_eq!(
+        violated_invariants(&planned),
+        [KEEP_ALIVE_ANSWERED],
+        "planned work does not excuse a closed connection"
+    );
 }
 
 #[test]
@@ -342,57 +351,60 @@
     let since = at(10_000);
     let limit = since + RECOVERY_LIMIT;
     assert_eq!(evaluate(since, None, limit), Wait::InTime);
-    assert_eq!(evaluate(since, None, limit + at(1)), Wait::Over);
-    assert_eq!(evaluate(since, Some(at(9_000)), limit + at(1)), Wait::Over, "the lag was before the start");
+    assert_eq!(evaluate(since, None, limit + at(1)), Wait::Expired);
+    assert_eq!(evaluate(since, Some(at(9_000)), limit + at(1)), Wait::Expired, "the lag was before the start");
     assert_eq!(evaluate(since, Some(at(11_000)), limit + at(1_000)), Wait::InTime, "the limit restarts");
-    assert_eq!(evaluate(since, Some(at(11_000)), limit + at(1_001)), Wait::Over);
+    assert_eq!(evaluate(since, Some(at(11_000)), limit + at(1_001)), Wait::Expired);
     let hang = since + HANG_LIMIT;
     assert_eq!(evaluate(since, Some(hang), hang), Wait::InTime);
-    assert_eq!(evaluate(since, Some(hang), hang + at(1)), Wait::NotJudged, "lagging until the end");
+    assert_eq!(evaluate(since, Some(hang), hang + at(1)), Wait::Lagged, "the soak lagged until the hang limit");
 }
 
 #[test]
 fn membership_is_parsed_from_a_members_proposed_line() {
     let line = r#"time=1.5 level=info event="members proposed" voters=2 learners=1 members="127.1.2.3:5 +127.1.2.4:5 127.1.2.30:5""#;
-    let of = |peer: &str| membership_in(line, peer.parse().expect("an address"));
+    let of = |peer: &str| parse_membership(line, peer.parse().expect("the address is valid"));
     assert_eq!(of("127.1.2.3:5"), MemberKind::Voter);
     assert_eq!(of("127.1.2.4:5"), MemberKind::Learner);
-    assert_eq!(of("127.1.2.30:5"), MemberKind::Voter, "the last one");
+    assert_eq!(of("127.1.2.30:5"), MemberKind::Voter, "the last member of the list");
     assert_eq!(of("127.1.2.5:5"), MemberKind::None);
-    assert_eq!(membership_in("", "127.1.2.3:5".parse().expect("an address")), MemberKind::None);
+    assert_eq!(parse_membership("", "127.1.2.3:5".parse().expect("the address is valid")), MemberKind::None);
 }
 
 #[test]
 fn a_condition_that_does_not_hold_in_time_is_a_violation() {
     let journal = Journal::default();
-    let runtime = compio::runtime::Runtime::new().expect("a runtime");
+    let runtime = compio::runtime::Runtime::new().expect("the runtime starts");
     let started = std::time::Instant::now();
     runtime.block_on(async {
-        let convergence = ConvergenceCheck::begin("something works soon", &journal);
-        convergence.wait_for("it works at once".to_string(), || async { true }).await;
-        convergence.wait_for("it never works".to_string(), || async { false }).await;
+        let check = ConvergenceCheck::begin("conditions hold in time", &journal);
+        check.wait_for("condition that holds".to_string(), || async { true }).await;
+        check.wait_for("condition that never holds".to_string(), || async { false }).await;
     });
     assert!(started.elapsed() >= RECOVERY_LIMIT);
     let observed: Vec<_> = journal.read(|records| records.violations.clone());
-    assert!(matches!(&observed[..], [one] if one.observed.contains("never works") && !one.time_bound), "{observed:?}");
+    assert!(
+        matches!(&observed[..], [violation] if violation.observed.contains("never holds") && !violation.time_bound),
+        "{observed:?}"
+    );
 }
 
 /// The report of a soak with one violation of each kind, whose own tasks lagged by `own_lag`.
 fn report_after(own_lag: Duration) -> Report {
     let journal = Journal::default();
-    journal.violation("something lasts", "it was lost".to_string());
-    journal.late("something comes soon", "it came late".to_string());
+    journal.violation("an invariant", "an observation".to_string());
+    journal.timeout("a time limit", "a late observation".to_string());
     journal.write(|records| records.own_lag = own_lag);
-    Report::new("14".parse().expect("a case"), 0, &journal)
+    Report::new("14".parse().expect("the case is valid"), 0, &journal)
 }
 
 #[test]
-fn exceeded_time_limits_are_judged_unless_the_soak_was_late() {
-    let report = report_after(LATENESS_LIMIT);
-    assert_eq!((report.violations.len(), report.not_judged.len()), (2, 0));
+fn exceeded_time_limits_are_violations_unless_the_soak_lagged() {
+    let report = report_after(LAG_LIMIT);
+    assert_eq!((report.violations.len(), report.inconclusive.len()), (2, 0));
     assert!(!report.to_string().contains("not judged"));
-    let report = report_after(LATENESS_LIMIT + at(1));
-    assert_eq!((report.violations.len(), report.not_judged.len()), (1, 1));
-    assert!(!report.is_clean(), "other violations are judged");
+    let report = report_after(LAG_LIMIT + at(1));
+    assert_eq!((report.violations.len(), report.inconclusive.len()), (1, 1));
+    assert!(!report.is_clean(), "violations other than time limits count despite the lag");
     assert!(report.to_string().contains("not judged"));
 }
--- a/crates/soak/tests/plan.rs
+++ b/crates/soak/tests/plan.rs
@@ -15,7 +15,7 @@
 const KINDS: [&str; 4] = ["single", "overlapping", "replaced", "paired"];
 
 fn case(text: &str) -> Case {
-    text.parse().expect("a case")
+    text.parse().expect("the case is valid")
 }
 
 fn draw_kind(kind: &str, seed: u64, length: Duration) -> Vec<Planned> {
@@ -112,18 +112,24 @@
     ] {
         assert!(overlaps.contains(&overlap), "{overlap:?}");
     }
-    assert!(rounds.clone().any(|rounds| rounds.len() > 1), "several rounds");
+    assert!(rounds.clone().any(|rounds| rounds.len() > 1), "no series has several rounds");
     let suspended: Vec<usize> = planned
         .iter()
         .filter_map(|planned| match &planned.fault {
             Fault::Suspend { parties, time } => {
-                assert!(*time > saddlerelay_soak_runner::deployment::ORDER_LEASE, "longer than leases");
+                assert!(
+                    *time > saddlerelay_soak_runner::deployment::ORDER_LEASE,
+                    "the suspension is shorter than a lease"
+                );
                 Some(parties.len())
             }
             _ => None,
         })
         .collect();
-    assert!(suspended.contains(&1) && suspended.contains(&3), "one process, and all processes of a role");
+    assert!(
+        suspended.contains(&1) && suspended.contains(&3),
+        "one process and all processes of a role are not both suspended"
+    );
 }
 
 #[test]
@@ -133,7 +139,10 @@
     assert_eq!(replaced.count(), 1);
     assert_eq!(planned.last().map(|planned| &planned.fault), Some(&Fault::ReplaceMembers));
     let size = case("replaced:7").size;
-    assert!(size.coordinators > 2 * Size::SMALL.coordinators, "replacement voters, and a learner");
+    assert!(
+        size.coordinators > 2 * Size::SMALL.coordinators,
+        "too few coordinators for replacement voters and a learner"
+    );
 }
 
 /// Whether a fault hits a process that holds state.
@@ -167,7 +176,7 @@
             engines.push(planned);
         }
     }
-    assert!(engines.is_empty(), "each engine fault has a second fault");
+    assert!(engines.is_empty(), "an engine fault has no second fault");
     pairs
 }
 
@@ -175,16 +184,16 @@
 fn an_engine_fault_is_followed_by_a_stateful_process_fault_and_a_quiet_period() {
     for seed in 0..20 {
         let pairs = pairs(seed, LENGTH);
-        assert!(pairs.len() > 30, "{}", pairs.len());
-        for (engines, holder) in &pairs {
+        assert!(pairs.len() > 30, "only {} pairs", pairs.len());
+        for (engines, stateful) in &pairs {
             assert!((2..=3).contains(&engines.len()), "{engines:?}");
             assert!(engines.iter().all(|fault| fault.at == engines[0].at));
-            let gap = holder.at - engines[0].at;
+            let gap = stateful.at - engines[0].at;
             assert!((Duration::from_millis(300)..=Duration::from_secs(3)).contains(&gap), "{gap:?}");
         }
         for pair in pairs.windows(2) {
-            let (holder, next) = (&pair[0].1, &pair[1].0[0]);
-            assert!(next.at - holder.at > duration_of(&holder.fault) + QUIET_PERIOD + ITEM_WAIT_BOUND);
+            let (stateful, next) = (&pair[0].1, &pair[1].0[0]);
+            assert!(next.at - stateful.at > duration_of(&stateful.fault) + QUIET_PERIOD + ITEM_WAIT_BOUND);
         }
     }
 }
@@ -201,12 +210,12 @@
 
 #[test]
 fn every_fault_of_a_pair_is_drawn() {
-    use saddlerelay_soak_runner::engine::Conduct;
+    use saddlerelay_soak_runner::engine::EngineBehavior;
     let kinds: [fn(&Fault) -> bool; 12] = [
         |fault| matches!(fault, Fault::CrashEngine { .. }),
         |fault| matches!(fault, Fault::EndEngine { .. }),
-        |fault| matches!(fault, Fault::Misconduct { conduct: Conduct::Hanging, .. }),
-        |fault| matches!(fault, Fault::Misconduct { conduct: Conduct::BreakingOff, .. }),
+        |fault| matches!(fault, Fault::Misconduct { conduct: EngineBehavior::Hanging, .. }),
+        |fault| matches!(fault, Fault::Misconduct { conduct: EngineBehavior::BreakingOff, .. }),
         |fault| matches!(fault, Fault::Cut { party: Party::Engine(_), .. }),
         |fault| matches!(fault, Fault::HarmLeader(LeaderFault::Kill(_))),
         |fault| matches!(fault, Fault::HarmLeader(LeaderFault::Freeze(_))),
@@ -218,7 +227,7 @@
     ];
     let planned: Vec<Planned> = (0..10).flat_map(|seed| draw_kind("paired", seed, LENGTH)).collect();
     for (number, kind) in kinds.into_iter().enumerate() {
-        assert!(planned.iter().any(|planned| kind(&planned.fault)), "kind {number}");
+        assert!(planned.iter().any(|planned| kind(&planned.fault)), "no fault of kind {number} was drawn");
     }
 }
 
@@ -227,7 +236,7 @@
     for text in ["single:14", "overlapping:3", "replaced:8", "paired:4", "overlapping:3:20+60"] {
         assert_eq!(case(text).to_string(), text);
     }
-    assert_eq!(case("14"), case("single:14"), "a seed alone is of the kind single");
+    assert_eq!(case("14"), case("single:14"), "a case without a kind is single");
     for invalid in
         ["", "x", "other:3", "single:x", "single:3:2+3", "single:3:3+0", "single:3:31+3", "single:3:3", "a:b:c:d"]
     {
@@ -241,14 +250,15 @@
 
 #[test]
 fn the_command_line_sets_cases_and_length() {
-    let options = parse(&["--seeds", "3..5", "--seed", "9", "--length", "12", "--keep"]).expect("valid options");
+    let options =
+        parse(&["--seeds", "3..5", "--seed", "9", "--length", "12", "--keep"]).expect("the options are valid");
     let cases = ["overlapping:3", "overlapping:4", "overlapping:9"].map(case).to_vec();
     assert_eq!(options, Options { cases, length: Duration::from_secs(12), keep: true, production: None });
     let options =
-        parse(&["--seed", "9", "--plan", "replaced", "--case", "14", "--size", "9+2"]).expect("valid options");
+        parse(&["--seed", "9", "--plan", "replaced", "--case", "14", "--size", "9+2"]).expect("the options are valid");
     assert_eq!(options.cases, ["14", "replaced:9:9+2"].map(case));
-    assert_eq!(parse(&["--count", "4"]).expect("valid options").cases.len(), 4);
-    assert_eq!(parse(&[]).expect("valid options").cases.len(), 1, "a random seed");
+    assert_eq!(parse(&["--count", "4"]).expect("the options are valid").cases.len(), 4);
+    assert_eq!(parse(&[]).expect("the options are valid").cases.len(), 1, "a random seed");
     let invalid_arguments =
         [&["--seeds", "5..5"][..], &["--seeds", "x"], &["--length", "soon"], &["--other"], &["--plan", "x"]];
     for invalid in invalid_arguments {
@@ -259,20 +269,20 @@
 #[test]
 fn a_case_list_has_a_case_and_a_reason_on_each_line() {
     let file = std::env::temp_dir().join(format!("saddlerelay-seeds-{}", std::process::id()));
-    std::fs::write(&file, "# comment\n\n14  the cause\nreplaced:15\n").expect("a file");
-    assert_eq!(read_cases(&file).expect("a list"), ["14", "replaced:15"].map(case));
-    std::fs::write(&file, "cause 14\n").expect("a file");
+    std::fs::write(&file, "# comment\n\n14  the cause\nreplaced:15\n").expect("the file can be written");
+    assert_eq!(read_cases(&file).expect("the case list is valid"), ["14", "replaced:15"].map(case));
+    std::fs::write(&file, "cause 14\n").expect("the file can be written");
     assert!(read_cases(&file).is_err());
-    std::fs::remove_file(&file).expect("it is there");
+    std::fs::remove_file(&file).expect("the file can be removed");
 }
 
 #[test]
 fn only_long_steps_have_crashing_items() {
-    let crashing = |shape: StepShape| (0..9).filter(|step| shape.crashes_in(*step)).collect::<Vec<u64>>();
+    let crashing = |shape: StepShape| (0..9).filter(|step| shape.has_crashing_item(*step)).collect::<Vec<u64>>();
     assert_eq!(crashing(StepShape::LONG), [2, 5, 8]);
     assert!(crashing(StepShape::SHORT).is_empty());
-    assert_eq!(case("paired:1").kind.steps(), StepShape::LONG);
+    assert_eq!(case("paired:1").kind.step_shape(), StepShape::LONG);
     for kind in ["single:1", "overlapping:1", "replaced:1"] {
-        assert_eq!(case(kind).kind.steps(), StepShape::SHORT, "{kind}");
+        assert_eq!(case(kind).kind.step_shape(), StepShape::SHORT, "{kind}");
     }
 }
--- a/crates/soak/tests/proxy.rs
+++ b/crates/soak/tests/proxy.rs
@@ -4,7 +4,7 @@
 use compio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
 use compio::net::{TcpListener, TcpStream};
 use saddlerelay_soak_runner::links::{Condition, Links, Party};
-use saddlerelay_soak_runner::proxy::{self, Identify, ProxyEndpoint};
+use saddlerelay_soak_runner::proxy::{self, CallerLookup, ProxyEndpoint};
 use saddlerelay_soak_runner::{owner, socket_query};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 const CALLER: Party = Party::Gateway(0);
 const SERVER: Party = Party::Engine(0);
 
-/// Only to fail a test that hangs.
+/// Timeout that only fails a test that hangs.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Link delay, and how long a test waits for held bytes. A slow machine cannot make a correct proxy fail.
@@ -20,18 +20,18 @@
 
 /// Starts an echo server behind a proxy; returns the address of the proxy.
 async fn echo_through_proxy(links: &Links) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let target = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("there is a free port");
+    let target = listener.local_addr().expect("the address is valid");
     compio::runtime::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             compio::runtime::spawn(echo(stream)).detach();
         }
     })
     .detach();
-    let free = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = free.local_addr().expect("an address");
+    let free = TcpListener::bind("127.0.0.1:0").await.expect("there is a free port");
+    let address = free.local_addr().expect("the address is valid");
     drop(free);
-    let endpoint = ProxyEndpoint { party: SERVER, target, identify: Identify::Always(CALLER) };
+    let endpoint = ProxyEndpoint { party: SERVER, target, caller_lookup: CallerLookup::Always(CALLER) };
     proxy::start(address, endpoint, links.clone()).await.expect("the port is still free");
     address
 }
@@ -56,8 +56,8 @@
 }
 
 fn block_on<T>(future: impl Future<Output = T>) -> T {
-    let runtime = compio::runtime::Runtime::new().expect("a runtime");
-    runtime.block_on(async { compio::time::timeout(TEST_TIMEOUT, future).await.expect("it does not hang") })
+    let runtime = compio::runtime::Runtime::new().expect("the runtime starts");
+    runtime.block_on(async { compio::time::timeout(TEST_TIMEOUT, future).await.expect("the test completes in time") })
 }
 
 #[test]
@@ -65,7 +65,7 @@
     block_on(async {
         let links = Links::default();
         let mut stream = TcpStream::connect(echo_through_proxy(&links).await).await.expect("the proxy listens");
-        assert_eq!(exchange(&mut stream).await.expect("an echo"), b"ping");
+        assert_eq!(exchange(&mut stream).await.expect("the server echoes the bytes"), b"ping");
     });
 }
 
@@ -76,7 +76,7 @@
         links.set(SERVER, CALLER, Condition::Delayed(DELAY));
         let mut stream = TcpStream::connect(echo_through_proxy(&links).await).await.expect("the proxy listens");
         let began = Instant::now();
-        assert_eq!(exchange(&mut stream).await.expect("an echo"), b"ping");
+        assert_eq!(exchange(&mut stream).await.expect("the server echoes the bytes"), b"ping");
         assert!(began.elapsed() >= DELAY);
     });
 }
@@ -87,18 +87,19 @@
         block_on(async {
             let links = Links::default();
             let mut stream = TcpStream::connect(echo_through_proxy(&links).await).await.expect("the proxy listens");
-            exchange(&mut stream).await.expect("an echo");
+            exchange(&mut stream).await.expect("the server echoes the bytes");
             links.set(from, to, Condition::Silent);
-            stream.write_all(b"ping".to_vec()).await.0.expect("the proxy accepts it");
+            stream.write_all(b"ping".to_vec()).await.0.expect("the proxy accepts the bytes");
             let timed_out = compio::time::timeout(DELAY, read(&mut stream)).await;
-            assert!(timed_out.is_err(), "nothing arrives while the link is silent");
-            let mut stream = TcpStream::connect(echo_through_proxy(&links).await).await.expect("it takes connections");
+            assert!(timed_out.is_err(), "bytes arrived while the link was silent");
+            let mut stream =
+                TcpStream::connect(echo_through_proxy(&links).await).await.expect("the proxy accepts connections");
             let (exchanged, ()) = futures::future::join(exchange(&mut stream), async {
                 compio::time::sleep(DELAY).await;
                 links.heal_all();
             })
             .await;
-            assert_eq!(exchanged.expect("an echo"), b"ping");
+            assert_eq!(exchanged.expect("the server echoes the bytes"), b"ping");
         });
     }
 }
@@ -109,31 +110,35 @@
         let links = Links::default();
         let address = echo_through_proxy(&links).await;
         let mut stream = TcpStream::connect(address).await.expect("the proxy listens");
-        exchange(&mut stream).await.expect("an echo");
+        exchange(&mut stream).await.expect("the server echoes the bytes");
         links.set(CALLER, SERVER, Condition::Reset);
-        assert!(read(&mut stream).await.is_err(), "the connection is reset");
+        assert!(read(&mut stream).await.is_err(), "the open connection was not reset");
         let new = TcpStream::connect(address).await;
         let exchanged = match new {
             Ok(mut stream) => exchange(&mut stream).await.map(|_| ()),
             Err(error) => Err(error),
         };
-        assert!(exchanged.is_err(), "a new one is reset too");
+        assert!(exchanged.is_err(), "a new connection was not reset");
     });
 }
 
 #[test]
 fn the_owner_of_a_connection_is_found() {
     block_on(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let address = listener.local_addr().expect("an address");
-        let connected = TcpStream::connect(address).await.expect("a connection");
-        let client_address = connected.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("there is a free port");
+        let address = listener.local_addr().expect("the address is valid");
+        let connected = TcpStream::connect(address).await.expect("the listener accepts connections");
+        let client_address = connected.local_addr().expect("the address is valid");
         let process_id = std::process::id();
         assert_eq!(owner::owner_of(client_address, address, &[process_id]), Some(process_id));
         assert_eq!(owner::owner_of(client_address, address, &[]), None);
         let inode = socket_query::inode_of(client_address, address);
-        assert!(inode.is_some(), "the kernel supports the query");
-        assert_eq!(inode, owner::inode_in_table(client_address, address), "same as in /proc/net/tcp");
+        assert!(inode.is_some(), "the kernel did not answer the query");
+        assert_eq!(
+            inode,
+            owner::inode_in_table(client_address, address),
+            "the inode differs from the one in /proc/net/tcp"
+        );
         assert_eq!(socket_query::inode_of(client_address, client_address), None);
         assert_eq!(
             owner::owner_of(client_address, client_address, &[process_id]),
@@ -145,6 +150,6 @@
 
 #[test]
 fn proc_net_tcp_addresses_are_parsed() {
-    assert_eq!(owner::parse_address("0100007F:1F90"), Some("127.0.0.1:8080".parse().expect("an address")));
+    assert_eq!(owner::parse_address("0100007F:1F90"), Some("127.0.0.1:8080".parse().expect("the address is valid")));
     assert_eq!(owner::parse_address("0100007F"), None);
 }
--- a/crates/soak/tests/waits.rs
+++ b/crates/soak/tests/waits.rs
@@ -15,13 +15,13 @@
 const ITEM: &str = "j-item-0";
 
 /// Acceptance time of the job, in milliseconds.
-const ACCEPTED: u64 = 10_000;
+const ACCEPTED_AT: u64 = 10_000;
 
 /// Time of the cancellation request, in milliseconds.
-const ENDED: u64 = 30_000;
+const CANCELLED_AT: u64 = 30_000;
 
 /// Interval between samples, in milliseconds.
-const SAMPLE_EVERY: u64 = 100;
+const SAMPLE_INTERVAL: u64 = 100;
 
 fn at(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -34,9 +34,9 @@
 
 /// Samples of two engines with `busy` requests in progress.
 fn samples(busy: [u32; 2], version: u64) -> Vec<EnginesSample> {
-    let engine = |(number, running)| EngineSample { number, version, running, takes_items: true };
+    let engine = |(number, running)| EngineSample { number, version, running, accepts_items: true };
     let engines: Vec<EngineSample> = [4, 5].into_iter().zip(busy).map(engine).collect();
-    let moments = (0..ENDED + 5_000).step_by(SAMPLE_EVERY as usize);
+    let moments = (0..CANCELLED_AT + 5_000).step_by(SAMPLE_INTERVAL as usize);
     moments.map(|moment| EnginesSample { at: at(moment), engines: engines.clone() }).collect()
 }
 
@@ -45,14 +45,14 @@
     let observed = JobRecord {
         items: [(ItemId(ITEM.to_string()), 2)].into(),
         minimum_version: 2,
-        acknowledged_at: Some(at(ACCEPTED)),
-        end_requested_at: Some(at(ENDED)),
+        acknowledged_at: Some(at(ACCEPTED_AT)),
+        end_requested_at: Some(at(CANCELLED_AT)),
         ..JobRecord::default()
     };
     Records {
         jobs: [(JobId("j".to_string()), observed)].into(),
         engine_samples: samples([0, 0], 2),
-        documents: (0..ENDED + 5_000).step_by(2_000).map(document).collect(),
+        documents: (0..CANCELLED_AT + 5_000).step_by(2_000).map(document).collect(),
         ..Records::default()
     }
 }
@@ -72,17 +72,17 @@
 
 /// The measured wait between two times, given the sample interval.
 fn between(from: u64, until: u64) -> Duration {
-    at(until - from - SAMPLE_EVERY)
+    at(until - from - SAMPLE_INTERVAL)
 }
 
 #[test]
 fn a_stalled_item_is_a_violation() {
     let records = waiting_item();
-    assert_eq!(longest(&records), between(ACCEPTED, ENDED));
+    assert_eq!(longest(&records), between(ACCEPTED_AT, CANCELLED_AT));
     assert!(has_violation(&records));
     let journal = Journal::default();
-    journal.write(|written| *written = records);
-    let report = Report::new("paired:1".parse().expect("a case"), 0, &journal).to_string();
+    journal.write(|journaled| *journaled = records);
+    let report = Report::new("paired:1".parse().expect("the case is valid"), 0, &journal).to_string();
     assert!(report.contains(ITEM) && report.contains("19900 ms"), "{report}");
 }
 
@@ -91,26 +91,26 @@
     let bound = ITEM_WAIT_BOUND.as_millis() as u64;
     let with =
         |started| Records { item_runs: vec![run("engine-4-1", started, None, ItemRunEnd::Open)], ..waiting_item() };
-    assert!(!has_violation(&with(ACCEPTED + bound)));
-    assert!(has_violation(&with(ACCEPTED + bound + 2 * SAMPLE_EVERY)));
+    assert!(!has_violation(&with(ACCEPTED_AT + bound)));
+    assert!(has_violation(&with(ACCEPTED_AT + bound + 2 * SAMPLE_INTERVAL)));
 }
 
 #[test]
 fn a_finished_or_failed_item_does_not_wait() {
     for end in [ItemRunEnd::Finished, ItemRunEnd::Failed] {
-        let runs = vec![run("engine-4-1", ACCEPTED, Some(12_000), end)];
+        let runs = vec![run("engine-4-1", ACCEPTED_AT, Some(12_000), end)];
         assert_eq!(longest(&Records { item_runs: runs, ..waiting_item() }), Duration::ZERO, "{end:?}");
     }
     for end in [ItemRunEnd::Open, ItemRunEnd::EngineEnded] {
-        let runs = vec![run("engine-4-1", ACCEPTED, Some(12_000), end)];
-        assert_eq!(longest(&Records { item_runs: runs, ..waiting_item() }), between(12_000, ENDED), "{end:?}");
+        let runs = vec![run("engine-4-1", ACCEPTED_AT, Some(12_000), end)];
+        assert_eq!(longest(&Records { item_runs: runs, ..waiting_item() }), between(12_000, CANCELLED_AT), "{end:?}");
     }
 }
 
 #[test]
-fn an_item_that_crashed_three_engines_is_not_judged() {
+fn an_item_that_crashed_three_engines_does_not_wait() {
     let ended = |instance, from| run(instance, from, Some(from + 100), ItemRunEnd::EngineEnded);
-    let two = vec![ended("engine-4-1", ACCEPTED), ended("engine-5-1", 10_100), ended("engine-5-1", 10_200)];
+    let two = vec![ended("engine-4-1", ACCEPTED_AT), ended("engine-5-1", 10_100), ended("engine-5-1", 10_200)];
     let mut records = Records { item_runs: two, ..waiting_item() };
     assert!(has_violation(&records), "the same engine counts once");
     records.item_runs.push(ended("engine-4-2", 10_300));
@@ -126,14 +126,17 @@
 
 #[test]
 fn engines_that_cannot_take_an_item_have_no_capacity() {
-    assert!(!has_violation(&Records { engine_samples: samples([0, 0], 1), ..waiting_item() }), "too old for its job");
+    assert!(
+        !has_violation(&Records { engine_samples: samples([0, 0], 1), ..waiting_item() }),
+        "the engines' version is too old for the job"
+    );
     let mut records = waiting_item();
     let engines = |records: &mut Records, change: fn(&mut EngineSample)| {
         records.engine_samples.iter_mut().flat_map(|observed| &mut observed.engines).for_each(change);
     };
-    engines(&mut records, |engine| engine.takes_items = engine.number != 4);
-    assert!(has_violation(&records), "the other one can");
-    engines(&mut records, |engine| engine.takes_items = false);
+    engines(&mut records, |engine| engine.accepts_items = engine.number != 4);
+    assert!(has_violation(&records), "the other engine accepts items");
+    engines(&mut records, |engine| engine.accepts_items = false);
     assert!(!has_violation(&records));
 }
 
@@ -141,9 +144,9 @@
 fn an_engine_with_a_recent_fault_has_no_capacity() {
     let mut records = waiting_item();
     let engine_fault = |number| Disturbance { party: Party::Engine(number), from: at(9_000), until: None };
-    records.disruptions.push(engine_fault(4));
+    records.fault_intervals.push(engine_fault(4));
     assert!(has_violation(&records), "the other engine has no fault");
-    records.disruptions.push(engine_fault(5));
+    records.fault_intervals.push(engine_fault(5));
     assert!(!has_violation(&records));
 }
 
@@ -160,18 +163,18 @@
     let fault = |party, from, until: u64| Disturbance { party, from: at(from), until: Some(at(until)) };
     let leader = Party::Coordinator(0);
     // A sample at the very end of the quiet period still counts as disturbed.
-    let wait_after_quiet_period = between(16_000 + quiet_period + SAMPLE_EVERY, ENDED);
-    let killed = longest_when_disturbed(|records| records.disruptions.push(fault(leader, 13_000, 16_000)));
+    let wait_after_quiet_period = between(16_000 + quiet_period + SAMPLE_INTERVAL, CANCELLED_AT);
+    let killed = longest_when_disturbed(|records| records.fault_intervals.push(fault(leader, 13_000, 16_000)));
     assert_eq!(killed, wait_after_quiet_period, "a fault of a coordinator");
-    let stopped = longest_when_disturbed(|records| records.planned.push(fault(leader, 13_000, 16_000)));
+    let stopped = longest_when_disturbed(|records| records.planned_work.push(fault(leader, 13_000, 16_000)));
     assert_eq!(stopped, wait_after_quiet_period, "planned work at a coordinator");
     let resumptions = longest_when_disturbed(|records| records.resumptions.push(at(16_000)));
-    assert_eq!(resumptions, wait_after_quiet_period, "a link that heals");
+    assert_eq!(resumptions, wait_after_quiet_period, "the end of a link fault");
     let published = longest_when_disturbed(|records| records.versions_published.push(at(16_000)));
     assert_eq!(published, wait_after_quiet_period, "a published version");
     let gateway = fault(Party::Gateway(0), 13_000, 16_000);
-    let other = longest_when_disturbed(|records| records.disruptions.push(gateway));
-    assert_eq!(other, between(ACCEPTED, ENDED), "items need no gateway");
+    let other = longest_when_disturbed(|records| records.fault_intervals.push(gateway));
+    assert_eq!(other, between(ACCEPTED_AT, CANCELLED_AT), "items need no gateway");
 }
 
 #[test]
@@ -181,7 +184,7 @@
         records.documents.retain(|document| !document.acknowledged_at.is_some_and(is_between));
     };
     let longest = longest_when_disturbed(without);
-    assert!(longest <= ITEM_WAIT_BOUND, "{longest:?}");
+    assert!(longest <= ITEM_WAIT_BOUND, "an item waited for {longest:?}");
 }
 
 #[test]
