--- a/crates/simulator/src/backends.rs
+++ b/crates/simulator/src/backends.rs
@@ -38,7 +38,7 @@
     Chunk(EngineChunk),
     Status(EngineStatus),
     Done,
-    Refused(String),
+    Rejected(String),
 }
 
 /// A call to the scorer or the platform.
@@ -77,14 +77,14 @@
         EngineCall::Status => EngineResponse::Status(engine.status()),
         EngineCall::Order(order) => match engine.order(order) {
             Ok(()) => EngineResponse::Done,
-            Err(refusal) => EngineResponse::Refused(refusal.0),
+            Err(refusal) => EngineResponse::Rejected(refusal.0),
         },
         EngineCall::Generate(request) => match engine.admit(request) {
             Ok(chunks) => {
                 stream_chunks(&mut sender, chunks).await;
                 return;
             }
-            Err(refusal) => EngineResponse::Refused(refusal.0),
+            Err(refusal) => EngineResponse::Rejected(refusal.0),
         },
     };
     // The caller may have disconnected.
@@ -195,7 +195,7 @@
     async fn order(&self, engine: &EngineDescription, order: EngineOrder) -> Result<(), BackendError> {
         match self.call(engine.address, &EngineCall::Order(order)).await? {
             EngineResponse::Done => Ok(()),
-            EngineResponse::Refused(reason) => Err(BackendError::Refused(reason)),
+            EngineResponse::Rejected(reason) => Err(BackendError::Refused(reason)),
             _ => Err(connection_lost()),
         }
     }
@@ -220,7 +220,7 @@
         self.sender.send(bitcode::encode(&EngineCall::Generate(request))).await.map_err(|_| connection_lost())?;
         match receive(&mut self.receiver).await {
             Some(EngineResponse::Admitted) => {}
-            Some(EngineResponse::Refused(reason)) => return Err(BackendError::Refused(reason)),
+            Some(EngineResponse::Rejected(reason)) => return Err(BackendError::Refused(reason)),
             _ => return Err(connection_lost()),
         }
         let (events, stream) = mpsc::unbounded();
--- a/crates/simulator/src/cluster.rs
+++ b/crates/simulator/src/cluster.rs
@@ -67,9 +67,9 @@
     Other,
 }
 
-/// A process and its component.
+/// A process of the deployment and its component.
 #[derive(Clone)]
-pub struct Member {
+pub struct DeployedProcess {
     /// The process.
     pub process: Rc<Process>,
     /// The component that runs in it.
@@ -87,7 +87,7 @@
     /// Records of all simulated clients and engines, in the order in which they were made.
     pub records: Rc<RefCell<Vec<Record>>>,
     /// Processes by name.
-    pub members: RefCell<BTreeMap<String, Member>>,
+    pub processes: RefCell<BTreeMap<String, DeployedProcess>>,
     /// The scorer's and the platform's state.
     pub services: Services,
     /// The engines.
@@ -117,7 +117,7 @@
             world,
             policy,
             records: Rc::default(),
-            members: RefCell::default(),
+            processes: RefCell::default(),
             services: Services::default(),
             stop: Rc::default(),
             trainers_ended: Rc::default(),
@@ -179,7 +179,7 @@
     }
 
     fn insert(&self, name: String, process: Rc<Process>, component: Component) {
-        self.members.borrow_mut().insert(name, Member { process, component });
+        self.processes.borrow_mut().insert(name, DeployedProcess { process, component });
     }
 
     /// Starts a control replica.
@@ -311,16 +311,16 @@
         (0..self.deployment.relays as usize).for_each(|index| self.start_relay(index));
     }
 
-    /// The member with this process name.
-    pub fn member(&self, name: &str) -> Option<Member> {
-        self.members.borrow().get(name).cloned()
+    /// The deployed process with this name.
+    pub fn deployed_process(&self, name: &str) -> Option<DeployedProcess> {
+        self.processes.borrow().get(name).cloned()
     }
 
     /// Index of the control replica that is leader.
     pub fn leader_index(&self) -> Option<usize> {
         (0..self.deployment.control as usize).find(|index| {
-            let member = self.member(&format!("control-{index}"));
-            match member.map(|member| member.component) {
+            let deployed = self.deployed_process(&format!("control-{index}"));
+            match deployed.map(|deployed| deployed.component) {
                 Some(Component::Control(node)) => {
                     node.borrow().as_ref().is_some_and(|node| node.replica().leading_term().is_some())
                 }
@@ -332,9 +332,9 @@
     /// Records the first time at which two control replicas could both serve reads, one of which would be stale.
     pub fn record_concurrent_leaders(&self) {
         let can_serve_reads = |index: &u32| {
-            let member = self.member(&format!("control-{index}"));
-            let running_member = member.filter(|member| member.process.is_alive() && !member.process.is_frozen());
-            match running_member.map(|member| member.component) {
+            let deployed = self.deployed_process(&format!("control-{index}"));
+            let running = deployed.filter(|deployed| deployed.process.is_alive() && !deployed.process.is_frozen());
+            match running.map(|deployed| deployed.component) {
                 Some(Component::Control(node)) => {
                     node.borrow().as_ref().is_some_and(|node| node.replica().leading_term().is_some())
                 }
@@ -348,8 +348,8 @@
 
     /// Number of voters in the leader's view; 0 without a leader.
     pub fn voters(&self) -> usize {
-        let leader = self.leader_index().and_then(|index| self.member(&format!("control-{index}")));
-        match leader.map(|member| member.component) {
+        let leader = self.leader_index().and_then(|index| self.deployed_process(&format!("control-{index}")));
+        match leader.map(|deployed| deployed.component) {
             Some(Component::Control(node)) => {
                 let view = node.borrow().as_ref().and_then(|node| node.replica().view());
                 view.map_or(0, |view| view.replicas.iter().filter(|replica| replica.voter).count())
@@ -361,8 +361,8 @@
     /// Whether every relay is ready to accept requests.
     pub fn relays_ready(&self) -> bool {
         (0..self.deployment.relays).all(|index| {
-            let member = self.member(&format!("relay-{index}"));
-            match member.map(|member| member.component) {
+            let deployed = self.deployed_process(&format!("relay-{index}"));
+            match deployed.map(|deployed| deployed.component) {
                 Some(Component::Relay(relay, _)) => relay.borrow().as_ref().is_some_and(Relay::is_ready),
                 _ => false,
             }
--- a/crates/simulator/src/command_line.rs
+++ b/crates/simulator/src/command_line.rs
@@ -64,13 +64,13 @@
 
 struct Arguments {
     scenario: Option<String>,
-    file: Option<String>,
+    replayed_file: Option<String>,
     seeds: Range<u64>,
     threads: usize,
     policy: PolicyName,
     full_size: bool,
-    records: Option<String>,
-    record: Option<String>,
+    records_file: Option<String>,
+    trace_file: Option<String>,
 }
 
 fn try_main(arguments: Vec<OsString>) -> Result<bool> {
@@ -98,13 +98,13 @@
 fn parse(parser: &mut lexopt::Parser) -> Result<Arguments> {
     let mut arguments = Arguments {
         scenario: None,
-        file: None,
+        replayed_file: None,
         seeds: 0..1,
         threads: DEFAULT_THREADS,
         policy: PolicyName::PrefixAffinity,
         full_size: false,
-        records: None,
-        record: None,
+        records_file: None,
+        trace_file: None,
     };
     while let Some(argument) = parser.next()? {
         match argument {
@@ -115,14 +115,14 @@
                 arguments.seeds = seed..seed + 1;
             }
             Long("full-size") => arguments.full_size = true,
-            Long("record") => arguments.record = Some(parser.value()?.string()?),
-            Long("records") => arguments.records = Some(parser.value()?.string()?),
+            Long("record") => arguments.trace_file = Some(parser.value()?.string()?),
+            Long("records") => arguments.records_file = Some(parser.value()?.string()?),
             Long("threads") => arguments.threads = parser.value()?.parse()?,
             Long("policy") => {
                 let name = parser.value()?.string()?;
                 arguments.policy = PolicyName::parse(&name).with_context(|| format!("there is no policy `{name}`"))?;
             }
-            Value(file) => arguments.file = Some(file.string()?),
+            Value(file) => arguments.replayed_file = Some(file.string()?),
             other => return Err(other.unexpected().into()),
         }
     }
@@ -183,7 +183,7 @@
             }
             let outcome = run_catching_panics(scenario, seed, arguments.policy);
             let mut tally = tally.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-            record(&mut tally, seed, outcome);
+            add_outcome(&mut tally, seed, outcome);
         }
     };
     std::thread::scope(|scope| {
@@ -202,7 +202,7 @@
     caught.unwrap_or_else(|_| bail!("the run panicked: an invariant was violated"))
 }
 
-fn record(tally: &mut Tally, seed: u64, outcome: Result<RunOutcome>) {
+fn add_outcome(tally: &mut Tally, seed: u64, outcome: Result<RunOutcome>) {
     match outcome {
         Ok(outcome) => {
             tally.events += outcome.events;
@@ -236,10 +236,10 @@
         None => run(&scenario, seed, arguments.policy)?,
     };
     print_outcome(&outcome)?;
-    if let Some(file) = &arguments.records {
+    if let Some(file) = &arguments.records_file {
         write_records(&outcome, file)?;
     }
-    if let Some(file) = &arguments.record {
+    if let Some(file) = &arguments.trace_file {
         std::fs::write(file, outcome.recorded.write()?)?;
     }
     Ok(outcome.report.violations.is_empty())
@@ -255,7 +255,7 @@
 }
 
 fn replay(arguments: &Arguments) -> Result<bool> {
-    let file = arguments.file.as_ref().context("name a trace file")?;
+    let file = arguments.replayed_file.as_ref().context("name a trace file")?;
     let scenario = Scenario::parse(&std::fs::read_to_string(file)?)?;
     let outcome = run(&scenario, arguments.seeds.start, arguments.policy)?;
     print_outcome(&outcome)?;
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -1,6 +1,6 @@
 //! Injects faults into a simulated deployment and generates random faults.
 
-use crate::cluster::{Cluster, Component, Member};
+use crate::cluster::{Cluster, Component, DeployedProcess};
 use crate::platform::SimRuntime;
 use fastrand::Rng;
 use saddlerelay_checker::record::Record;
@@ -38,10 +38,10 @@
             }
         }
         FaultKind::Freeze { target, for_ms } => {
-            if let Some((_, member)) = find_member(&cluster, &target) {
-                member.process.freeze();
+            if let Some((_, deployed)) = find_process(&cluster, &target) {
+                deployed.process.freeze();
                 sleep(for_ms).await;
-                member.process.thaw();
+                deployed.process.thaw();
                 // Must run before any task of the process resumes.
                 cluster.record_concurrent_leaders();
             }
@@ -57,7 +57,7 @@
             cluster.world.network.heal(zone as usize);
         }
         FaultKind::FullDisk { target, for_ms } => {
-            if let Some((name, _)) = find_member(&cluster, &target) {
+            if let Some((name, _)) = find_process(&cluster, &target) {
                 cluster.world.disks.set_full(&name, true);
                 sleep(for_ms).await;
                 cluster.world.disks.set_full(&name, false);
@@ -115,14 +115,14 @@
     }
 }
 
-fn find_member(cluster: &Cluster, target: &Target) -> Option<(String, Member)> {
+fn find_process(cluster: &Cluster, target: &Target) -> Option<(String, DeployedProcess)> {
     let name = name_of(cluster, target)?;
-    let member = cluster.member(&name)?;
-    Some((name, member))
+    let deployed = cluster.deployed_process(&name)?;
+    Some((name, deployed))
 }
 
 fn engine(cluster: &Cluster, index: u32) -> Option<Component> {
-    cluster.member(&format!("engine-{index}")).map(|member| member.component)
+    cluster.deployed_process(&format!("engine-{index}")).map(|deployed| deployed.component)
 }
 
 fn set_engine_faults(cluster: &Cluster, index: u32, faults: EngineFaults) {
@@ -133,17 +133,17 @@
 
 /// Kills a process together with a power loss of its disk. Returns its name, or `None` if it was not running.
 fn kill(cluster: &Cluster, target: &Target) -> Option<String> {
-    let (name, member) = find_member(cluster, target)?;
-    if !member.process.is_alive() {
+    let (name, deployed) = find_process(cluster, target)?;
+    if !deployed.process.is_alive() {
         return None;
     }
-    member.process.kill();
+    deployed.process.kill();
     cluster.world.disks.crash(&name, || cluster.world.random());
     Some(name)
 }
 
 fn restart(cluster: &Cluster, name: &str) {
-    if cluster.member(name).is_some_and(|member| member.process.is_alive()) {
+    if cluster.deployed_process(name).is_some_and(|deployed| deployed.process.is_alive()) {
         return;
     }
     let (role, index) = name.rsplit_once('-').unwrap_or((name, "0"));
@@ -160,12 +160,12 @@
 
 /// Stops a process gracefully. Returns its name, because `Target::Leader` resolves to another process afterwards.
 async fn stop_gracefully(cluster: &Rc<Cluster>, target: &Target) -> Option<String> {
-    let (name, member) = find_member(cluster, target)?;
+    let (name, deployed) = find_process(cluster, target)?;
     let (done, ended) = futures::channel::oneshot::channel();
-    let component = member.component.clone();
-    let platform = SimRuntime { world: cluster.world.clone(), process: member.process.clone() };
+    let component = deployed.component.clone();
+    let platform = SimRuntime { world: cluster.world.clone(), process: deployed.process.clone() };
     // Runs in the process itself, so that freezing the process also freezes the shutdown.
-    cluster.world.spawn(&member.process, async move {
+    cluster.world.spawn(&deployed.process, async move {
         match component {
             Component::Control(node) => {
                 let node = node.borrow().clone();
@@ -187,7 +187,7 @@
     let _ = ended.await;
     // Leaves time to deliver responses that were already sent.
     cluster.client_platform().sleep(Duration::from_millis(200)).await;
-    member.process.kill();
+    deployed.process.kill();
     cluster.world.disks.crash(&name, || cluster.world.random());
     Some(name)
 }
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -61,7 +61,7 @@
     world.network.handshake_loss_per_mille.set(scenario.lost_handshakes);
     let duration = Duration::from_millis(scenario.duration_ms);
     let started_at = cluster.client_platform().unix_milliseconds();
-    let races_ended = start_load(&cluster, scenario);
+    let operators_ended = start_load(&cluster, scenario);
     let mut random = Rng::with_seed(seed ^ FAULT_SEED);
     let mut all_faults = scenario.faults.clone();
     all_faults.extend(faults::random_faults(&mut random, &cluster, scenario.random_faults, scenario.duration_ms));
@@ -76,7 +76,8 @@
     let faults_ended = world.run(&mut pool, limit, || observe_leaders(unfinished_faults.get() == 0));
     cluster.stop.set(true);
     let trainers = cluster.training_tenants().len();
-    let all_ended = || cluster.trainers_ended.get() >= trainers && cluster.in_flight.get() == 0 && races_ended.get();
+    let all_ended =
+        || cluster.trainers_ended.get() >= trainers && cluster.in_flight.get() == 0 && operators_ended.get();
     let limit = world.clock.now() + END_LIMIT;
     let ended = faults_ended && world.run(&mut pool, limit, all_ended);
     let records = cluster.records.borrow().clone();
@@ -91,7 +92,7 @@
             "load did not finish: {} of {trainers} trainers ended, {} requests in flight, concurrent changes ended: {}",
             cluster.trainers_ended.get(),
             cluster.in_flight.get(),
-            races_ended.get()
+            operators_ended.get()
         );
         report.violations.push(Violation { promise: Promise::StatedOutcome, detail });
     }
@@ -132,7 +133,9 @@
     platform.clone().spawn(async move {
         while !done.get() {
             platform.sleep(Duration::from_millis(50)).await;
-            let Some(Component::Control(node)) = cluster.member("control-0").map(|member| member.component) else {
+            let Some(Component::Control(node)) =
+                cluster.deployed_process("control-0").map(|deployed| deployed.component)
+            else {
                 continue;
             };
             let node = node.borrow().clone();
@@ -156,8 +159,8 @@
 
 fn is_configuration_applied(cluster: &Cluster) -> bool {
     (0..cluster.deployment.relays).all(|index| {
-        let member = cluster.member(&format!("relay-{index}"));
-        match member.map(|member| member.component) {
+        let deployed = cluster.deployed_process(&format!("relay-{index}"));
+        match deployed.map(|deployed| deployed.component) {
             Some(Component::Relay(relay, _)) => relay.borrow().as_ref().is_some_and(|relay| {
                 cluster.deployment.tenants.iter().all(|tenant| relay.tenant(&tenant.id).is_some())
             }),
@@ -185,11 +188,11 @@
     );
     platform.spawn(probes);
     let ended = Rc::new(Cell::new(false));
-    let races =
+    let concurrent_changes =
         race_changes(cluster.operator("first"), cluster.operator("second"), CHANGE_INTERVAL, cluster.stop.clone());
     let flag = ended.clone();
     platform.spawn(async move {
-        races.await;
+        concurrent_changes.await;
         flag.set(true);
     });
     ended
--- a/crates/simulator/tests/crashing_work.rs
+++ b/crates/simulator/tests/crashing_work.rs
@@ -98,11 +98,11 @@
 async fn crash(cluster: Rc<Cluster>, index: usize, crashes: Rc<Cell<usize>>) {
     let platform = cluster.client_platform();
     platform.sleep(RUN_TIME).await;
-    let member = cluster.member(&format!("engine-{index}")).expect("the process was started");
-    if !member.process.is_alive() {
+    let deployed = cluster.deployed_process(&format!("engine-{index}")).expect("the process was started");
+    if !deployed.process.is_alive() {
         return;
     }
-    member.process.kill();
+    deployed.process.kill();
     crashes.set(crashes.get() + 1);
     platform.sleep(DOWN_TIME).await;
     cluster.start_engine(index);
@@ -183,9 +183,9 @@
         deployment.run(send_repeatedly(cluster.clone(), 1));
         let crashes = deployment.crashes.get();
         let leader = cluster.leader_index().expect("there is a leader");
-        cluster.member(&format!("control-{leader}")).expect("the process was started").process.kill();
+        cluster.deployed_process(&format!("control-{leader}")).expect("the process was started").process.kill();
         for index in 0..cluster.deployment.relays as usize {
-            cluster.member(&format!("relay-{index}")).expect("the process was started").process.kill();
+            cluster.deployed_process(&format!("relay-{index}")).expect("the process was started").process.kill();
             cluster.start_relay(index);
         }
         let answers = deployment.run(send_repeatedly(cluster, 1));
--- a/crates/simulator/tests/elections.rs
+++ b/crates/simulator/tests/elections.rs
@@ -26,10 +26,10 @@
 const STABLE_AFTER: Duration = Duration::from_secs(5);
 
 /// Time after which a run without a stable leader ends.
-const SEARCH_TIMEOUT: Duration = Duration::from_secs(60);
+const STABLE_LEADER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Time limit for the election of a stable leader.
-const SEARCH_LIMIT: Duration = Duration::from_secs(15);
+const STABLE_LEADER_LIMIT: Duration = Duration::from_secs(15);
 
 /// Interval between proposals.
 const PROPOSAL_INTERVAL: Duration = Duration::from_millis(100);
@@ -106,7 +106,7 @@
 #[derive(Clone, Copy, Debug)]
 struct RunResult {
     /// Time until the stable leader first held the lease; `None` without a stable leader.
-    search_time: Option<Duration>,
+    time_to_stable_leader: Option<Duration>,
     /// Number of times that a replica claimed leadership in a new term.
     terms: u64,
     /// Percentage of the following `STABLE_AFTER` in which that leader held the lease.
@@ -234,7 +234,7 @@
     }
 
     /// Stops machine 3 while `entries` entries of 8 KB are proposed.
-    fn leave_one_behind(&mut self, entries: u64) {
+    fn make_voter_lag(&mut self, entries: u64) {
         self.kill(3);
         for _ in 0..entries {
             if let Some(leader) = self.leader() {
@@ -258,14 +258,14 @@
     }
 
     /// Waits for a stable leader.
-    fn search(&mut self) -> RunResult {
+    fn await_stable_leader(&mut self) -> RunResult {
         let began = self.world.clock.now();
         let first_term = self.newest_claim();
         let mut newest_term = first_term;
         let mut claims = 0;
         let (mut claim, mut since) = (None, began);
         let (mut leased, mut observations, mut committed_before) = (0, 0, 0);
-        while self.world.clock.now() < began + SEARCH_TIMEOUT {
+        while self.world.clock.now() < began + STABLE_LEADER_TIMEOUT {
             let now_claimed = self.claimant().and_then(|node| node.claimed_term().map(|term| (term, node.id())));
             if now_claimed != claim {
                 claim = now_claimed;
@@ -284,11 +284,16 @@
             let committed = self.acknowledged.get() - committed_before;
             if observations > 0 && self.world.clock.now() >= since + STABLE_AFTER && committed > 0 {
                 let leased_percent = leased * 100 / observations;
-                return RunResult { search_time: Some(since - began), terms: claims, leased_percent, committed };
+                return RunResult {
+                    time_to_stable_leader: Some(since - began),
+                    terms: claims,
+                    leased_percent,
+                    committed,
+                };
             }
             self.propose_for(PROPOSAL_INTERVAL);
         }
-        RunResult { search_time: None, terms: claims, leased_percent: 0, committed: 0 }
+        RunResult { time_to_stable_leader: None, terms: claims, leased_percent: 0, committed: 0 }
     }
 }
 
@@ -296,16 +301,16 @@
     let mut group = Group::formed(seed);
     group.propose_for(Duration::from_secs(1));
     if faults.entries_behind > 0 {
-        group.leave_one_behind(faults.entries_behind);
+        group.make_voter_lag(faults.entries_behind);
     }
     group.lose_power(faults);
-    group.search()
+    group.await_stable_leader()
 }
 
 /// Runs all seeds, prints a row of the table in `docs/design/leader-elections.md`, and checks that each finds a stable
 /// leader in time, and that leaders hold the lease for `min_leased_percent` percent of `STABLE_AFTER` on average.
 fn check(what: &str, faults: Faults, min_leased_percent: u64) {
-    check_within(SEARCH_LIMIT, what, faults, min_leased_percent);
+    check_within(STABLE_LEADER_LIMIT, what, faults, min_leased_percent);
 }
 
 /// Runs all seeds on several threads; the results are in the order of the seeds.
@@ -320,26 +325,26 @@
 }
 
 /// Like `check`, with another time limit.
-fn check_within(search_limit: Duration, what: &str, faults: Faults, min_leased_percent: u64) {
+fn check_within(limit: Duration, what: &str, faults: Faults, min_leased_percent: u64) {
     let results = run_all(faults);
-    let mut searches: Vec<Duration> = results.iter().filter_map(|result| result.search_time).collect();
-    searches.sort_unstable();
+    let mut times: Vec<Duration> = results.iter().filter_map(|result| result.time_to_stable_leader).collect();
+    times.sort_unstable();
     let count = results.len() as u64;
     let mean = |value: fn(&RunResult) -> u64| results.iter().map(value).sum::<u64>() / count;
     println!(
         "| {what} | {} of {count} | {:.1} | {:.1} | {} | {} | {} |",
-        searches.len(),
-        searches.get(searches.len() / 2).copied().unwrap_or_default().as_secs_f64(),
-        searches.last().copied().unwrap_or_default().as_secs_f64(),
+        times.len(),
+        times.get(times.len() / 2).copied().unwrap_or_default().as_secs_f64(),
+        times.last().copied().unwrap_or_default().as_secs_f64(),
         results.iter().map(|result| result.terms).max().unwrap_or_default(),
         mean(|result| result.leased_percent),
         mean(|result| result.committed),
     );
-    let too_slow = |result: &&RunResult| result.search_time.is_none_or(|search_time| search_time > search_limit);
+    let too_slow = |result: &&RunResult| result.time_to_stable_leader.is_none_or(|time| time > limit);
     let too_slow: Vec<&RunResult> = results.iter().filter(too_slow).collect();
     assert!(
         too_slow.is_empty(),
-        "{what}: {} of {count} had no stable leader within {search_limit:?}: {too_slow:?}",
+        "{what}: {} of {count} had no stable leader within {limit:?}: {too_slow:?}",
         too_slow.len()
     );
     let leased = mean(|result| result.leased_percent);
--- a/crates/simulator/tests/lossy_leader.rs
+++ b/crates/simulator/tests/lossy_leader.rs
@@ -30,13 +30,13 @@
 /// Observations of one run.
 struct Observed {
     /// Time until leadership left the zone for the rest of the run.
-    left_after: Option<Duration>,
+    left_zone_after: Option<Duration>,
     /// Number of changes of leader.
     leader_changes: usize,
     /// Percentage of observations with a leader that holds the lease.
     leased_percent: usize,
     /// Maximum number of voters in the zone of the first leader.
-    most_voters_in_zone: usize,
+    max_voters_in_zone: usize,
 }
 
 fn zone_of(index: u8) -> usize {
@@ -78,8 +78,8 @@
     let zone = zone_of(group.leader_index().expect("there is a leader"));
     apply_faults(&group, zone);
     let began = group.world.clock.now();
-    let (mut observations, mut leased, mut leader_changes, mut most_voters_in_zone) = (0, 0, 0, 0);
-    let (mut last, mut left_after) = (group.leader().map(|leader| leader.id()), None);
+    let (mut observations, mut leased, mut leader_changes, mut max_voters_in_zone) = (0, 0, 0, 0);
+    let (mut last, mut left_zone_after) = (group.leader().map(|leader| leader.id()), None);
     while group.world.clock.now() < began + OBSERVATION_TIME {
         group.propose();
         group.run_for(OBSERVATION_INTERVAL);
@@ -95,24 +95,24 @@
             leader_changes += 1;
         }
         if zone_of(index_of(leader.address())) == zone {
-            left_after = None;
-        } else if left_after.is_none() {
-            left_after = Some(group.world.clock.now() - began);
+            left_zone_after = None;
+        } else if left_zone_after.is_none() {
+            left_zone_after = Some(group.world.clock.now() - began);
         }
         let view = leader.view().expect("the leader has a view");
         let in_zone = |address: SocketAddr| zone_of(index_of(address)) == zone;
         let voters = view.replicas.iter().filter(|replica| replica.voter && in_zone(replica.address)).count();
-        most_voters_in_zone = most_voters_in_zone.max(voters);
+        max_voters_in_zone = max_voters_in_zone.max(voters);
     }
     group.check(&format!("seed {seed}"));
-    Observed { left_after, leader_changes, leased_percent: leased * 100 / observations, most_voters_in_zone }
+    Observed { left_zone_after, leader_changes, leased_percent: leased * 100 / observations, max_voters_in_zone }
 }
 
 /// Observes a group for each seed and prints a row of the table in `docs/design/lossy-leader.md`.
 fn observe_all(what: &str, apply_faults: impl Fn(&Group, usize)) -> Vec<Observed> {
     spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
     let observed: Vec<Observed> = SEEDS.map(|seed| observe(seed, &apply_faults)).collect();
-    let mut times_to_leave: Vec<Duration> = observed.iter().filter_map(|run| run.left_after).collect();
+    let mut times_to_leave: Vec<Duration> = observed.iter().filter_map(|run| run.left_zone_after).collect();
     times_to_leave.sort_unstable();
     println!(
         "| {what} | {} of {} | {:.1}, {:.1} | {} | {}, {} | {} |",
@@ -123,7 +123,7 @@
         observed.iter().map(|run| run.leased_percent).sum::<usize>() / observed.len(),
         observed.iter().map(|run| run.leader_changes).sum::<usize>(),
         observed.iter().map(|run| run.leader_changes).max().unwrap_or_default(),
-        observed.iter().map(|run| run.most_voters_in_zone).max().unwrap_or_default(),
+        observed.iter().map(|run| run.max_voters_in_zone).max().unwrap_or_default(),
     );
     observed
 }
@@ -134,10 +134,10 @@
     let observed = observe_all("its zone loses 0.2", |group, zone| {
         group.world.network.set_zone_link_faults(zone, packet_loss(200))
     });
-    let in_time = |run: &&Observed| run.left_after.is_some_and(|after| after <= TRANSFER_LIMIT);
+    let in_time = |run: &&Observed| run.left_zone_after.is_some_and(|after| after <= TRANSFER_LIMIT);
     let count = observed.iter().filter(in_time).count();
     assert!(count * 10 >= observed.len() * 9, "{count} of {} left the zone that loses packets", observed.len());
-    assert!(observed.iter().all(|run| run.left_after.is_some()), "leadership stayed in the lossy zone");
+    assert!(observed.iter().all(|run| run.left_zone_after.is_some()), "leadership stayed in the lossy zone");
     assert!(observed.iter().all(|run| run.leader_changes <= 2), "leadership changed more than twice");
 }
 
@@ -148,7 +148,7 @@
     let observed = observe_all("the same, members", |group, zone| {
         group.world.network.set_zone_link_faults(zone, packet_loss(200));
     });
-    let with_quorum_in_zone = observed.iter().filter(|run| run.most_voters_in_zone > 2).count();
+    let with_quorum_in_zone = observed.iter().filter(|run| run.max_voters_in_zone > 2).count();
     assert!(
         with_quorum_in_zone == 0,
         "in {with_quorum_in_zone} of {} a quorum of the voters was in that zone",
--- a/crates/simulator/tests/quarantine_policies.rs
+++ b/crates/simulator/tests/quarantine_policies.rs
@@ -346,9 +346,9 @@
     harmless: usize,
     rejected_as_suspects: usize,
     failed: usize,
-    /// Mean number of engines crashed by one crashing request; `most_crashed` is the maximum.
+    /// Mean number of engines crashed by one crashing request; `max_crashed` is the maximum.
     mean_crashed: f64,
-    most_crashed: usize,
+    max_crashed: usize,
     time_without_engines: Duration,
 }
 
@@ -362,7 +362,7 @@
         rejected_as_suspects: sum(|outcome| outcome.rejected_as_suspects),
         failed: sum(|outcome| outcome.failed),
         mean_crashed: crashes.iter().sum::<usize>() as f64 / crashes.len().max(1) as f64,
-        most_crashed: crashes.into_iter().max().unwrap_or(0),
+        max_crashed: crashes.into_iter().max().unwrap_or(0),
         time_without_engines: outcomes.iter().map(|outcome| outcome.time_without_engines).sum(),
     }
 }
@@ -387,11 +387,11 @@
                 rejected_as_suspects,
                 failed,
                 mean_crashed,
-                most_crashed,
+                max_crashed,
                 time_without_engines,
             } = measure(policy, relays, engines);
             println!(
-                "{policy:?}, {relays}, {engines}: {harmless}, {rejected_as_suspects}, {failed}, {mean_crashed:.2}, {most_crashed}, \
+                "{policy:?}, {relays}, {engines}: {harmless}, {rejected_as_suspects}, {failed}, {mean_crashed:.2}, {max_crashed}, \
                  {:.1} s",
                 time_without_engines.as_secs_f64()
             );
@@ -400,7 +400,7 @@
                     rejected_as_suspects * 10_000 < harmless,
                     "{rejected_as_suspects} of {harmless} harmless requests were rejected"
                 );
-                assert!(most_crashed <= 4, "one crashing request crashed {most_crashed} engines");
+                assert!(max_crashed <= 4, "one crashing request crashed {max_crashed} engines");
             }
         }
     }
--- a/crates/simulator/tests/relay_grants.rs
+++ b/crates/simulator/tests/relay_grants.rs
@@ -108,7 +108,7 @@
 }
 
 fn process(cluster: &Cluster, name: &str) -> Rc<Process> {
-    cluster.member(name).expect("the process was started").process
+    cluster.deployed_process(name).expect("the process was started").process
 }
 
 fn kill(cluster: &Cluster, name: &str) {
@@ -339,12 +339,12 @@
 
 /// Keeps the leader's proposal queue full for `FLOOD_TIME`.
 async fn flood(cluster: &Rc<Cluster>) {
-    let member = cluster.member(&format!("control-{}", leader(cluster))).expect("the process was started");
-    let Component::Control(node) = member.component else {
+    let deployed = cluster.deployed_process(&format!("control-{}", leader(cluster))).expect("the process was started");
+    let Component::Control(node) = deployed.component else {
         panic!("the process does not run a control replica");
     };
     let node = node.borrow().clone().expect("the replica has opened its storage");
-    let platform = SimRuntime { world: cluster.world.clone(), process: member.process.clone() };
+    let platform = SimRuntime { world: cluster.world.clone(), process: deployed.process.clone() };
     let until = platform.monotonic() + FLOOD_TIME;
     let mut proposed = FLOOD;
     while platform.monotonic() < until {
@@ -404,7 +404,7 @@
     }
 
     fn running_at_relay(&self, index: usize) -> usize {
-        match self.cluster.member(&format!("relay-{index}")).expect("the process was started").component {
+        match self.cluster.deployed_process(&format!("relay-{index}")).expect("the process was started").component {
             Component::Relay(relay, _) => relay.borrow().as_ref().map_or(0, |relay| relay.in_progress()),
             _ => 0,
         }
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -4,7 +4,7 @@
 use crate::deployment::Addresses;
 use crate::journal::{ClientRequest, Journal, Outcome};
 use crate::workload::{
-    self, CRASH_BODY_PREFIX, Features, HOST, MOVING, ONCE, REPEATABLE, STREAMS, TIMEOUT_MS, UNKNOWN_KEY,
+    self, CRASH_BODY_PREFIX, Features, HOST, IDEMPOTENT, NON_IDEMPOTENT, REROUTED, STREAMS, TIMEOUT_MS, UNKNOWN_KEY,
     UNKNOWN_KEY_ID_PREFIX,
 };
 use hyper::{Method, StatusCode};
@@ -51,9 +51,9 @@
     pub fn new(client: u32, number: u64) -> Self {
         let id = format!("r{client}-{number}-{:04x}", fastrand::u16(..));
         let prefix = match fastrand::u32(..10) {
-            0..3 => REPEATABLE,
-            3..6 => ONCE,
-            6..8 => MOVING,
+            0..3 => IDEMPOTENT,
+            3..6 => NON_IDEMPOTENT,
+            6..8 => REROUTED,
             _ => STREAMS,
         };
         let events = (prefix == STREAMS).then(|| fastrand::u32(1..=MAX_EVENTS));
@@ -87,7 +87,7 @@
 /// gateways.
 pub async fn run_crashing(addresses: Addresses, journal: Journal, stop: Rc<Cell<bool>>) {
     for kind in 0.. {
-        let prefix = [REPEATABLE, ONCE, STREAMS][kind as usize % 3];
+        let prefix = [IDEMPOTENT, NON_IDEMPOTENT, STREAMS][kind as usize % 3];
         for number in 0..CRASHING_ATTEMPTS {
             if stop.get() {
                 return;
@@ -106,7 +106,7 @@
 /// Sends a request with an unknown key, which must be rejected.
 async fn send_with_unknown_key(number: u64, addresses: &Addresses, journal: &Journal) {
     let id = format!("{UNKNOWN_KEY_ID_PREFIX}{number}-{:04x}", fastrand::u16(..));
-    let path = format!("{REPEATABLE}{id}");
+    let path = format!("{IDEMPOTENT}{id}");
     let headers = [("host", HOST), ("saddlerelay-request", id.as_str()), (KEY_HEADER, UNKNOWN_KEY)];
     let address = addresses.gateway(random_gateway(addresses));
     let response_timeout = Duration::from_millis(TIMEOUT_MS);
@@ -144,7 +144,7 @@
 /// Classifies a response; records a violation if a successful one does not match the request.
 pub fn classify(request: &Request, response: Option<WholeResponse>, journal: &Journal) -> Outcome {
     let Some(response) = response else {
-        return Outcome::Broken;
+        return Outcome::Incomplete;
     };
     match response.status {
         StatusCode::OK => {
@@ -156,7 +156,7 @@
         StatusCode::SERVICE_UNAVAILABLE
         | StatusCode::TOO_MANY_REQUESTS
         | StatusCode::REQUEST_TIMEOUT
-        | StatusCode::MISDIRECTED_REQUEST => Outcome::NotRun(response.status.as_u16()),
+        | StatusCode::MISDIRECTED_REQUEST => Outcome::NotExecuted(response.status.as_u16()),
         status => Outcome::Failed(status.as_u16()),
     }
 }
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -6,7 +6,7 @@
 };
 use crate::links::Party;
 use crate::waits;
-use crate::workload::{self, MAX_ATTEMPTS, MOVING, ONCE, ROLLOUTS, TIMEOUT_MS};
+use crate::workload::{self, MAX_ATTEMPTS, NON_IDEMPOTENT, REROUTED, ROLLOUTS, TIMEOUT_MS};
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_types::job::{ItemEnd, ItemId, JobId};
 use saddlerelay_types::routing::RoutingDocument;
@@ -24,7 +24,7 @@
 pub const CANCEL_BOUND: Duration = Duration::from_millis(3_000);
 
 /// A request whose response guarantees non-execution is not executed.
-pub const NOT_RUN: &str = "a request that was reported as not executed is not executed";
+pub const NOT_EXECUTED: &str = "a request that was reported as not executed is not executed";
 /// A non-idempotent request is executed at most once.
 pub const AT_MOST_ONCE: &str = "a non-idempotent request is executed at most once";
 /// A request is executed no more often than its route's attempt limit.
@@ -59,10 +59,10 @@
 /// Returns all violations found in the records; those detected during the run are already in the journal.
 pub fn check(records: &Records) -> Vec<Violation> {
     let mut violations = Vec::new();
-    check_not_run(records, &mut violations);
+    check_not_executed(records, &mut violations);
     check_attempts(records, &mut violations);
     check_drained_engines(records, &mut violations);
-    check_moving_route(records, &mut violations);
+    check_rerouted_requests(records, &mut violations);
     check_reads(records, &mut violations);
     check_results(records, &mut violations);
     check_job_ends(records, &mut violations);
@@ -164,13 +164,17 @@
     records.resumptions.iter().any(|resumption| *resumption <= at && at <= *resumption + RESUMPTION_WINDOW)
 }
 
-fn check_not_run(records: &Records, violations: &mut Vec<Violation>) {
+fn check_not_executed(records: &Records, violations: &mut Vec<Violation>) {
     let executed: BTreeSet<&str> = records.runs.iter().map(|run| run.request.as_str()).collect();
     for request in &records.requests {
-        if let Outcome::NotRun(status) = request.outcome
+        if let Outcome::NotExecuted(status) = request.outcome
             && executed.contains(request.request.as_str())
         {
-            add(violations, NOT_RUN, format!("{} was answered with status {status} and was executed", request.request));
+            add(
+                violations,
+                NOT_EXECUTED,
+                format!("{} was answered with status {status} and was executed", request.request),
+            );
         }
     }
 }
@@ -182,7 +186,7 @@
     }
     for request in &records.requests {
         let count = runs.get(request.request.as_str()).copied().unwrap_or(0);
-        if request.prefix == ONCE && count > 1 {
+        if request.prefix == NON_IDEMPOTENT && count > 1 {
             add(violations, AT_MOST_ONCE, format!("{} was executed {count} times", request.request));
         }
         if count > MAX_ATTEMPTS {
@@ -217,9 +221,9 @@
     acknowledged.map(|document| document.version).max().unwrap_or(0)
 }
 
-fn check_moving_route(records: &Records, violations: &mut Vec<Violation>) {
-    let moving = records.requests.iter().filter(|request| request.prefix == MOVING);
-    let sent: BTreeMap<&str, Moment> = moving.map(|request| (request.request.as_str(), request.sent_at)).collect();
+fn check_rerouted_requests(records: &Records, violations: &mut Vec<Violation>) {
+    let rerouted = records.requests.iter().filter(|request| request.prefix == REROUTED);
+    let sent: BTreeMap<&str, Moment> = rerouted.map(|request| (request.request.as_str(), request.sent_at)).collect();
     for run in &records.runs {
         let Some(sent_at) = sent.get(run.request.as_str()) else {
             continue;
@@ -227,7 +231,7 @@
         let minimum = newest_acknowledged(records, *sent_at, CONFIGURATION_BOUND);
         let allowed =
             |document: &&crate::journal::SentDocument| document.version >= minimum && document.sent_at <= run.at;
-        let mut services = records.documents.iter().filter(allowed).map(|document| document.moving_to);
+        let mut services = records.documents.iter().filter(allowed).map(|document| document.rerouted_to);
         if !services.any(|service| service == run.service) && !may_precede_resumption(records, run.at) {
             let at = seconds(*sent_at);
             add_time_bound(
--- a/crates/soak/src/journal.rs
+++ b/crates/soak/src/journal.rs
@@ -84,11 +84,11 @@
     /// Complete response with status 200. One that does not match the request is also recorded as a violation.
     Complete,
     /// Status that guarantees that the request was not and will not be executed.
-    NotRun(u16),
+    NotExecuted(u16),
     /// Any other error status.
     Failed(u16),
     /// No complete response: the connection was closed, or the client timed out.
-    Broken,
+    Incomplete,
 }
 
 /// A request sent by a client.
@@ -165,7 +165,7 @@
     /// Document version.
     pub version: u64,
     /// Target service of the route that changes with each document.
-    pub moving_to: &'static str,
+    pub rerouted_to: &'static str,
     /// Document as sent, in bytes.
     pub body: Vec<u8>,
     /// Time of the first send.
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -48,11 +48,16 @@
     fn next_document(&self) -> (u64, Vec<u8>) {
         let version = self.version.get() + fastrand::u64(1..4);
         self.version.set(version);
-        let moving_to = WEB_SERVICES[fastrand::usize(..WEB_SERVICES.len())];
-        let document = workload::document(self.features, version, moving_to, fastrand::usize(..MAX_UNUSED_ROUTES));
+        let rerouted_to = WEB_SERVICES[fastrand::usize(..WEB_SERVICES.len())];
+        let document = workload::document(self.features, version, rerouted_to, fastrand::usize(..MAX_UNUSED_ROUTES));
         let body = serde_json::to_vec(&document).unwrap_or_default();
-        let sent =
-            SentDocument { version, moving_to, body: body.clone(), sent_at: self.journal.now(), acknowledged_at: None };
+        let sent = SentDocument {
+            version,
+            rerouted_to,
+            body: body.clone(),
+            sent_at: self.journal.now(),
+            acknowledged_at: None,
+        };
         self.journal.write(|records| records.documents.push(sent));
         (version, body)
     }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -18,7 +18,7 @@
     pub case: Case,
     /// Number of injected faults.
     pub faults: usize,
-    /// Numbers of clients' requests: total, complete, not executed, and failed or broken.
+    /// Numbers of clients' requests: total, complete, not executed, and failed or incomplete.
     pub requests: [usize; 4],
     /// Numbers of requests on keep-alive connections: total, and those that closed a connection that had served earlier
     /// requests.
@@ -63,8 +63,8 @@
                 requests: [
                     records.requests.len(),
                     count_requests(|outcome| *outcome == Outcome::Complete),
-                    count_requests(|outcome| matches!(outcome, Outcome::NotRun(_))),
-                    count_requests(|outcome| matches!(outcome, Outcome::Failed(_) | Outcome::Broken)),
+                    count_requests(|outcome| matches!(outcome, Outcome::NotExecuted(_))),
+                    count_requests(|outcome| matches!(outcome, Outcome::Failed(_) | Outcome::Incomplete)),
                 ],
                 keep_alive: [
                     records.keep_alive.len(),
@@ -103,13 +103,13 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [requests, complete, not_run, failed] = self.requests;
+        let [requests, complete, not_executed, failed] = self.requests;
         let [keep_alive, closed] = self.keep_alive;
         let [documents, reads] = self.documents;
         let [jobs, completed, aborted] = self.jobs;
         write!(
             formatter,
-            "{}: {} faults, {} planned; {requests} requests: {complete} whole, {not_run} not run, {failed} failed; {keep_alive} on kept \
+            "{}: {} faults, {} planned; {requests} requests: {complete} whole, {not_executed} not run, {failed} failed; {keep_alive} on kept \
              connections, {closed} cut; {documents} documents, {reads} reads; {jobs} jobs: {completed} items completed, {aborted} given up; {} runs, {} orders; \
              largest process {} MB; own lag {} ms; {} violations",
             self.case,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -17,7 +17,7 @@
 use crate::report::{LAG_LIMIT, Report};
 use crate::trainer::Trainer;
 use crate::waits;
-use crate::workload::{Features, MODEL_SERVICE, MOVING, ONCE, REPEATABLE, STREAMS, WEB_SERVICES};
+use crate::workload::{Features, IDEMPOTENT, MODEL_SERVICE, NON_IDEMPOTENT, REROUTED, STREAMS, WEB_SERVICES};
 use anyhow::{Result, bail};
 use compio::runtime::JoinHandle;
 use futures::future;
@@ -201,7 +201,8 @@
     const INVARIANT: &str = "the deployment recovers in time after the last fault";
     let serving = ConvergenceCheck::begin(INVARIANT, journal);
     let gateways = 0..deployment.addresses.size.gateways;
-    let probes = gateways.flat_map(|gateway| [REPEATABLE, ONCE, MOVING, STREAMS].map(|prefix| (gateway, prefix)));
+    let probes =
+        gateways.flat_map(|gateway| [IDEMPOTENT, NON_IDEMPOTENT, REROUTED, STREAMS].map(|prefix| (gateway, prefix)));
     let serving_checks = probes.map(|(gateway, prefix)| {
         let probe = move || callers::probe(prefix, gateway, &deployment.addresses, journal);
         serving.wait_for(format!("gateway {gateway} serves {prefix}"), probe)
--- a/crates/soak/src/workload.rs
+++ b/crates/soak/src/workload.rs
@@ -16,17 +16,17 @@
 /// Service whose engines run the model.
 pub const MODEL_SERVICE: &str = "llm";
 
-/// Services between which the [`MOVING`] route alternates.
+/// Services between which the [`REROUTED`] route alternates.
 pub const WEB_SERVICES: [&str; 2] = ["web-a", "web-b"];
 
 /// Path prefix of idempotent requests.
-pub const REPEATABLE: &str = "/pages/";
+pub const IDEMPOTENT: &str = "/pages/";
 
 /// Path prefix of non-idempotent requests.
-pub const ONCE: &str = "/once/";
+pub const NON_IDEMPOTENT: &str = "/once/";
 
 /// Path prefix of requests whose service changes with the routing document.
-pub const MOVING: &str = "/moving/";
+pub const REROUTED: &str = "/moving/";
 
 /// Path prefix of streams that can be resumed at another engine.
 pub const STREAMS: &str = "/talk/";
@@ -34,7 +34,7 @@
 /// Path prefix of batch jobs and their items.
 pub const ROLLOUTS: &str = "/rollouts/";
 
-/// Path prefix of scoring requests; they match the route of [`REPEATABLE`].
+/// Path prefix of scoring requests; they match the route of [`IDEMPOTENT`].
 pub const SCORES: &str = "/pages/scores/";
 
 /// Id of an item's scoring request.
@@ -105,13 +105,13 @@
     Common,
 }
 
-/// Creates a routing document whose moving route targets `moving_to`, with `idle` unused routes.
-pub fn document(features: Features, version: u64, moving_to: &str, idle: usize) -> RoutingDocument {
+/// Creates a routing document whose [`REROUTED`] route targets `rerouted_to`, with `idle` unused routes.
+pub fn document(features: Features, version: u64, rerouted_to: &str, idle: usize) -> RoutingDocument {
     let batch = BatchSettings { give_up_after_ms: GIVE_UP_AFTER_MS, due_after_ms: 5_000, single_version: false };
     let mut routes = vec![
-        route(REPEATABLE, RouteKind::Idempotent, WEB_SERVICES[0]),
-        route(ONCE, RouteKind::NonIdempotent, WEB_SERVICES[0]),
-        route(MOVING, RouteKind::Idempotent, moving_to),
+        route(IDEMPOTENT, RouteKind::Idempotent, WEB_SERVICES[0]),
+        route(NON_IDEMPOTENT, RouteKind::NonIdempotent, WEB_SERVICES[0]),
+        route(REROUTED, RouteKind::Idempotent, rerouted_to),
         Route { resumable: true, ..route(STREAMS, RouteKind::Streaming, WEB_SERVICES[1]) },
         Route { resumable: true, batch, ..route(ROLLOUTS, RouteKind::Rollout, MODEL_SERVICE) },
     ];
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,7 +1,7 @@
 //! Each check reports the violation that it is meant for, and none in conforming records.
 
 use saddlerelay_soak_runner::checks::{
-    AT_MOST_ONCE, ATTEMPTS, CONFIGURATION, CRASHING_WORK, DRAINED_ENGINES, JOB_ENDS, KEEP_ALIVE_ANSWERED, NOT_RUN,
+    AT_MOST_ONCE, ATTEMPTS, CONFIGURATION, CRASHING_WORK, DRAINED_ENGINES, JOB_ENDS, KEEP_ALIVE_ANSWERED, NOT_EXECUTED,
     ORDERS, RESULTS, SCORE_STAMPS, STALENESS, check,
 };
 use saddlerelay_soak_runner::convergence::{ConvergenceCheck, HANG_LIMIT, RECOVERY_LIMIT, Wait, evaluate};
@@ -12,7 +12,7 @@
 };
 use saddlerelay_soak_runner::links::Party;
 use saddlerelay_soak_runner::report::{LAG_LIMIT, Report};
-use saddlerelay_soak_runner::workload::{self, Features, MOVING, ONCE, REPEATABLE, ROLLOUTS};
+use saddlerelay_soak_runner::workload::{self, Features, IDEMPOTENT, NON_IDEMPOTENT, REROUTED, ROLLOUTS};
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_types::job::{ItemEnd, ItemId, JobId};
 use std::time::Duration;
@@ -42,22 +42,24 @@
 
 #[test]
 fn a_request_reported_as_not_executed_must_not_run() {
-    let mut records = Records { requests: vec![request("r", REPEATABLE, Outcome::NotRun(503))], ..Records::default() };
+    let mut records =
+        Records { requests: vec![request("r", IDEMPOTENT, Outcome::NotExecuted(503))], ..Records::default() };
     assert!(violated_invariants(&records).is_empty());
     records.runs.push(run("r", 5_050));
-    assert_eq!(violated_invariants(&records), [NOT_RUN]);
+    assert_eq!(violated_invariants(&records), [NOT_EXECUTED]);
 }
 
 #[test]
 fn a_failed_request_may_have_run() {
-    let requests = vec![request("r", ONCE, Outcome::Failed(502)), request("s", ONCE, Outcome::Broken)];
+    let requests =
+        vec![request("r", NON_IDEMPOTENT, Outcome::Failed(502)), request("s", NON_IDEMPOTENT, Outcome::Incomplete)];
     let records = Records { requests, runs: vec![run("r", 5_050), run("s", 5_050)], ..Records::default() };
     assert!(violated_invariants(&records).is_empty());
 }
 
 #[test]
 fn a_non_idempotent_request_runs_at_most_once() {
-    let requests = vec![request("r", ONCE, Outcome::Complete), request("s", REPEATABLE, Outcome::Complete)];
+    let requests = vec![request("r", NON_IDEMPOTENT, Outcome::Complete), request("s", IDEMPOTENT, Outcome::Complete)];
     let runs = vec![run("r", 5_010), run("s", 5_020), run("s", 5_030)];
     let mut records = Records { requests, runs, ..Records::default() };
     assert!(violated_invariants(&records).is_empty());
@@ -68,7 +70,7 @@
 #[test]
 fn a_request_runs_no_more_often_than_its_route_allows() {
     let runs = (0..4).map(|number| run("r", 5_010 + number)).collect();
-    let records = Records { requests: vec![request("r", REPEATABLE, Outcome::Complete)], runs, ..Records::default() };
+    let records = Records { requests: vec![request("r", IDEMPOTENT, Outcome::Complete)], runs, ..Records::default() };
     assert_eq!(violated_invariants(&records), [ATTEMPTS]);
 }
 
@@ -83,16 +85,16 @@
     assert!(violated_invariants(&records).is_empty(), "work in progress when a process resumed may still arrive");
 }
 
-fn document(version: u64, moving_to: &'static str, sent: u64, acknowledged: Option<u64>) -> SentDocument {
-    let body = serde_json::to_vec(&workload::document(Features::All, version, moving_to, 0))
+fn document(version: u64, rerouted_to: &'static str, sent: u64, acknowledged: Option<u64>) -> SentDocument {
+    let body = serde_json::to_vec(&workload::document(Features::All, version, rerouted_to, 0))
         .expect("the document can be encoded");
-    SentDocument { version, moving_to, body, sent_at: at(sent), acknowledged_at: acknowledged.map(at) }
+    SentDocument { version, rerouted_to, body, sent_at: at(sent), acknowledged_at: acknowledged.map(at) }
 }
 
 #[test]
 fn a_request_follows_the_newest_document_after_the_bound() {
     let documents = vec![document(1, "web-a", 0, Some(100)), document(2, "web-b", 2_000, Some(2_900))];
-    let requests = vec![request("r", MOVING, Outcome::Complete)];
+    let requests = vec![request("r", REROUTED, Outcome::Complete)];
     let mut records = Records { documents, requests, runs: vec![run("r", 5_010)], ..Records::default() };
     assert_eq!(violated_invariants(&records), [CONFIGURATION]);
     records.documents[1].acknowledged_at = Some(at(3_100));
@@ -102,7 +104,7 @@
 #[test]
 fn a_document_that_may_be_committed_may_be_followed() {
     let documents = vec![document(1, "web-b", 0, Some(100)), document(2, "web-a", 4_000, None)];
-    let requests = vec![request("r", MOVING, Outcome::Complete)];
+    let requests = vec![request("r", REROUTED, Outcome::Complete)];
     let records = Records { documents, requests, runs: vec![run("r", 5_010)], ..Records::default() };
     assert!(violated_invariants(&records).is_empty());
 }
--- a/crates/soak/tests/waits.rs
+++ b/crates/soak/tests/waits.rs
@@ -29,7 +29,7 @@
 
 fn document(milliseconds: u64) -> SentDocument {
     let moment = at(milliseconds);
-    SentDocument { version: 1, moving_to: "web-a", body: Vec::new(), sent_at: moment, acknowledged_at: Some(moment) }
+    SentDocument { version: 1, rerouted_to: "web-a", body: Vec::new(), sent_at: moment, acknowledged_at: Some(moment) }
 }
 
 /// Samples of two engines with `busy` requests in progress.
