--- a/crates/control/src/commands/configuration.rs
+++ b/crates/control/src/commands/configuration.rs
@@ -86,8 +86,8 @@
 }
 
 /// Copies changed staleness bounds to the trainers, and drops trainers of deleted tenants. After a bound is tightened,
-/// the samples placed under the old bound are withdrawn at the trainer's next fetch, whose cursor acknowledges those it
-/// has received.
+/// the delivery positions assigned under the old bound are withdrawn at the trainer's next fetch, after its cursor has
+/// acknowledged the samples that it has received.
 fn update_staleness_bounds(state: &mut ControlState) {
     let configuration = &state.configuration;
     state.rollouts.trainers.retain(|tenant, trainer| {
--- a/crates/control/src/commands/level_one.rs
+++ b/crates/control/src/commands/level_one.rs
@@ -1,4 +1,4 @@
-//! Applies committed commands of feature level one exactly as builds that support only that level do.
+//! Applies committed commands of feature level one exactly as builds that support only that level apply them.
 
 use super::{claims, configuration, gateway, membership, rollouts};
 use crate::state::ControlState;
--- a/crates/control/src/commands/membership.rs
+++ b/crates/control/src/commands/membership.rs
@@ -39,7 +39,7 @@
 fn relay_lost(state: &mut ControlState, relay: Incarnation) -> bool {
     state.claims.mark_holder_lost(relay);
     rollouts::relay_lost(state, relay);
-    state.members.lose_relay(relay)
+    state.members.declare_relay_lost(relay)
 }
 
 /// Registers an engine as unreachable; it receives work only after it has been observed. Returns whether anything
--- a/crates/control/src/commands/rollouts.rs
+++ b/crates/control/src/commands/rollouts.rs
@@ -145,7 +145,7 @@
     Ok(DeliveryBatch { epoch: trainer.state.epoch, published: trainer.state.published, samples })
 }
 
-/// Assigns delivery positions to finished samples, oldest step first.
+/// Assigns delivery positions to completed samples, oldest step first.
 fn place_ready(trainer: &mut TrainerRecord, limit: u32) {
     trainer.requeue_stale();
     let mut position = trainer.state.cursor;
@@ -197,7 +197,7 @@
     }
     let ledger = &mut state.rollouts;
     if let Some(last) = ledger.assignments.get(&relay).filter(|last| last.sequence >= sequence) {
-        return if last.sequence == sequence { last.response.clone() } else { Vec::new() };
+        return if last.sequence == sequence { last.last_reply.clone() } else { Vec::new() };
     }
     let mut assigned = Vec::new();
     for tenant in tenants_round_robin(ledger) {
@@ -211,7 +211,7 @@
     }
     let record: &mut RelayAssignments = ledger.assignments.entry(relay).or_default();
     record.sequence = sequence;
-    record.response.clone_from(&assigned);
+    record.last_reply.clone_from(&assigned);
     record.running.extend(assigned.iter().map(|assignment| assignment.sample.clone()));
     assigned
 }
@@ -250,7 +250,7 @@
     }
 }
 
-/// Records a finished sample, if `attempt` is the current one; a stale result is requeued.
+/// Records a completed sample, if `attempt` is the current one; a sample that exceeds the staleness bound is requeued.
 fn complete(ledger: &mut RolloutLedger, sample: SampleId, attempt: Attempt, payload: SamplePayload) -> bool {
     let Some((trainer, key)) = running_attempt(ledger, &sample, attempt) else {
         return false;
@@ -320,7 +320,7 @@
     state.rollouts.trainers.values().any(|trainer| !trainer.pending.is_empty())
 }
 
-/// Whether any finished sample has no delivery position yet.
+/// Whether any completed sample has no delivery position yet.
 pub fn samples_are_ready(state: &ControlState) -> bool {
     state.rollouts.trainers.values().any(|trainer| !trainer.ready.is_empty())
 }
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -1,4 +1,4 @@
-//! Long polls of relays: state updates, each with a lease during which the relay may act on the state that it holds.
+//! Serves the long polls of relays: state updates, each with a lease during which the relay may act on its copy.
 //!
 //! The leader serves up to `leader_relays` relays itself. With more, it redirects them to followers, which spreads the
 //! load. A follower serves them by follower reads: it requests the leader's commit position, as in Raft's ReadIndex,
@@ -8,7 +8,7 @@
 
 use crate::node::ControlNode;
 use crate::state::ControlState;
-use crate::state::engine_subset::{RelayLocation, position};
+use crate::state::engine_subset::{RelayLocation, hash_position};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_runtime::timeout::timeout;
@@ -32,7 +32,7 @@
 /// 4,000 requests a second, so that they do not delay an election.
 const RETRY_PAUSE_US_PER_RELAY: u32 = 250;
 
-/// Relays are not redirected to a follower that the leader has not heard from for this long.
+/// Relays are not redirected to a follower whose last message to the leader is older than this.
 const FOLLOWER_SILENCE_LIMIT_MS: u64 = 300;
 
 /// Maximum replication lag, in log entries, of a follower that relays are redirected to.
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Confirmation {
     /// When the request to the leader was sent, by this process's monotonic clock.
-    pub at: Duration,
+    pub sent_at: Duration,
     /// The leader's group time in Unix milliseconds, and when its reply was received.
     pub group_unix_ms: Option<(u64, Duration)>,
     /// Number of relays known to the leader.
@@ -94,7 +94,7 @@
 
     /// The newest confirmation, unless it is older than [`MAX_CONFIRMATION_AGE`].
     fn recent_confirmation(&self, now: Duration) -> Option<Confirmation> {
-        self.confirmation.filter(|confirmation| now < confirmation.at + MAX_CONFIRMATION_AGE)
+        self.confirmation.filter(|confirmation| now < confirmation.sent_at + MAX_CONFIRMATION_AGE)
     }
 }
 
@@ -128,9 +128,9 @@
                 reply.follower = self.follower_for(&follow);
                 reply.retry_pause_ms = retry_pause_ms(self.relay_count());
                 if self.leads_at_level_one() {
-                    // Marks of silence do not increase the revision at this level, so all instances are sent.
-                    let place = RelayLocation::new(&follow.relay, &follow.zone);
-                    reply.instances = self.read_applied(|state| state.instances.changes_for_relay(place, 0));
+                    // Marking an instance silent does not increase the revision at this level, so all are sent.
+                    let location = RelayLocation::new(&follow.relay, &follow.zone);
+                    reply.instances = self.read_applied(|state| state.instances.changes_for_relay(location, 0));
                 }
                 return ControlReply::Gateway(GatewayReply::Followed(reply));
             }
@@ -153,7 +153,7 @@
                 return self.not_leader();
             };
             let now = platform.monotonic();
-            let lease = self.inner.config.follow_lease.saturating_sub(now.saturating_sub(confirmation.at));
+            let lease = self.inner.config.follow_lease.saturating_sub(now.saturating_sub(confirmation.sent_at));
             let guard = self.inner.reply_lock.lock().await;
             let reply = self
                 .read_applied(|state| (!is_behind(state, &follow)).then(|| self.follow_reply(state, &follow, lease)));
@@ -275,18 +275,18 @@
         let in_zone: Vec<SocketAddr> = self.read_applied(|state| {
             state.stores.addresses(Some(&follow.zone)).filter(|address| eligible.contains(address)).collect()
         });
-        pick(if in_zone.is_empty() { &eligible } else { &in_zone }, &follow.relay)
+        replica_for_relay(if in_zone.is_empty() { &eligible } else { &in_zone }, &follow.relay)
     }
 }
 
-/// Retry pause of relays that find no leader.
+/// Retry pause of relays that find no leader, in milliseconds.
 fn retry_pause_ms(relays: u32) -> u32 {
     relays * RETRY_PAUSE_US_PER_RELAY / 1_000
 }
 
-/// Picks a replica by the hash of the relay's name: stable for one relay, and spread over the replicas.
-fn pick(replicas: &[SocketAddr], relay: &str) -> Option<SocketAddr> {
-    replicas.get(position(relay) as usize % replicas.len().max(1)).copied()
+/// Selects a replica by the hash of the relay's name: stable for one relay, and spread over the replicas.
+fn replica_for_relay(replicas: &[SocketAddr], relay: &str) -> Option<SocketAddr> {
+    replicas.get(hash_position(relay) as usize % replicas.len().max(1)).copied()
 }
 
 /// A member in the relay's zone; the relays of a zone are spread over its members.
@@ -298,10 +298,10 @@
 ) -> Option<SocketAddr> {
     let in_zone: Vec<SocketAddr> =
         state.stores.addresses(Some(zone)).filter(|address| members.contains(address)).collect();
-    pick(&in_zone, relay)
+    replica_for_relay(&in_zone, relay)
 }
 
-/// Whether this replica's state is behind the state that a relay has received from another replica.
+/// Whether this replica's state is older than the state that a relay has received from another replica.
 fn is_behind(state: &ControlState, follow: &FollowRequest) -> bool {
     follow.instance_revision > state.instances.revision()
         || follow.routing_version > state.routing.version()
--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -1,8 +1,9 @@
-//! Requests about routing documents, engine instances, named versions, duties and store machines. Polls of relays are
-//! handled in `follow`, requests about batch jobs in `job_calls`.
+//! Requests about routing documents, engine instances, published weight versions, store machines and the duties of the
+//! leader (usage reports and engine counts). Polls of relays are handled in `follow`, requests about batch jobs in
+//! `job_requests`.
 
 use crate::node::ControlNode;
-use crate::older_level::{named_in, outcome_without_log, without_starts};
+use crate::older_level::{named_in, strip_start_times, unlogged_outcome};
 use crate::state::ControlState;
 use crate::state::stores::Retirement;
 use saddlerelay_replication::ProposeError;
@@ -21,15 +22,15 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A replica that the leader has not heard from for this long does not count towards the replicas that remain when a
+/// A replica whose last message to the leader is older than this does not count towards the replicas that remain when a
 /// store machine is retired.
 const REPLICA_SILENCE_LIMIT_MS: u64 = 1_000;
 
 /// Maximum number of reports and heartbeats in one message.
 const MAX_REPORTS_PER_MESSAGE: usize = 4_096;
 
-/// Whether `command` changes state that relays act on.
-pub(crate) fn changes_what_relays_act_on(command: &GatewayCommand) -> bool {
+/// Whether `command` changes state that is sent to relays.
+pub(crate) fn affects_relays(command: &GatewayCommand) -> bool {
     matches!(
         command,
         GatewayCommand::PutRouting(_)
@@ -42,13 +43,13 @@
     )
 }
 
-/// Whether `command` concerns the runner of batch jobs, and whether it concerns readers of their results.
-pub(crate) fn effect_on_jobs(command: &GatewayCommand) -> (bool, bool) {
+/// Whether `command` requires a notification of the runner of batch jobs, and of the readers of their results.
+pub(crate) fn job_effects(command: &GatewayCommand) -> (bool, bool) {
     match command {
         GatewayCommand::ListResults { .. } => (false, true),
         GatewayCommand::EndJob(_) => (true, true),
         GatewayCommand::SubmitJob { .. } | GatewayCommand::PublishVersion(_) => (true, false),
-        other => (changes_what_relays_act_on(other), false),
+        other => (affects_relays(other), false),
     }
 }
 
@@ -56,12 +57,12 @@
 struct ClassifiedReports<'a> {
     /// Reports that change the state and must be committed.
     changed: Vec<InstanceReport>,
-    /// Reports to record locally. Reports of instances that are neither registered nor pending are left out, so that
-    /// invented names use no memory.
+    /// Reports to record locally: of registered instances, and of those that are registered by the report. Others are
+    /// left out, so that reports with arbitrary names use no memory.
     reports: Vec<&'a InstanceReport>,
-    /// Heartbeats to record locally.
+    /// Heartbeats of registered instances, to record locally.
     heartbeats: Vec<&'a InstanceHeartbeat>,
-    /// Unknown instances that sent only a heartbeat.
+    /// Instances without any record that sent only a heartbeat; a full report is requested from them.
     unknown: Vec<InstanceId>,
 }
 
@@ -69,17 +70,17 @@
     let is_registered = |heartbeat: &&InstanceHeartbeat| {
         state.instances.get(&heartbeat.id).is_some_and(|record| record.state != InstanceState::Gone)
     };
-    let without_record = reports.heartbeats.iter().filter(|heartbeat| !state.knows(&heartbeat.id));
+    let without_record = reports.heartbeats.iter().filter(|heartbeat| !state.has_record_of(&heartbeat.id));
     ClassifiedReports {
         changed: reports.changed.iter().filter(|report| state.would_change(report)).cloned().collect(),
-        reports: reports.changed.iter().filter(|report| state.is_sign_of_life(report)).collect(),
+        reports: reports.changed.iter().filter(|report| state.proves_liveness(report)).collect(),
         heartbeats: reports.heartbeats.iter().filter(is_registered).collect(),
         unknown: without_record.map(|heartbeat| heartbeat.id.clone()).collect(),
     }
 }
 
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
-    pub(crate) async fn answer_gateway(&self, request: GatewayRequest) -> ControlReply {
+    pub(crate) async fn handle_gateway(&self, request: GatewayRequest) -> ControlReply {
         match request {
             GatewayRequest::Follow(follow) => self.follow(follow).await,
             GatewayRequest::ReportInstance(report) => {
@@ -90,7 +91,7 @@
             GatewayRequest::RemoveInstance(id) => self.remove_instance(id).await,
             GatewayRequest::PutRouting(document) => self.put_routing(document).await,
             GatewayRequest::ReadRouting => self.read_routing(),
-            GatewayRequest::PublishVersion(named) => self.name_version(named).await,
+            GatewayRequest::PublishVersion(named) => self.publish_version(named).await,
             GatewayRequest::SubmitJob(job) => self.submit_job(job).await,
             GatewayRequest::ReadResults { job, after, wait_ms, caller } => {
                 self.read_results(&job, after, wait_ms, &caller).await
@@ -121,7 +122,7 @@
     /// Commits a gateway command. At feature level one, commands that the log cannot express get a fixed outcome.
     pub async fn commit_gateway(&self, command: GatewayCommand) -> Result<GatewayOutcome, ProposeError> {
         if self.leads_at_level_one()
-            && let Some(outcome) = outcome_without_log(&command)
+            && let Some(outcome) = unlogged_outcome(&command)
         {
             return Ok(outcome);
         }
@@ -172,15 +173,15 @@
 
     async fn report_instances(&self, reports: GatheredReports) -> ControlReply {
         let Some(term) = self.inner.replica.leading_term().filter(|_| self.leads_at_level_one()) else {
-            return self.take_reports(reports).await;
+            return self.accept_reports(reports).await;
         };
         let heartbeat_ids: Vec<InstanceId> = reports.heartbeats.iter().map(|heartbeat| heartbeat.id.clone()).collect();
         let reports = {
             let mut watch = self.inner.instance_watch.borrow_mut();
             watch.reset_for_term(term);
-            without_starts(reports, &mut watch)
+            strip_start_times(reports, &mut watch)
         };
-        match self.take_reports(reports).await {
+        match self.accept_reports(reports).await {
             ControlReply::Gateway(GatewayReply::ReportsMissing(missing)) => {
                 ControlReply::Gateway(GatewayReply::ReportsMissing(named_in(&missing, heartbeat_ids.into_iter())))
             }
@@ -188,7 +189,7 @@
         }
     }
 
-    async fn take_reports(&self, reports: GatheredReports) -> ControlReply {
+    async fn accept_reports(&self, reports: GatheredReports) -> ControlReply {
         let count = reports.changed.len() + reports.heartbeats.len();
         if count > MAX_REPORTS_PER_MESSAGE {
             return ControlReply::Refused(format!("{count} reports in one message exceed the limit"));
@@ -241,7 +242,7 @@
         self.reply(source.map(GatewayReply::Routing))
     }
 
-    async fn name_version(&self, named: LoadedModel) -> ControlReply {
+    async fn publish_version(&self, named: LoadedModel) -> ControlReply {
         let is_superseded =
             self.read(|state| state.weights.named().get(&named.model).is_some_and(|current| *current >= named.version));
         match is_superseded {
@@ -278,12 +279,12 @@
             return false;
         };
         let unwanted: Vec<_> = self.read(|state| state.stores.unwanted_replicas().collect()).unwrap_or_default();
-        let counts = |replica: &&saddlerelay_types::protocol::ReplicaView| {
+        let remains = |replica: &&saddlerelay_types::protocol::ReplicaView| {
             replica.heard_milliseconds_ago < REPLICA_SILENCE_LIMIT_MS
                 && replica.id != record.replica
                 && !unwanted.contains(&replica.id)
         };
-        view.replicas.iter().filter(counts).count() >= self.inner.replica.target_voters()
+        view.replicas.iter().filter(remains).count() >= self.inner.replica.target_voters()
     }
 
     fn read_duties(&self) -> ControlReply {
--- a/crates/control/src/instance_watch.rs
+++ b/crates/control/src/instance_watch.rs
@@ -1,6 +1,6 @@
 //! Liveness and loaded models of engine instances, as reported to this leader. Not replicated: a new leader receives a
-//! report or heartbeat of every instance within one report interval. Only the mark that an instance has become silent
-//! is replicated, with its record.
+//! report or heartbeat of every instance within one report interval. Only the `silent` flag of an instance's record is
+//! replicated.
 //!
 //! A heartbeat updates one timestamp and leaves the timeout queue alone, as thousands may arrive within a second. When
 //! the queued timeout of an instance expires, the instance is queued again if a heartbeat has arrived in the meantime.
@@ -62,7 +62,7 @@
     unread: BTreeSet<InstanceId>,
     /// Newest start time of each engine, in Unix milliseconds, at feature level one, where the log identifies engines
     /// by name only.
-    starts: BTreeMap<String, u64>,
+    newest_starts: BTreeMap<String, u64>,
 }
 
 impl InstanceWatch {
@@ -76,11 +76,11 @@
     /// Records an engine's start time at feature level one, where the log identifies engines by name only. A newer
     /// start discards the last report of the earlier one, as sequence numbers restart. Returns whether this is the
     /// newest start.
-    pub fn note_start(&mut self, id: &InstanceId) -> bool {
+    pub fn record_start(&mut self, id: &InstanceId) -> bool {
         let Some(started_at_ms) = id.started_at_ms else {
             return true;
         };
-        let newest = self.starts.entry(id.name.clone()).or_insert(started_at_ms);
+        let newest = self.newest_starts.entry(id.name.clone()).or_insert(started_at_ms);
         if started_at_ms > *newest {
             *newest = started_at_ms;
             self.last_reports.remove(&InstanceId::named(&*id.name));
--- a/crates/control/src/job_calls.rs
+++ b/crates/control/src/job_requests.rs
@@ -118,14 +118,14 @@
 
     pub(crate) fn read_body(&self, job: &JobId, item: &ItemId, caller: &Caller) -> ControlReply {
         let body = self.read(|state| {
-            usable_job(state, job, caller)?;
+            job_for_caller(state, job, caller)?;
             state.jobs.body(job, item).map(<[u8]>::to_vec)
         });
         self.reply(body.map(|body| body.map_or(GatewayReply::NotFound, GatewayReply::Body)))
     }
 
     pub(crate) async fn end_job(&self, job: JobId, caller: &Caller) -> ControlReply {
-        let is_ended = self.read(|state| usable_job(state, &job, caller).map(Job::is_ended));
+        let is_ended = self.read(|state| job_for_caller(state, &job, caller).map(Job::is_ended));
         match is_ended {
             None => self.not_leader(),
             Some(None) => ControlReply::Gateway(GatewayReply::NotFound),
@@ -136,12 +136,12 @@
 }
 
 /// A job that the caller may use. Jobs of other tenants are reported as missing.
-fn usable_job<'a>(state: &'a ControlState, job: &JobId, caller: &Caller) -> Option<&'a Job> {
+fn job_for_caller<'a>(state: &'a ControlState, job: &JobId, caller: &Caller) -> Option<&'a Job> {
     state.jobs.get(job).filter(|job| caller.may_use(job.submission.owner.as_ref()))
 }
 
-/// Whether a read of results from `after` on can reply now: there are more results, or the job has ended. `None` if the
-/// caller has no such job.
+/// Whether a read of results from position `after` on can be answered now: there are more results, or the job has
+/// ended. `None` if the caller has no such job.
 fn has_more_results(state: &ControlState, job: &JobId, after: u64, caller: &Caller) -> Option<bool> {
-    usable_job(state, job, caller).map(|job| job.is_ended() || job.results().len() as u64 > after)
+    job_for_caller(state, job, caller).map(|job| job.is_ended() || job.results().len() as u64 > after)
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -3,16 +3,15 @@
 //! `state` is the replicated state, `commands` applies committed log entries to it, and `queries` reads it. `tasks` are
 //! the leader's periodic tasks: polling engines, rolling out weights, detecting lost relays and committing usage
 //! counts. `follow` sends state changes to relays, from the leader or another replica. `orders` ensures that only one
-//! replica at a time sends orders to engines and to the platform.
+//! replica at a time sends orders to engines and to the platform (the system that starts and stops engine machines).
 
-mod answering;
 pub mod commands;
 pub mod config;
 mod follow;
 pub mod gateway;
 pub mod group_clock;
 pub mod instance_watch;
-mod job_calls;
+mod job_requests;
 pub mod machine;
 pub mod node;
 mod older_level;
@@ -21,6 +20,7 @@
 pub mod queries;
 mod report_targets;
 pub mod routing_updates;
+mod rpc_handler;
 pub mod state;
 mod suspected_work;
 pub mod suspicion_watch;
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -78,7 +78,8 @@
         self.state.jobs.texts_mut().release_segment(number);
     }
 
-    /// Prefers the holder of orders as leader; a new holder has to wait before it may send orders.
+    /// Prefers the current holder of orders as leader, because another leader would have to wait before it may send
+    /// orders.
     fn prefers(&self, replica: ReplicaId) -> bool {
         self.state.orders.holder() == Some(replica)
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -47,7 +47,7 @@
     pub config: ControlConfig,
     pub replica: Replica<P, ControlMachine>,
     pub renewals: RefCell<RenewalTable>,
-    /// Notified when state that relays act on has changed.
+    /// Notified when state that is sent to relays has changed.
     pub relay_updates: Signal,
     /// Notified when a trainer has published weights.
     pub weights_published: Signal,
@@ -70,9 +70,9 @@
     pub instance_watch: RefCell<InstanceWatch>,
     /// Encoded routing updates for relays.
     pub routing_updates: RefCell<RoutingUpdates>,
-    /// When the notes of orders of other replicas were first observed.
+    /// When each order note was first observed.
     pub order_watch: RefCell<OrderWatch>,
-    /// When the trial leases for suspected work were last renewed.
+    /// When each trial lease was last observed to be renewed.
     pub trial_watch: RefCell<TrialWatch>,
     /// Age of each suspicion by this process's monotonic clock.
     pub suspicion_watch: RefCell<SuspicionWatch>,
@@ -95,7 +95,7 @@
 }
 
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
-    /// Opens the replica and starts the background tasks. The caller serves the node's handler on a listener.
+    /// Opens the replica and starts the background tasks. The caller has to serve the node as RPC handler on a listener.
     pub async fn start(
         platform: P,
         backends: B,
@@ -134,7 +134,7 @@
         let node = Self { inner };
         platform.spawn(relays::watch(node.clone()));
         platform.spawn(engines::manage(node.clone()));
-        platform.spawn(machines::follow(node.clone()));
+        platform.spawn(machines::poll(node.clone()));
         platform.spawn(retirement::watch(node.clone()));
         platform.spawn(silence::watch(node.clone()));
         platform.spawn(confirmation::confirm(node.clone()));
@@ -145,7 +145,7 @@
         Ok(node)
     }
 
-    /// The replica.
+    /// This process's replica of the log.
     pub fn replica(&self) -> &Replica<P, ControlMachine> {
         &self.inner.replica
     }
@@ -165,7 +165,7 @@
         self.inner.replica.read(|machine| read(machine.state()))
     }
 
-    /// Commits a command, stamped with this machine's wall clock, and notifies the waiters that it may concern.
+    /// Commits a command with this machine's wall clock as its time, and notifies the waiters that it may concern.
     pub async fn commit(&self, command: Command) -> Result<CommandOutcome, ProposeError> {
         let time = self.inner.platform.unix_milliseconds();
         let effects = Effects::of(&command);
@@ -199,12 +199,12 @@
     /// Handles a request.
     pub async fn answer(&self, request: ControlRequest) -> ControlReply {
         match request {
-            ControlRequest::Replication(bytes) => self.answer_replica(&bytes, FeatureLevel::NEWEST).await,
+            ControlRequest::Replication(bytes) => self.handle_replication(&bytes, FeatureLevel::NEWEST).await,
             ControlRequest::Renew(renewal) => self.renew(renewal).await,
             ControlRequest::Execute(command) => self.execute(command).await,
             ControlRequest::Query(query) => self.query(&query),
             ControlRequest::Initialize => self.initialize().await,
-            ControlRequest::Gateway(request) => self.answer_gateway(request).await,
+            ControlRequest::Gateway(request) => self.handle_gateway(request).await,
         }
     }
 
@@ -247,8 +247,8 @@
         });
     }
 
-    /// Commits a command. One that would change nothing is not logged: it is held for at most `sample_long_poll_timeout` until it has
-    /// an effect (long poll).
+    /// Commits a command. One that would change nothing adds no log entry: it is held open until it would have an
+    /// effect, for at most `sample_long_poll_timeout` (long poll).
     async fn execute(&self, command: Command) -> ControlReply {
         let deadline = self.inner.platform.monotonic() + self.inner.config.sample_long_poll_timeout;
         loop {
@@ -264,7 +264,7 @@
                 return ControlReply::Executed(outcome);
             }
             timeout(&self.inner.platform, remaining, signal.changed(notified_count)).await;
-            // Staggers the waiters: most find the samples taken and propose nothing.
+            // Staggers the waiters, so that most find no samples left and propose nothing.
             let delay = self.inner.platform.jitter(MAX_WAKE_DELAY);
             self.inner.platform.sleep(delay).await;
         }
@@ -320,12 +320,12 @@
         } else if !lost && self.inner.replica.leading_term().is_none() {
             return self.not_leader();
         }
-        self.renewal_answer(&renewal).await
+        self.wait_for_renewal_reply(&renewal).await
     }
 
     /// Replies to a renewal when there is an update for the relay, or after `long_poll_timeout`. Changes within
     /// `update_batch_delay` go into one reply.
-    async fn renewal_answer(&self, renewal: &RenewRequest) -> ControlReply {
+    async fn wait_for_renewal_reply(&self, renewal: &RenewRequest) -> ControlReply {
         let deadline = self.inner.platform.monotonic() + self.inner.config.long_poll_timeout;
         loop {
             let notified_count = self.inner.relay_updates.count();
@@ -389,10 +389,10 @@
             Command::Membership(_) => (true, false),
             Command::Rollout(_) => (publication, true),
             Command::Claim(_) => (false, false),
-            Command::Gateway(command) => (gateway::changes_what_relays_act_on(command), false),
+            Command::Gateway(command) => (gateway::affects_relays(command), false),
         };
         let (job_work, job_results) = match command {
-            Command::Gateway(command) => gateway::effect_on_jobs(command),
+            Command::Gateway(command) => gateway::job_effects(command),
             _ => (false, false),
         };
         Self { relay_updates, publication, samples, job_work, job_results }
--- a/crates/control/src/older_level.rs
+++ b/crates/control/src/older_level.rs
@@ -1,7 +1,8 @@
 //! Compatibility of a leader of this build with a group at an older feature level.
 //!
-//! Older members receive only messages that they can decode. State that the older level encodes differently is written in its
-//! encoding; state that it cannot encode is not logged, or the feature is disabled until the level is raised:
+//! Older members receive only messages that they can decode. State that the older level encodes differently is written
+//! in its encoding. For state that it cannot encode, no log entry is written, or the feature is disabled until the level
+//! is raised:
 //!
 //! | Feature | At level one |
 //! |---|---|
@@ -26,8 +27,9 @@
 use saddlerelay_types::instance::{GatheredReports, InstanceId};
 use saddlerelay_types::suspicion::TrialAnswer;
 
-/// The outcome of a command about suspected work where the log cannot encode it: work runs as if it were not suspected.
-pub(crate) fn outcome_without_log(command: &GatewayCommand) -> Option<GatewayOutcome> {
+/// The outcome of a command about suspected work, which level one cannot encode: the work runs as if not suspected.
+/// `None` for other commands.
+pub(crate) fn unlogged_outcome(command: &GatewayCommand) -> Option<GatewayOutcome> {
     match command {
         GatewayCommand::BeginTrial(_) => Some(GatewayOutcome::Trial(TrialAnswer::Granted)),
         GatewayCommand::RenewTrials(_) => Some(GatewayOutcome::TrialsLost(Vec::new())),
@@ -40,10 +42,10 @@
     }
 }
 
-/// Removes start times from reports and drops reports of superseded starts: level one identifies engines by name.
-pub(crate) fn without_starts(mut reports: GatheredReports, watch: &mut InstanceWatch) -> GatheredReports {
-    reports.changed.retain(|report| watch.note_start(&report.id));
-    reports.heartbeats.retain(|heartbeat| watch.note_start(&heartbeat.id));
+/// Removes start times from reports, as level one identifies engines by name, and drops reports of earlier starts.
+pub(crate) fn strip_start_times(mut reports: GatheredReports, watch: &mut InstanceWatch) -> GatheredReports {
+    reports.changed.retain(|report| watch.record_start(&report.id));
+    reports.heartbeats.retain(|heartbeat| watch.record_start(&heartbeat.id));
     let ids = reports.changed.iter_mut().map(|report| &mut report.id);
     let ids = ids.chain(reports.heartbeats.iter_mut().map(|heartbeat| &mut heartbeat.id));
     ids.for_each(|id| id.started_at_ms = None);
--- a/crates/control/src/order_watch.rs
+++ b/crates/control/src/order_watch.rs
@@ -43,10 +43,10 @@
         }
     }
 
-    /// The earliest time at which `holder` may send orders about a subject: `distance` after the first observation of
-    /// another replica's note, or zero without one.
-    pub fn earliest_order_time(&self, subject: &OrderSubject, holder: ReplicaId, distance: Duration) -> Duration {
+    /// The earliest time at which `holder` may send orders about a subject: `delay` after another replica's note was
+    /// first observed, or zero without such a note.
+    pub fn earliest_order_time(&self, subject: &OrderSubject, holder: ReplicaId, delay: Duration) -> Duration {
         let other_holder_note = self.notes.get(subject).filter(|observed| observed.note.holder != holder);
-        other_holder_note.map_or(Duration::ZERO, |observed| observed.observed_at + distance)
+        other_holder_note.map_or(Duration::ZERO, |observed| observed.observed_at + delay)
     }
 }
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,8 +1,9 @@
 //! Authorization of orders to engines and to the platform.
 //!
 //! Before each order the leader commits a note of the order's subject, and receives a fencing token higher than that of
-//! every earlier order. It sends the order within a short validity period or not at all. A new leader waits until that
-//! period and the configured distance between holders have passed; a delayed order carries a lower fencing token.
+//! every earlier order. It sends the order within `order_validity` or not at all. A new leader sends an order about the
+//! same subject only after `order_validity` and `order_separation` have passed; an earlier order that arrives later is
+//! rejected, as its fencing token is lower.
 
 use crate::node::ControlNode;
 use saddlerelay_runtime::Runtime;
@@ -11,7 +12,7 @@
 use saddlerelay_types::identity::Fence;
 use std::time::Duration;
 
-/// Permission to send the orders of one note.
+/// Permission to send the orders of one order note.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderGrant {
     /// Fencing token of the orders.
--- a/crates/control/src/queries/mod.rs
+++ b/crates/control/src/queries/mod.rs
@@ -6,7 +6,7 @@
 use crate::state::ControlState;
 use saddlerelay_types::protocol::{Query, QueryAnswer};
 
-/// Answers a query from the replicated state; `None` for queries about the group's members or the relays.
+/// Answers a query from the replicated state; `None` for queries about the group's replicas or the relays.
 pub fn answer(state: &ControlState, query: &Query) -> Option<QueryAnswer> {
     match query {
         Query::Object(name) => Some(QueryAnswer::Object(state.configuration.object(name).cloned())),
--- a/crates/control/src/report_targets.rs
+++ b/crates/control/src/report_targets.rs
@@ -1,12 +1,12 @@
-//! Selects the process that an engine should send its next reports to: store machines that are not members of the
-//! group.
+//! Selects the store machine that an engine should send its next reports to: in a large fleet, one that is not a member
+//! of the group.
 //!
 //! Engines that were started together also report at the same time. In a large fleet such a burst would delay
 //! replication messages at a member, which can trigger an election.
 
 use crate::node::ControlNode;
 use crate::state::ControlState;
-use crate::state::engine_subset::position;
+use crate::state::engine_subset::hash_position;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_types::instance::InstanceReport;
@@ -23,11 +23,11 @@
         if !members.contains(&self.inner.replica.address()) {
             return None;
         }
-        self.read_applied(|state| other_machine(state, &members, report))
+        self.read_applied(|state| select_report_target(state, &members, report))
     }
 }
 
-fn other_machine(state: &ControlState, members: &[SocketAddr], report: &InstanceReport) -> Option<SocketAddr> {
+fn select_report_target(state: &ControlState, members: &[SocketAddr], report: &InstanceReport) -> Option<SocketAddr> {
     let engines: u32 = state.instances.places().map(|place| state.instances.present(place)).sum();
     if engines <= MAX_ENGINES_AT_MEMBERS {
         return None;
@@ -37,6 +37,6 @@
     };
     let in_zone = others(Some(&report.zone));
     let machines = if in_zone.is_empty() { others(None) } else { in_zone };
-    let index = position(&report.id.name).wrapping_add(report.sequence);
+    let index = hash_position(&report.id.name).wrapping_add(report.sequence);
     machines.get(index as usize % machines.len().max(1)).copied()
 }
--- a/crates/control/src/routing_updates.rs
+++ b/crates/control/src/routing_updates.rs
@@ -23,14 +23,14 @@
         if relay_version == Some(current.version) {
             return None;
         }
-        self.remember(current);
+        self.record_document(current);
         let base = self.documents.iter().find(|document| Some(document.version) == relay_version);
         let key = base.map(|base| base.version);
         let encode = || EncodedRoutingUpdate::encode(&RoutingUpdate::between(base, current));
         Some(self.encoded.entry(key).or_insert_with(encode).clone())
     }
 
-    fn remember(&mut self, current: &RoutingDocument) {
+    fn record_document(&mut self, current: &RoutingDocument) {
         if self.documents.back().is_some_and(|newest| newest.version == current.version) {
             return;
         }
--- a/crates/control/src/answering.rs
+++ b/crates/control/src/rpc_handler.rs
@@ -1,4 +1,4 @@
-//! Serves RPC requests of other processes, each encoded at the feature level of its connection.
+//! Handles RPC requests of other processes. Requests and replies are encoded at the feature level of the connection.
 
 use crate::node::ControlNode;
 use saddlerelay_layouts::messages::{self, Request};
@@ -30,7 +30,7 @@
             Request::Current(request) => request,
         };
         if let ControlRequest::Replication(bytes) = &request {
-            return messages::encode_reply(self.answer_replica(bytes, level).await, level);
+            return messages::encode_reply(self.handle_replication(bytes, level).await, level);
         }
         if level < FeatureLevel::NEWEST {
             self.record_older_build_request();
@@ -40,11 +40,11 @@
         messages::encode_reply(reply, level).or_else(fallback)
     }
 
-    pub(crate) async fn answer_replica(&self, bytes: &[u8], level: FeatureLevel) -> ControlReply {
+    pub(crate) async fn handle_replication(&self, bytes: &[u8], level: FeatureLevel) -> ControlReply {
         let Some(request) = message_codec::decode_request(bytes, level) else {
             return ControlReply::Refused("malformed replication message".to_string());
         };
-        // Builds of the current version send join requests at the newest level that both sides support.
+        // A build of this version sends join requests at the newest level, so this one comes from an older build.
         if level < FeatureLevel::NEWEST && matches!(request, ReplicaRequest::Join { .. }) {
             self.record_older_build_request();
         }
--- a/crates/control/src/state/claims.rs
+++ b/crates/control/src/state/claims.rs
@@ -6,10 +6,10 @@
 use saddlerelay_types::request::Repeatability;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum time until a key expires, in milliseconds.
+/// Maximum time from an acquire or seal request until its key expires, in milliseconds.
 pub const MAX_KEY_LIFETIME_MILLISECONDS: u64 = 3_600_000;
 
-/// Maximum number of expired claims dropped per command, to bound the work of each.
+/// Maximum number of expired claims dropped per command, to bound the cost of each command.
 const MAX_EXPIRED_PER_COMMAND: usize = 32;
 
 /// State of a claim.
--- a/crates/control/src/state/configuration.rs
+++ b/crates/control/src/state/configuration.rs
@@ -7,7 +7,7 @@
 use saddlerelay_types::identity::{BodyDigest, IdempotencyKey, Revision, TemplateId, TenantId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Maximum number of tombstones, which let deltas carry deletions.
+/// Maximum number of tombstones of deleted objects, which are needed to send deletions in deltas.
 const MAX_TOMBSTONES: usize = 1024;
 
 /// Maximum number of idempotency keys whose outcomes are stored; the oldest is evicted.
--- a/crates/control/src/state/engine_subset.rs
+++ b/crates/control/src/state/engine_subset.rs
@@ -13,7 +13,7 @@
 const MAX_LOCAL_ENGINES: usize = 128;
 
 /// Average subset size in the relay's own zone below which the prefix shrinks. Half of the size right after the prefix
-/// has grown, as hysteresis against small changes of a place's size.
+/// has grown, so that small changes of the number of engines do not change the prefix (hysteresis).
 const MIN_LOCAL_ENGINES: usize = 16;
 
 /// As [`MAX_LOCAL_ENGINES`], for each other zone.
@@ -22,17 +22,17 @@
 /// As [`MIN_LOCAL_ENGINES`], for each other zone.
 const MIN_REMOTE_ENGINES: usize = 4;
 
-/// Bits by which a prefix grows or shrinks at once; 2 bits change the subset by a factor of four.
+/// Number of bits by which a prefix grows or shrinks; 2 bits change the subset size by a factor of four.
 const STEP_BITS: u8 = 2;
 
 /// Hash position of an engine's or relay's name; the same on every node.
-pub fn position(name: &str) -> u64 {
+pub fn hash_position(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
 
 /// Hash position of an engine; all starts of an engine have the same one.
 pub(super) fn engine_position(id: &InstanceId) -> u64 {
-    position(&id.name)
+    hash_position(&id.name)
 }
 
 /// The zone and hash position of a relay, which determine its subset.
@@ -41,17 +41,17 @@
     /// The relay's zone.
     pub zone: &'a str,
     /// Hash position of the relay's name.
-    pub position: u64,
+    pub hash_position: u64,
 }
 
 impl<'a> RelayLocation<'a> {
-    /// Computes the position from the relay's name.
+    /// Computes the hash position from the relay's name.
     pub fn new(name: &str, zone: &'a str) -> Self {
-        Self { zone, position: position(name) }
+        Self { zone, hash_position: hash_position(name) }
     }
 }
 
-/// Lengths in bits of the position prefix that an engine of a place must share with a relay. With n bits a relay
+/// Lengths in bits of the hash position prefix that an engine of a place must share with a relay. With n bits a relay
 /// receives about one engine in 2^n.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(super) struct SubsetPrefixes {
@@ -68,11 +68,11 @@
         *self != before
     }
 
-    /// First and last position, inclusive, of the engines at `place` in the subset of `relay`.
+    /// First and last hash position, inclusive, of the engines at `place` in the subset of `relay`.
     pub fn range(self, place: &EnginePlace, relay: RelayLocation<'_>) -> (u64, u64) {
         let bits = if place.zone == relay.zone { self.local_bits } else { self.remote_bits };
         let suffix_mask = u64::MAX.checked_shr(u32::from(bits)).unwrap_or(0);
-        (relay.position & !suffix_mask, relay.position | suffix_mask)
+        (relay.hash_position & !suffix_mask, relay.hash_position | suffix_mask)
     }
 }
 
--- a/crates/control/src/state/instances.rs
+++ b/crates/control/src/state/instances.rs
@@ -141,7 +141,7 @@
         self.by_address.get(&address)
     }
 
-    /// Whether an instance was removed or replaced by a later start under its name. Its further reports are ignored.
+    /// Whether an instance was removed, or replaced by a later start with its name. Its further reports are ignored.
     pub fn has_ended(&self, id: &InstanceId) -> bool {
         let is_gone = self.gone.range(id.starts_from_here()).next().is_some();
         is_gone || self.newest_start(&id.name).is_some_and(|newest| newest > id)
@@ -199,7 +199,7 @@
         self.write(InstanceRecord { report, state, silent: false, revision: 0 });
     }
 
-    /// Marks ready instances that have stopped reporting as silent, and clears the mark of those that report again.
+    /// Sets the silent flag of ready instances that have stopped reporting, and clears it for those that report again.
     pub fn record_silence(&mut self, silent: &[InstanceId], recovered: &[InstanceId]) {
         let changes = silent.iter().map(|id| (id, true)).chain(recovered.iter().map(|id| (id, false)));
         for (id, silent) in changes {
--- a/crates/control/src/state/jobs.rs
+++ b/crates/control/src/state/jobs.rs
@@ -10,7 +10,7 @@
 /// Maximum bytes of text in one page of results, unless a single result is larger.
 const MAX_PAGE_BYTES: usize = 900_000;
 
-/// Maximum number of ended jobs whose texts a later job may reuse.
+/// Maximum number of ended jobs whose texts one later job may reuse.
 const MAX_PREDECESSORS: usize = 3;
 
 /// Number of later submissions after which the partial texts of an ended job are dropped.
@@ -34,7 +34,7 @@
     pub events: u32,
     /// The weight versions that generated the text's events, ascending.
     pub versions: Vec<u64>,
-    /// The stamp of the scorer's response, if the item names a scorer.
+    /// The score, from the stamp header of the scorer's response; `None` if the item names no scorer.
     pub score: Option<String>,
 }
 
@@ -58,9 +58,9 @@
     pub(super) partial: BTreeMap<u32, PartialText>,
     /// Set by [`JobTable::end`]; no further results or texts are accepted.
     pub(super) ended: bool,
-    /// Unix milliseconds after which the job is dropped once it has ended, by the state's time.
+    /// Unix milliseconds, by the state's time, from which the job is dropped if it has ended.
     pub(super) keep_until: u64,
-    /// Submission number, ascending.
+    /// Submission number, ascending over all jobs.
     pub(super) order: u64,
 }
 
--- a/crates/control/src/state/level_one.rs
+++ b/crates/control/src/state/level_one.rs
@@ -80,7 +80,7 @@
     order: u64,
 }
 
-/// Panic message for a state that was changed by commands of a later level.
+/// Panic message for a state that contains values from commands of a later level.
 const NOT_REPRESENTABLE: &str = "a state at feature level one contains only values of that level's layout";
 
 impl ControlState {
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Leaves level one. State that may differ among replicas, such as silence marks, is rebuilt from the replicated
+    /// Leaves level one. State that may differ among replicas, such as silent flags, is rebuilt from the replicated
     /// records, and relays get a full update.
     pub fn leave_level_one(&mut self) {
         self.instances = InstancesOne::of(&self.instances).into_current();
@@ -231,8 +231,8 @@
 }
 
 impl InstanceTable {
-    /// Applies a report by the rules of level one, which check neither the routing document nor the service and address
-    /// of the recorded instance.
+    /// Applies a report as at level one, which checks neither the routing document nor the service and address of the
+    /// recorded instance.
     pub fn apply_report_level_one(&mut self, report: InstanceReport) {
         let would_change = match self.records.get(&report.id) {
             None => !self.gone.contains(&report.id),
@@ -252,10 +252,10 @@
         self.write(InstanceRecord { report, state, silent: false, revision: 0 });
     }
 
-    /// Marks silent instances in the leader's own state. Level one does not replicate silence.
+    /// Updates the silent flags in the leader's own state; they are not replicated at level one.
     pub fn mark_silence(&mut self, silent: &[InstanceId], recovered: &[InstanceId]) {
-        let marks = silent.iter().map(|id| (id, true)).chain(recovered.iter().map(|id| (id, false)));
-        for (id, is_silent) in marks {
+        let changes = silent.iter().map(|id| (id, true)).chain(recovered.iter().map(|id| (id, false)));
+        for (id, is_silent) in changes {
             let Some(record) = self.records.get(id).filter(|record| record.state == InstanceState::Ready).cloned()
             else {
                 continue;
--- a/crates/control/src/state/members.rs
+++ b/crates/control/src/state/members.rs
@@ -46,7 +46,7 @@
     }
 
     /// Declares a relay lost; `false` if it is not a live member.
-    pub fn lose_relay(&mut self, relay: Incarnation) -> bool {
+    pub fn declare_relay_lost(&mut self, relay: Incarnation) -> bool {
         let was_live = self.relays.remove(&relay).is_some();
         if was_live {
             self.lost.insert(relay);
--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The replicated state. Only `commands` change it, except for local silence marks at feature level one and the cache
-//! of text segments.
+//! The replicated state. Only `commands` change it, except for silent flags at feature level one and the cache of text
+//! segments, which are local to a replica.
 
 pub mod claims;
 pub mod configuration;
@@ -55,7 +55,7 @@
     pub instances: InstanceTable,
     /// Reports of engines whose service is not in the routing document.
     pub pending_instances: PendingInstances,
-    /// Weight versions announced by trainers.
+    /// Weight versions published by trainers.
     pub weights: WeightState,
     /// The holder of orders to engines and to the platform, and its order notes.
     pub orders: OrderState,
--- a/crates/control/src/state/orders.rs
+++ b/crates/control/src/state/orders.rs
@@ -1,5 +1,5 @@
-//! Orders to engines and to the platform. Before a replica sends an order it records a note, so that the next holder
-//! can wait until an earlier order can no longer arrive.
+//! Orders to engines and to the platform. Before a replica sends an order it commits an order note, so that the next
+//! leader can wait until an earlier order can no longer arrive.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::gateway::OrderSubject;
--- a/crates/control/src/state/registration.rs
+++ b/crates/control/src/state/registration.rs
@@ -25,15 +25,15 @@
         }
     }
 
-    /// Whether `report` counts as a sign of life of a registered instance, or of one that is registered once the report
-    /// is committed.
-    pub fn is_sign_of_life(&self, report: &InstanceReport) -> bool {
+    /// Whether `report` comes from a registered instance, or from one that is registered once the report is committed.
+    /// Only such a report resets the instance's silence timeout.
+    pub fn proves_liveness(&self, report: &InstanceReport) -> bool {
         let is_new = self.belongs_in_table(report) && self.instances.would_change(report);
         is_new || self.instances.is_from_recorded_instance(report)
     }
 
     /// Whether this start of an engine is registered, pending or ended.
-    pub fn knows(&self, id: &InstanceId) -> bool {
+    pub fn has_record_of(&self, id: &InstanceId) -> bool {
         self.instances.get(id).is_some() || self.instances.has_ended(id) || self.pending_instances.holds(id)
     }
 
--- a/crates/control/src/state/rollouts.rs
+++ b/crates/control/src/state/rollouts.rs
@@ -12,7 +12,7 @@
     Pending,
     /// Assigned to a relay.
     Assigned(Incarnation),
-    /// Finished, without a delivery position.
+    /// Completed, without a delivery position.
     Ready(SamplePayload),
     /// At a delivery position, not yet acknowledged by the trainer.
     Placed(Position, SamplePayload),
@@ -54,13 +54,13 @@
     pub steps: BTreeMap<StepNumber, Step>,
     /// Samples waiting for a relay, oldest step first.
     pub pending: BTreeSet<SampleKey>,
-    /// Finished samples without a delivery position, oldest step first.
+    /// Completed samples without a delivery position, oldest step first.
     pub ready: BTreeSet<SampleKey>,
     /// Unacknowledged samples by delivery position.
     pub placed: BTreeMap<Position, SampleKey>,
-    /// Whether unacknowledged positions are withdrawn at the trainer's next fetch, after its cursor is applied.
+    /// Whether unacknowledged delivery positions are withdrawn at the trainer's next fetch, after its cursor is applied.
     pub withdrawal_due: bool,
-    /// Response to the newest publication, for retries.
+    /// Reply to the newest publication, repeated for retries.
     pub last_publication: Option<TrainerState>,
 }
 
@@ -69,8 +69,8 @@
 pub struct RelayAssignments {
     /// Sequence number of the newest request.
     pub sequence: u64,
-    /// Response to the newest request.
-    pub response: Vec<SampleAssignment>,
+    /// Reply to the newest request.
+    pub last_reply: Vec<SampleAssignment>,
     /// All samples assigned to the relay.
     pub running: BTreeSet<SampleId>,
 }
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Withdraws all unacknowledged positions, and increments the epoch, which invalidates deliveries that carry them.
+    /// Withdraws all unacknowledged delivery positions, and increments the epoch, which invalidates earlier deliveries.
     pub fn withdraw_placed(&mut self) {
         for (_, key) in std::mem::take(&mut self.placed) {
             if let Some(sample) = self.sample_mut(key)
@@ -148,7 +148,7 @@
         self.requeue_stale();
     }
 
-    /// Requeues finished samples that exceed the staleness bound.
+    /// Requeues completed samples that exceed the staleness bound.
     pub fn requeue_stale(&mut self) {
         let stale: Vec<SampleKey> = self.ready.iter().copied().filter(|key| !self.ready_is_fresh(*key)).collect();
         for key in stale {
--- a/crates/control/src/state/suspicions.rs
+++ b/crates/control/src/state/suspicions.rs
@@ -14,12 +14,12 @@
 /// sends the whole table to each relay.
 const MAX_SUSPICIONS: usize = 512;
 
-/// How long work is suspected after the last engine failure, in milliseconds. Longer than engine restarts and client
-/// retries take.
+/// How long work is suspected after the last engine failure, in milliseconds. Longer than an engine restart and the
+/// retries of a client take.
 const SUSPICION_TTL_MS: u64 = 10 * 60 * 1_000;
 
 /// How long work stays quarantined after the last engine failure, in milliseconds. Afterwards it may be tried on one
-/// engine, in case the engines were fixed.
+/// engine, as the fault of the engines may have been fixed.
 const QUARANTINE_TTL_MS: u64 = 60 * 60 * 1_000;
 
 /// Number of recorded leases from which a trial of work without committed evidence is granted without recording its
@@ -30,8 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 struct Trial {
     id: TrialId,
-    /// Latest end of the work as reported by the holder, in Unix milliseconds. For operators only; does not end the
-    /// lease.
+    /// Latest end of the work as stated by the holder, in Unix milliseconds. Shown to operators; does not end the lease.
     until: u64,
     /// Number of renewals. The lease expires if the count does not change for a lease duration by a replica's own
     /// clock.
@@ -97,14 +96,14 @@
             self.by_work.remove(work);
         }
         for loss in evidence.losses {
-            self.add(loss, now);
+            self.add_loss(loss, now);
         }
         while self.by_work.len() > MAX_SUSPICIONS {
             self.evict_weakest();
         }
     }
 
-    fn add(&mut self, loss: EngineLoss, now: u64) {
+    fn add_loss(&mut self, loss: EngineLoss, now: u64) {
         let work = loss.work;
         let new_suspicion = Suspicion { work, engines: Vec::new(), last_at: now };
         let suspicion = self.by_work.entry(work).or_insert(new_suspicion);
@@ -124,14 +123,14 @@
         }
     }
 
-    /// Grants the exclusive lease to run suspected work. Exclusive because parallel trials could crash several engines
-    /// before the first failure is reported.
+    /// Grants the exclusive lease to run suspected work. It is exclusive because parallel trials could crash several
+    /// engines before the first failure is reported.
     ///
-    /// A lease ends by [`Self::end_trial`], or by [`Self::expire_trials`] if it is not renewed; never by the time in
-    /// the log, which a leader with a wrong clock may advance too far. `limit_ms` after `now` is the holder's own limit
-    /// for the work, shown to operators.
+    /// A lease ends by [`Self::end_trial`], or by [`Self::expire_trials`] if it is not renewed. The time in the log does
+    /// not end it, as a leader with a wrong clock may advance that time too far. `limit_ms` is the holder's own time
+    /// limit for the work, shown to operators.
     pub fn begin_trial(&mut self, work: WorkDigest, id: TrialId, now: u64, limit_ms: u64) -> TrialAnswer {
-        if self.is_trial_refused(&work, id) {
+        if self.is_trial_rejected(&work, id) {
             return TrialAnswer::Taken;
         }
         // The evidence for a suspicion may not be committed yet; the lease is recorded before it.
@@ -143,7 +142,7 @@
     }
 
     /// Whether trial `id` of `work` must not start: the work is quarantined, or suspected and leased to another trial.
-    pub fn is_trial_refused(&self, work: &WorkDigest, id: TrialId) -> bool {
+    pub fn is_trial_rejected(&self, work: &WorkDigest, id: TrialId) -> bool {
         let suspected = self.by_work.contains_key(work);
         let is_leased = || self.trials.get(work).is_some_and(|trial| trial.id != id);
         self.is_quarantined(work) || suspected && is_leased()
--- a/crates/control/src/state/text_archive.rs
+++ b/crates/control/src/state/text_archive.rs
@@ -14,16 +14,16 @@
 /// Maximum bytes of segments that stay in memory after they are written to disk, for reads of recent results.
 const CACHE_BYTES: u64 = 4 * 1024 * 1024;
 
-/// Texts read from segments on disk.
+/// Texts read from segments on disk, for one read of results.
 #[derive(Clone, Debug, Default)]
 pub struct LoadedTexts(BTreeMap<TextLocation, Vec<u8>>);
 
 impl LoadedTexts {
-    /// Copies the texts at those of `places` that are in segment `number`, whose bytes are `segment`.
-    pub fn copy_from_segment(&mut self, number: u64, segment: &[u8], places: &[TextLocation]) {
-        for place in places.iter().filter(|place| place.segment == number) {
-            if let Some(text) = place.of(segment) {
-                self.0.insert(*place, text.to_vec());
+    /// Copies the texts at those of `locations` that are in segment `number`, whose bytes are `segment`.
+    pub fn copy_from_segment(&mut self, number: u64, segment: &[u8], locations: &[TextLocation]) {
+        for location in locations.iter().filter(|location| location.segment == number) {
+            if let Some(text) = location.slice(segment) {
+                self.0.insert(*location, text.to_vec());
             }
         }
     }
@@ -48,7 +48,7 @@
         self.length as usize
     }
 
-    fn of<'a>(&self, segment: &'a [u8]) -> Option<&'a [u8]> {
+    fn slice<'a>(&self, segment: &'a [u8]) -> Option<&'a [u8]> {
         let start = self.offset as usize;
         segment.get(start..start + self.length as usize)
     }
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 struct CachedSegment {
     bytes: Rc<Vec<u8>>,
-    /// Not yet confirmed to be on disk.
+    /// Whether the segment is not yet confirmed to be on disk.
     unreleased: bool,
 }
 
@@ -75,9 +75,9 @@
     /// Number of the open segment.
     open_segment: u64,
     /// Bytes of the open segment.
-    tail: Vec<u8>,
+    open_bytes: Vec<u8>,
     /// Number of texts in the open segment that are still referenced.
-    tail_texts: u32,
+    open_texts: u32,
     /// Sealed segments in memory, by number. Not replicated; differs among replicas.
     #[bitcode(skip)]
     cache: BTreeMap<u64, CachedSegment>,
@@ -86,28 +86,31 @@
 impl PartialEq for TextArchive {
     /// Compares the replicated fields only.
     fn eq(&self, other: &Self) -> bool {
-        let counters = |archive: &Self| (archive.open_segment, archive.tail_texts);
-        counters(self) == counters(other) && self.sealed == other.sealed && self.tail == other.tail
+        let counters = |archive: &Self| (archive.open_segment, archive.open_texts);
+        counters(self) == counters(other) && self.sealed == other.sealed && self.open_bytes == other.open_bytes
     }
 }
 
 impl TextArchive {
     /// Appends a text.
     pub fn append(&mut self, text: &[u8]) -> TextLocation {
-        let place =
-            TextLocation { segment: self.open_segment, offset: self.tail.len() as u32, length: text.len() as u32 };
-        self.tail.extend_from_slice(text);
-        self.tail_texts += 1;
-        if self.tail.len() >= SEGMENT_BYTES {
+        let location = TextLocation {
+            segment: self.open_segment,
+            offset: self.open_bytes.len() as u32,
+            length: text.len() as u32,
+        };
+        self.open_bytes.extend_from_slice(text);
+        self.open_texts += 1;
+        if self.open_bytes.len() >= SEGMENT_BYTES {
             self.seal();
         }
-        place
+        location
     }
 
     fn seal(&mut self) {
         let number = self.open_segment;
-        let bytes = std::mem::take(&mut self.tail);
-        let texts = std::mem::take(&mut self.tail_texts);
+        let bytes = std::mem::take(&mut self.open_bytes);
+        let texts = std::mem::take(&mut self.open_texts);
         self.open_segment += 1;
         if texts > 0 {
             self.sealed.insert(number, SealedSegment { segment: Segment::of(number, &bytes), texts });
@@ -116,28 +119,28 @@
     }
 
     /// Drops the reference to a text. A sealed segment is dropped with its last reference.
-    pub fn remove_reference(&mut self, place: &TextLocation) {
-        if place.segment == self.open_segment {
-            self.tail_texts = self.tail_texts.saturating_sub(1);
+    pub fn remove_reference(&mut self, location: &TextLocation) {
+        if location.segment == self.open_segment {
+            self.open_texts = self.open_texts.saturating_sub(1);
             return;
         }
-        let Some(sealed) = self.sealed.get_mut(&place.segment) else {
+        let Some(sealed) = self.sealed.get_mut(&location.segment) else {
             return;
         };
         sealed.texts = sealed.texts.saturating_sub(1);
         if sealed.texts == 0 {
-            self.sealed.remove(&place.segment);
-            self.cache.remove(&place.segment);
+            self.sealed.remove(&location.segment);
+            self.cache.remove(&location.segment);
         }
     }
 
     /// Returns a text from memory or from `loaded`; `None` if its segment must first be read from disk.
-    pub fn text<'a>(&'a self, place: &TextLocation, loaded: &'a LoadedTexts) -> Option<&'a [u8]> {
-        if place.segment == self.open_segment {
-            return place.of(&self.tail);
+    pub fn text<'a>(&'a self, location: &TextLocation, loaded: &'a LoadedTexts) -> Option<&'a [u8]> {
+        if location.segment == self.open_segment {
+            return location.slice(&self.open_bytes);
         }
-        let cached = self.cache.get(&place.segment).and_then(|segment| place.of(&segment.bytes));
-        cached.or_else(|| loaded.0.get(place).map(Vec::as_slice))
+        let cached = self.cache.get(&location.segment).and_then(|segment| location.slice(&segment.bytes));
+        cached.or_else(|| loaded.0.get(location).map(Vec::as_slice))
     }
 
     /// The sealed segments, in ascending order of number.
--- a/crates/control/src/state/usage.rs
+++ b/crates/control/src/state/usage.rs
@@ -17,7 +17,7 @@
 struct LastDelta {
     sequence: u64,
     /// The state's time when it was applied, in Unix milliseconds.
-    at: u64,
+    applied_at: u64,
 }
 
 /// Usage counts of open and closed windows.
@@ -47,7 +47,7 @@
         if usage.difference.sequence <= self.last_sequence(usage.relay) {
             return;
         }
-        self.relays.insert(usage.relay, LastDelta { sequence: usage.difference.sequence, at: now });
+        self.relays.insert(usage.relay, LastDelta { sequence: usage.difference.sequence, applied_at: now });
         self.evict_oldest_relay();
         for (window, counts) in usage.difference.counts {
             if self.first_open.is_some_and(|first| window < first) {
@@ -65,7 +65,7 @@
         if self.relays.len() <= MAX_TRACKED_RELAYS {
             return;
         }
-        let oldest = self.relays.iter().min_by_key(|(_, last)| last.at).map(|(relay, _)| *relay);
+        let oldest = self.relays.iter().min_by_key(|(_, last)| last.applied_at).map(|(relay, _)| *relay);
         oldest.map(|oldest| self.relays.remove(&oldest));
     }
 
--- a/crates/control/src/suspected_work.rs
+++ b/crates/control/src/suspected_work.rs
@@ -1,4 +1,4 @@
-//! Requests about suspected work: work during which engines terminated unexpectedly.
+//! Requests about suspected work, that is, work during which engines terminated unexpectedly.
 
 use crate::node::ControlNode;
 use saddlerelay_replication::ProposeError;
--- a/crates/control/src/suspicion_watch.rs
+++ b/crates/control/src/suspicion_watch.rs
@@ -1,9 +1,9 @@
 //! Records when this process observed each suspicion in the log, by its monotonic clock.
 //!
-//! A suspicion expires some minutes after the last engine loss. The log records that time by the wall clock of the
-//! leader of that term; a later leader whose wall clock is ahead would expire every suspicion at once. Expiry therefore
-//! also requires the age by the monotonic clock. Followers observe suspicions too, so that a new leader knows their
-//! age.
+//! A suspicion expires a fixed time after the last engine loss. The log records the time of the loss by the wall clock
+//! of the leader at that time; a later leader whose wall clock is ahead would expire every suspicion too early. Expiry
+//! therefore also requires that age by the monotonic clock. Followers observe suspicions too, so that a new leader
+//! knows their age.
 
 use crate::state::suspicions::SuspicionTable;
 use saddlerelay_types::suspicion::Suspicion;
--- a/crates/control/src/tasks/confirmation.rs
+++ b/crates/control/src/tasks/confirmation.rs
@@ -63,6 +63,6 @@
     }
     let group_unix_ms = group_unix_ms.map(|unix_ms| (unix_ms, received_at));
     node.inner.follower_reads.borrow_mut().confirmation =
-        Some(Confirmation { at: requested_at, group_unix_ms, relays });
+        Some(Confirmation { sent_at: requested_at, group_unix_ms, relays });
     true
 }
--- a/crates/control/src/tasks/engines.rs
+++ b/crates/control/src/tasks/engines.rs
@@ -1,4 +1,5 @@
-//! Polls engines, commits observed changes, and rolls out weights in waves of orders protected by fencing tokens.
+//! Polls engines, commits observed changes, and rolls out weights in batches (waves) of orders that carry fencing
+//! tokens.
 
 use crate::node::ControlNode;
 use crate::queries::weights;
@@ -21,7 +22,7 @@
 /// An order is repeated if the engine's status shows no effect after this time.
 const ORDER_RETRY_DELAY: Duration = Duration::from_millis(1500);
 
-/// Share of a model's engines that may load weights at once, in percent, before staleness is considered.
+/// Share of a model's engines that may load weights at once, in percent, if the weight of staleness is zero.
 const BASE_WAVE_PERCENT: usize = 25;
 
 /// Maximum share added to a wave, in percent, in proportion to the weight of staleness.
@@ -44,12 +45,14 @@
 
 type Polls = Rc<RefCell<BTreeMap<EngineId, Poll>>>;
 
-/// Fencing tokens drawn and orders sent in this term.
+/// Fencing tokens issued and orders sent in this term.
 #[derive(Default)]
 struct SentOrders {
     /// Engines that were loading weights at the last tick.
     loading: BTreeSet<EngineId>,
+    /// The token for the orders to load each model's target version.
     fences: BTreeMap<ModelName, (WeightVersion, Fence)>,
+    /// The version and time of the last order to each engine.
     sent_at: BTreeMap<EngineId, (WeightVersion, Duration)>,
 }
 
@@ -60,7 +63,7 @@
     let mut managed_term = 0;
     let tick_interval = node.inner.config.engine_poll_interval / TICKS_PER_POLL;
     loop {
-        // A publication ends the pause early.
+        // A newly published version starts the next tick early.
         let notified_count = node.inner.weights_published.count();
         timeout(&node.inner.platform, tick_interval, node.inner.weights_published.changed(notified_count)).await;
         let Some(term) = node.inner.replica.leading_term() else {
@@ -101,8 +104,8 @@
 
 async fn poll_engine<P: Runtime, B: Backends>(node: ControlNode<P, B>, polls: Polls, engine: EngineDescription) {
     let limit = node.inner.config.engine_poll_timeout;
-    let answer = timeout(&node.inner.platform, limit, node.inner.backends.status(&engine)).await;
-    let status = answer.and_then(Result::ok).filter(|status| status.id == engine.id);
+    let result = timeout(&node.inner.platform, limit, node.inner.backends.status(&engine)).await;
+    let status = result.and_then(Result::ok).filter(|status| status.id == engine.id);
     let mut table = polls.borrow_mut();
     let Some(poll) = table.get_mut(&engine.id) else {
         return;
@@ -124,7 +127,7 @@
         engines.iter().filter_map(|engine| observation(engine, table.get(&engine.description.id)?, limit)).collect()
     };
     if !changed.is_empty() {
-        // A failed commit is retried after the next polls.
+        // If the commit fails, the changes are observed again at the next tick.
         let _ = node.commit(Command::Membership(MembershipCommand::Observe(changed))).await;
     }
 }
@@ -147,10 +150,10 @@
         },
         _ => return None,
     };
-    let same_start = observed.incarnation == engine.incarnation;
-    let stays_leaving = same_start && engine.availability == EngineAvailability::Leaving;
+    let same_incarnation = observed.incarnation == engine.incarnation;
+    let stays_leaving = same_incarnation && engine.availability == EngineAvailability::Leaving;
     let same_availability = stays_leaving || observed.availability == engine.availability;
-    let unchanged = same_start && same_availability && observed.weights == engine.weights;
+    let unchanged = same_incarnation && same_availability && observed.weights == engine.weights;
     (!unchanged).then_some(observed)
 }
 
@@ -161,14 +164,14 @@
         let now = node.inner.platform.monotonic();
         let wave = node.read(|state| next_wave(state, &target, &polls.borrow(), orders, now)).unwrap_or_default();
         orders.loading.extend(wave.loading);
-        let wave = wave.next;
-        if wave.is_empty() {
+        let next = wave.next;
+        if next.is_empty() {
             continue;
         }
         let Some(fence) = fence_for(node, orders, &target).await else {
             continue;
         };
-        for engine in wave {
+        for engine in next {
             orders.loading.insert(engine.id.clone());
             orders.sent_at.insert(engine.id.clone(), (target.version, now));
             let order = EngineOrder { fence, action: EngineAction::LoadWeights(target.version) };
@@ -186,7 +189,8 @@
     next: Vec<EngineDescription>,
 }
 
-/// Selects the engines to order now, broken ones first. At most one wave loads at a time.
+/// Selects the engines to order now, those with broken weights first. The number of loading engines never exceeds one
+/// wave.
 fn next_wave(
     state: &ControlState,
     target: &ModelTarget,
@@ -211,15 +215,15 @@
         outdated.iter().filter(|engine| in_flight(engine)).map(|engine| engine.description.id.clone()).collect();
     let staleness_share = weights::staleness_share_percent(state, &target.model) as usize;
     let percent = BASE_WAVE_PERCENT + staleness_share * MAX_STALENESS_WAVE_PERCENT / 100;
-    let wave = (engines.len() * percent).div_ceil(100).max(1);
+    let wave_size = (engines.len() * percent).div_ceil(100).max(1);
     let mut waiting: Vec<&&EngineRecord> = outdated.into_iter().filter(|engine| !in_flight(engine)).collect();
     waiting.sort_by_key(|engine| (engine.weights != WeightState::Broken, engine.description.id.clone()));
-    let available = wave.saturating_sub(loading.len());
+    let available = wave_size.saturating_sub(loading.len());
     let next = waiting.into_iter().take(available).map(|engine| engine.description.clone()).collect();
     Wave { loading, next }
 }
 
-/// The fencing token of the orders for `target`, drawn once per target version, so that engines reject older orders.
+/// The fencing token of the orders for `target`, issued once per target version, so that engines reject older orders.
 async fn fence_for<P: Runtime, B: Backends>(
     node: &ControlNode<P, B>,
     orders: &mut SentOrders,
@@ -239,7 +243,7 @@
     }
 }
 
-/// Sends an order. The result is ignored: a failed order is repeated, as the engine's status shows no effect.
+/// Sends an order. The result is ignored: if it failed, the engine's status shows no effect and the order is repeated.
 async fn send_order<P: Runtime, B: Backends>(node: ControlNode<P, B>, engine: EngineDescription, order: EngineOrder) {
     let _ = timeout(&node.inner.platform, ORDER_TIMEOUT, node.inner.backends.order(&engine, order)).await;
 }
--- a/crates/control/src/tasks/machines.rs
+++ b/crates/control/src/tasks/machines.rs
@@ -8,7 +8,7 @@
 use saddlerelay_types::protocol::{Command, MembershipCommand};
 
 /// Polls the list while this process leads.
-pub async fn follow<P: Runtime, B: Backends>(node: ControlNode<P, B>) {
+pub async fn poll<P: Runtime, B: Backends>(node: ControlNode<P, B>) {
     let interval = node.inner.config.platform_interval;
     loop {
         node.inner.platform.sleep(interval).await;
--- a/crates/control/src/tasks/retirement.rs
+++ b/crates/control/src/tasks/retirement.rs
@@ -1,6 +1,6 @@
 //! Drains store machines that are being retired: removes their replicas from the group, and completes the retirement
-//! once the group is at full strength without them. Also passes the present machines to the replica, which announces
-//! the group's members to them.
+//! once the group is fully replicated without them. Also passes the addresses of all machines that are not retired to
+//! the replica, which announces the group's members to them.
 
 use crate::node::ControlNode;
 use crate::state::stores::Retirement;
--- a/crates/control/src/tasks/silence.rs
+++ b/crates/control/src/tasks/silence.rs
@@ -7,7 +7,7 @@
 use saddlerelay_types::gateway::GatewayCommand;
 use std::time::Duration;
 
-/// Pause between checks; short compared with the silence limit.
+/// Pause between checks; short compared with `instance_silence_timeout`.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Checks for changes while this process leads.
--- a/crates/control/src/tasks/suspicions.rs
+++ b/crates/control/src/tasks/suspicions.rs
@@ -1,4 +1,4 @@
-//! Expires old suspicions.
+//! Expires suspicions of work during which engines terminated.
 
 use crate::node::ControlNode;
 use saddlerelay_runtime::Runtime;
--- a/crates/control/src/tasks/usage.rs
+++ b/crates/control/src/tasks/usage.rs
@@ -1,4 +1,4 @@
-//! Commits the usage counts of all relays in batches, one log entry each.
+//! Commits the usage counts of all relays in batches of one log entry.
 
 use crate::node::ControlNode;
 use saddlerelay_runtime::Runtime;
--- a/crates/control/tests/level_one.rs
+++ b/crates/control/tests/level_one.rs
@@ -237,12 +237,12 @@
     };
     let seconds = Duration::from_secs;
     let mut watch = InstanceWatch::default();
-    assert!(watch.note_start(&InstanceId::started("engine", 100)));
+    assert!(watch.record_start(&InstanceId::started("engine", 100)));
     watch.record_report(&report(50), seconds(1));
-    assert!(watch.note_start(&InstanceId::started("engine", 200)));
+    assert!(watch.record_start(&InstanceId::started("engine", 200)));
     watch.record_report(&report(1), seconds(2));
     let (heard_at, models) = watch.models(&InstanceId::named("engine")).expect("a report was received");
     assert_eq!((heard_at, models[0].version), (seconds(2), 1));
-    assert!(!watch.note_start(&InstanceId::started("engine", 100)), "a delayed report of the earlier start");
-    assert!(watch.note_start(&InstanceId::named("other")), "an engine without a start time");
+    assert!(!watch.record_start(&InstanceId::started("engine", 100)), "a delayed report of the earlier start");
+    assert!(watch.record_start(&InstanceId::named("other")), "an engine without a start time");
 }
--- a/crates/control/tests/restarts.rs
+++ b/crates/control/tests/restarts.rs
@@ -108,7 +108,7 @@
         // An engine that started earlier at the same address.
         report(InstanceId::started("b", FIRST), 1),
     ] {
-        assert!(!state.would_change(&delayed) && !state.is_sign_of_life(&delayed), "{delayed:?}");
+        assert!(!state.would_change(&delayed) && !state.proves_liveness(&delayed), "{delayed:?}");
         apply_report(&mut state, delayed);
     }
     assert_eq!(state.instances, before);
@@ -195,7 +195,7 @@
     apply_report(&mut state, with_unknown_service(report(start(SECOND), 1)));
     let forged_report =
         InstanceReport { leaving: true, sequence: 900, ..with_unknown_service(report(start(FIRST), 1)) };
-    assert!(!state.is_sign_of_life(&forged_report), "a report with another service is not a sign of life");
+    assert!(!state.proves_liveness(&forged_report), "a report with another service is not a sign of life");
     apply_report(&mut state, forged_report);
     assert_eq!(state.instances, before);
     // The address is still in use when the service is added.
@@ -208,7 +208,7 @@
     let mut state = state_with_web_service();
     apply_report(&mut state, report(start(FIRST), 1));
     let other_address = InstanceReport { leaving: true, ..report(start(FIRST), 2) };
-    assert!(!state.would_change(&other_address) && !state.is_sign_of_life(&other_address));
+    assert!(!state.would_change(&other_address) && !state.proves_liveness(&other_address));
 }
 
 #[test]
@@ -219,7 +219,7 @@
     // The same instance id with another service.
     apply_report(&mut state, InstanceReport { service: "nowhere".to_string(), ..report(start(FIRST), 3) });
     assert_eq!(state.instances.iter().count(), 0);
-    assert!(state.knows(&start(FIRST)) && !state.would_change(&report(start(FIRST), 1)));
+    assert!(state.has_record_of(&start(FIRST)) && !state.would_change(&report(start(FIRST), 1)));
     put_services(&mut state, 1, &["web"]);
     assert_eq!(state_of(&state, &start(FIRST)), Some(InstanceState::Ready));
     put_services(&mut state, 2, &["web", "other"]);
@@ -272,7 +272,7 @@
         apply_report(&mut state, report(InstanceId::named(format!("engine-{number}")), number as u16 + 1));
     }
     assert_eq!(state.pending_instances.len(), MAX_PENDING_REPORTS);
-    assert!(!state.knows(&InstanceId::named("engine-0")), "the evicted engine is asked for a full report");
+    assert!(!state.has_record_of(&InstanceId::named("engine-0")), "the evicted engine is asked for a full report");
     put_services(&mut state, 1, &["web"]);
     assert!(state.pending_instances.is_empty());
     assert_eq!(state.instances.iter().count(), MAX_PENDING_REPORTS);
--- a/crates/control/tests/suspicions.rs
+++ b/crates/control/tests/suspicions.rs
@@ -132,6 +132,6 @@
     assert_eq!(table.begin_trial(work(1), id, 0, MINUTE_MS), TrialAnswer::Granted);
     table.end_trial(&work(1), id);
     record_loss(&mut table, 1, 2, 0);
-    assert!(table.is_trial_refused(&work(1), id));
+    assert!(table.is_trial_rejected(&work(1), id));
     assert_eq!(table.begin_trial(work(1), id, 0, MINUTE_MS), TrialAnswer::Taken);
 }
