--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Fleet;
 use crate::format::EngineFormat;
 use crate::job_run::JobRun;
-use crate::lost_connections::LocalTrialGroup;
+use crate::lost_connections::LocalTrialLeaseService;
 use crate::metrics::CoordinatorMetrics;
 use crate::model_assignments::ModelAssignments;
 use crate::scorers::Scorers;
@@ -38,7 +38,7 @@
     pub fleet: Fleet,
     pub scorers: Scorers,
     pub model_assignments: RefCell<ModelAssignments>,
-    /// Engines that receive items and weight orders.
+    /// The engines that receive items and weight orders.
     pub working_set: RefCell<WorkingSet>,
     pub working_set_policy: Box<dyn WorkingSetPolicy>,
     /// Revision of the instance table at which state of removed engines was last pruned.
@@ -47,18 +47,19 @@
     pub waiting_items: RefCell<BTreeMap<String, u32>>,
     /// For each model, the version that waiting items require and no eligible engine has; see [`crate::plan::Plan`].
     pub awaited_versions: RefCell<BTreeMap<String, u64>>,
-    /// Rate limits log lines about waiting items.
+    /// Rate-limited log of items that wait for an engine.
     pub wait_log: WaitLog,
     /// Checks whether an engine process has terminated.
-    pub ended_checks: TerminationChecks,
-    /// Trials of suspected work that this process holds.
-    pub trials: Rc<TrialLeases<CompioRuntime, LocalTrialGroup<B>>>,
+    pub termination_checks: TerminationChecks,
+    /// Trial leases for suspected work that this process holds.
+    pub trials: Rc<TrialLeases<CompioRuntime, LocalTrialLeaseService<B>>>,
     pub metrics: CoordinatorMetrics,
-    /// Jobs run in the current term.
+    /// State of the open jobs in the current term.
     pub jobs: RefCell<BTreeMap<JobId, JobRun>>,
     /// Outcomes not committed yet, by job.
     pub outcomes: RefCell<BTreeMap<JobId, Vec<ItemOutcome>>>,
-    pub outcomes_waiting: Signal,
+    /// Notified when an outcome is added to `outcomes`.
+    pub outcomes_queued: Signal,
     /// Notified when an item ends or another change requires a new plan.
     pub replan: Signal,
     /// Term to which `jobs` and `fleet` belong.
@@ -68,7 +69,7 @@
 /// Identity of a coordinator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoordinatorIdentity {
-    /// Name sent in orders as the grant holder.
+    /// Name that orders state as their sender ([`WeightOrder::holder`](crate::format::WeightOrder::holder)).
     pub name: String,
     /// Zone of this process; engines in it are preferred for scoring, other criteria being equal.
     pub zone: String,
@@ -96,7 +97,7 @@
         config: CoordinatorConfig,
     ) -> Self {
         let pool = Pool::new(Rc::new(names), config.connect_timeout);
-        let trials = TrialLeases::start(runtime.clone(), LocalTrialGroup(node.clone()));
+        let trials = TrialLeases::start(runtime.clone(), LocalTrialLeaseService(node.clone()));
         let inner = Inner {
             runtime: runtime.clone(),
             node,
@@ -114,11 +115,11 @@
             waiting_items: RefCell::default(),
             awaited_versions: RefCell::default(),
             wait_log: WaitLog::default(),
-            ended_checks: TerminationChecks::default(),
+            termination_checks: TerminationChecks::default(),
             metrics: CoordinatorMetrics::default(),
             jobs: RefCell::default(),
             outcomes: RefCell::default(),
-            outcomes_waiting: Signal::default(),
+            outcomes_queued: Signal::default(),
             replan: Signal::default(),
             term: Cell::new(0),
         };
@@ -139,7 +140,7 @@
         self.inner.runtime.monotonic()
     }
 
-    pub(crate) fn names(&self) -> &HeaderNames {
+    pub(crate) fn header_names(&self) -> &HeaderNames {
         self.inner.pool.names()
     }
 
--- a/crates/coordinator/src/fleet.rs
+++ b/crates/coordinator/src/fleet.rs
@@ -10,6 +10,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct EngineState {
+    /// Last observed version of each model, and when it was observed.
     versions: BTreeMap<String, (u64, Duration)>,
     /// Models being loaded, and since when.
     loading: BTreeMap<String, Duration>,
@@ -101,7 +102,7 @@
         });
     }
 
-    /// Marks the load as ended, successful or not.
+    /// Marks the load of a model as ended, successfully or not.
     pub fn end_load(&self, instance: &InstanceId, model: &str) {
         self.update(instance, |engine| {
             engine.loaded = None;
@@ -129,7 +130,7 @@
         self.update(instance, |engine| engine.orders_taken = count);
     }
 
-    /// Counts an item as in flight until the result is dropped.
+    /// Counts an item as in flight until the returned guard is dropped.
     pub fn begin_item(&self, instance: &InstanceId) -> InFlightItem {
         self.update(instance, |engine| engine.in_flight += 1);
         InFlightItem { fleet: self.clone(), instance: instance.clone() }
--- a/crates/coordinator/src/format.rs
+++ b/crates/coordinator/src/format.rs
@@ -12,7 +12,8 @@
     pub target: LoadedModel,
     /// Name of the process that sends the order.
     pub holder: String,
-    /// Fencing token, which increases with each holder; engines reject orders with a lower one.
+    /// Fencing token, higher for each later order note; engines reject orders with a lower token than the highest they
+    /// have received.
     pub fence: u64,
     /// Number of orders that the engine must have accepted before this one.
     pub orders_taken: u64,
@@ -75,7 +76,7 @@
     AlreadyLoaded,
     /// Another order is being executed, or `orders_taken` does not match.
     Conflict,
-    /// The engine has seen a higher fencing token.
+    /// The engine has received a higher fencing token.
     Fenced,
     /// Another instance is listening at the address.
     OtherInstance,
--- a/crates/coordinator/src/job_run.rs
+++ b/crates/coordinator/src/job_run.rs
@@ -35,15 +35,15 @@
     pub text: Rc<RefCell<ItemText>>,
     /// Expected number of events in the complete text.
     pub expected_events: f64,
-    /// Upper bound of events, if the request sets one.
+    /// Maximum number of events, if the request sets one.
     pub max_events: Option<f64>,
     /// Failures that count towards the maximum number of attempts.
     pub failures: u32,
     /// Earliest time of the next attempt.
     pub not_before: Duration,
-    /// Reason for the delay until `not_before`.
+    /// Reason for the pause until `not_before`.
     pub pause_reason: WaitReason,
-    /// Time without an engine.
+    /// The current wait for an engine.
     pub wait: Wait,
     /// The engine of the last failed attempt, or the one that the item was moved away from.
     pub avoid: Option<InstanceId>,
@@ -82,7 +82,7 @@
         // A text longer than its estimate is expected to grow by a share of its current length.
         let expected = (self.expected_events - done).max(done * OVERRUN_SHARE);
         match self.max_events {
-            Some(most) => expected.min((most - done).max(1.0)),
+            Some(limit) => expected.min((limit - done).max(1.0)),
             None => expected,
         }
     }
@@ -93,14 +93,14 @@
     pub started_at: Duration,
     pub items: Vec<ItemRun>,
     /// Item indexes, longest expected texts first.
-    pub order: Vec<u32>,
+    pub longest_first: Vec<u32>,
     /// Mean of the items' expected events.
     pub mean_events: f64,
     /// The engine that each group's items were last sent to.
     pub group_engines: BTreeMap<String, InstanceId>,
     /// Groups with items that an earlier job contained too.
     pub repeated_groups: BTreeSet<String>,
-    pub moves_considered_at: Duration,
+    pub moves_checked_at: Duration,
 }
 
 impl JobRun {
@@ -112,7 +112,7 @@
         let lengths = earlier_lengths(job, state);
         let per_event = f64::from(tokens_per_event.max(1));
         let item = |(index, item): (usize, &JobItem)| {
-            let own_text = job.partial_text(index as u32).map(ItemText::saved);
+            let own_text = job.partial_text(index as u32).map(ItemText::restored);
             let text = own_text.or_else(|| texts.get(&item.id).cloned()).unwrap_or_default();
             let estimate = expected_tokens(item, &names.length_hint) as f64 / per_event;
             ItemRun {
@@ -133,20 +133,20 @@
             }
         };
         let items: Vec<ItemRun> = submission.items.iter().enumerate().map(item).collect();
-        let mut order: Vec<u32> = (0..items.len() as u32).collect();
+        let mut longest_first: Vec<u32> = (0..items.len() as u32).collect();
         let expected = |index: &u32| items[*index as usize].expected_events;
-        order.sort_by(|left, right| expected(right).total_cmp(&expected(left)));
+        longest_first.sort_by(|left, right| expected(right).total_cmp(&expected(left)));
         let mean_events = items.iter().map(|item| item.expected_events).sum::<f64>() / items.len().max(1) as f64;
         let repeated = submission.items.iter().filter(|item| lengths.contains_key(&item.id));
         let repeated_groups = repeated.map(|item| item.group.clone()).collect();
         Self {
             started_at: now,
             items,
-            order,
+            longest_first,
             mean_events,
             group_engines: BTreeMap::new(),
             repeated_groups,
-            moves_considered_at: Duration::ZERO,
+            moves_checked_at: Duration::ZERO,
         }
     }
 }
@@ -155,27 +155,26 @@
 fn listed_text(listed: &ListedItem, state: &ControlState) -> Option<ItemText> {
     let loaded = LoadedTexts::default();
     let text = state.jobs.texts().text(&listed.text, &loaded)?;
-    Some(ItemText::whole(text, &listed.versions))
+    Some(ItemText::copied_complete(text, &listed.versions))
 }
 
-/// Texts of identical items in earlier jobs, where this job may reuse them.
+/// Texts of items with the same id and content in earlier jobs, if this job may reuse them.
 fn earlier_texts(job: &Job, state: &ControlState, route: Option<&Route>) -> BTreeMap<ItemId, ItemText> {
     let mut texts = BTreeMap::new();
     let Some(route) = route else {
         return texts;
     };
     let indexed = job.submission.items.iter().enumerate();
-    let wanted_items: BTreeMap<&ItemId, Option<u64>> =
+    let digests: BTreeMap<&ItemId, Option<u64>> =
         indexed.map(|(index, item)| (&item.id, job.digest(index as u32))).collect();
     for earlier in state.jobs.predecessors(&job.submission.id) {
         for (index, item) in earlier.submission.items.iter().enumerate() {
-            let has_same_content =
-                wanted_items.get(&item.id).is_some_and(|wanted_digest| *wanted_digest == earlier.digest(index as u32));
+            let has_same_content = digests.get(&item.id).is_some_and(|digest| *digest == earlier.digest(index as u32));
             if !has_same_content || texts.contains_key(&item.id) {
                 continue;
             }
             let whole = earlier.completed(index as u32).and_then(|listed| listed_text(listed, state));
-            let partial = earlier.partial_text(index as u32).filter(|_| route.resumable).map(ItemText::unsaved);
+            let partial = earlier.partial_text(index as u32).filter(|_| route.resumable).map(ItemText::copied);
             let is_usable =
                 |text: &ItemText| text.satisfies(job.submission.minimum_version, route.batch.single_version);
             if let Some(text) = whole.or(partial).filter(is_usable) {
--- a/crates/coordinator/src/lengths.rs
+++ b/crates/coordinator/src/lengths.rs
@@ -30,11 +30,11 @@
 
 /// Lengths of this job's items observed in earlier jobs, including items whose texts may not be reused.
 pub(crate) fn earlier_lengths(job: &Job, state: &ControlState) -> BTreeMap<ItemId, ObservedLength> {
-    let wanted_items: BTreeSet<&ItemId> = job.submission.items.iter().map(|item| &item.id).collect();
+    let item_ids: BTreeSet<&ItemId> = job.submission.items.iter().map(|item| &item.id).collect();
     let mut lengths = BTreeMap::new();
     for earlier in state.jobs.predecessors(&job.submission.id) {
         for (index, item) in earlier.submission.items.iter().enumerate() {
-            if !wanted_items.contains(&item.id) || lengths.contains_key(&item.id) {
+            if !item_ids.contains(&item.id) || lengths.contains_key(&item.id) {
                 continue;
             }
             let whole = earlier.completed(index as u32).map(|result| ObservedLength::Whole(f64::from(result.events)));
@@ -46,13 +46,13 @@
     lengths
 }
 
-/// Maximum number of tokens that the item's request allows to be generated.
+/// Maximum number of tokens that the engine may generate, from the second value of the item's token count header.
 pub(crate) fn max_tokens(item: &JobItem, count: &HeaderName) -> Option<u64> {
     let limit_header = item.headers.iter().find(|(name, _)| name.eq_ignore_ascii_case(count.as_str()))?;
     limit_header.1.split(',').nth(1)?.trim().parse().ok()
 }
 
-/// The caller's estimate of generated tokens, or the item's token budget without one.
+/// The caller's estimate of the number of generated tokens, or the item's token budget if there is none.
 pub(crate) fn expected_tokens(item: &JobItem, hint: &HeaderName) -> u64 {
     let hint_header = item.headers.iter().find(|(name, _)| name.eq_ignore_ascii_case(hint.as_str()));
     hint_header.and_then(|(_, value)| value.trim().parse().ok()).unwrap_or(item.tokens)
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -3,7 +3,7 @@
 //! `runner` assigns items of batch jobs to engines, `item` runs one item, `scoring` sends a completed text to one of
 //! the engines chosen by `scorers`, `listing` commits results, `orders` brings engines to the weight versions that
 //! trainers publish, `working_set` selects the engines in use, and `fleet` caches the observed state of each engine.
-//! This state is held in the leader's memory only; a new leader rebuilds it from the committed jobs and versions.
+//! This state is in the leader's memory only; a new leader rebuilds it from the committed jobs and versions.
 
 pub mod config;
 pub mod coordinator;
--- a/crates/coordinator/src/listing.rs
+++ b/crates/coordinator/src/listing.rs
@@ -17,7 +17,7 @@
 /// Delay before results are proposed again after the log was overloaded.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A command takes no further entry once it has this many bytes of text.
+/// No further entry is added to a command once it has this many bytes of text.
 const MAX_COMMAND_BYTES: usize = 128 * 1024;
 
 /// Minimum number of unsaved bytes for which the text of a running item is saved.
@@ -27,7 +27,7 @@
     /// Queues an item's outcome for commit.
     pub(crate) fn queue_outcome(&self, job: &JobId, outcome: ItemOutcome) {
         self.inner.outcomes.borrow_mut().entry(job.clone()).or_default().push(outcome);
-        self.inner.outcomes_waiting.notify();
+        self.inner.outcomes_queued.notify();
     }
 
     /// Unsaved parts of the texts of running items.
@@ -38,8 +38,8 @@
             let parts = not_ended.filter_map(|(index, item)| {
                 let text = item.text.borrow();
                 // A complete text is always saved, so that the next leader can score it without generating it again.
-                let worth_saving = text.unsaved_bytes() >= MIN_PART_BYTES || text.is_completion_unsaved();
-                worth_saving.then(|| text.unsaved_part(index as u32))
+                let should_save = text.unsaved_bytes() >= MIN_PART_BYTES || text.is_completion_unsaved();
+                should_save.then(|| text.unsaved_part(index as u32))
             });
             (id.clone(), parts.collect::<Vec<_>>())
         });
@@ -63,13 +63,13 @@
 pub(crate) async fn commit_results<B: Backends>(coordinator: Coordinator<B>) {
     let inner = &coordinator.inner;
     loop {
-        let seen = inner.outcomes_waiting.count();
+        let seen = inner.outcomes_queued.count();
         if inner.outcomes.borrow().is_empty() {
-            inner.outcomes_waiting.changed(seen).await;
+            inner.outcomes_queued.changed(seen).await;
         }
         inner.runtime.sleep(BATCH_DELAY).await;
-        let waiting = std::mem::take(&mut *inner.outcomes.borrow_mut());
-        let parts = waiting.into_iter().flat_map(|(job, outcomes)| {
+        let queued = std::mem::take(&mut *inner.outcomes.borrow_mut());
+        let parts = queued.into_iter().flat_map(|(job, outcomes)| {
             let parts = split_into_commands(outcomes, |outcome| outcome.rest.data.len());
             parts.into_iter().map(move |part| (job.clone(), part))
         });
@@ -98,21 +98,21 @@
     }
 }
 
-/// Splits a list into commands of bounded size.
+/// Splits entries into lists for one command each, whose size is bounded by `MAX_COMMAND_BYTES` plus one entry.
 fn split_into_commands<T>(entries: Vec<T>, size: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
-    let mut pieces: Vec<Vec<T>> = Vec::new();
+    let mut commands: Vec<Vec<T>> = Vec::new();
     let mut bytes = MAX_COMMAND_BYTES;
     for entry in entries {
         if bytes >= MAX_COMMAND_BYTES {
-            pieces.push(Vec::new());
+            commands.push(Vec::new());
             bytes = 0;
         }
         bytes += size(&entry);
-        if let Some(piece) = pieces.last_mut() {
-            piece.push(entry);
+        if let Some(command) = commands.last_mut() {
+            command.push(entry);
         }
     }
-    pieces
+    commands
 }
 
 /// Commits outcomes, retrying while the log is overloaded. If leadership is lost, the next leader runs the items again.
@@ -121,7 +121,7 @@
     loop {
         let command = GatewayCommand::ListResults { job: job.clone(), outcomes: outcomes.clone() };
         match coordinator.inner.node.commit_gateway(command).await {
-            Ok(GatewayOutcome::TextMissing(items)) => coordinator.relist_full_texts(&job, &items, &outcomes),
+            Ok(GatewayOutcome::TextMissing(items)) => coordinator.requeue_full_texts(&job, &items, &outcomes),
             Ok(outcome) => {
                 spdlog::info!("item results committed", kv: {
                     job = job.0.as_str(), results = count, outcome = format!("{outcome:?}").as_str()
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Queues outcomes again with their full text, for items whose saved text the group does not hold.
-    fn relist_full_texts(&self, job: &JobId, items: &[u32], outcomes: &[ItemOutcome]) {
+    /// Queues outcomes again with their full text, for items whose saved part is missing in the replicated state.
+    fn requeue_full_texts(&self, job: &JobId, items: &[u32], outcomes: &[ItemOutcome]) {
         let full_outcomes: Vec<ItemOutcome> = {
             let jobs = self.inner.jobs.borrow();
             let run = jobs.get(job);
--- a/crates/coordinator/src/lost_connections.rs
+++ b/crates/coordinator/src/lost_connections.rs
@@ -29,37 +29,38 @@
     fn latest_end(&self, now: Duration) -> Duration;
 }
 
-/// The trial was denied: another attempt of the same work is running, or this process is not leader.
+/// No trial lease was granted: another attempt of the same work is running, the work is quarantined, or this process is
+/// not the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct TrialTaken;
+pub(crate) struct TrialDenied;
 
-/// A granted trial of suspected work.
-pub(crate) type ItemTrial<B> = TrialLeaseGuard<CompioRuntime, LocalTrialGroup<B>>;
+/// The trial lease of an attempt or score call of suspected work.
+pub(crate) type ItemTrial<B> = TrialLeaseGuard<CompioRuntime, LocalTrialLeaseService<B>>;
 
-/// Runs `attempt`; cancels it and returns `None` if its trial is lost.
-pub(crate) async fn run_while_held<B: Backends, T>(
+/// Runs `attempt`; cancels it and returns `None` if its trial lease is lost.
+pub(crate) async fn run_under_lease<B: Backends, T>(
     trial: Option<&ItemTrial<B>>,
     attempt: impl Future<Output = T>,
 ) -> Option<T> {
-    let Some(held_trial) = trial else {
+    let Some(lease) = trial else {
         return Some(attempt.await);
     };
-    match future::select(pin!(attempt), pin!(held_trial.lost())).await {
+    match future::select(pin!(attempt), pin!(lease.lost())).await {
         Either::Left((end, _)) => Some(end),
         Either::Right(_) => None,
     }
 }
 
-/// Trial operations committed by the local control node.
-pub(crate) struct LocalTrialGroup<B: Backends>(pub LeaderNode<B>);
+/// Requests trial leases by commits of the local control node.
+pub(crate) struct LocalTrialLeaseService<B: Backends>(pub LeaderNode<B>);
 
-impl<B: Backends> LocalTrialGroup<B> {
+impl<B: Backends> LocalTrialLeaseService<B> {
     async fn commit(&self, command: GatewayCommand) -> Result<GatewayOutcome, CallFailure> {
         self.0.commit_gateway(command).await.map_err(|error| format!("{error:?}"))
     }
 }
 
-impl<B: Backends> TrialLeaseService for LocalTrialGroup<B> {
+impl<B: Backends> TrialLeaseService for LocalTrialLeaseService<B> {
     async fn begin(&self, request: TrialRequest) -> Result<TrialAnswer, CallFailure> {
         self.0.begin_trial(request).await.map_err(|error| format!("{error:?}"))
     }
@@ -78,23 +79,23 @@
 }
 
 impl<B: Backends> Coordinator<B> {
-    /// Checks whether the engine at `target` terminated when a connection was lost while it ran `work`. If the engine
-    /// was ready, its termination is committed as evidence against the work.
+    /// Checks whether the engine at `target` terminated, after the connection was lost while it ran `work`. If it has
+    /// terminated although it was ready, this is committed as evidence against the work.
     pub(crate) async fn check_lost_connection(&self, item: &ItemId, work: WorkDigest, target: &EngineTarget) {
         let inner = &self.inner;
-        let ended = inner.ended_checks.has_terminated(target.address).await;
-        // An engine that was draining is expected to terminate.
+        let terminated = inner.termination_checks.has_terminated(target.address).await;
+        // The termination of an engine that was leaving is not caused by the work.
         let record_state = |state: &ControlState| state.instances.get(&target.instance).map(|record| record.state);
-        let is_evidence = ended && inner.node.read(record_state).flatten() == Some(InstanceState::Ready);
+        let is_evidence = terminated && inner.node.read(record_state).flatten() == Some(InstanceState::Ready);
         spdlog::warn!("engine connection lost while running item", kv: {
             item = item.0.as_str(),
             work = work.log_prefix().as_str(),
             instance = target.instance.name.as_str(),
-            engine_ended = ended,
+            engine_ended = terminated,
             counted_as_evidence = is_evidence
         });
-        if ended {
-            inner.metrics.engines_ended.inc();
+        if terminated {
+            inner.metrics.engines_terminated.inc();
         }
         if is_evidence {
             let losses = vec![EngineLoss { work, instance: target.instance.clone() }];
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Requests a trial if the work is suspected; fails if the trial is denied.
-    pub(crate) async fn begin_trial(&self, run: &impl EngineWork) -> Result<Option<ItemTrial<B>>, TrialTaken> {
+    /// Requests a trial lease if the work is suspected; fails if the lease is not granted.
+    pub(crate) async fn begin_trial(&self, run: &impl EngineWork) -> Result<Option<ItemTrial<B>>, TrialDenied> {
         if !self.is_suspected(run) {
             return Ok(None);
         }
@@ -114,7 +115,7 @@
         spdlog::info!("trial lease requested for suspected item", kv: {
             item = run.item().0.as_str(), work = work.log_prefix().as_str(), granted = trial.is_some()
         });
-        trial.map(Some).ok_or(TrialTaken)
+        trial.map(Some).ok_or(TrialDenied)
     }
 
     /// Whether an engine terminated while running this work.
--- a/crates/coordinator/src/metrics.rs
+++ b/crates/coordinator/src/metrics.rs
@@ -44,9 +44,9 @@
     /// Score calls that ended without a score.
     pub score_failures: Counter,
     /// Engines found terminated after a connection was lost during an item or a score call.
-    pub engines_ended: Counter,
-    /// Items quarantined because engines terminated while running their work.
-    pub items_held_back: Counter,
+    pub engines_terminated: Counter,
+    /// Items that had to wait because their work was quarantined.
+    pub items_quarantined: Counter,
     /// Long waits for an engine, by reason; counted again each time a wait doubles.
     long_waits: LongWaits,
     /// Time that items waited before an engine started to respond, in seconds.
@@ -74,8 +74,10 @@
         let texts_reused = counter("texts_reused", "Texts of earlier jobs used again");
         let score_calls = counter("score_calls", "Calls that have a text scored");
         let score_failures = counter("score_failures", "Calls for a score that brought none");
-        let engines_ended = counter("engines_ended", "Engines found to have ended under an item or a call for a score");
-        let items_held_back = counter("items_held_back", "Items held back because engines have ended under their work");
+        let engines_terminated =
+            counter("engines_ended", "Engines found to have ended under an item or a call for a score");
+        let items_quarantined =
+            counter("items_held_back", "Items held back because engines have ended under their work");
         let orders = counter("orders", "Orders given to engines");
         let orders_unknown = counter("orders_unknown", "Orders whose outcome is not known");
         let mut histogram = |name: &str, help: &str| registry.seconds(name, help, 0.01, 12);
@@ -95,8 +97,8 @@
             texts_reused,
             score_calls,
             score_failures,
-            engines_ended,
-            items_held_back,
+            engines_terminated,
+            items_quarantined,
             orders,
             orders_unknown,
             attempt_seconds,
@@ -112,7 +114,7 @@
         match reason {
             WaitReason::Quarantined | WaitReason::TrialTaken => &counts.suspected,
             WaitReason::NoEligibleEngine | WaitReason::OnlyDegradedEngines | WaitReason::NoScorer => &counts.no_engine,
-            WaitReason::NoRoom | WaitReason::PlanLimitReached => &counts.load,
+            WaitReason::NoFreeSlot | WaitReason::PlanLimitReached => &counts.load,
             WaitReason::RetryDelay => &counts.retry,
         }
     }
--- a/crates/coordinator/src/model_assignments.rs
+++ b/crates/coordinator/src/model_assignments.rs
@@ -14,7 +14,7 @@
 /// Minimum interval between reassignments.
 const REBALANCE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// For each such number of engines, one may be reassigned per interval (at least one).
+/// One engine in this many may be reassigned per interval, at least one.
 const ENGINES_PER_MOVE: usize = 16;
 
 /// Minimum difference between the excess of two models for which an engine is reassigned. A reassignment changes the
--- a/crates/coordinator/src/moves.rs
+++ b/crates/coordinator/src/moves.rs
@@ -14,10 +14,12 @@
 /// Interval between checks of a job's running items.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Items are moved only if they are expected to end after this share of the job's due time.
+/// Items are moved only if they are expected to end after this share of the route's `due_after_ms`, counted from the
+/// start of the job.
 const DUE_SHARE: f64 = 0.55;
 
-/// Minimum time at an engine before an item is moved. Gives time to measure the pace, and limits repeated moves.
+/// Minimum time that an item runs at an engine before it is moved, so that its pace is known and moves are not repeated
+/// too often.
 const MIN_TIME_AT_ENGINE: Duration = Duration::from_millis(800);
 
 /// Estimated cost of a move.
@@ -43,17 +45,17 @@
 }
 
 pub(crate) fn plan_moves<B: Backends>(context: &mut JobContext<'_, '_, B>, route: &Route, plan: &mut Plan) {
-    if context.now < context.run.moves_considered_at + CHECK_INTERVAL {
+    if context.now < context.run.moves_checked_at + CHECK_INTERVAL {
         return;
     }
-    context.run.moves_considered_at = context.now;
+    context.run.moves_checked_at = context.now;
     for candidate in candidates(context, route).into_iter().take(MAX_MOVES_PER_CHECK) {
         let target = usable_engines(context, route, candidate.index)
             .map(|eligible| eligible.engine)
             .filter(|engine| is_worthwhile(&candidate, engine.pace))
             .min_by(|left, right| left.pace.total_cmp(&right.pace));
         if let Some(engine) = target {
-            engine.plan_item();
+            engine.reserve_slot();
             plan.moves.push((context.job.submission.id.clone(), candidate.index));
         }
     }
@@ -65,10 +67,10 @@
     saving > min_saving
 }
 
-/// Items that may be moved, latest expected end first.
+/// Items that may be moved, those with the latest expected end first.
 fn candidates<B: Backends>(context: &JobContext<'_, '_, B>, route: &Route) -> Vec<Candidate> {
     let due_at = context.run.started_at + Duration::from_millis(route.batch.due_after_ms).mul_f64(DUE_SHARE);
-    let deciding = deciding_groups(context);
+    let critical = critical_groups(context);
     let mut candidates: Vec<Candidate> = Vec::new();
     for (index, run) in context.run.items.iter().enumerate() {
         let Phase::Running { instance, since, .. } = &run.phase else {
@@ -76,7 +78,7 @@
         };
         let movable = context.now >= *since + MIN_TIME_AT_ENGINE && run.text.borrow().events() > 0;
         let group = context.job.submission.items[index].group.as_str();
-        if run.moves >= MAX_MOVES_PER_ITEM || !movable || !deciding.contains(group) {
+        if run.moves >= MAX_MOVES_PER_ITEM || !movable || !critical.contains(group) {
             continue;
         }
         let remaining_events = run.remaining_events();
@@ -90,9 +92,9 @@
     candidates
 }
 
-/// Groups that determine when the job is complete: the number that the trainer waits for, taking groups repeated from
-/// an earlier job first, then those with the earliest expected end.
-fn deciding_groups<'a, B: Backends>(context: &JobContext<'a, '_, B>) -> BTreeSet<&'a str> {
+/// Groups that determine when the job is complete: as many as the trainer waits for. Groups repeated from an earlier job
+/// come first, then those with the earliest expected end.
+fn critical_groups<'a, B: Backends>(context: &JobContext<'a, '_, B>) -> BTreeSet<&'a str> {
     let mut ends: BTreeMap<&str, Duration> = BTreeMap::new();
     for (item, run) in context.job.submission.items.iter().zip(&context.run.items) {
         let end = ends.entry(item.group.as_str()).or_insert(context.now);
--- a/crates/coordinator/src/orders.rs
+++ b/crates/coordinator/src/orders.rs
@@ -34,7 +34,7 @@
 }
 
 impl DueOrder {
-    fn load(&self, fleet: &Fleet) -> DueLoad {
+    fn to_due_load(&self, fleet: &Fleet) -> DueLoad {
         let instance = &self.target.instance;
         DueLoad {
             instance: instance.clone(),
@@ -95,7 +95,7 @@
         let outdated =
             published.flat_map(|(model, newest)| outdated_engines(coordinator, &engines, model, newest, running));
         let outdated: Vec<DueOrder> = outdated.collect();
-        let loads: Vec<DueLoad> = outdated.iter().map(|order| order.load(&inner.fleet)).collect();
+        let loads: Vec<DueLoad> = outdated.iter().map(|order| order.to_due_load(&inner.fleet)).collect();
         let backlogs = model_backlogs(coordinator, &engines, &hosting.models, state.weights.named());
         let chosen = choose_loads(&loads, &backlogs, max_loads.saturating_sub(loading));
         let mut outdated: Vec<Option<DueOrder>> = outdated.into_iter().map(Some).collect();
@@ -176,7 +176,8 @@
     outdated
 }
 
-/// Limits concurrent report requests, so that a new leader of a large working set can still send heartbeats.
+/// Maximum number of concurrent report requests, so that a new leader with a large working set still sends its heartbeats
+/// in time.
 const MAX_CONCURRENT_REPORT_REQUESTS: usize = 8;
 
 /// Requests reports from engines, so that a new leader does not depend on their next periodic report.
@@ -236,8 +237,8 @@
             headers.insert(hyper::header::HOST, host);
         }
         let outgoing = Outgoing { method: call.method, uri, headers, body: call.body, request_id: String::new() };
-        let answer = self.inner.pool.call(target, &outgoing, self.inner.config.order_timeout, may_send).await?;
-        Ok((answer.0.status.as_u16(), answer.1))
+        let response = self.inner.pool.call(target, &outgoing, self.inner.config.order_timeout, may_send).await?;
+        Ok((response.0.status.as_u16(), response.1))
     }
 
     async fn request_report(&self, target: &EngineTarget, term: u64) -> Option<EngineReport> {
--- a/crates/coordinator/src/pace.rs
+++ b/crates/coordinator/src/pace.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Weight of a new interval in the exponential moving average.
+/// Weight of a new interval in the exponential moving average of seconds per event.
 const SMOOTHING_FACTOR: f64 = 0.03;
 
 /// Age of the last event up to which an estimate is used unchanged.
@@ -13,7 +13,7 @@
 /// Half-life with which an older estimate decays to the median, so that a slow engine is tried again.
 const HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// Pace used before any event was observed.
+/// Pace in seconds per event that is used before any event was observed.
 const DEFAULT_PACE: f64 = 0.045;
 
 /// Pace estimate of one engine.
@@ -48,7 +48,7 @@
 /// Paces of all engines at one time.
 pub struct Paces {
     median: f64,
-    of_engines: BTreeMap<InstanceId, f64>,
+    by_engine: BTreeMap<InstanceId, f64>,
 }
 
 impl Paces {
@@ -57,13 +57,13 @@
         let mut smoothed: Vec<f64> = estimates.clone().filter_map(|(_, pace)| pace.smoothed).collect();
         smoothed.sort_by(f64::total_cmp);
         let median = smoothed.get(smoothed.len() / 2).copied().unwrap_or(DEFAULT_PACE);
-        let of_engines = estimates.map(|(instance, pace)| (instance.clone(), pace.expected(median, now))).collect();
-        Self { median, of_engines }
+        let by_engine = estimates.map(|(instance, pace)| (instance.clone(), pace.expected(median, now))).collect();
+        Self { median, by_engine }
     }
 
     /// Seconds per event of an engine; the median for an engine without observations.
     pub fn of(&self, instance: &InstanceId) -> f64 {
-        self.of_engines.get(instance).copied().unwrap_or(self.median)
+        self.by_engine.get(instance).copied().unwrap_or(self.median)
     }
 
     /// Median of the engines' seconds per event.
--- a/crates/coordinator/src/placement.rs
+++ b/crates/coordinator/src/placement.rs
@@ -5,14 +5,14 @@
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_types::routing::Route;
 
-/// Cost reduction, as a fraction of slots in use, for the engine that the item's group was last sent to and whose cache
-/// holds the group's shared prompt.
+/// Cost reduction, as a fraction of slots in use, for the engine that the item's group was last sent to, as its cache
+/// contains the group's shared prompt.
 const SAME_GROUP_BONUS: f64 = 0.15;
 
 /// An engine is slow if its pace exceeds the fastest engine's by this factor.
 const SLOW_FACTOR: f64 = 1.6;
 
-/// Added cost of a slow or non-reporting engine; exceeds the cost of any healthy one.
+/// Added cost of a degraded (slow or non-reporting) engine; exceeds the cost of any healthy one.
 const DEGRADED_COST: f64 = 10.0;
 
 /// Relative slowdown of a full engine compared with an empty one.
@@ -69,7 +69,7 @@
     context
         .eligible
         .iter()
-        .filter(move |candidate| candidate.engine.has_room() && candidate.may_continue(run, single_version))
+        .filter(move |candidate| candidate.engine.has_free_slot() && candidate.may_continue(run, single_version))
 }
 
 /// The engine for an item: the fastest for a long or partly generated one, the least loaded for others.
--- a/crates/coordinator/src/plan.rs
+++ b/crates/coordinator/src/plan.rs
@@ -25,12 +25,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Maximum number of newly seen jobs that one plan initializes. Bounds the time that a new leader spends on loading
-/// saved texts before it handles group messages again.
+/// Maximum number of new jobs that one plan initializes. Bounds the time that a new leader spends on loading saved texts
+/// before it handles replication messages again.
 const MAX_NEW_JOBS_PER_PLAN: usize = 2;
 
 /// Maximum number of items that one plan starts. Bounds the time that the leader spends on opening connections and
-/// sending requests before it handles group messages again.
+/// sending requests before it handles replication messages again.
 const MAX_STARTS_PER_PLAN: usize = 32;
 
 /// An engine that may receive items.
@@ -49,7 +49,7 @@
 
 impl Engine {
     /// Whether a slot is free.
-    pub fn has_room(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         self.load.get() < self.slots
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// Reserves a slot for an item assigned by this plan.
-    pub fn plan_item(&self) {
+    pub fn reserve_slot(&self) {
         self.load.set(self.load.get() + 1);
     }
 }
@@ -130,12 +130,13 @@
     pub aborts: Vec<(JobId, u32, &'static str)>,
     /// Running items to move to a faster engine.
     pub moves: Vec<(JobId, u32)>,
+    /// Jobs that have not ended.
     pub open: BTreeSet<JobId>,
     /// Number of items left waiting for an engine, by model.
     pub waiting_items: BTreeMap<String, u32>,
     /// For each model, the highest minimum version of jobs whose items have no eligible engine.
     pub awaited_versions: BTreeMap<String, u64>,
-    /// The next plan has further jobs to initialize or items to start.
+    /// Whether jobs to initialize or items to start may be left for the next plan.
     pub has_more: bool,
 }
 
@@ -181,7 +182,7 @@
     plan
 }
 
-/// Creates the in-memory state of a newly seen job.
+/// Creates the in-memory state of a job.
 fn start_job_run<B: Backends>(
     coordinator: &Coordinator<B>,
     state: &ControlState,
@@ -202,7 +203,7 @@
             working_set.record_job(&target.service, submission.model.as_deref(), items);
         }
     }
-    let run = JobRun::new(job, state, coordinator.names(), tokens_per_event, now);
+    let run = JobRun::new(job, state, coordinator.header_names(), tokens_per_event, now);
     if let Some(model) = &submission.model {
         let expected = run.mean_events * run.items.len() as f64;
         coordinator.inner.model_assignments.borrow_mut().record_demand(model, expected);
@@ -264,8 +265,8 @@
         context.run.started_at + after + context.inner.config.item_deadline_margin
     });
     context.eligible = context.route.map(|route| eligible_engines(context, route)).unwrap_or_default();
-    for position in 0..context.run.order.len() {
-        let index = context.run.order[position];
+    for position in 0..context.run.longest_first.len() {
+        let index = context.run.longest_first[position];
         if context.job.is_listed(index) {
             context.run.items[index as usize].phase = Phase::Ended;
         }
@@ -325,7 +326,7 @@
     let submission = &context.job.submission;
     let run = &mut context.run.items[index as usize];
     if !std::mem::replace(&mut run.quarantine_recorded, true) {
-        context.inner.metrics.items_held_back.inc();
+        context.inner.metrics.items_quarantined.inc();
         spdlog::warn!("item quarantined", kv: {
             item = submission.items[index as usize].id.0.as_str(),
             job = submission.id.0.as_str(),
@@ -335,7 +336,7 @@
     }
 }
 
-/// Records that the plan leaves an item waiting for an engine.
+/// Records that an item has to wait for an engine.
 fn keep_waiting<B: Backends>(context: &mut JobContext<'_, '_, B>, index: u32, reason: WaitReason, plan: &mut Plan) {
     record_wait(context, index, reason);
     let Some(model) = &context.job.submission.model else {
@@ -357,7 +358,7 @@
         reason,
         engines: context.round.engines.len(),
         eligible: context.eligible.len(),
-        with_room: context.eligible.iter().filter(|candidate| candidate.engine.has_room()).count(),
+        with_room: context.eligible.iter().filter(|candidate| candidate.engine.has_free_slot()).count(),
         suspicion_revision: context.suspicions.revision(),
     };
     let wait = &mut context.run.items[index as usize].wait;
@@ -400,7 +401,7 @@
         text: run.text.clone(),
         term: context.round.term,
     };
-    chosen.engine.plan_item();
+    chosen.engine.reserve_slot();
     context.run.group_engines.insert(item.group.clone(), target.instance);
     Ok(start)
 }
@@ -409,7 +410,7 @@
     if context.eligible.is_empty() {
         WaitReason::NoEligibleEngine
     } else if usable_engines(context, route, index).next().is_none() {
-        WaitReason::NoRoom
+        WaitReason::NoFreeSlot
     } else {
         WaitReason::OnlyDegradedEngines
     }
--- a/crates/coordinator/src/runner.rs
+++ b/crates/coordinator/src/runner.rs
@@ -41,7 +41,7 @@
         let seen_replan = inner.replan.count();
         let busy = match inner.node.replica().leading_term() {
             Some(term) => coordinator.run_plan(term),
-            // A leader without recent quorum contact starts no items, but running items continue.
+            // A leader without recent replies of a quorum starts no items, but running items continue.
             None if inner.node.replica().claimed_term() == Some(inner.term.get()) => true,
             None => {
                 coordinator.stop_all_jobs();
@@ -146,7 +146,7 @@
         for (job, index, reason) in plan.aborts {
             spdlog::warn!("item aborted", kv: { job = job.0.as_str(), index = index, reason = reason });
             self.inner.metrics.items_aborted.inc();
-            self.finish_item(&job, index, Some(text::aborted(index)));
+            self.finish_item(&job, index, Some(text::aborted_outcome(index)));
         }
         for (job, index) in plan.moves {
             self.move_item(&job, index);
--- a/crates/coordinator/src/scorers.rs
+++ b/crates/coordinator/src/scorers.rs
@@ -1,7 +1,7 @@
 //! Chooses the engine for a score call.
 //!
-//! Callers' requests share these engines and have priority: score calls use only part of an engine's slots, and none
-//! while the engine reports queued requests.
+//! These engines also serve requests of callers, which have priority: score calls use only part of an engine's slots,
+//! and none while the engine reports queued requests.
 
 use saddlerelay_control::state::ControlState;
 use saddlerelay_types::instance::{InstanceId, InstanceRecord, InstanceState};
@@ -55,35 +55,40 @@
 }
 
 /// Weighted round-robin state of a route, valid for `targets`.
-struct RouteTurns {
+struct RouteRoundRobin {
     targets: Vec<WeightedTarget>,
-    turns: WeightedRoundRobin,
+    round_robin: WeightedRoundRobin,
 }
 
 /// Selects scoring engines by route weights, observed latency and failures, and free slots.
 pub(crate) struct Scorers {
     zone: String,
-    balance: LoadBalancer,
+    balancer: LoadBalancer,
     /// Engines that reported queued requests, and until when they receive no score calls.
     backed_off: RefCell<BTreeMap<InstanceId, Duration>>,
     /// Round-robin state by host and path prefix.
-    turns: RefCell<BTreeMap<(String, String), RouteTurns>>,
+    round_robin: RefCell<BTreeMap<(String, String), RouteRoundRobin>>,
 }
 
 impl Scorers {
-    /// Engines in `zone` are treated as nearest.
+    /// Creates the state for a process in `zone`, whose engines are preferred.
     pub fn new(zone: String) -> Self {
-        Self { zone, balance: LoadBalancer::default(), backed_off: RefCell::default(), turns: RefCell::default() }
+        Self {
+            zone,
+            balancer: LoadBalancer::default(),
+            backed_off: RefCell::default(),
+            round_robin: RefCell::default(),
+        }
     }
 
-    /// Counts a call as in flight until the result is dropped.
+    /// Counts a call as in flight until the returned guard is dropped.
     pub fn begin_call(&self, instance: &InstanceId, now: Duration) -> InFlight {
-        self.balance.begin(instance, now)
+        self.balancer.begin(instance, now)
     }
 
     /// Observed latencies and failures of engines.
-    pub fn balance(&self) -> &LoadBalancer {
-        &self.balance
+    pub fn balancer(&self) -> &LoadBalancer {
+        &self.balancer
     }
 
     /// Records the queue length that an engine reported; a nonzero one backs it off from score calls.
@@ -98,7 +103,7 @@
 
     /// Drops the state of engines for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&InstanceId) -> bool) {
-        self.balance.retain(&keep);
+        self.balancer.retain(&keep);
         self.backed_off.borrow_mut().retain(|instance, _| keep(instance));
     }
 
@@ -110,17 +115,18 @@
         avoid: Option<&InstanceId>,
     ) -> Option<(&'a Route, ReadyEngine)> {
         let route = round.state.routing.current()?.find(&request.host, &request.path)?;
-        let mut turns = self.turns.borrow_mut();
-        let route_turns =
-            turns.entry((route.host.clone(), route.path_prefix.clone())).or_insert_with(|| new_turns(route));
-        if route_turns.targets != route.targets {
-            *route_turns = new_turns(route);
+        let mut round_robin = self.round_robin.borrow_mut();
+        let route_round_robin = round_robin
+            .entry((route.host.clone(), route.path_prefix.clone()))
+            .or_insert_with(|| new_round_robin(route));
+        if route_round_robin.targets != route.targets {
+            *route_round_robin = new_round_robin(route);
         }
-        // The turn is consumed only if an engine is available.
-        let mut next_turns = route_turns.turns.clone();
-        let service = &route.targets[next_turns.next_index(&route.targets)].service;
+        // The round robin advances only if an engine is available.
+        let mut next_round_robin = route_round_robin.round_robin.clone();
+        let service = &route.targets[next_round_robin.next_index(&route.targets)].service;
         let engine = self.choose_engine(round, service, avoid)?;
-        route_turns.turns = next_turns;
+        route_round_robin.round_robin = next_round_robin;
         *round.planned.entry(engine.target.instance.clone()).or_default() += 1;
         Some((route, engine))
     }
@@ -134,27 +140,27 @@
         if round.full_services.contains(service) {
             return None;
         }
-        let with_room: Vec<ReadyEngine> =
-            round.engines(service).into_iter().filter(|engine| self.has_room(round, engine)).collect();
-        if with_room.is_empty() {
+        let available: Vec<ReadyEngine> =
+            round.engines(service).into_iter().filter(|engine| self.is_available(round, engine)).collect();
+        if available.is_empty() {
             round.full_services.insert(service.to_string());
             return None;
         }
         let tried: Vec<InstanceId> = avoid.into_iter().cloned().collect();
-        self.balance.choose(with_room.into_iter(), &self.zone, &tried, round.now)
+        self.balancer.choose(available.into_iter(), &self.zone, &tried, round.now)
     }
 
-    fn has_room(&self, round: &ScoringRound, engine: &ReadyEngine) -> bool {
+    fn is_available(&self, round: &ScoringRound, engine: &ReadyEngine) -> bool {
         let instance = &engine.target.instance;
         if self.backed_off.borrow().get(instance).is_some_and(|until| round.now < *until) {
             return false;
         }
         let planned = round.planned.get(instance).copied().unwrap_or(0);
         let limit = (f64::from(engine.slots) * MAX_SLOT_SHARE).max(1.0);
-        f64::from(self.balance.in_flight(instance) + planned) < limit.floor()
+        f64::from(self.balancer.in_flight(instance) + planned) < limit.floor()
     }
 }
 
-fn new_turns(route: &Route) -> RouteTurns {
-    RouteTurns { targets: route.targets.clone(), turns: WeightedRoundRobin::new(&route.targets, 0.0) }
+fn new_round_robin(route: &Route) -> RouteRoundRobin {
+    RouteRoundRobin { targets: route.targets.clone(), round_robin: WeightedRoundRobin::new(&route.targets, 0.0) }
 }
--- a/crates/coordinator/src/scoring.rs
+++ b/crates/coordinator/src/scoring.rs
@@ -3,7 +3,7 @@
 use crate::coordinator::Coordinator;
 use crate::item::set_tenant;
 use crate::job_run::Phase;
-use crate::lost_connections::{EngineWork, ItemTrial, TrialTaken, run_while_held};
+use crate::lost_connections::{EngineWork, ItemTrial, TrialDenied, run_under_lease};
 use crate::plan::may_route_to;
 use crate::text::{self, ItemText};
 use crate::waits::WaitReason;
@@ -69,11 +69,11 @@
     Scored(String),
     /// The engine responded with an internal error; counts towards the maximum number of attempts.
     Failed,
-    /// There is no score, for a reason independent of the text.
+    /// The call ended without a score for another reason; does not count towards the maximum number of attempts.
     NoAnswer(String),
     /// The connection was lost before the response was complete.
     ConnectionLost(String),
-    /// The trial of this suspected work was denied or lost.
+    /// The trial lease for this suspected work was not granted, or was lost.
     TrialTaken,
 }
 
@@ -86,9 +86,9 @@
         Ok(trial) => {
             inner.metrics.score_calls.inc();
             let trial = trial.as_ref();
-            run_while_held(trial, call_with_timeout(&coordinator, &call, trial)).await.unwrap_or(ScoreEnd::TrialTaken)
+            run_under_lease(trial, call_with_timeout(&coordinator, &call, trial)).await.unwrap_or(ScoreEnd::TrialTaken)
         }
-        Err(TrialTaken) => ScoreEnd::TrialTaken,
+        Err(TrialDenied) => ScoreEnd::TrialTaken,
     };
     if matches!(end, ScoreEnd::ConnectionLost(_)) {
         coordinator.check_lost_connection(&call.item, call.work_digest(), &call.engine.target).await;
@@ -98,11 +98,11 @@
     inner.metrics.score_seconds.observe(elapsed.as_secs_f64());
     let instance = &call.engine.target.instance;
     match &end {
-        ScoreEnd::Scored(_) => inner.scorers.balance().answered(instance, elapsed, now),
+        ScoreEnd::Scored(_) => inner.scorers.balancer().answered(instance, elapsed, now),
         ScoreEnd::Failed | ScoreEnd::NoAnswer(_) | ScoreEnd::ConnectionLost(_) => {
-            inner.scorers.balance().failed(instance, now)
+            inner.scorers.balancer().failed(instance, now)
         }
-        // The engine was not at fault.
+        // No call was completed, so nothing was observed about the engine.
         ScoreEnd::TrialTaken => {}
     }
     log_call(&call, &end, elapsed);
@@ -135,7 +135,7 @@
     call: &ScoreCall,
     trial: Option<&ItemTrial<B>>,
 ) -> ScoreEnd {
-    let outgoing = match build_request(coordinator.names(), &call.request, call.owner.as_ref()) {
+    let outgoing = match build_request(coordinator.header_names(), &call.request, call.owner.as_ref()) {
         Ok(outgoing) => outgoing,
         Err(reason) => return ScoreEnd::NoAnswer(reason),
     };
@@ -152,14 +152,14 @@
         Ok(answer) => answer,
         Err(failure) => return failure_end(&failure),
     };
-    let not_executed = answer.is_not_executed(coordinator.names());
+    let not_executed = answer.is_not_executed(coordinator.header_names());
     match answer.read_whole(MAX_RESPONSE_BYTES).await {
         Ok((head, _, connection)) => {
             if let Some(connection) = connection {
                 inner.pool.release(&call.engine.target, connection);
             }
             coordinator.record_load(&call.engine, &head);
-            classify_response(&head, not_executed, coordinator.names())
+            classify_response(&head, not_executed, coordinator.header_names())
         }
         Err(failure) => failure_end(&failure),
     }
@@ -212,7 +212,7 @@
 impl<B: Backends> Coordinator<B> {
     /// Records the queue length from the load header: requests running, waiting, and slots, separated by commas.
     fn record_load(&self, engine: &ReadyEngine, head: &Parts) {
-        let load_header = head.headers.get(&self.names().load).and_then(|value| value.to_str().ok());
+        let load_header = head.headers.get(&self.header_names().load).and_then(|value| value.to_str().ok());
         let waiting = load_header.and_then(|load_header| load_header.split(',').nth(1)?.trim().parse().ok());
         if let Some(waiting) = waiting {
             self.inner.scorers.record_queue_length(&engine.target.instance, waiting, self.now());
@@ -237,7 +237,7 @@
         }
         run.phase = Phase::Waiting;
         if end == ScoreEnd::TrialTaken {
-            // A denied trial is not a failure of the engine or the text, so it does not count as a call.
+            // Without a trial lease the engine did not fail, so this does not count as a call.
             run.scoring.calls -= 1;
             run.scoring.avoid = None;
             run.scoring.not_before = self.now() + TRIAL_RETRY_AFTER;
@@ -251,7 +251,7 @@
         if run.scoring.failures >= call.max_attempts {
             run.phase = Phase::Ended;
             inner.metrics.items_aborted.inc();
-            self.queue_outcome(&call.job, text::aborted(call.index));
+            self.queue_outcome(&call.job, text::aborted_outcome(call.index));
             return;
         }
         let doublings = (call.call - 1).min(MAX_BACKOFF_DOUBLINGS);
--- a/crates/coordinator/src/text.rs
+++ b/crates/coordinator/src/text.rs
@@ -1,4 +1,4 @@
-//! The text of an item while it is generated, and how much of it the group has saved.
+//! The text of an item while it is generated, and how much of it is saved in the replicated state.
 
 use saddlerelay_types::job::{ItemEnd, ItemOutcome, PartialText, TextPart};
 use saddlerelay_upstream::events::Event;
@@ -12,21 +12,21 @@
     pub last_event: Option<u64>,
     events: u32,
     versions: BTreeSet<u64>,
-    /// Number of bytes saved by the group.
+    /// Number of leading bytes that are saved in the replicated state.
     saved: usize,
     complete: bool,
-    /// Whether the group has saved the text as complete.
+    /// Whether the replicated state has the text marked as complete.
     saved_as_complete: bool,
 }
 
 impl ItemText {
-    /// A text restored from the group's partial text of the same item.
-    pub fn saved(partial: &PartialText) -> Self {
-        Self { saved: partial.data.len(), saved_as_complete: partial.whole, ..Self::unsaved(partial) }
+    /// A text restored from the saved partial text of the same item.
+    pub fn restored(partial: &PartialText) -> Self {
+        Self { saved: partial.data.len(), saved_as_complete: partial.whole, ..Self::copied(partial) }
     }
 
-    /// A text copied from an item of another job; nothing of it is saved for this item.
-    pub fn unsaved(partial: &PartialText) -> Self {
+    /// A text copied from the partial text of an item of another job; nothing of it is saved for this item.
+    pub fn copied(partial: &PartialText) -> Self {
         Self {
             data: partial.data.clone(),
             last_event: partial.last_event,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// The complete text of the same item in another job.
-    pub fn whole(text: &[u8], versions: &[u64]) -> Self {
+    /// A complete text copied from the result of an item of another job; nothing of it is saved for this item.
+    pub fn copied_complete(text: &[u8], versions: &[u64]) -> Self {
         Self {
             data: text.to_vec(),
             versions: versions.iter().copied().collect(),
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Marks the text as saved up to the end of `part`, unless it was restarted since.
+    /// Marks the text as saved up to the end of `part`, unless the text was discarded and generated again since.
     pub fn mark_saved(&mut self, part: &TextPart) {
         let end = part.offset as usize + part.data.len();
         let is_same_text = self.data.get(part.offset as usize..end) == Some(part.data.as_slice());
@@ -119,20 +119,20 @@
         }
     }
 
-    /// Marks nothing as saved, so that the full text is sent again.
+    /// Marks the whole text as unsaved, so that it is sent again in full.
     pub fn reset_saved(&mut self) {
         self.saved = 0;
         self.saved_as_complete = false;
     }
 
-    /// The outcome of the completed item at `index`, with the score if it names a scorer.
+    /// The outcome of the completed item at `index`; `score` is `None` if the item names no scorer.
     pub fn outcome(&self, index: u32, score: Option<String>) -> ItemOutcome {
         ItemOutcome { end: ItemEnd::Completed, rest: self.unsaved_part(index), score }
     }
 }
 
-/// The outcome of an aborted item.
-pub fn aborted(index: u32) -> ItemOutcome {
+/// The outcome of the aborted item at `index`.
+pub fn aborted_outcome(index: u32) -> ItemOutcome {
     let rest = TextPart {
         item: index,
         offset: 0,
--- a/crates/coordinator/src/waits.rs
+++ b/crates/coordinator/src/waits.rs
@@ -20,14 +20,14 @@
 pub(crate) enum WaitReason {
     /// Its work is quarantined because several engines terminated while running it.
     Quarantined,
-    /// Another process holds the trial of its suspected work, or the trial could not be granted.
+    /// No trial lease was granted for its suspected work, for example because another process holds it.
     TrialTaken,
     /// The retry delay after a failed attempt has not elapsed.
     RetryDelay,
     /// No ready engine has the required weights.
     NoEligibleEngine,
     /// All eligible engines are full.
-    NoRoom,
+    NoFreeSlot,
     /// Only slow or non-reporting engines have a free slot.
     OnlyDegradedEngines,
     /// The plan has reached its limit of started items; the next one follows at once.
@@ -44,16 +44,16 @@
             Self::TrialTaken => "no trial lease held for suspected work",
             Self::RetryDelay => "retry delay after a failed attempt",
             Self::NoEligibleEngine => "no ready engine has the required weights",
-            Self::NoRoom => "all eligible engines are full",
+            Self::NoFreeSlot => "all eligible engines are full",
             Self::OnlyDegradedEngines => "only slow or non-reporting engines have a free slot",
             Self::PlanLimitReached => "start limit of this plan reached",
             Self::NoScorer => "no engine available for scoring",
         }
     }
 
-    /// Whether the reason is load alone, which is logged at a lower level.
+    /// Whether the item waits only because of load, which is logged at a lower level.
     fn is_load(self) -> bool {
-        matches!(self, Self::NoRoom | Self::PlanLimitReached)
+        matches!(self, Self::NoFreeSlot | Self::PlanLimitReached)
     }
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// A waiting item and the engines that the plan found.
+/// A waiting item, with the numbers of engines that the plan found for it.
 pub(crate) struct WaitingItem<'a> {
     pub job: &'a JobId,
     pub item: &'a ItemId,
--- a/crates/coordinator/src/working_set.rs
+++ b/crates/coordinator/src/working_set.rs
@@ -1,4 +1,4 @@
-//! Selects the engines that receive items and weight orders, if there are more than the work needs.
+//! Selects the engines that receive items and weight orders, if there are more engines than the jobs need.
 //!
 //! Keeping every engine of a large fleet up to date would take an order, a log entry and several calls per engine and
 //! version, and each plan would consider every engine. The leader therefore uses a working set whose size the policy
@@ -31,7 +31,7 @@
 }
 
 /// Engines added to the working set.
-pub type Added = Vec<InstanceId>;
+pub type AddedEngines = Vec<InstanceId>;
 
 fn is_healthy(record: &InstanceRecord) -> bool {
     record.state == InstanceState::Ready && !record.silent
@@ -68,7 +68,7 @@
 
     /// Updates the sets from the committed state: engines that are no longer ready are removed and replaced. Only
     /// changed records are read, and further engines of a place only while some are missing.
-    pub fn update(&mut self, state: &ControlState, policy: &dyn WorkingSetPolicy) -> Added {
+    pub fn update(&mut self, state: &ControlState, policy: &dyn WorkingSetPolicy) -> AddedEngines {
         let Some(document) = state.routing.current() else {
             return Vec::new();
         };
@@ -88,7 +88,7 @@
             let wanted = policy.engines(&ServiceDemand { ready, slots, models: set.demands(models) });
             let has_grown = std::mem::replace(&mut set.wanted, wanted) < wanted;
             if must_rebuild {
-                set.adopt_ordered_engines(state, service, &mut added);
+                set.add_ordered_engines(state, service, &mut added);
             }
             if changed || has_grown {
                 set.fill(table, &places, ready, &mut added);
@@ -121,7 +121,7 @@
     }
 
     /// Adds the engines that earlier leaders sent orders to, as they have recent weights.
-    fn adopt_ordered_engines(&mut self, state: &ControlState, service: &str, added: &mut Added) {
+    fn add_ordered_engines(&mut self, state: &ControlState, service: &str, added: &mut AddedEngines) {
         for subject in state.orders.notes().keys() {
             let OrderSubject::Engine(name) = subject else {
                 continue;
@@ -139,18 +139,18 @@
 
     /// Adds engines from each place in turn until there are enough. If the policy wants all engines, non-reporting ones
     /// are added too.
-    fn fill(&mut self, table: &InstanceTable, places: &[&EnginePlace], ready: usize, added: &mut Added) {
-        let takes_all = self.wanted >= ready;
+    fn fill(&mut self, table: &InstanceTable, places: &[&EnginePlace], ready: usize, added: &mut AddedEngines) {
+        let uses_all = self.wanted >= ready;
         let healthy = self.members.iter().filter(|id| table.get(id).is_some_and(is_healthy)).count();
         let mut missing = self.wanted.saturating_sub(healthy);
-        if missing == 0 && !takes_all {
+        if missing == 0 && !uses_all {
             return;
         }
-        let may_join = |record: &&InstanceRecord| record.state == InstanceState::Ready && (takes_all || !record.silent);
+        let may_join = |record: &&InstanceRecord| record.state == InstanceState::Ready && (uses_all || !record.silent);
         let mut candidates: Vec<_> = places.iter().map(|place| table.engines_in(place).filter(may_join)).collect();
-        while (missing > 0 || takes_all) && !candidates.is_empty() {
+        while (missing > 0 || uses_all) && !candidates.is_empty() {
             candidates.retain_mut(|place| {
-                if missing == 0 && !takes_all {
+                if missing == 0 && !uses_all {
                     return true;
                 }
                 let next = place.find(|record| !self.members.contains(&record.report.id));
--- a/crates/coordinator/src/working_set_policy.rs
+++ b/crates/coordinator/src/working_set_policy.rs
@@ -1,7 +1,7 @@
 //! Policies that choose the size of a service's working set.
 
-/// Number of a model's steps whose items run at the same time: a step starts while the longest texts of the previous
-/// one are still being generated.
+/// Number of steps of a model whose items run at the same time, as a step starts while the longest texts of the
+/// previous one are still being generated.
 const CONCURRENT_STEPS: f64 = 2.0;
 
 /// Factor on the number of engines that the items fill; covers the loss of one of five zones, or engines that are
@@ -11,13 +11,13 @@
 /// Assumed number of items of a job before the first job of a model.
 const DEFAULT_JOB_ITEMS: u32 = 200;
 
-/// Limits the share of a step that is lost with one engine.
+/// Minimum number of engines per model; limits the share of a step's items that are lost with one engine.
 const MIN_ENGINES_PER_MODEL: usize = 8;
 
 /// Demand of batch jobs for one model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ModelDemand {
-    /// Items of the largest job so far; `None` before the first.
+    /// Number of items of the largest job so far; `None` before the first job.
     pub largest_job: Option<u32>,
 }
 
--- a/crates/coordinator/tests/text.rs
+++ b/crates/coordinator/tests/text.rs
@@ -1,7 +1,7 @@
 //! Item texts: growth, partial saves, and restoring.
 
 use quickcheck::QuickCheck;
-use saddlerelay_coordinator::text::{ItemText, aborted};
+use saddlerelay_coordinator::text::{ItemText, aborted_outcome};
 use saddlerelay_types::job::{ItemEnd, PartialText};
 use saddlerelay_upstream::events::{Event, EventParser};
 
@@ -22,13 +22,13 @@
 
 #[test]
 fn an_aborted_item_has_no_text() {
-    let outcome = aborted(4);
+    let outcome = aborted_outcome(4);
     assert_eq!((outcome.end, outcome.rest.item, outcome.rest.data.len()), (ItemEnd::Aborted, 4, 0));
 }
 
 /// Whenever parts are saved and whichever acknowledgements are lost, the group reassembles the full text.
 #[test]
-fn saved_parts_and_the_rest_make_up_the_text() {
+fn saved_parts_and_the_unsaved_part_make_up_the_text() {
     fn check(steps: Vec<(u8, bool, bool)>) -> bool {
         let mut text = ItemText::default();
         let mut group_text = PartialText::default();
@@ -72,13 +72,13 @@
             (events, parser.is_mid_event())
         };
         let mut pieces: Vec<&[u8]> = Vec::new();
-        let mut rest: &[u8] = stream;
+        let mut remaining: &[u8] = stream;
         for cut in cuts {
-            let (piece, after) = rest.split_at(usize::from(cut % 9).min(rest.len()));
+            let (piece, after) = remaining.split_at(usize::from(cut % 9).min(remaining.len()));
             pieces.push(piece);
-            rest = after;
+            remaining = after;
         }
-        pieces.push(rest);
+        pieces.push(remaining);
         let whole = read(vec![&stream[..]]);
         whole.0.len() >= 3 && read(pieces) == whole
     }
@@ -97,9 +97,9 @@
     assert!(group_text.add(&part));
     text.mark_saved(&part);
     assert!(!text.is_completion_unsaved());
-    let restored = ItemText::saved(&group_text);
+    let restored = ItemText::restored(&group_text);
     assert!(restored.is_complete() && !restored.is_completion_unsaved());
-    assert!(ItemText::unsaved(&group_text).is_completion_unsaved(), "nothing is saved yet for the item of another job");
+    assert!(ItemText::copied(&group_text).is_completion_unsaved(), "nothing is saved yet for the item of another job");
     let outcome = restored.outcome(0, Some("stamp".to_string()));
     assert_eq!((outcome.rest.data.len(), outcome.score.as_deref()), (0, Some("stamp")));
 }
