--- a/crates/control-client/src/lib.rs
+++ b/crates/control-client/src/lib.rs
@@ -1,6 +1,6 @@
 //! Client of the control group: finds the leader and sends requests to it. `suspicions` exchanges evidence about
-//! suspected work with the group, `trials` holds the leases to run such work, and `reports` batches the reports of
-//! engines.
+//! suspected work with the group, `trials` requests and renews the leases to run such work, and `reports` batches the
+//! reports of engines.
 //!
 //! All commands are idempotent: changes carry a key or a revision, claims an arrival, samples an attempt, assignments a
 //! sequence number. A call whose reply is lost is therefore retried until its deadline.
@@ -31,7 +31,7 @@
 /// Timeout of a request to one replica.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Pause before the next attempt while no leader is known, unless the group has set a longer one.
+/// Pause before the next attempt while no leader is known, unless the group has requested a longer one.
 const RETRY_PAUSE: Duration = Duration::from_millis(40);
 
 /// Upper limit of the exponential backoff of a client that has not reached a leader yet.
@@ -66,10 +66,10 @@
     retry_pause: Cell<Duration>,
     /// Whether a leader has ever replied to this client.
     has_reached_leader: Cell<bool>,
-    /// Whether the client has no working leader at present.
+    /// Whether no leader has replied since the last attempt that failed.
     is_searching: Cell<bool>,
     /// State accumulated from poll replies of leaders at feature level one.
-    follow_memory: RefCell<FollowConverter>,
+    follow_converter: RefCell<FollowConverter>,
     secret: String,
 }
 
@@ -94,7 +94,7 @@
             retry_pause: Cell::new(RETRY_PAUSE),
             has_reached_leader: Cell::new(false),
             is_searching: Cell::new(true),
-            follow_memory: RefCell::default(),
+            follow_converter: RefCell::default(),
             secret: secret.to_string(),
         };
         Self { inner: Rc::new(inner) }
@@ -141,8 +141,11 @@
     /// Requests the replica at `address` to form a new group.
     pub async fn initialize(&self, address: SocketAddr, limit: Duration) -> Result<(), ControlError> {
         let client = Client::new(self.inner.platform.clone(), address, &self.inner.secret);
-        let answer = client.call(|level| messages::encode_request(&ControlRequest::Initialize, level), limit).await;
-        let reply = answer.ok().and_then(|answer| messages::decode_reply(&answer.body, answer.level));
+        let encoded_reply =
+            client.call(|level| messages::encode_request(&ControlRequest::Initialize, level), limit).await;
+        let reply = encoded_reply
+            .ok()
+            .and_then(|encoded_reply| messages::decode_reply(&encoded_reply.body, encoded_reply.level));
         match reply {
             Some(ControlReply::Executed(_)) => Ok(()),
             Some(other) => Err(unexpected(other)),
@@ -158,12 +161,14 @@
         limit: Duration,
         attempt_limit: Duration,
     ) -> Result<GatewayReply, GatewayError> {
-        let mut may_be_done = false;
+        let mut may_have_executed = false;
         let request = ControlRequest::Gateway(request);
-        let reply = self.call_until(&request, limit, attempt_limit, &mut may_be_done).await;
+        let reply = self.call_until(&request, limit, attempt_limit, &mut may_have_executed).await;
         match reply {
-            Err(ControlError::UnsupportedByPeer) if !may_be_done => Err(GatewayError::NotUnderstood),
-            Ok(ControlReply::Gateway(GatewayReply::Unavailable)) | Err(_) if !may_be_done => Err(GatewayError::NotDone),
+            Err(ControlError::UnsupportedByPeer) if !may_have_executed => Err(GatewayError::NotUnderstood),
+            Ok(ControlReply::Gateway(GatewayReply::Unavailable)) | Err(_) if !may_have_executed => {
+                Err(GatewayError::NotDone)
+            }
             Ok(ControlReply::Gateway(reply)) => Ok(reply),
             _ => Err(GatewayError::Undecided),
         }
@@ -178,14 +183,14 @@
     ) -> Option<GatewayReply> {
         let client = self.inner.replicas.borrow().client_of(address);
         let request = ControlRequest::Gateway(request);
-        let answer = client?.call(|level| messages::encode_request(&request, level), limit).await.ok()?;
-        match messages::decode_reply(&answer.body, answer.level)? {
+        let encoded_reply = client?.call(|level| messages::encode_request(&request, level), limit).await.ok()?;
+        match messages::decode_reply(&encoded_reply.body, encoded_reply.level)? {
             ControlReply::Gateway(reply) => Some(reply),
             _ => Some(GatewayReply::Unavailable),
         }
     }
 
-    /// The replica that receives the next request: the leader, if known. `None` if no replica is known.
+    /// The replica that the next request is sent to: the leader, if known. `None` if no replica is known.
     pub fn current_address(&self) -> Option<SocketAddr> {
         self.inner.replicas.borrow().current()
     }
@@ -206,7 +211,7 @@
         }
     }
 
-    /// The last answer of each replica, for log lines and errors when no leader is found.
+    /// The result of the last request to each replica, for log lines and errors when no leader is found.
     pub fn search(&self) -> LeaderSearch {
         self.inner.replicas.borrow().search()
     }
@@ -215,13 +220,13 @@
         self.call_until(request, limit, ATTEMPT_TIMEOUT, &mut false).await
     }
 
-    /// Retries until a leader replies. Sets `may_be_done` once a replica may have received the request.
+    /// Retries until a leader replies. Sets `may_have_executed` once a replica may have received the request.
     async fn call_until(
         &self,
         request: &ControlRequest,
         limit: Duration,
         attempt_limit: Duration,
-        may_be_done: &mut bool,
+        may_have_executed: &mut bool,
     ) -> Result<ControlReply, ControlError> {
         let deadline = self.inner.platform.monotonic() + limit;
         loop {
@@ -235,13 +240,13 @@
                 continue;
             };
             let outcome = self.send_request(&replica, request, remaining.min(attempt_limit)).await;
-            // A connection that closes during the handshake looks like an older build. After an earlier attempt that
-            // may have been executed, the search goes on for a replica that can report the outcome.
-            if outcome == Err(CallError::UnsupportedByPeer) && !*may_be_done {
+            // A connection that closes during the handshake looks like an older build. If an earlier attempt may have
+            // been executed, the client continues with other replicas, one of which may report the outcome.
+            if outcome == Err(CallError::UnsupportedByPeer) && !*may_have_executed {
                 return Err(ControlError::UnsupportedByPeer);
             }
             // A replica that sent a malformed reply may have executed the request.
-            *may_be_done |= matches!(outcome, Err(CallError::OutcomeUnknown) | Ok(None));
+            *may_have_executed |= matches!(outcome, Err(CallError::OutcomeUnknown) | Ok(None));
             self.inner.replicas.borrow_mut().record_answer(replica.address(), LastAnswer::of(&outcome));
             match outcome.ok().flatten() {
                 Some(ControlReply::NotLeader { leader: Some(leader), .. }) if leader != replica.address() => {
@@ -249,7 +254,7 @@
                 }
                 Some(ControlReply::NotLeader { peers, .. }) => self.select_next(replica.address(), &peers).await,
                 Some(ControlReply::Undecided) => {
-                    *may_be_done = true;
+                    *may_have_executed = true;
                     self.select_next(replica.address(), &[]).await;
                 }
                 None => self.select_next(replica.address(), &[]).await,
@@ -274,8 +279,8 @@
         if let ControlRequest::Gateway(GatewayRequest::Follow(follow)) = request {
             return self.send_poll(replica, follow, limit).await;
         }
-        let answer = replica.call(|level| messages::encode_request(request, level), limit).await?;
-        Ok(messages::decode_reply(&answer.body, answer.level))
+        let encoded_reply = replica.call(|level| messages::encode_request(request, level), limit).await?;
+        Ok(messages::decode_reply(&encoded_reply.body, encoded_reply.level))
     }
 
     /// Sends a relay's poll, whose request and reply have different contents at level one.
@@ -285,7 +290,7 @@
         follow: &FollowRequest,
         limit: Duration,
     ) -> Result<Option<ControlReply>, CallError> {
-        let level_one_poll = self.inner.follow_memory.borrow().to_level_one(follow);
+        let level_one_poll = self.inner.follow_converter.borrow().to_level_one(follow);
         let request = ControlRequest::Gateway(GatewayRequest::Follow(follow.clone()));
         let encode = |level| match level {
             FeatureLevel::One => Some(messages::encode_follow_one(level_one_poll.clone())),
@@ -294,15 +299,15 @@
         let Answer { level, body } = replica.call(encode, limit).await?;
         let reply = match level {
             FeatureLevel::One => {
-                messages::decode_follow_one(&body, &level_one_poll, &mut self.inner.follow_memory.borrow_mut())
+                messages::decode_follow_one(&body, &level_one_poll, &mut self.inner.follow_converter.borrow_mut())
             }
             FeatureLevel::Two => messages::decode_reply(&body, level),
         };
         Ok(reply)
     }
 
-    /// Selects another replica after `failed` did not serve the request and returned the addresses `peers`, then
-    /// pauses.
+    /// Selects another replica after the one at `failed` did not serve the request and returned the addresses `peers`,
+    /// then pauses.
     async fn select_next(&self, failed: SocketAddr, peers: &[SocketAddr]) {
         self.inner.is_searching.set(true);
         self.inner.replicas.borrow_mut().select_after_failure(failed, peers);
--- a/crates/control-client/src/replicas.rs
+++ b/crates/control-client/src/replicas.rs
@@ -17,8 +17,8 @@
 /// A replica that was unreachable or did not reply is skipped for this long while others are available.
 const NO_REPLY_BACKOFF: Duration = Duration::from_millis(1500);
 
-/// A replica returned as a peer is not preferred if it was tried within this time. Otherwise two replicas that return
-/// each other would be tried in turns, and no other.
+/// A replica returned as a peer is not preferred if it was tried within this time. Otherwise only two replicas that
+/// return each other would be tried.
 const RECENTLY_TRIED: Duration = Duration::from_millis(400);
 
 /// Where a replica's address comes from.
@@ -34,7 +34,7 @@
 struct ReplicaEntry<P> {
     client: Client<P>,
     origin: Origin,
-    skipped_until: Duration,
+    backoff_until: Duration,
     last_answer: LastAnswer,
     tried_at: Option<Duration>,
 }
@@ -86,18 +86,18 @@
         self.entries.iter().find(|entry| entry.address() == address).map(|entry| entry.client.clone())
     }
 
-    /// Every replica and its last answer.
+    /// Every replica and the result of the last request to it.
     pub fn search(&self) -> LeaderSearch {
         LeaderSearch { replicas: self.entries.iter().map(|entry| (entry.address(), entry.last_answer)).collect() }
     }
 
-    /// Records a replica's answer. A replica without one is skipped for [`NO_REPLY_BACKOFF`].
+    /// Records the result of a request. A replica that sent no reply is skipped for [`NO_REPLY_BACKOFF`].
     pub fn record_answer(&mut self, address: SocketAddr, answer: LastAnswer) {
         let now = self.platform.monotonic();
         if let Some(entry) = self.entries.iter_mut().find(|entry| entry.address() == address) {
             entry.last_answer = answer;
             if matches!(answer, LastAnswer::Unreachable | LastAnswer::NoReply) {
-                entry.skipped_until = now + NO_REPLY_BACKOFF;
+                entry.backoff_until = now + NO_REPLY_BACKOFF;
             }
         }
     }
@@ -116,7 +116,7 @@
         let is_usable = |address: &&SocketAddr| {
             let entry = self.entries.iter().find(|entry| entry.address() == **address);
             entry.is_some_and(|entry| {
-                entry.skipped_until <= now && entry.tried_at.is_none_or(|at| now >= at + RECENTLY_TRIED)
+                entry.backoff_until <= now && entry.tried_at.is_none_or(|at| now >= at + RECENTLY_TRIED)
             })
         };
         let preferred = peers.iter().find(is_usable).copied();
@@ -129,7 +129,7 @@
 
     /// The least recently tried replica among those that are not skipped, or among all if all are skipped.
     fn least_recently_tried(&self, now: Duration) -> Option<SocketAddr> {
-        let available = self.entries.iter().filter(|entry| entry.skipped_until <= now);
+        let available = self.entries.iter().filter(|entry| entry.backoff_until <= now);
         let oldest = available.min_by_key(|entry| entry.tried_at);
         oldest.or_else(|| self.entries.iter().min_by_key(|entry| entry.tried_at)).map(ReplicaEntry::address)
     }
@@ -167,7 +167,7 @@
         index.map(|index| self.entries.remove(index)).is_some()
     }
 
-    /// Replaces the configured replicas. Discovered ones are kept during a search, as only they may lead to the leader.
+    /// Replaces the configured replicas. Discovered ones are kept during a search, as the leader may be among them only.
     pub fn replace_configured(&mut self, addresses: &BTreeSet<SocketAddr>, is_searching: bool) {
         self.entries
             .retain(|entry| addresses.contains(&entry.address()) || is_searching && entry.origin == Origin::Discovered);
@@ -191,7 +191,7 @@
         ReplicaEntry {
             client: Client::new(self.platform.clone(), address, &self.secret),
             origin,
-            skipped_until: Duration::ZERO,
+            backoff_until: Duration::ZERO,
             last_answer: LastAnswer::NotContacted,
             tried_at: None,
         }
--- a/crates/control-client/src/reports.rs
+++ b/crates/control-client/src/reports.rs
@@ -25,7 +25,7 @@
 /// Maximum delay of a batch without urgent reports.
 const BATCH_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Minimum pause between batches, also with urgent reports. Engines wait one second for a reply.
+/// Minimum pause between batches, also with urgent reports. Short compared with the engines' timeout of one second.
 const MIN_BATCH_PAUSE: Duration = Duration::from_millis(50);
 
 /// Reports may be acknowledged without a commit if a batch has reached the leader within this time, or within the
@@ -42,7 +42,7 @@
 /// Maximum time that a new engine waits for the commit of its report; shorter than the engines' timeout of one second.
 const MAX_COMMIT_WAIT: Duration = Duration::from_millis(600);
 
-/// Maximum number of reports in one batch, about 60 KB.
+/// Maximum number of reports in one batch, which limits a message to about 60 KB.
 const MAX_BATCH_SIZE: usize = 512;
 
 /// Maximum number of pending reports; further ones are rejected.
@@ -52,14 +52,14 @@
 /// of each instance is then sent in full.
 const MAX_DELIVERED: usize = 16_384;
 
-type Answer = Result<GatewayReply, GatewayError>;
+type ReportResult = Result<GatewayReply, GatewayError>;
 
 #[derive(Default)]
 struct PendingReports {
     /// Newest pending report of each instance.
     reports: BTreeMap<InstanceId, InstanceReport>,
     /// Callers that wait for the delivery of an instance's report.
-    waiters: BTreeMap<InstanceId, Vec<oneshot::Sender<Answer>>>,
+    waiters: BTreeMap<InstanceId, Vec<oneshot::Sender<ReportResult>>>,
 }
 
 impl PendingReports {
@@ -116,7 +116,7 @@
     /// Starts sending batches to the group behind `control` until the process ends. Engines report every
     /// `report_interval`.
     pub fn start(platform: P, control: ControlClient<P>, report_interval: Duration) -> Rc<Self> {
-        let gatherer = Rc::new(Self {
+        let batcher = Rc::new(Self {
             platform: platform.clone(),
             control,
             pending: RefCell::default(),
@@ -125,12 +125,12 @@
             leader_contact_window: LEADER_CONTACT_WINDOW.max(report_interval),
             urgent: Signal::default(),
         });
-        platform.spawn(send_batches(gatherer.clone()));
-        gatherer
+        platform.spawn(send_batches(batcher.clone()));
+        batcher
     }
 
-    /// Accepts a report; returns the answer for the engine.
-    pub async fn report(&self, report: InstanceReport) -> Answer {
+    /// Accepts a report; returns the result to send to the engine.
+    pub async fn report(&self, report: InstanceReport) -> ReportResult {
         if self.pending.borrow().reports.len() >= MAX_PENDING {
             return Err(GatewayError::NotDone);
         }
@@ -141,17 +141,17 @@
         if is_committed && self.has_reached_leader_recently() {
             return Ok(GatewayReply::Done);
         }
-        let (sender, answer) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         self.pending.borrow_mut().waiters.entry(id).or_default().push(sender);
         self.urgent.notify();
         let limit = if leaving { BATCH_TIMEOUT } else { MAX_COMMIT_WAIT };
-        let answer = match timeout(&self.platform, limit, answer).await {
-            Some(Ok(answer)) => answer,
+        let result = match timeout(&self.platform, limit, receiver).await {
+            Some(Ok(result)) => result,
             Some(Err(_)) | None => Err(GatewayError::Undecided),
         };
-        // The report is sent with the next batch.
-        let may_wait = answer.is_err() && !leaving && self.has_reached_leader_recently();
-        if may_wait { Ok(GatewayReply::Done) } else { answer }
+        // The report of a new engine is acknowledged although it is not committed, as it is sent with a later batch.
+        let can_acknowledge = result.is_err() && !leaving && self.has_reached_leader_recently();
+        if can_acknowledge { Ok(GatewayReply::Done) } else { result }
     }
 
     fn is_committed(&self, report: &InstanceReport) -> bool {
@@ -164,7 +164,7 @@
     }
 
     /// Removes the reports of one batch and the callers that wait for them. Further reports stay pending.
-    fn take_batch(&self) -> (Vec<InstanceReport>, Vec<oneshot::Sender<Answer>>) {
+    fn take_batch(&self) -> (Vec<InstanceReport>, Vec<oneshot::Sender<ReportResult>>) {
         let mut pending = self.pending.borrow_mut();
         let mut reports = std::mem::take(&mut pending.reports);
         if let Some(first_remaining) = reports.keys().nth(MAX_BATCH_SIZE).cloned() {
@@ -174,8 +174,8 @@
         (reports.into_values().collect(), waiters)
     }
 
-    /// Returns undelivered reports to the pending ones. Their callers are not kept and receive the error.
-    fn put_back(&self, reports: Vec<InstanceReport>) {
+    /// Adds undelivered reports to the pending ones again. The callers that wait for them receive the error.
+    fn requeue(&self, reports: Vec<InstanceReport>) {
         let mut pending = self.pending.borrow_mut();
         for report in reports {
             if pending.reports.len() < MAX_PENDING {
@@ -187,15 +187,15 @@
     /// Splits reports into changed ones and heartbeats.
     fn classify(&self, reports: &[InstanceReport]) -> GatheredReports {
         let delivered = self.delivered.borrow();
-        let mut gathered = GatheredReports::default();
+        let mut batch = GatheredReports::default();
         for report in reports {
             if delivered.get(&report.id) == Some(&DeliveredReport::of(report)) {
-                gathered.heartbeats.push(InstanceHeartbeat { id: report.id.clone(), sequence: report.sequence });
+                batch.heartbeats.push(InstanceHeartbeat { id: report.id.clone(), sequence: report.sequence });
             } else {
-                gathered.changed.push(report.clone());
+                batch.changed.push(report.clone());
             }
         }
-        gathered
+        batch
     }
 
     fn record_delivered(&self, reports: &[InstanceReport]) {
@@ -207,59 +207,59 @@
     }
 
     /// Sends each report in its own message, for a leader of an older build that doesn't support batches.
-    async fn send_singly(&self, reports: &[InstanceReport]) -> Answer {
+    async fn send_singly(&self, reports: &[InstanceReport]) -> ReportResult {
         let send = |report: &InstanceReport| {
             let request = GatewayRequest::ReportInstance(report.clone());
             self.control.gateway(request, BATCH_TIMEOUT, ATTEMPT_TIMEOUT)
         };
-        let answers = join_all(reports.iter().map(send)).await;
-        answers.into_iter().find(|answer| *answer != Ok(GatewayReply::Done)).unwrap_or(Ok(GatewayReply::Done))
+        let results = join_all(reports.iter().map(send)).await;
+        results.into_iter().find(|result| *result != Ok(GatewayReply::Done)).unwrap_or(Ok(GatewayReply::Done))
     }
 
-    /// Removes instances that the group has no record of, so that their next reports are sent in full.
-    fn forget(&self, missing: &[InstanceId]) {
+    /// Removes instances that the group has no record of from the cache, so that their next reports are sent in full.
+    fn remove_delivered(&self, missing: &[InstanceId]) {
         let mut delivered = self.delivered.borrow_mut();
         missing.iter().for_each(|id| drop(delivered.remove(id)));
     }
 }
 
-async fn send_batches<P: Runtime>(gatherer: Rc<ReportBatcher<P>>) {
+async fn send_batches<P: Runtime>(batcher: Rc<ReportBatcher<P>>) {
     loop {
-        gatherer.platform.sleep(MIN_BATCH_PAUSE).await;
-        let notified_count = gatherer.urgent.count();
-        if gatherer.pending.borrow().waiters.is_empty() {
-            let pause = pin!(gatherer.platform.sleep(BATCH_INTERVAL));
-            select(pin!(gatherer.urgent.changed(notified_count)), pause).await;
+        batcher.platform.sleep(MIN_BATCH_PAUSE).await;
+        let notified_count = batcher.urgent.count();
+        if batcher.pending.borrow().waiters.is_empty() {
+            let pause = pin!(batcher.platform.sleep(BATCH_INTERVAL));
+            select(pin!(batcher.urgent.changed(notified_count)), pause).await;
         }
-        let (reports, waiters) = gatherer.take_batch();
+        let (reports, waiters) = batcher.take_batch();
         if reports.is_empty() {
             continue;
         }
-        let gathered = gatherer.classify(&reports);
-        let (news, heartbeats) = (gathered.changed.len(), gathered.heartbeats.len());
-        let request = GatewayRequest::ReportInstances(gathered);
-        let mut answer = gatherer.control.gateway(request, BATCH_TIMEOUT, ATTEMPT_TIMEOUT).await;
-        if answer == Err(GatewayError::NotUnderstood) {
-            answer = gatherer.send_singly(&reports).await;
+        let batch = batcher.classify(&reports);
+        let (changed, heartbeats) = (batch.changed.len(), batch.heartbeats.len());
+        let request = GatewayRequest::ReportInstances(batch);
+        let mut result = batcher.control.gateway(request, BATCH_TIMEOUT, ATTEMPT_TIMEOUT).await;
+        if result == Err(GatewayError::NotUnderstood) {
+            result = batcher.send_singly(&reports).await;
         }
         let mut missing = Vec::new();
-        if let Ok(GatewayReply::ReportsMissing(instances)) = &mut answer {
+        if let Ok(GatewayReply::ReportsMissing(instances)) = &mut result {
             missing = std::mem::take(instances);
-            answer = Ok(GatewayReply::Done);
+            result = Ok(GatewayReply::Done);
         }
-        if answer == Ok(GatewayReply::Done) {
-            gatherer.leader_reached_at.set(gatherer.platform.monotonic());
-            gatherer.record_delivered(&reports);
-            gatherer.forget(&missing);
+        if result == Ok(GatewayReply::Done) {
+            batcher.leader_reached_at.set(batcher.platform.monotonic());
+            batcher.record_delivered(&reports);
+            batcher.remove_delivered(&missing);
         } else {
-            gatherer.put_back(reports);
+            batcher.requeue(reports);
             spdlog::warn!("engine reports not delivered, will retry", kv: {
-                news = news, heartbeats = heartbeats, answer = format!("{answer:?}").as_str()
+                news = changed, heartbeats = heartbeats, answer = format!("{result:?}").as_str()
             });
         }
         for waiter in waiters {
             // Fails if the caller has timed out.
-            drop(waiter.send(answer.clone()));
+            drop(waiter.send(result.clone()));
         }
     }
 }
--- a/crates/control-client/src/search.rs
+++ b/crates/control-client/src/search.rs
@@ -1,4 +1,4 @@
-//! The last answer of each replica, which shows why a client finds no leader.
+//! The result of the last request to each replica, which shows why a client finds no leader.
 
 use saddlerelay_rpc::client::CallError;
 use saddlerelay_types::protocol::ControlReply;
@@ -59,7 +59,7 @@
     }
 }
 
-/// All replicas known to a client, with their last answers.
+/// All replicas known to a client, with the result of the last request to each.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaderSearch {
     /// Configured replicas first, then discovered ones.
--- a/crates/control-client/src/suspicions.rs
+++ b/crates/control-client/src/suspicions.rs
@@ -23,7 +23,7 @@
 /// Pause before evidence is sent again after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Maximum time that suspected work is held back for the commit of this relay's evidence, so that its next attempt is
+/// Maximum time that suspected work is delayed until this relay's evidence is committed, so that its next attempt is
 /// decided with the evidence of all relays.
 const MAX_EVIDENCE_WAIT: Duration = Duration::from_millis(100);
 
@@ -31,10 +31,10 @@
 /// restart.
 pub const DEFAULT_LAST_TRIAL_PAUSE: Duration = Duration::from_secs(5);
 
-/// Timeout of a request for a trial lease. When it expires, the client is told to retry.
+/// Timeout of a request for a trial lease. After it, the request for suspected work is rejected for a later retry.
 const TRIAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Maximum number of losses that wait to be reported; further ones are dropped.
+/// Maximum number of losses that are not committed yet; further ones are dropped.
 const MAX_PENDING_LOSSES: usize = 1_024;
 
 /// The decision on a request, by the suspicion of its work.
@@ -97,16 +97,16 @@
 
     /// The decision on a request for `work` at `now`.
     ///
-    /// Work that one more engine loss would quarantine is paused for `last_trial_pause`, until the lost engines have
-    /// restarted, so that the last trial cannot end the last engine.
+    /// Work that one more engine loss would quarantine is paused for `last_trial_pause`, so that the lost engines have
+    /// restarted before the last trial may terminate another one.
     pub fn verdict(&self, work: &WorkDigest, now: Duration, last_trial_pause: Duration) -> Verdict {
         let Some(suspect) = self.suspects.get(work) else {
             return Verdict::Send;
         };
         let remaining = (suspect.recorded_at + last_trial_pause).saturating_sub(now);
         match suspect.engines.len() {
-            ended if ended >= QUARANTINE_THRESHOLD => Verdict::Quarantine,
-            ended if ended + 1 == QUARANTINE_THRESHOLD && !remaining.is_zero() => Verdict::Pause(remaining),
+            terminated if terminated >= QUARANTINE_THRESHOLD => Verdict::Quarantine,
+            terminated if terminated + 1 == QUARANTINE_THRESHOLD && !remaining.is_zero() => Verdict::Pause(remaining),
             _ => Verdict::Send,
         }
     }
@@ -253,7 +253,7 @@
                 self.evidence_reported.changed(self.evidence_reported.count()).await;
             }
         };
-        // After the timeout the caller goes on without the group's reply.
+        // After the timeout the caller continues without the commit.
         let _ = timeout(&self.platform, MAX_EVIDENCE_WAIT, committed).await;
     }
 }
--- a/crates/control-client/src/trials.rs
+++ b/crates/control-client/src/trials.rs
@@ -17,14 +17,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Runs are started only if the lease lasts at least this much longer, so that a crash of the engine shows before
+/// Runs are started only if the lease lasts at least this much longer, so that a crash of the engine is detected before
 /// another process can run the work and lose a second engine.
 const RUN_START_MARGIN: Duration = Duration::from_millis(200);
 
 /// Pause after a failed renewal, for example while there is no leader.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Why a call about trial leases got no reply. It may have been executed.
+/// Why a request about trial leases failed. The request may have been executed.
 pub type CallFailure = String;
 
 /// The control group's operations on trial leases.
--- a/crates/control-client/tests/may_have_run.rs
+++ b/crates/control-client/tests/may_have_run.rs
@@ -1,7 +1,7 @@
 //! A request is reported as not executed only if no replica can have executed it.
 //!
-//! Guards against `NotDone` or `NotUnderstood` after a replica has received the request without a reply, when a later
-//! attempt meets a replica that seems to run an older build.
+//! Guards against the results `NotDone` and `NotUnderstood` if one replica has received the request without a reply, and
+//! the next attempt was made at a replica that seems to run an older build.
 
 use compio::net::TcpListener;
 use saddlerelay_control_client::{ControlClient, GatewayError};
@@ -38,8 +38,8 @@
 }
 
 async fn listen() -> (TcpFrameListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener binds to a free port");
+    let address = listener.local_addr().expect("a bound listener has a local address");
     (TcpFrameListener::new(listener, Default::default()), address)
 }
 
@@ -79,22 +79,22 @@
 
 #[test]
 fn a_request_received_before_an_older_replica_was_tried_is_undecided() {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(async {
+    compio::runtime::Runtime::new().expect("the compio runtime is created").block_on(async {
         let runtime = CompioRuntime::without_files();
         let (silent, received) = start_silent(&runtime).await;
         let older = start_older(&runtime).await;
         assert_eq!(send(&runtime, &[silent, older]).await, Err(GatewayError::Undecided));
-        assert!(received.get() > 0, "a replica received it");
+        assert!(received.get() > 0, "the silent replica should have received the request");
     });
 }
 
 #[test]
 fn a_request_that_no_replica_supports_is_rejected_without_retries() {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(async {
+    compio::runtime::Runtime::new().expect("the compio runtime is created").block_on(async {
         let runtime = CompioRuntime::without_files();
         let older = start_older(&runtime).await;
-        let began = runtime.monotonic();
+        let started_at = runtime.monotonic();
         assert_eq!(send(&runtime, &[older]).await, Err(GatewayError::NotUnderstood));
-        assert!(runtime.monotonic() < began + LIMIT, "the request is not retried");
+        assert!(runtime.monotonic() < started_at + LIMIT, "the request should fail without retries until the limit");
     });
 }
--- a/crates/control-client/tests/search_order.rs
+++ b/crates/control-client/tests/search_order.rs
@@ -1,4 +1,4 @@
-//! A search for the leader succeeds although other replicas return addresses of machines that are gone.
+//! A search for the leader succeeds although other replicas return addresses of machines that no longer run.
 
 use saddlerelay_control_client::ControlClient;
 use saddlerelay_control_client::search::LastAnswer;
@@ -18,7 +18,7 @@
 /// Far longer than these replicas take to reply.
 const ATTEMPT_LIMIT: Duration = Duration::from_millis(400);
 
-/// Far longer than a search through all replicas that answer.
+/// Far longer than a search through all replicas that reply.
 const LIMIT: Duration = Duration::from_secs(8);
 
 enum Behavior {
@@ -42,8 +42,8 @@
 }
 
 async fn start(runtime: &CompioRuntime, behavior: Behavior) -> SocketAddr {
-    let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.expect("a listener binds to a free port");
+    let address = listener.local_addr().expect("a bound listener has a local address");
     let listener = TcpFrameListener::new(listener, Default::default());
     let handler = Rc::new(Replica(behavior));
     runtime.spawn(saddlerelay_rpc::server::serve(runtime.clone(), listener, SECRET.to_string(), handler));
@@ -69,53 +69,54 @@
     contacts.all(|(_, answer)| answer == LastAnswer::NotContacted)
 }
 
-/// Guards against preferring newly discovered peers, which may be gone, over replicas that the client already knows.
+/// Guards against preferring newly discovered peers, which may be unreachable, over replicas that the client already
+/// knows.
 #[test]
 fn known_replicas_are_tried_before_newly_discovered_peers() {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(async {
+    compio::runtime::Runtime::new().expect("the compio runtime is created").block_on(async {
         let runtime = CompioRuntime::without_files();
-        let gone = start_silent(&runtime, 4).await;
-        let follower = start(&runtime, Behavior::ReturnsPeers(gone.clone())).await;
+        let unreachable = start_silent(&runtime, 4).await;
+        let follower = start(&runtime, Behavior::ReturnsPeers(unreachable.clone())).await;
         let leader = start(&runtime, Behavior::Leads).await;
         let client = ControlClient::new(runtime.clone(), &[follower, leader], SECRET);
-        assert!(reaches_leader(&client).await && none_contacted(&client, &gone), "{}", client.search());
+        assert!(reaches_leader(&client).await && none_contacted(&client, &unreachable), "{}", client.search());
     });
 }
 
 /// Guards against ignoring a returned peer that the client already knows, and trying all other replicas first.
 #[test]
 fn a_returned_peer_that_is_already_known_is_tried_next() {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(async {
+    compio::runtime::Runtime::new().expect("the compio runtime is created").block_on(async {
         let runtime = CompioRuntime::without_files();
-        let gone = start_silent(&runtime, 8).await;
+        let unreachable = start_silent(&runtime, 8).await;
         let leader = start(&runtime, Behavior::Leads).await;
         let inner = start(&runtime, Behavior::ReturnsPeers(vec![leader])).await;
-        let addresses: Vec<SocketAddr> = [inner].into_iter().chain(gone.clone()).chain([leader]).collect();
+        let addresses: Vec<SocketAddr> = [inner].into_iter().chain(unreachable.clone()).chain([leader]).collect();
         let client = ControlClient::new(runtime.clone(), &addresses, SECRET);
-        assert!(reaches_leader(&client).await && none_contacted(&client, &gone), "{}", client.search());
+        assert!(reaches_leader(&client).await && none_contacted(&client, &unreachable), "{}", client.search());
     });
 }
 
 /// Guards against a full list of failed replicas, to which the leader's address is never added.
 #[test]
 fn failed_replicas_are_evicted_for_a_newly_discovered_one() {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(async {
+    compio::runtime::Runtime::new().expect("the compio runtime is created").block_on(async {
         let runtime = CompioRuntime::without_files();
         // No listener: connections are refused at once.
-        let gone: Vec<SocketAddr> = (1..=64).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
+        let unreachable: Vec<SocketAddr> = (1..=64).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
         let leader = start(&runtime, Behavior::Leads).await;
         let inner = start(&runtime, Behavior::ReturnsPeers(vec![leader])).await;
-        let outer = start(&runtime, Behavior::ReturnsPeers(gone)).await;
+        let outer = start(&runtime, Behavior::ReturnsPeers(unreachable)).await;
         let client = ControlClient::new(runtime.clone(), &[outer, inner], SECRET);
         assert!(reaches_leader(&client).await, "{}", client.search());
     });
 }
 
 /// Guards against dropping discovered replicas on each `set_replicas`: the search would start over each time and never
-/// get past a peer that is gone.
+/// get past an unreachable peer.
 #[test]
 fn a_search_continues_while_the_configured_replicas_are_replaced() {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(async {
+    compio::runtime::Runtime::new().expect("the compio runtime is created").block_on(async {
         let runtime = CompioRuntime::without_files();
         let leader = start(&runtime, Behavior::Leads).await;
         let mut peers = start_silent(&runtime, 1).await;
@@ -134,10 +135,11 @@
     });
 }
 
-/// Guards against leaving a working leader when `add_known_addresses` adds addresses, for example after a change of settings.
+/// Guards against leaving a working leader when `add_known_addresses` adds addresses, for example after a change of
+/// settings.
 #[test]
 fn a_client_keeps_its_leader_when_addresses_are_added() {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(async {
+    compio::runtime::Runtime::new().expect("the compio runtime is created").block_on(async {
         let runtime = CompioRuntime::without_files();
         let leader = start(&runtime, Behavior::Leads).await;
         let client = ControlClient::new(runtime.clone(), &[leader], SECRET);
--- a/crates/control-client/tests/silent_replica.rs
+++ b/crates/control-client/tests/silent_replica.rs
@@ -50,8 +50,8 @@
 }
 
 async fn start(runtime: &CompioRuntime, behavior: Behavior) -> (SocketAddr, Rc<Cell<u32>>) {
-    let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.expect("a listener binds to a free port");
+    let address = listener.local_addr().expect("a bound listener has a local address");
     let request_count = Rc::new(Cell::new(0));
     let handler = Rc::new(Replica { behavior, request_count: request_count.clone() });
     let listener = TcpFrameListener::new(listener, Default::default());
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_replica_without_a_reply_is_skipped_for_a_while() {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(async {
+    compio::runtime::Runtime::new().expect("the compio runtime is created").block_on(async {
         let runtime = CompioRuntime::without_files();
         let (silent, silent_count) = start(&runtime, Behavior::Silent).await;
         let (follower, follower_count) = start(&runtime, Behavior::Follows).await;
@@ -79,7 +79,7 @@
 
 #[test]
 fn replicas_without_replies_are_tried_in_turn() {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(async {
+    compio::runtime::Runtime::new().expect("the compio runtime is created").block_on(async {
         let runtime = CompioRuntime::without_files();
         let (first, first_count) = start(&runtime, Behavior::Silent).await;
         let (second, second_count) = start(&runtime, Behavior::Silent).await;
@@ -91,7 +91,7 @@
 
 #[test]
 fn returned_peers_are_tried() {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(async {
+    compio::runtime::Runtime::new().expect("the compio runtime is created").block_on(async {
         let runtime = CompioRuntime::without_files();
         let (leader, _) = start(&runtime, Behavior::Leads).await;
         let (inner, _) = start(&runtime, Behavior::ReturnsPeers(vec![leader])).await;
@@ -106,7 +106,7 @@
 /// of the list of replicas.
 #[test]
 fn replicas_that_return_each_other_are_tried_with_pauses() {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(async {
+    compio::runtime::Runtime::new().expect("the compio runtime is created").block_on(async {
         let runtime = CompioRuntime::without_files();
         let absent = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
         let (first, first_count) = start(&runtime, Behavior::ReturnsPeers((1..1_000).map(absent).collect())).await;
@@ -122,7 +122,7 @@
 /// Guards against ignoring new addresses, for example of changed settings, when no known replica leads.
 #[test]
 fn added_addresses_are_tried() {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(async {
+    compio::runtime::Runtime::new().expect("the compio runtime is created").block_on(async {
         let runtime = CompioRuntime::without_files();
         let (follower, _) = start(&runtime, Behavior::Follows).await;
         let (leader, leader_count) = start(&runtime, Behavior::Leads).await;
--- a/crates/duties/src/backoff.rs
+++ b/crates/duties/src/backoff.rs
@@ -5,7 +5,7 @@
 
 const INITIAL_DELAY: Duration = Duration::from_millis(200);
 
-/// Without jitter. Short enough for several retries before a usage report is due.
+/// Maximum delay without jitter; short enough for several retries before a usage report is due.
 const MAX_DELAY: Duration = Duration::from_millis(1_600);
 
 /// Tracks consecutive failures and when the next call is allowed.
--- a/crates/duties/src/engine_counts.rs
+++ b/crates/duties/src/engine_counts.rs
@@ -1,7 +1,7 @@
 //! Orders from the platform the number of engines wanted per service and zone.
 //!
 //! The numbers are committed before they are ordered. An order is sent when fewer engines than wanted have been present
-//! for a while. Each order has its own fencing token, so that a delayed older order has no effect.
+//! for `replacement_delay`. Each order has its own fencing token, so that a delayed older order has no effect.
 
 use crate::Duties;
 use crate::backoff::Backoff;
@@ -20,6 +20,7 @@
 /// Interval between checks of the engine counts.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
+/// Timeout of a call to the platform.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// What this leader has observed of a service in a zone during its term.
@@ -27,7 +28,7 @@
 struct PlaceState {
     /// When the place was first observed in this term.
     first_seen: Duration,
-    /// Since when fewer engines than wanted have been present.
+    /// Since when fewer engines than wanted have been present; `None` if there are enough.
     missing_since: Option<Duration>,
     /// No order is sent before this time, so that ordered engines have time to start.
     next_order_at: Duration,
--- a/crates/duties/src/format.rs
+++ b/crates/duties/src/format.rs
@@ -7,7 +7,7 @@
 use saddlerelay_types::usage::UsageReport;
 use serde::{Deserialize, Serialize};
 
-/// The fencing information of a call.
+/// The sender and the fencing token of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallGrant {
     /// The name of the process that makes the call.
@@ -45,10 +45,10 @@
 pub enum PlatformResponse {
     /// The call was accepted.
     Taken,
-    /// The platform has seen a higher fencing token; a retry needs a new token.
+    /// The platform has received a higher fencing token; a retry needs a new token.
     Fenced,
-    /// An order for preemptible engines was rejected: the platform has seen a higher fencing token, or it has no such
-    /// engines now.
+    /// An order for preemptible engines was rejected: the platform has received a higher fencing token, or it has no such
+    /// engines at present.
     FencedOrNoneThere,
     /// The call was rate limited; retry later.
     TooMany,
@@ -59,9 +59,9 @@
 /// The deployment's formats for calls to the platform.
 pub trait PlatformFormat: 'static {
     /// Builds the usage report of one window.
-    fn usage_report(&self, right: &CallGrant, report: &UsageReport) -> PlatformCall;
+    fn usage_report(&self, grant: &CallGrant, report: &UsageReport) -> PlatformCall;
     /// Builds an engine order.
-    fn engine_count(&self, right: &CallGrant, order: &EngineCountOrder) -> PlatformCall;
+    fn engine_count(&self, grant: &CallGrant, order: &EngineCountOrder) -> PlatformCall;
     /// Interprets the response status of an engine order, or of a usage report if `order` is `None`.
     fn answer(&self, status: StatusCode, order: Option<&EngineCountOrder>) -> PlatformResponse {
         match status {
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -1,7 +1,7 @@
 //! Periodic calls from the control group's leader to the platform.
 //!
 //! `usage_reports` reports the number of requests that engines started for each tenant; `engine_counts` orders the
-//! number of engines that a policy from `policies` wants per service and zone. Both require a fenced grant from the
+//! number of engines that a policy from `policies` wants per service and zone. Each call carries a fencing token from the
 //! control group (`saddlerelay_control::orders`). [`format::PlatformFormat`] defines the platform's formats,
 //! [`client::PlatformClient`] its transport.
 
@@ -34,8 +34,8 @@
     pub client: C,
     /// The platform's request and response formats.
     pub dialect: Box<dyn PlatformFormat>,
-    /// This process's name, sent in calls as the grant holder.
+    /// This process's name, stated in calls as their sender ([`format::CallGrant::holder`]).
     pub name: String,
-    /// Counters.
+    /// Counters of calls to the platform.
     pub metrics: Rc<PlatformMetrics>,
 }
--- a/crates/duties/src/metrics.rs
+++ b/crates/duties/src/metrics.rs
@@ -5,8 +5,8 @@
 /// Counters since the start of the process.
 pub struct PlatformMetrics {
     registry: MetricRegistry,
-    /// Usage windows whose counts were committed.
-    pub windows_fixed: Counter,
+    /// Usage windows whose final counts were committed.
+    pub windows_closed: Counter,
     /// Usage reports that the platform accepted.
     pub reports_taken: Counter,
     /// Usage reports that the platform rejected or that got no response.
@@ -23,7 +23,7 @@
     fn default() -> Self {
         let mut registry = MetricRegistry::new("saddlerelay_duties");
         let mut counter = |name: &str, help: &str| registry.counter(name, help);
-        let windows_fixed = counter("windows_fixed", "Windows whose counts were fixed");
+        let windows_closed = counter("windows_fixed", "Windows whose counts were fixed");
         let reports_taken = counter("reports_taken", "Usage reports that the platform has taken");
         let reports_failed = counter("reports_failed", "Usage reports that failed or went unanswered");
         let reports_late = counter("reports_late", "Usage reports taken after they were due");
@@ -31,7 +31,7 @@
         let engine_orders_failed = counter("engine_orders_failed", "Orders of engines that failed or went unanswered");
         Self {
             registry,
-            windows_fixed,
+            windows_closed,
             reports_taken,
             reports_failed,
             reports_late,
--- a/crates/duties/src/usage_reports.rs
+++ b/crates/duties/src/usage_reports.rs
@@ -19,11 +19,11 @@
 /// Interval between checks for a due report.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Covers a slow platform, but is short enough to leave time for retries before the report is due.
+/// Timeout of a call; long enough for a slow platform, and short enough for retries before the report is due.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Runs until the process ends; sends reports only while this process is leader.
-pub async fn run<P: Runtime, B: Backends, C: PlatformClient>(duties: Rc<Duties<P, B, C>>, terms: UsageReportConfig) {
+pub async fn run<P: Runtime, B: Backends, C: PlatformClient>(duties: Rc<Duties<P, B, C>>, config: UsageReportConfig) {
     let mut backoff = Backoff::default();
     loop {
         duties.runtime.sleep(CHECK_INTERVAL).await;
@@ -32,15 +32,15 @@
             backoff.reset();
             continue;
         };
-        duties.commit_closed_windows(terms).await;
+        duties.commit_closed_windows(config).await;
         if !backoff.is_elapsed(duties.runtime.monotonic()) || !duties.node.may_order(&OrderSubject::UsageReports) {
             continue;
         }
         let group_unix_ms = duties.node.group_unix_ms();
-        let Some(report) = duties.node.read(|state| next_report(state, terms, group_unix_ms)).flatten() else {
+        let Some(report) = duties.node.read(|state| next_report(state, config, group_unix_ms)).flatten() else {
             continue;
         };
-        if duties.send_report(term, &report, terms).await {
+        if duties.send_report(term, &report, config).await {
             backoff.reset();
         } else {
             backoff.record_failure(&duties.runtime);
@@ -48,29 +48,30 @@
     }
 }
 
-/// The newest window whose counting time is over at `unix_ms`.
-fn newest_closed(terms: UsageReportConfig, unix_ms: u64) -> Option<UsageWindow> {
-    let length_ms = terms.window.as_millis() as u64;
-    let counted_until = unix_ms.saturating_sub(terms.counting_time().as_millis() as u64);
+/// The newest window whose counting time has elapsed at `unix_ms`.
+fn newest_closed(config: UsageReportConfig, unix_ms: u64) -> Option<UsageWindow> {
+    let length_ms = config.window.as_millis() as u64;
+    let counted_until = unix_ms.saturating_sub(config.counting_time().as_millis() as u64);
     let open = UsageWindow::containing(counted_until, length_ms);
     open.0.checked_sub(1).map(UsageWindow)
 }
 
 /// The report to send next: the oldest one that is not overdue, otherwise the newest overdue one.
-fn next_report(state: &ControlState, terms: UsageReportConfig, group_unix_ms: Option<u64>) -> Option<UsageReport> {
-    let is_late = |report: &UsageReport| group_unix_ms.is_some_and(|now| now > due_at_ms(report.window, terms));
+fn next_report(state: &ControlState, config: UsageReportConfig, group_unix_ms: Option<u64>) -> Option<UsageReport> {
+    let is_late = |report: &UsageReport| group_unix_ms.is_some_and(|now| now > due_at_ms(report.window, config));
     let on_time = state.usage.unreported().find(|report| !is_late(report));
     on_time.or_else(|| state.usage.unreported().last())
 }
 
-fn due_at_ms(window: UsageWindow, terms: UsageReportConfig) -> u64 {
-    window.ends_at_ms(terms.window.as_millis() as u64) + terms.due_after.as_millis() as u64
+/// When a window's report is due, in Unix milliseconds.
+fn due_at_ms(window: UsageWindow, config: UsageReportConfig) -> u64 {
+    window.ends_at_ms(config.window.as_millis() as u64) + config.due_after.as_millis() as u64
 }
 
 impl<P: Runtime, B: Backends, C: PlatformClient> Duties<P, B, C> {
     /// Commits the final counts of ended windows, if the routing document defines tenants.
-    async fn commit_closed_windows(&self, terms: UsageReportConfig) {
-        let closed = self.node.group_unix_ms().and_then(|unix_ms| newest_closed(terms, unix_ms));
+    async fn commit_closed_windows(&self, config: UsageReportConfig) {
+        let closed = self.node.group_unix_ms().and_then(|unix_ms| newest_closed(config, unix_ms));
         let Some(closed) = closed else {
             return;
         };
@@ -83,7 +84,7 @@
         }
         match self.node.commit_gateway(GatewayCommand::CloseUsageWindows(closed)).await {
             Ok(_) => {
-                self.metrics.windows_fixed.inc();
+                self.metrics.windows_closed.inc();
                 let uncounted = self.node.read_applied(|state| state.usage.late_requests());
                 spdlog::info!("usage window counts committed", kv: { window = closed.0, uncounted = uncounted });
             }
@@ -96,7 +97,7 @@
     }
 
     /// Sends a report; returns whether the platform accepted it and that acceptance was committed.
-    async fn send_report(&self, term: u64, report: &UsageReport, terms: UsageReportConfig) -> bool {
+    async fn send_report(&self, term: u64, report: &UsageReport, config: UsageReportConfig) -> bool {
         let Some(grant) = self.node.commit_order_note(term, vec![OrderSubject::UsageReports]).await else {
             return false;
         };
@@ -109,7 +110,7 @@
             Err(failure) => failure.to_string(),
         };
         let taken = answered.is_ok_and(|status| self.dialect.answer(status, None) == PlatformResponse::Taken);
-        let late = self.node.group_unix_ms().is_some_and(|now| now > due_at_ms(report.window, terms));
+        let late = self.node.group_unix_ms().is_some_and(|now| now > due_at_ms(report.window, config));
         spdlog::info!("usage report sent", kv: {
             window = report.window.0,
             tenants = report.counts.len(),
