--- a/crates/control/tests/claims.rs
+++ b/crates/control/tests/claims.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{NOW, join, lose};
+use common::{NOW, add_relay, declare_relay_lost};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use saddlerelay_control::commands;
 use saddlerelay_control::state::ControlState;
@@ -23,8 +23,8 @@
 
 fn state_with_relays() -> ControlState {
     let mut state = ControlState::default();
-    join(&mut state, 1);
-    join(&mut state, 2);
+    add_relay(&mut state, 1);
+    add_relay(&mut state, 2);
     state
 }
 
@@ -58,7 +58,7 @@
 #[test]
 fn lost_relay_cannot_acquire_a_claim() {
     let mut state = state_with_relays();
-    lose(&mut state, 1);
+    declare_relay_lost(&mut state, 1);
     assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(1, 10))), ClaimOutcome::HolderFenced);
 }
 
@@ -66,7 +66,7 @@
 fn non_repeatable_request_is_not_granted_again_after_its_holder_is_lost() {
     let mut state = state_with_relays();
     claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(1, 10)));
-    lose(&mut state, 1);
+    declare_relay_lost(&mut state, 1);
     assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(non_repeatable(2, 11))), ClaimOutcome::Lost);
 }
 
@@ -89,7 +89,7 @@
 fn key_with_an_earlier_grant_is_not_sealed() {
     let mut state = state_with_relays();
     claim(&mut state, NOW, ClaimCommand::Acquire(request(1, 10, Repeatability::Repeatable)));
-    lose(&mut state, 1);
+    declare_relay_lost(&mut state, 1);
     let retry = request(2, 11, Repeatability::Repeatable);
     assert_eq!(claim(&mut state, NOW, ClaimCommand::Acquire(retry.clone())), ClaimOutcome::Granted);
     assert_eq!(claim(&mut state, NOW, ClaimCommand::Seal(retry)), ClaimOutcome::Lost);
@@ -149,7 +149,7 @@
 /// Applies a history; fails if a sealed or non-repeatable key is granted again, or a key that may have run is sealed.
 fn run_history(steps: &[Step], repeatability: Repeatability) -> Result<(), String> {
     let mut state = ControlState::default();
-    (0..4).for_each(|relay| join(&mut state, relay));
+    (0..4).for_each(|relay| add_relay(&mut state, relay));
     let mut granted: Vec<u8> = Vec::new();
     let mut sealed = false;
     for step in steps {
@@ -163,7 +163,7 @@
                     granted.push(arrival);
                 }
             }
-            // A real client seals only if it has sent nothing, so the sealing arrival itself does not count as run.
+            // A relay seals a key only if it has sent nothing, so the sealing arrival does not count as run.
             Step::Seal { relay, arrival } => {
                 let claim_request = request(relay.into(), arrival.into(), repeatability);
                 let is_sealed = claim(&mut state, NOW, ClaimCommand::Seal(claim_request)) == ClaimOutcome::Sealed;
@@ -182,7 +182,7 @@
                 let key = non_repeatable(0, 0).key;
                 claim(&mut state, NOW, ClaimCommand::Abandon { key, arrival: arrival.into() });
             }
-            Step::Lose { relay } => lose(&mut state, relay.into()),
+            Step::Lose { relay } => declare_relay_lost(&mut state, relay.into()),
         }
     }
     granted.dedup();
@@ -192,9 +192,9 @@
 
 #[test]
 fn no_history_grants_a_key_twice_or_seals_a_key_that_may_have_run() {
-    fn holds(steps: Vec<Step>) -> Result<(), String> {
+    fn check(steps: Vec<Step>) -> Result<(), String> {
         run_history(&steps, Repeatability::NotRepeatable)?;
         run_history(&steps, Repeatability::Repeatable)
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(60, 1)).tests(4_000).quickcheck(holds as fn(Vec<Step>) -> _);
+    QuickCheck::new().rng(Gen::from_size_and_seed(60, 1)).tests(4_000).quickcheck(check as fn(Vec<Step>) -> _);
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -17,8 +17,8 @@
     commands::apply(state, LogCommand { time: NOW, command })
 }
 
-/// Adds a relay.
-pub fn join(state: &mut ControlState, incarnation: u64) {
+/// Adds the relay `relay-<incarnation>`.
+pub fn add_relay(state: &mut ControlState, incarnation: u64) {
     let description = RelayDescription {
         name: format!("relay-{incarnation}"),
         incarnation: Incarnation(incarnation),
@@ -28,7 +28,7 @@
     apply(state, Command::Membership(MembershipCommand::RelayJoined(description)));
 }
 
-/// Declares a relay lost.
-pub fn lose(state: &mut ControlState, incarnation: u64) {
+/// Declares the relay with this incarnation lost.
+pub fn declare_relay_lost(state: &mut ControlState, incarnation: u64) {
     apply(state, Command::Membership(MembershipCommand::RelayLost(Incarnation(incarnation))));
 }
--- a/crates/control/tests/configuration.rs
+++ b/crates/control/tests/configuration.rs
@@ -52,8 +52,8 @@
     let mut state = state_with_template();
     let create = |bound| ConfigurationChange { expected: Some(Revision(0)), ..put(tenant_name(1), tenant(bound)) };
     assert_eq!(change(&mut state, create(3)), ConfigurationOutcome::Accepted(Revision(2)));
-    let winner = ObjectState { name: tenant_name(1), revision: Revision(2), value: Some(tenant(3)) };
-    assert_eq!(change(&mut state, create(4)), ConfigurationOutcome::RevisionMismatch(winner));
+    let current = ObjectState { name: tenant_name(1), revision: Revision(2), value: Some(tenant(3)) };
+    assert_eq!(change(&mut state, create(4)), ConfigurationOutcome::RevisionMismatch(current));
 }
 
 #[test]
@@ -118,7 +118,7 @@
 /// Accepted changes have ascending revisions and match the current revision, and a key never has two outcomes.
 #[test]
 fn accepted_changes_are_linear() {
-    fn holds(edits: Vec<Edit>) -> Result<(), String> {
+    fn check(edits: Vec<Edit>) -> Result<(), String> {
         let mut state = state_with_template();
         let mut outcomes: BTreeMap<u8, ConfigurationOutcome> = BTreeMap::new();
         for edit in edits {
@@ -145,13 +145,13 @@
         }
         Ok(())
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(60, 11)).tests(2_000).quickcheck(holds as fn(Vec<Edit>) -> _);
+    QuickCheck::new().rng(Gen::from_size_and_seed(60, 11)).tests(2_000).quickcheck(check as fn(Vec<Edit>) -> _);
 }
 
 /// Applying the update after any known revision leads to the current configuration.
 #[test]
 fn update_after_any_revision_leads_to_the_current_configuration() {
-    fn holds(edits: Vec<Edit>, known: u8) -> bool {
+    fn check(edits: Vec<Edit>, known: u8) -> bool {
         let mut state = state_with_template();
         let mut known_objects = BTreeMap::new();
         let known = Revision(u64::from(known) % (edits.len() as u64 + 1));
@@ -172,7 +172,7 @@
         objects.retain(|_, object| object.value.is_some());
         update.revision == state.configuration.revision() && objects == objects_of(&state)
     }
-    let property = holds as fn(Vec<Edit>, u8) -> bool;
+    let property = check as fn(Vec<Edit>, u8) -> bool;
     QuickCheck::new().rng(Gen::from_size_and_seed(40, 13)).tests(1_000).quickcheck(property);
 }
 
--- a/crates/control/tests/fleet_steps.rs
+++ b/crates/control/tests/fleet_steps.rs
@@ -1,5 +1,5 @@
-//! The cost of an event, in table lookups and reply bytes, does not grow with the number of engines. Checked with
-//! 1,000, 10,000 and 20,000 engines.
+//! The cost of reports, silence checks and relay updates, in table lookups and reply bytes, does not grow with the
+//! number of engines.
 
 use saddlerelay_control::instance_watch::InstanceWatch;
 use saddlerelay_control::state::engine_subset::RelayLocation;
@@ -11,9 +11,9 @@
 const SIZES: [usize; 3] = [1_000, 10_000, 20_000];
 const RELAYS: [usize; 3] = [100, 1_000, 2_000];
 const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
-const SILENCE: Duration = Duration::from_millis(15_400);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(15_400);
 
-/// Maximum number of lookups per event.
+/// Maximum number of table lookups for a report, a heartbeat or a silence check.
 const MAX_LOOKUPS: u64 = 8;
 
 /// Maximum number of engines in a relay's subset: for two services, 128 in its own zone and 32 in each of four other
@@ -21,7 +21,7 @@
 const MAX_SUBSET_ENGINES: usize = 2 * (128 + 4 * 32);
 
 /// Maximum size in bytes of the first reply to a relay.
-const MAX_FIRST_RESPONSE_BYTES: usize = 64 * 1024;
+const MAX_FIRST_REPLY_BYTES: usize = 64 * 1024;
 
 fn report(number: usize, sequence: u64) -> InstanceReport {
     // One in 25 engines belongs to the smaller service.
@@ -48,7 +48,7 @@
     (0..count).map(|number| format!("relay-{number}")).collect()
 }
 
-fn place(name: &str) -> RelayLocation<'_> {
+fn location(name: &str) -> RelayLocation<'_> {
     RelayLocation::new(name, ZONES[usize::from(name.as_bytes()[name.len() - 1]) % ZONES.len()])
 }
 
@@ -85,21 +85,21 @@
         let mut watch = InstanceWatch::default();
         watch.reset_for_term(1);
         let at = Duration::from_secs;
-        let first = watch.silence_changes(&table, at(0), SILENCE);
+        let first = watch.silence_changes(&table, at(0), SILENCE_TIMEOUT);
         assert!(first.is_empty(), "no engine is silent at first");
         (0..engines)
             .filter(|number| number % 100 != 3)
             .for_each(|number| watch.record_report(&report(number, 2), at(10)));
-        let (lookups, changes) = lookups_of(|| watch.silence_changes(&table, at(14), SILENCE));
+        let (lookups, changes) = lookups_of(|| watch.silence_changes(&table, at(14), SILENCE_TIMEOUT));
         assert!(changes.is_empty() && lookups <= MAX_LOOKUPS, "{lookups} lookups without changes among {engines}");
-        let (lookups, changes) = lookups_of(|| watch.silence_changes(&table, at(16), SILENCE));
+        let (lookups, changes) = lookups_of(|| watch.silence_changes(&table, at(16), SILENCE_TIMEOUT));
         assert_eq!(changes.silent.len(), engines / 100);
         assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups among {engines}");
         table.record_silence(&changes.silent, &changes.resumed);
-        let after = watch.silence_changes(&table, at(17), SILENCE);
-        assert!(after.is_empty(), "recorded silence is not reported again");
+        let after = watch.silence_changes(&table, at(17), SILENCE_TIMEOUT);
+        assert!(after.is_empty(), "engines that are marked as silent should not be returned again");
         watch.record_report(&report(3, 9), at(18));
-        let again = watch.silence_changes(&table, at(18), SILENCE);
+        let again = watch.silence_changes(&table, at(18), SILENCE_TIMEOUT);
         assert_eq!((again.silent.len(), again.resumed), (0, vec![InstanceId::named("engine-3")]));
     }
 }
@@ -110,7 +110,7 @@
         let mut table = table(engines);
         let known = table.revision();
         for name in relays(RELAYS[2]) {
-            let (lookups, update) = lookups_of(|| table.changes_for_relay(place(&name), known));
+            let (lookups, update) = lookups_of(|| table.changes_for_relay(location(&name), known));
             assert!(update.records.is_empty() && !update.whole);
             assert_eq!(lookups, 0, "an empty update takes {lookups} lookups among {engines} engines");
         }
@@ -119,7 +119,7 @@
             let (lookups, receivers) = lookups_of(|| {
                 let receivers = relays(count)
                     .into_iter()
-                    .filter(|name| !table.changes_for_relay(place(name), known).records.is_empty());
+                    .filter(|name| !table.changes_for_relay(location(name), known).records.is_empty());
                 receivers.count()
             });
             assert_eq!(lookups, count as u64, "{lookups} lookups of {count} relays for one change");
@@ -137,12 +137,12 @@
         let table = table(engines);
         let mut received_by = std::collections::BTreeMap::<InstanceId, u32>::new();
         for name in relays(RELAYS[1]) {
-            let relay = place(&name);
+            let relay = location(&name);
             let (lookups, update) = lookups_of(|| table.changes_for_relay(relay, 0));
             assert!(update.whole && lookups == update.records.len() as u64);
             assert!(update.records.len() <= MAX_SUBSET_ENGINES, "a subset of {} among {engines}", update.records.len());
             let bytes = bitcode::encode(&update).len();
-            assert!(bytes <= MAX_FIRST_RESPONSE_BYTES, "{bytes} bytes among {engines} engines");
+            assert!(bytes <= MAX_FIRST_REPLY_BYTES, "{bytes} bytes among {engines} engines");
             for service in ["pages", "models"] {
                 let engines_in_zone = |zone: &str| {
                     let of = |report: &InstanceReport| report.service == service && report.zone == zone;
@@ -169,9 +169,9 @@
 #[test]
 fn relay_gets_a_full_update_when_the_size_of_a_place_changes_much() {
     let mut table = table(150);
-    let relay = place("relay-1");
+    let relay = location("relay-1");
     let known = table.revision();
-    assert_eq!(table.changes_for_relay(relay, 0).records.len(), 150, "all engines of a small place");
+    assert_eq!(table.changes_for_relay(relay, 0).records.len(), 150, "the subset should contain all engines");
     (150..3_000).for_each(|number| table.apply_report(report(number, 1)));
     let grown = table.changes_for_relay(relay, known);
     assert!(grown.whole && grown.records.len() < 500, "{}", grown.records.len());
@@ -181,7 +181,7 @@
     assert!(shrunk.whole && shrunk.records.len() == 50, "{}", shrunk.records.len());
     assert!(
         table.changes_for_relay(relay, shrunk.revision + 5).whole,
-        "a relay with a revision from the future gets a full update"
+        "a relay with a revision above the table's should get a full update"
     );
 }
 
--- a/crates/control/tests/gateway.rs
+++ b/crates/control/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! Gateway commands: routing documents, instances, weight versions, orders, batch jobs and storage machines.
+//! Gateway commands: routing documents, instances, weight versions, orders, batch jobs and store machines.
 
 mod common;
 
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn announced_weight_version_never_decreases() {
+fn published_weight_version_never_decreases() {
     let mut state = ControlState::default();
     let model = |version| LoadedModel { model: "m".to_string(), version };
     commit(&mut state, GatewayCommand::PublishVersion(model(3)));
@@ -173,7 +173,7 @@
     let note = |id| GatewayCommand::NoteOrders { holder: ReplicaId(id), subjects: subjects() };
     let mut record_note = |id| match commit(&mut state, note(id)) {
         GatewayOutcome::Orders { fence, taken_over } => (fence.0, taken_over),
-        other => panic!("{other:?}"),
+        other => panic!("unexpected outcome of an order note: {other:?}"),
     };
     assert_eq!(record_note(1), (1, false));
     assert_eq!(record_note(1), (2, false));
@@ -323,7 +323,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Keep { item: u8, offset: u8, length: u8 },
+    Save { item: u8, offset: u8, length: u8 },
     List { item: u8, offset: u8, length: u8 },
     End,
     Submit,
@@ -336,13 +336,13 @@
         match u8::arbitrary(generator) % 20 {
             0 => Self::End,
             1 => Self::Submit,
-            2..=9 => Self::Keep { item, offset, length },
+            2..=9 => Self::Save { item, offset, length },
             _ => Self::List { item, offset, length },
         }
     }
 }
 
-/// After any history the results are append-only, each item is listed at most once, and a snapshot restores the state.
+/// In any history the results are append-only and each item is listed at most once, and a snapshot restores the state.
 #[test]
 fn listed_results_keep_their_positions() {
     fn check(steps: Vec<Step>) -> bool {
@@ -352,7 +352,7 @@
         for step in steps {
             let text = |length: u8| "x".repeat(length.into());
             match step {
-                Step::Keep { item, offset, length } => {
+                Step::Save { item, offset, length } => {
                     let parts = vec![part(item.into(), offset.into(), &text(length))];
                     commit(&mut state, GatewayCommand::SaveTexts { job: JobId("j".to_string()), parts });
                 }
--- a/crates/control/tests/level_one.rs
+++ b/crates/control/tests/level_one.rs
@@ -32,10 +32,10 @@
 
 fn frames(mut bytes: &[u8]) -> Vec<&[u8]> {
     let mut frames = Vec::new();
-    while let Some((length, rest)) = bytes.split_first_chunk::<4>() {
-        let (frame, rest) = rest.split_at(u32::from_le_bytes(*length) as usize);
+    while let Some((length, remaining)) = bytes.split_first_chunk::<4>() {
+        let (frame, remaining) = remaining.split_at(u32::from_le_bytes(*length) as usize);
         frames.push(frame);
-        bytes = rest;
+        bytes = remaining;
     }
     frames
 }
@@ -73,7 +73,7 @@
 }
 
 /// A replica that applied every entry and one that was restored from a snapshot have the same state after the level is
-/// raised, even if only one has silence marks.
+/// raised, even if only one of them has silent flags set.
 #[test]
 fn replicas_have_the_same_state_after_the_level_is_raised() {
     let mut replayed = machine_with_log_applied();
@@ -145,8 +145,8 @@
 #[test]
 fn replication_messages_are_encoded_as_by_a_released_build() {
     let golden_messages = frames(PEERS);
-    let (requests, rest) = golden_messages.split_at(PEER_REQUESTS);
-    let (replies, records) = rest.split_at(PEER_REPLIES);
+    let (requests, replies_and_records) = golden_messages.split_at(PEER_REQUESTS);
+    let (replies, records) = replies_and_records.split_at(PEER_REPLIES);
     for golden in requests {
         let request = message_codec::decode_request(golden, FeatureLevel::One).expect("the golden data decodes");
         assert_eq!(message_codec::encode_request(&request, FeatureLevel::One).as_deref(), Some(*golden));
@@ -172,8 +172,8 @@
         instance_revision: 0,
         silent: Vec::new(),
     };
-    let mut memory = FollowConverter::default();
-    let reply = messages::decode_follow_one(messages[REQUESTS], &request, &mut memory);
+    let mut converter = FollowConverter::default();
+    let reply = messages::decode_follow_one(messages[REQUESTS], &request, &mut converter);
     let Some(saddlerelay_types::protocol::ControlReply::Gateway(saddlerelay_types::gateway::GatewayReply::Followed(
         reply,
     ))) = reply
@@ -182,7 +182,7 @@
     };
     let document = reply
         .routing
-        .expect("a document")
+        .expect("the reply contains a routing update")
         .decode()
         .expect("the golden data decodes")
         .apply(None)
@@ -200,7 +200,7 @@
     let entries = encode(1, note.clone(), FeatureLevel::One).expect("the command is representable at level one");
     let outcomes: Vec<CommandOutcome> = entries.iter().map(|entry| machine.apply(entry)).collect();
     let Some(CommandOutcome::Gateway(GatewayOutcome::Orders { taken_over: false, .. })) = outcomes.last() else {
-        panic!("{outcomes:?}");
+        panic!("unexpected outcomes of an order note: {outcomes:?}");
     };
     assert_eq!(machine.state().orders.holder(), Some(holder));
     assert_eq!(machine.state().orders.notes().len(), 1);
@@ -241,8 +241,8 @@
     watch.record_report(&report(50), seconds(1));
     assert!(watch.record_start(&InstanceId::started("engine", 200)));
     watch.record_report(&report(1), seconds(2));
-    let (heard_at, models) = watch.models(&InstanceId::named("engine")).expect("a report was received");
-    assert_eq!((heard_at, models[0].version), (seconds(2), 1));
+    let (received_at, models) = watch.models(&InstanceId::named("engine")).expect("a report was received");
+    assert_eq!((received_at, models[0].version), (seconds(2), 1));
     assert!(!watch.record_start(&InstanceId::started("engine", 100)), "a delayed report of the earlier start");
     assert!(watch.record_start(&InstanceId::named("other")), "an engine without a start time");
 }
--- a/crates/control/tests/level_two.rs
+++ b/crates/control/tests/level_two.rs
@@ -182,7 +182,7 @@
     TrialId { holder: Incarnation(random.u64(..3)), number: random.u64(..4) }
 }
 
-fn held(random: &mut fastrand::Rng) -> HeldTrial {
+fn held_trial(random: &mut fastrand::Rng) -> HeldTrial {
     HeldTrial { work: work(random), id: trial(random) }
 }
 
@@ -222,9 +222,9 @@
         26 => GatewayCommand::SetWantedEngines(vec![WantedEngines { place: place(), count: random.u32(..9) }]),
         27 => GatewayCommand::RecordEvidence(evidence(random)),
         28 => GatewayCommand::BeginTrial(TrialRequest { work: work(random), id: trial(random), limit_ms: 900 }),
-        29 => GatewayCommand::RenewTrials(vec![held(random)]),
+        29 => GatewayCommand::RenewTrials(vec![held_trial(random)]),
         30 if random.bool() => GatewayCommand::EndTrial { work: work(random), id: trial(random) },
-        30 => GatewayCommand::ExpireTrials(vec![TrialLease { held: held(random), renewals: random.u32(..3) }]),
+        30 => GatewayCommand::ExpireTrials(vec![TrialLease { held: held_trial(random), renewals: random.u32(..3) }]),
         _ if random.bool() => GatewayCommand::ExpireSuspicions,
         _ => GatewayCommand::ReleaseWork(work(random)),
     }
@@ -254,10 +254,10 @@
 }
 
 fn messages(random: &mut fastrand::Rng, state: &ControlMachine) -> Vec<Vec<u8>> {
-    let held_document = state.state().routing.current().expect("a document was applied").clone();
-    let update = EncodedRoutingUpdate::encode(&RoutingUpdate::between(None, &held_document));
+    let applied_document = state.state().routing.current().expect("a document was applied").clone();
+    let update = EncodedRoutingUpdate::encode(&RoutingUpdate::between(None, &applied_document));
     let record = InstanceRecord { report: report(random), state: InstanceState::Ready, silent: true, revision: 9 };
-    let news = InstanceUpdate { revision: 5, whole: true, records: vec![record] };
+    let instance_update = InstanceUpdate { revision: 5, whole: true, records: vec![record] };
     let gateway = |request| bitcode::encode(&ControlRequest::Gateway(request));
     let reply = |reply| bitcode::encode(&ControlReply::Gateway(reply));
     let job_id = JobId("job-1".to_string());
@@ -269,9 +269,9 @@
         address: address(200),
     };
     let heartbeat = InstanceHeartbeat { id: instance(random, 1), sequence: 3 };
-    let gathered = GatheredReports { changed: vec![report(random)], heartbeats: vec![heartbeat] };
+    let reports = GatheredReports { changed: vec![report(random)], heartbeats: vec![heartbeat] };
     let clock = RelayClock { relay: "relay".to_string(), unix_ms: 77 };
-    let words = RelayData { clocks: vec![clock], usage: vec![usage(random, 4)] };
+    let relay_data = RelayData { clocks: vec![clock], usage: vec![usage(random, 4)] };
     let renewal = RenewRequest {
         relay,
         configuration: Default::default(),
@@ -297,10 +297,10 @@
             suspicion_revision: 6,
         })),
         gateway(GatewayRequest::ReportInstance(report(random))),
-        gateway(GatewayRequest::ReportInstances(gathered)),
-        gateway(GatewayRequest::Confirm(words)),
+        gateway(GatewayRequest::ReportInstances(reports)),
+        gateway(GatewayRequest::Confirm(relay_data)),
         gateway(GatewayRequest::RemoveInstance(instance(random, 2))),
-        gateway(GatewayRequest::PutRouting(held_document)),
+        gateway(GatewayRequest::PutRouting(applied_document)),
         gateway(GatewayRequest::ReadRouting),
         gateway(GatewayRequest::PublishVersion(LoadedModel { model: "notes".to_string(), version: 3 })),
         gateway(GatewayRequest::SubmitJob(job(random, 1))),
@@ -323,14 +323,14 @@
         gateway(GatewayRequest::ReadRetirement("store".to_string())),
         gateway(GatewayRequest::ReadDuties),
         gateway(GatewayRequest::ReportEvidence(evidence(random))),
-        gateway(GatewayRequest::RenewTrials(vec![held(random)])),
+        gateway(GatewayRequest::RenewTrials(vec![held_trial(random)])),
         gateway(GatewayRequest::EndTrial { work: work(random), id: trial(random) }),
         gateway(GatewayRequest::ReadSuspicions),
         gateway(GatewayRequest::ReleaseWork(work(random))),
         reply(GatewayReply::Followed(FollowReply {
             lease_ms: 1_800,
             routing: Some(update),
-            instances: news,
+            instances: instance_update,
             follower: Some(address(2)),
             retry_pause_ms: 7,
             replicas: vec![address(1)],
@@ -351,7 +351,7 @@
         reply(GatewayReply::TooFew),
         reply(GatewayReply::Retirement { completed: true }),
         reply(GatewayReply::Trial(TrialAnswer::Taken)),
-        reply(GatewayReply::TrialsLost(vec![held(random)])),
+        reply(GatewayReply::TrialsLost(vec![held_trial(random)])),
         reply(GatewayReply::Unavailable),
         bitcode::encode(&ControlReply::NotLeader { leader: Some(address(2)), peers: vec![address(3)] }),
         bitcode::encode(&ControlReply::Undecided),
@@ -372,7 +372,7 @@
 }
 
 /// Requests and replies of the replication protocol, and log file records.
-fn peers() -> Vec<Vec<u8>> {
+fn replication_data() -> Vec<Vec<u8>> {
     let part = SnapshotPart { index: 5, total: 9, offset: 0, bytes: vec![1, 2] };
     let requests = [
         ReplicaRequest::Vote { header: header(), pre_vote: true, transfer: false, last_index: 5, last_term: 6 },
@@ -426,7 +426,7 @@
         ("log", framed(&entries)),
         ("state", machine.snapshot()),
         ("messages", framed(&messages)),
-        ("peers", framed(&peers())),
+        ("peers", framed(&replication_data())),
     ])
 }
 
--- a/crates/control/tests/order_watch.rs
+++ b/crates/control/tests/order_watch.rs
@@ -1,4 +1,4 @@
-//! Waiting time of a new holder of orders, by subject.
+//! Time that a new holder of orders has to wait, by subject.
 
 use saddlerelay_control::order_watch::OrderWatch;
 use saddlerelay_control::state::orders::OrderState;
@@ -9,7 +9,7 @@
 
 const OLD: ReplicaId = ReplicaId(1);
 const NEW: ReplicaId = ReplicaId(2);
-const DISTANCE: Duration = Duration::from_secs(3);
+const SEPARATION: Duration = Duration::from_secs(3);
 
 fn engine(name: &str) -> OrderSubject {
     OrderSubject::Engine(name.to_string())
@@ -29,11 +29,11 @@
     watch.observe(&state, seconds(12));
     // Observing a note again does not extend the wait.
     watch.observe(&state, seconds(13));
-    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, DISTANCE), seconds(13));
-    assert_eq!(watch.earliest_order_time(&engine("b"), NEW, DISTANCE), seconds(15));
-    assert_eq!(watch.earliest_order_time(&engine("c"), NEW, DISTANCE), Duration::ZERO);
+    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, SEPARATION), seconds(13));
+    assert_eq!(watch.earliest_order_time(&engine("b"), NEW, SEPARATION), seconds(15));
+    assert_eq!(watch.earliest_order_time(&engine("c"), NEW, SEPARATION), Duration::ZERO);
     assert_eq!(
-        watch.earliest_order_time(&engine("b"), OLD, DISTANCE),
+        watch.earliest_order_time(&engine("b"), OLD, SEPARATION),
         Duration::ZERO,
         "a holder does not wait for itself"
     );
@@ -47,7 +47,7 @@
     watch.observe(&state, seconds(10));
     state.record(OLD, vec![engine("a")]);
     watch.observe(&state, seconds(14));
-    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, DISTANCE), seconds(17));
+    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, SEPARATION), seconds(17));
 }
 
 #[test]
@@ -56,8 +56,8 @@
     state.record(OLD, vec![engine("a"), engine("b")]);
     let mut watch = OrderWatch::default();
     watch.observe(&state, seconds(100));
-    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, DISTANCE), seconds(103));
+    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, SEPARATION), seconds(103));
     state.remove_engine(&InstanceId::named("a"));
     watch.observe(&state, seconds(101));
-    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, DISTANCE), Duration::ZERO, "the note was removed");
+    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, SEPARATION), Duration::ZERO, "the note was removed");
 }
--- a/crates/control/tests/restarts.rs
+++ b/crates/control/tests/restarts.rs
@@ -15,8 +15,8 @@
 const FIRST: u64 = 10_000;
 const SECOND: u64 = 20_000;
 
-/// Minimum time between orders of two holders.
-const DISTANCE: Duration = Duration::from_secs(3);
+/// Minimum time between orders of two replicas about the same subject.
+const SEPARATION: Duration = Duration::from_secs(3);
 
 /// Maximum number of pending reports.
 const MAX_PENDING_REPORTS: usize = 4_096;
@@ -177,10 +177,10 @@
                 commit(&mut state, deregistered);
             }
             let mut watch = OrderWatch::default();
-            let seen_at = Duration::from_secs(10);
-            watch.observe(&state.orders, seen_at);
-            let earliest_order_time = |holder| watch.earliest_order_time(&subject, ReplicaId(holder), DISTANCE);
-            assert_eq!((earliest_order_time(1), earliest_order_time(2)), (Duration::ZERO, seen_at + DISTANCE));
+            let observed_at = Duration::from_secs(10);
+            watch.observe(&state.orders, observed_at);
+            let earliest_order_time = |holder| watch.earliest_order_time(&subject, ReplicaId(holder), SEPARATION);
+            assert_eq!((earliest_order_time(1), earliest_order_time(2)), (Duration::ZERO, observed_at + SEPARATION));
         }
     }
 }
@@ -195,7 +195,7 @@
     apply_report(&mut state, with_unknown_service(report(start(SECOND), 1)));
     let forged_report =
         InstanceReport { leaving: true, sequence: 900, ..with_unknown_service(report(start(FIRST), 1)) };
-    assert!(!state.proves_liveness(&forged_report), "a report with another service is not a sign of life");
+    assert!(!state.proves_liveness(&forged_report), "a report with another service should not prove liveness");
     apply_report(&mut state, forged_report);
     assert_eq!(state.instances, before);
     // The address is still in use when the service is added.
--- a/crates/control/tests/rollouts.rs
+++ b/crates/control/tests/rollouts.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{apply, join, lose};
+use common::{add_relay, apply, declare_relay_lost};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use saddlerelay_control::state::ControlState;
 use saddlerelay_types::configuration::{
@@ -40,7 +40,7 @@
 fn new_state() -> ControlState {
     let mut state = ControlState::default();
     configure(&mut state, STALENESS_BOUND);
-    (1..=3).for_each(|relay| join(&mut state, relay));
+    (1..=3).for_each(|relay| add_relay(&mut state, relay));
     state
 }
 
@@ -107,7 +107,7 @@
     open(&mut state, 1);
     open_step(&mut state, 1, 1);
     let delayed = assign(&mut state, 1, 1, 1).remove(0);
-    lose(&mut state, 1);
+    declare_relay_lost(&mut state, 1);
     let again = assign(&mut state, 2, 1, 1).remove(0);
     assert_eq!(again.sample, delayed.sample);
     assert!(!complete(&mut state, &delayed, 0));
@@ -159,9 +159,9 @@
     assert_eq!(fetch(&mut state, 1, Position(1)), Err(TrainerRefusal::BadCursor));
 }
 
-/// A step of a random history of a trainer and its relays.
+/// An action in a random history of a trainer and its relays.
 #[derive(Clone, Copy, Debug)]
-enum Step {
+enum Action {
     Open,
     Assign { relay: u8 },
     Complete { index: u8, behind: u8 },
@@ -173,7 +173,7 @@
     Tighten { bound: u8 },
 }
 
-impl Arbitrary for Step {
+impl Arbitrary for Action {
     fn arbitrary(generator: &mut Gen) -> Self {
         let number = u8::arbitrary(generator);
         match u8::arbitrary(generator) % 14 {
@@ -250,42 +250,42 @@
         Ok(())
     }
 
-    fn step(&mut self, step: Step) -> Result<(), String> {
-        match step {
-            Step::Open => {
+    fn perform(&mut self, action: Action) -> Result<(), String> {
+        match action {
+            Action::Open => {
                 self.steps += 1;
                 open_step(&mut self.state, self.incarnation, self.steps);
             }
-            Step::Assign { relay } => {
+            Action::Assign { relay } => {
                 let index = usize::from(relay);
                 self.sequences[index] += 1;
                 let assigned = assign(&mut self.state, self.relays[index], self.sequences[index], 2);
                 self.assigned.extend(assigned);
             }
-            Step::Complete { index, behind } if !self.assigned.is_empty() => {
+            Action::Complete { index, behind } if !self.assigned.is_empty() => {
                 let assignment = self.assigned[usize::from(index) % self.assigned.len()].clone();
                 let version = self.published.saturating_sub(behind.into());
                 complete(&mut self.state, &assignment, version);
             }
-            Step::Complete { .. } => {}
-            Step::LoseRelay { relay } => {
+            Action::Complete { .. } => {}
+            Action::LoseRelay { relay } => {
                 let index = usize::from(relay);
-                lose(&mut self.state, self.relays[index]);
+                declare_relay_lost(&mut self.state, self.relays[index]);
                 self.relays[index] = self.next_relay;
                 self.sequences[index] = 0;
-                join(&mut self.state, self.next_relay);
+                add_relay(&mut self.state, self.next_relay);
                 self.next_relay += 1;
             }
-            Step::Fetch => {
+            Action::Fetch => {
                 let batch = fetch(&mut self.state, self.incarnation, self.cursor);
                 self.batches_in_flight.push(batch.map_err(|rejection| format!("a fetch was rejected: {rejection:?}"))?);
             }
-            Step::ReceiveBatch { index } if !self.batches_in_flight.is_empty() => {
+            Action::ReceiveBatch { index } if !self.batches_in_flight.is_empty() => {
                 let batch = self.batches_in_flight[usize::from(index) % self.batches_in_flight.len()].clone();
                 self.receive(&batch)?;
             }
-            Step::ReceiveBatch { .. } => {}
-            Step::Publish => {
+            Action::ReceiveBatch { .. } => {}
+            Action::Publish => {
                 self.published += 1;
                 let outcome = publish(&mut self.state, self.incarnation, self.published, self.cursor);
                 let CommandOutcome::Trainer(state) = outcome else {
@@ -293,15 +293,15 @@
                 };
                 self.epoch = self.epoch.max(state.epoch);
             }
-            Step::Restart => {
+            Action::Restart => {
                 self.incarnation += 1;
                 open(&mut self.state, self.incarnation);
-                // Responses to the earlier incarnation are not received.
+                // Replies to the earlier incarnation are not received.
                 self.batches_in_flight.clear();
             }
-            // Batches in flight were placed under the old bound, which they may satisfy alone. They are dropped here,
-            // as the trainer may accept them until its next response.
-            Step::Tighten { bound } => {
+            // Batches in flight may satisfy only the old bound. They are dropped here, as the trainer may accept them
+            // until it receives its next batch.
+            Action::Tighten { bound } => {
                 self.batches_in_flight.clear();
                 self.bound = u64::from(bound);
                 configure(&mut self.state, self.bound);
@@ -313,19 +313,19 @@
 
 #[test]
 fn every_history_delivers_each_sample_once_and_within_the_staleness_bound() {
-    fn holds(steps: Vec<Step>) -> Result<(), String> {
+    fn check(actions: Vec<Action>) -> Result<(), String> {
         let mut history = History::new();
-        steps.into_iter().try_for_each(|step| history.step(step))?;
+        actions.into_iter().try_for_each(|action| history.perform(action))?;
         drain(&mut history)
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(150, 17)).tests(2_000).quickcheck(holds as fn(Vec<Step>) -> _);
+    QuickCheck::new().rng(Gen::from_size_and_seed(150, 17)).tests(2_000).quickcheck(check as fn(Vec<Action>) -> _);
 }
 
 /// Completes and fetches all outstanding samples; fails if any requested sample is not delivered.
 fn drain(history: &mut History) -> Result<(), String> {
     let expected = history.steps as usize * 4;
     // Declares all relays lost, so that their unfinished samples are requeued.
-    (0..3).try_for_each(|relay| history.step(Step::LoseRelay { relay }))?;
+    (0..3).try_for_each(|relay| history.perform(Action::LoseRelay { relay }))?;
     for _ in 0..=expected {
         history.sequences[0] += 1;
         let sequence = history.sequences[0];
--- a/crates/control/tests/routing_updates.rs
+++ b/crates/control/tests/routing_updates.rs
@@ -89,19 +89,19 @@
 
 #[test]
 fn update_turns_the_older_document_into_the_newer_one() {
-    fn holds(History(documents): History) -> bool {
+    fn check(History(documents): History) -> bool {
         documents.windows(2).all(|pair| {
             let (old, new) = (document(1, &pair[0]), document(2, &pair[1]));
             let update = RoutingUpdate::between(Some(&old), &new);
             update.apply(Some(&old)).map(sorted) == Some(sorted(new))
         })
     }
-    QuickCheck::new().tests(400).quickcheck(holds as fn(History) -> bool);
+    QuickCheck::new().tests(400).quickcheck(check as fn(History) -> bool);
 }
 
 #[test]
 fn update_from_any_earlier_document_leads_to_the_newest() {
-    fn holds(History(documents): History) -> bool {
+    fn check(History(documents): History) -> bool {
         let documents: Vec<RoutingDocument> =
             documents.iter().enumerate().map(|(index, routes)| document(index as u64 + 1, routes)).collect();
         let mut updates = RoutingUpdates::default();
@@ -119,7 +119,7 @@
         }
         true
     }
-    QuickCheck::new().tests(200).quickcheck(holds as fn(History) -> bool);
+    QuickCheck::new().tests(200).quickcheck(check as fn(History) -> bool);
 }
 
 #[test]
--- a/crates/control/tests/text_archive.rs
+++ b/crates/control/tests/text_archive.rs
@@ -15,7 +15,7 @@
         size: usize,
     },
     RemoveReference {
-        which: usize,
+        index: usize,
     },
     /// Writes the oldest unreleased segment to disk.
     Store,
@@ -27,7 +27,7 @@
     fn arbitrary(generator: &mut Gen) -> Self {
         match u8::arbitrary(generator) % 12 {
             0 => Self::Restore,
-            1..=2 => Self::RemoveReference { which: usize::arbitrary(generator) },
+            1..=2 => Self::RemoveReference { index: usize::arbitrary(generator) },
             3..=5 => Self::Store,
             _ => Self::Append { size: *generator.choose(&SIZES).expect("the list of sizes is not empty") },
         }
@@ -61,18 +61,18 @@
         self.archive = copy;
     }
 
-    fn read(&self, place: &TextLocation) -> Vec<u8> {
+    fn read(&self, location: &TextLocation) -> Vec<u8> {
         let mut loaded = LoadedTexts::default();
-        if let Some(text) = self.archive.text(place, &loaded) {
+        if let Some(text) = self.archive.text(location, &loaded) {
             return text.to_vec();
         }
-        let segment = self.disk.get(&place.segment()).expect("a released segment is on disk");
-        loaded.copy_from_segment(place.segment(), segment, &[*place]);
-        self.archive.text(place, &loaded).expect("the text was loaded").to_vec()
+        let segment = self.disk.get(&location.segment()).expect("a released segment is on disk");
+        loaded.copy_from_segment(location.segment(), segment, &[*location]);
+        self.archive.text(location, &loaded).expect("the text was loaded").to_vec()
     }
 }
 
-fn text_of(size: usize, seed: u64) -> Vec<u8> {
+fn random_text(size: usize, seed: u64) -> Vec<u8> {
     let mut random = fastrand::Rng::with_seed(seed);
     (0..size).map(|_| random.u8(..)).collect()
 }
@@ -85,12 +85,12 @@
         for (count, step) in steps.into_iter().enumerate() {
             match step {
                 Step::Append { size } => {
-                    let text = text_of(size, count as u64);
+                    let text = random_text(size, count as u64);
                     texts.push((store.archive.append(&text), text));
                 }
-                Step::RemoveReference { which } if !texts.is_empty() => {
-                    let (place, _) = texts.swap_remove(which % texts.len());
-                    store.archive.remove_reference(&place);
+                Step::RemoveReference { index } if !texts.is_empty() => {
+                    let (location, _) = texts.swap_remove(index % texts.len());
+                    store.archive.remove_reference(&location);
                 }
                 Step::RemoveReference { .. } => {}
                 Step::Store => {
@@ -99,7 +99,7 @@
                 Step::Restore => store.restore(),
             }
         }
-        texts.iter().all(|(place, text)| store.read(place) == *text)
+        texts.iter().all(|(location, text)| store.read(location) == *text)
     }
     QuickCheck::new().rng(Gen::from_size_and_seed(40, 7)).tests(150).quickcheck(check as fn(Vec<Step>) -> bool);
 }
@@ -107,7 +107,7 @@
 #[test]
 fn memory_and_snapshot_sizes_are_bounded_while_the_disk_grows() {
     let mut store = ArchiveWithDisk::default();
-    let text = text_of(100_000, 1);
+    let text = random_text(100_000, 1);
     let mut snapshot_bytes = Vec::new();
     for _ in 0..400 {
         store.archive.append(&text);
@@ -125,7 +125,7 @@
 #[test]
 fn segment_is_dropped_with_its_last_reference() {
     let mut store = ArchiveWithDisk::default();
-    let text = text_of(600_000, 1);
+    let text = random_text(600_000, 1);
     let first = store.archive.append(&text);
     let second = store.archive.append(&text);
     let third = store.archive.append(&text);
--- a/crates/control/tests/trial_watch.rs
+++ b/crates/control/tests/trial_watch.rs
@@ -10,7 +10,7 @@
 use saddlerelay_types::work::WorkDigest;
 use std::time::Duration;
 
-/// Log time in Unix milliseconds; leases must not depend on it.
+/// Time of the log entries in Unix milliseconds; leases must not depend on it.
 const LOG_TIME: u64 = 1_764_720_000_000;
 
 /// Time limit of the work itself.
@@ -54,13 +54,13 @@
 #[test]
 fn lease_expires_without_renewals_regardless_of_log_time() {
     let (mut table, mut watch) = (table_with_granted_lease(), TrialWatch::default());
-    let seen_at = Duration::from_secs(10);
-    watch.observe(&table, seen_at);
-    assert_eq!(watch.expired(TERM, seen_at), []);
-    let last_moment = seen_at + TRIAL_LEASE - Duration::from_millis(1);
+    let observed_at = Duration::from_secs(10);
+    watch.observe(&table, observed_at);
+    assert_eq!(watch.expired(TERM, observed_at), []);
+    let last_moment = observed_at + TRIAL_LEASE - Duration::from_millis(1);
     watch.observe(&table, last_moment);
     assert_eq!(watch.expired(TERM, last_moment), []);
-    let expired = watch.expired(TERM, seen_at + TRIAL_LEASE);
+    let expired = watch.expired(TERM, observed_at + TRIAL_LEASE);
     assert_eq!(expired.iter().map(|standing| standing.held).collect::<Vec<_>>(), [held_by(1)]);
     table.expire_trials(&expired);
     assert_eq!(table.begin_trial(work(), id(2), LOG_TIME, LIMIT_MS), TrialAnswer::Granted);
--- a/crates/control/tests/usage.rs
+++ b/crates/control/tests/usage.rs
@@ -78,7 +78,7 @@
 
 #[test]
 fn sum_of_counts_is_correct_despite_duplicate_deltas() {
-    fn holds(Deliveries(deliveries): Deliveries) -> bool {
+    fn check(Deliveries(deliveries): Deliveries) -> bool {
         let mut state = UsageState::default();
         let mut expected: BTreeMap<(u64, u64), u64> = BTreeMap::new();
         for (relay, sequence) in deliveries {
@@ -90,13 +90,13 @@
         let reported: u64 = state.unreported().flat_map(|report| report.counts.into_values()).sum();
         reported == expected.values().sum::<u64>()
     }
-    QuickCheck::new().tests(400).quickcheck(holds as fn(Deliveries) -> bool);
+    QuickCheck::new().tests(400).quickcheck(check as fn(Deliveries) -> bool);
 }
 
 #[test]
 fn group_time_is_correct_while_fewer_than_half_of_the_clocks_are_wrong() {
-    fn holds(wrong: Vec<i16>, right: u8) -> bool {
-        let right = wrong.len() + 2 + usize::from(right % 20);
+    fn check(wrong: Vec<i16>, correct: u8) -> bool {
+        let correct = wrong.len() + 2 + usize::from(correct % 20);
         let mut clock = GroupClock::default();
         let unix_ms = |error: i64| (1_700_000_000_000_i64 + error) as u64;
         for round in 0..3 {
@@ -105,14 +105,14 @@
             for (index, error) in wrong.iter().enumerate() {
                 clock.record_sample(&format!("wrong-{index}"), unix_ms(later + i64::from(*error)), now);
             }
-            for index in 0..right {
+            for index in 0..correct {
                 clock.record_sample(&format!("right-{index}"), unix_ms(later), now);
             }
         }
         let now = Duration::from_millis(1_000);
         clock.unix_ms(unix_ms(1_000 - 5_000), now) == Some(unix_ms(1_000))
     }
-    QuickCheck::new().tests(300).quickcheck(holds as fn(Vec<i16>, u8) -> bool);
+    QuickCheck::new().tests(300).quickcheck(check as fn(Vec<i16>, u8) -> bool);
 }
 
 #[test]
