--- a/crates/control-client/src/search.rs
+++ b/crates/control-client/src/search.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Maximum number of replicas listed in a log line; the rest are counted.
+/// Maximum number of replicas listed in a log line; the number of further ones follows.
 const MAX_LISTED: usize = 12;
 
 /// The result of the last request to a replica.
--- a/crates/control/src/commands/rollouts.rs
+++ b/crates/control/src/commands/rollouts.rs
@@ -116,13 +116,13 @@
     check_cursor(trainer, cursor)?;
     trainer.acknowledge(cursor);
     trainer.state.published = version;
-    trainer.withdraw_placed();
+    trainer.withdraw_positions();
     trainer.last_publication = Some(trainer.state.clone());
     Ok(trainer.state.clone())
 }
 
 fn check_cursor(trainer: &TrainerRecord, cursor: Position) -> Result<(), TrainerRefusal> {
-    let in_range = cursor >= trainer.state.cursor && cursor <= trainer.last_placed();
+    let in_range = cursor >= trainer.state.cursor && cursor <= trainer.last_position();
     if in_range { Ok(()) } else { Err(TrainerRefusal::BadCursor) }
 }
 
@@ -135,18 +135,18 @@
     check_cursor(trainer, cursor)?;
     trainer.acknowledge(cursor);
     if trainer.withdrawal_due {
-        trainer.withdraw_placed();
+        trainer.withdraw_positions();
     }
-    if trainer.placed.is_empty() {
-        place_ready(trainer, limit.min(MAX_BATCH_SAMPLES));
+    if trainer.positioned.is_empty() {
+        assign_positions(trainer, limit.min(MAX_BATCH_SAMPLES));
     }
-    let placed: Vec<SampleKey> = trainer.placed.values().copied().collect();
-    let samples = placed.into_iter().filter_map(|key| delivered_sample(trainer, tenant, key)).collect();
+    let positioned: Vec<SampleKey> = trainer.positioned.values().copied().collect();
+    let samples = positioned.into_iter().filter_map(|key| delivered_sample(trainer, tenant, key)).collect();
     Ok(DeliveryBatch { epoch: trainer.state.epoch, published: trainer.state.published, samples })
 }
 
 /// Assigns delivery positions to completed samples, oldest step first.
-fn place_ready(trainer: &mut TrainerRecord, limit: u32) {
+fn assign_positions(trainer: &mut TrainerRecord, limit: u32) {
     trainer.requeue_stale();
     let mut position = trainer.state.cursor;
     let mut tokens = 0;
@@ -160,9 +160,9 @@
         };
         position = position.next();
         tokens += payload.generation.tokens.len();
-        sample.phase = SamplePhase::Placed(position, payload.clone());
+        sample.phase = SamplePhase::Positioned(position, payload.clone());
         trainer.ready.remove(&key);
-        trainer.placed.insert(position, key);
+        trainer.positioned.insert(position, key);
         if tokens >= MAX_BATCH_TOKENS {
             return;
         }
@@ -172,7 +172,7 @@
 fn delivered_sample(trainer: &TrainerRecord, tenant: &TenantId, key: SampleKey) -> Option<DeliveredSample> {
     let step = trainer.steps.get(&key.0)?;
     match &step.samples.get(key.1 as usize)?.phase {
-        SamplePhase::Placed(position, payload) => Some(DeliveredSample {
+        SamplePhase::Positioned(position, payload) => Some(DeliveredSample {
             position: *position,
             sample: sample_id(tenant, key, step.request.group_size),
             payload: payload.clone(),
@@ -331,7 +331,7 @@
         return false;
     };
     let is_unchanged = trainer.state.incarnation == incarnation && trainer.state.cursor == cursor;
-    is_unchanged && trainer.placed.is_empty() && trainer.ready.is_empty()
+    is_unchanged && trainer.positioned.is_empty() && trainer.ready.is_empty()
 }
 
 /// Whether an assignment request would return no samples.
--- a/crates/control/src/state/level_one.rs
+++ b/crates/control/src/state/level_one.rs
@@ -48,8 +48,8 @@
 struct InstancesOne {
     records: BTreeMap<one::InstanceId, one::InstanceRecord>,
     by_revision: BTreeMap<u64, one::InstanceId>,
-    gone: BTreeSet<one::InstanceId>,
-    gone_order: VecDeque<one::InstanceId>,
+    tombstones: BTreeSet<one::InstanceId>,
+    tombstone_order: VecDeque<one::InstanceId>,
     revision: u64,
 }
 
@@ -144,8 +144,8 @@
         Self {
             records: table.records.iter().map(|(id, current)| (id.into(), record(current))).collect(),
             by_revision: table.by_revision.iter().map(|(revision, id)| (*revision, id.into())).collect(),
-            gone: table.gone.iter().map(Into::into).collect(),
-            gone_order: table.gone_order.iter().map(Into::into).collect(),
+            tombstones: table.tombstones.iter().map(Into::into).collect(),
+            tombstone_order: table.tombstone_order.iter().map(Into::into).collect(),
             revision: table.revision,
         }
     }
@@ -153,8 +153,8 @@
     fn into_current(self) -> InstanceTable {
         let mut table = InstanceTable::default();
         table.by_revision = self.by_revision.into_iter().map(|(revision, id)| (revision, id.into())).collect();
-        table.gone = self.gone.into_iter().map(Into::into).collect();
-        table.gone_order = self.gone_order.into_iter().map(Into::into).collect();
+        table.tombstones = self.tombstones.into_iter().map(Into::into).collect();
+        table.tombstone_order = self.tombstone_order.into_iter().map(Into::into).collect();
         table.revision = self.revision;
         for record in self.records.into_values() {
             let record = record.with_silence(false);
@@ -235,7 +235,7 @@
     /// recorded instance.
     pub fn apply_report_level_one(&mut self, report: InstanceReport) {
         let would_change = match self.records.get(&report.id) {
-            None => !self.gone.contains(&report.id),
+            None => !self.tombstones.contains(&report.id),
             Some(record) => record.state == InstanceState::Ready && report.leaving,
         };
         if !would_change {
--- a/crates/control/src/state/pending_instances.rs
+++ b/crates/control/src/state/pending_instances.rs
@@ -28,7 +28,7 @@
 
 impl PendingInstances {
     /// Whether a report of this instance is pending.
-    pub fn holds(&self, id: &InstanceId) -> bool {
+    pub fn contains(&self, id: &InstanceId) -> bool {
         let first = self.reports.range((id.clone(), String::new())..).next();
         first.is_some_and(|((pending, _), _)| pending == id)
     }
--- a/crates/control/src/state/registration.rs
+++ b/crates/control/src/state/registration.rs
@@ -34,7 +34,7 @@
 
     /// Whether this start of an engine is registered, pending or ended.
     pub fn has_record_of(&self, id: &InstanceId) -> bool {
-        self.instances.get(id).is_some() || self.instances.has_ended(id) || self.pending_instances.holds(id)
+        self.instances.get(id).is_some() || self.instances.has_ended(id) || self.pending_instances.contains(id)
     }
 
     /// Applies a report.
--- a/crates/control/src/state/rollouts.rs
+++ b/crates/control/src/state/rollouts.rs
@@ -14,10 +14,10 @@
     Assigned(Incarnation),
     /// Completed, without a delivery position.
     Ready(SamplePayload),
-    /// At a delivery position, not yet acknowledged by the trainer.
-    Placed(Position, SamplePayload),
+    /// Completed, with a delivery position, and not yet acknowledged by the trainer.
+    Positioned(Position, SamplePayload),
     /// Acknowledged by the trainer.
-    Received,
+    Acknowledged,
 }
 
 /// A sample of a step.
@@ -57,7 +57,7 @@
     /// Completed samples without a delivery position, oldest step first.
     pub ready: BTreeSet<SampleKey>,
     /// Unacknowledged samples by delivery position.
-    pub placed: BTreeMap<Position, SampleKey>,
+    pub positioned: BTreeMap<Position, SampleKey>,
     /// Whether unacknowledged delivery positions are withdrawn at the trainer's next fetch, after its cursor is applied.
     pub withdrawal_due: bool,
     /// Reply to the newest publication, repeated for retries.
@@ -102,7 +102,7 @@
             steps: BTreeMap::new(),
             pending: BTreeSet::new(),
             ready: BTreeSet::new(),
-            placed: BTreeMap::new(),
+            positioned: BTreeMap::new(),
             withdrawal_due: false,
             last_publication: None,
         }
@@ -134,10 +134,10 @@
     }
 
     /// Withdraws all unacknowledged delivery positions, and increments the epoch, which invalidates earlier deliveries.
-    pub fn withdraw_placed(&mut self) {
-        for (_, key) in std::mem::take(&mut self.placed) {
+    pub fn withdraw_positions(&mut self) {
+        for (_, key) in std::mem::take(&mut self.positioned) {
             if let Some(sample) = self.sample_mut(key)
-                && let SamplePhase::Placed(_, payload) = &sample.phase
+                && let SamplePhase::Positioned(_, payload) = &sample.phase
             {
                 sample.phase = SamplePhase::Ready(payload.clone());
                 self.ready.insert(key);
@@ -164,18 +164,18 @@
         }
     }
 
-    /// Marks all samples up to position `cursor` as received.
+    /// Marks all samples up to delivery position `cursor` as acknowledged.
     pub fn acknowledge(&mut self, cursor: Position) {
-        let later = self.placed.split_off(&cursor.next());
-        for (_, key) in std::mem::replace(&mut self.placed, later) {
-            self.mark_received(key);
+        let later = self.positioned.split_off(&cursor.next());
+        for (_, key) in std::mem::replace(&mut self.positioned, later) {
+            self.mark_acknowledged(key);
         }
         self.state.cursor = self.state.cursor.max(cursor);
     }
 
-    fn mark_received(&mut self, key: SampleKey) {
+    fn mark_acknowledged(&mut self, key: SampleKey) {
         if let Some(sample) = self.sample_mut(key) {
-            sample.phase = SamplePhase::Received;
+            sample.phase = SamplePhase::Acknowledged;
         }
         let Some(step) = self.steps.get_mut(&key.0) else {
             return;
@@ -187,7 +187,7 @@
     }
 
     /// The highest delivery position assigned so far.
-    pub fn last_placed(&self) -> Position {
-        self.placed.last_key_value().map_or(self.state.cursor, |(position, _)| *position)
+    pub fn last_position(&self) -> Position {
+        self.positioned.last_key_value().map_or(self.state.cursor, |(position, _)| *position)
     }
 }
--- a/crates/control/tests/restarts.rs
+++ b/crates/control/tests/restarts.rs
@@ -272,7 +272,10 @@
         apply_report(&mut state, report(InstanceId::named(format!("engine-{number}")), number as u16 + 1));
     }
     assert_eq!(state.pending_instances.len(), MAX_PENDING_REPORTS);
-    assert!(!state.has_record_of(&InstanceId::named("engine-0")), "the evicted engine is asked for a full report");
+    assert!(
+        !state.has_record_of(&InstanceId::named("engine-0")),
+        "a full report should be requested from the evicted engine"
+    );
     put_services(&mut state, 1, &["web"]);
     assert!(state.pending_instances.is_empty());
     assert_eq!(state.instances.iter().count(), MAX_PENDING_REPORTS);
--- a/crates/control/tests/routing_updates.rs
+++ b/crates/control/tests/routing_updates.rs
@@ -129,10 +129,10 @@
     changed[7].1 = 1;
     let (old, new) = (document(1, &routes), document(2, &changed));
     let mut updates = RoutingUpdates::default();
-    let whole = updates.update(&old, None).expect("the document has changed");
-    let small = updates.update(&new, Some(1)).expect("the document has changed");
-    assert!(whole.len() < old.routes.len() * 150, "{} bytes for 200 routes and tenants", whole.len());
-    assert!(small.len() < 300, "{} bytes for one route", small.len());
+    let full_update = updates.update(&old, None).expect("the document has changed");
+    let delta = updates.update(&new, Some(1)).expect("the document has changed");
+    assert!(full_update.len() < old.routes.len() * 150, "{} bytes for 200 routes and tenants", full_update.len());
+    assert!(delta.len() < 300, "{} bytes for one route", delta.len());
 }
 
 #[test]
--- a/crates/coordinator/src/job_run.rs
+++ b/crates/coordinator/src/job_run.rs
@@ -173,11 +173,11 @@
             if !has_same_content || texts.contains_key(&item.id) {
                 continue;
             }
-            let whole = earlier.completed(index as u32).and_then(|listed| listed_text(listed, state));
+            let complete = earlier.completed(index as u32).and_then(|listed| listed_text(listed, state));
             let partial = earlier.partial_text(index as u32).filter(|_| route.resumable).map(ItemText::copied);
             let is_usable =
                 |text: &ItemText| text.satisfies(job.submission.minimum_version, route.batch.single_version);
-            if let Some(text) = whole.or(partial).filter(is_usable) {
+            if let Some(text) = complete.or(partial).filter(is_usable) {
                 texts.insert(item.id.clone(), text);
             }
         }
--- a/crates/coordinator/src/lengths.rs
+++ b/crates/coordinator/src/lengths.rs
@@ -12,9 +12,9 @@
 /// Length of an item's text observed in an earlier job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ObservedLength {
-    /// Number of events of the complete text.
-    Whole(f64),
-    /// Number of events of the partial text when the job ended.
+    /// The text is complete and has this number of events.
+    Exact(f64),
+    /// The text had this number of events when the job ended.
     AtLeast(f64),
 }
 
@@ -22,7 +22,7 @@
     /// Adjusts the caller's estimate by the observed length.
     pub fn adjust(self, estimate: f64) -> f64 {
         match self {
-            Self::Whole(events) => events,
+            Self::Exact(events) => events,
             Self::AtLeast(events) => estimate.max(events * (1.0 + OVERRUN_SHARE)),
         }
     }
@@ -37,10 +37,10 @@
             if !item_ids.contains(&item.id) || lengths.contains_key(&item.id) {
                 continue;
             }
-            let whole = earlier.completed(index as u32).map(|result| ObservedLength::Whole(f64::from(result.events)));
+            let exact = earlier.completed(index as u32).map(|result| ObservedLength::Exact(f64::from(result.events)));
             let partial =
                 earlier.partial_text(index as u32).map(|text| ObservedLength::AtLeast(f64::from(text.events)));
-            lengths.insert(item.id.clone(), whole.or(partial).unwrap_or(ObservedLength::AtLeast(0.0)));
+            lengths.insert(item.id.clone(), exact.or(partial).unwrap_or(ObservedLength::AtLeast(0.0)));
         }
     }
     lengths
--- a/crates/coordinator/src/listing.rs
+++ b/crates/coordinator/src/listing.rs
@@ -63,9 +63,9 @@
 pub(crate) async fn commit_results<B: Backends>(coordinator: Coordinator<B>) {
     let inner = &coordinator.inner;
     loop {
-        let seen = inner.outcomes_queued.count();
+        let notified_count = inner.outcomes_queued.count();
         if inner.outcomes.borrow().is_empty() {
-            inner.outcomes_queued.changed(seen).await;
+            inner.outcomes_queued.changed(notified_count).await;
         }
         inner.runtime.sleep(BATCH_DELAY).await;
         let queued = std::mem::take(&mut *inner.outcomes.borrow_mut());
--- a/crates/coordinator/src/lost_connections.rs
+++ b/crates/coordinator/src/lost_connections.rs
@@ -65,15 +65,15 @@
         self.0.begin_trial(request).await.map_err(|error| format!("{error:?}"))
     }
 
-    async fn renew(&self, held: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, CallFailure> {
-        match self.commit(GatewayCommand::RenewTrials(held)).await? {
+    async fn renew(&self, trials: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, CallFailure> {
+        match self.commit(GatewayCommand::RenewTrials(trials)).await? {
             GatewayOutcome::TrialsLost(lost) => Ok(lost),
             other => Err(format!("{other:?}")),
         }
     }
 
-    async fn end(&self, held: HeldTrial) -> Result<(), CallFailure> {
-        let HeldTrial { work, id } = held;
+    async fn end(&self, trial: HeldTrial) -> Result<(), CallFailure> {
+        let HeldTrial { work, id } = trial;
         self.commit(GatewayCommand::EndTrial { work, id }).await.map(|_| ())
     }
 }
--- a/crates/coordinator/src/runner.rs
+++ b/crates/coordinator/src/runner.rs
@@ -37,8 +37,8 @@
     let inner = &coordinator.inner;
     loop {
         let began_at = coordinator.now();
-        let seen_work = inner.node.job_work().count();
-        let seen_replan = inner.replan.count();
+        let work_count = inner.node.job_work().count();
+        let replan_count = inner.replan.count();
         let busy = match inner.node.replica().leading_term() {
             Some(term) => coordinator.run_plan(term),
             // A leader without recent replies of a quorum starts no items, but running items continue.
@@ -50,8 +50,8 @@
         };
         let elapsed = coordinator.now().saturating_sub(began_at);
         let delay = (elapsed * PLAN_DELAY_FACTOR).clamp(MIN_PLAN_DELAY, MAX_PLAN_DELAY);
-        let work = pin!(inner.node.job_work().changed(seen_work));
-        let replan = pin!(inner.replan.changed(seen_replan));
+        let work = pin!(inner.node.job_work().changed(work_count));
+        let replan = pin!(inner.replan.changed(replan_count));
         let pause = pin!(inner.runtime.sleep(if busy { MAX_PLAN_INTERVAL } else { IDLE_INTERVAL }));
         if let Either::Left(_) = future::select(future::select(work, replan), pause).await {
             inner.runtime.sleep(delay).await;
--- a/crates/coordinator/tests/text.rs
+++ b/crates/coordinator/tests/text.rs
@@ -45,11 +45,11 @@
                 }
             }
         }
-        let mut whole = ItemText::default();
+        let mut expected = ItemText::default();
         for (index, (data, ..)) in steps.iter().enumerate() {
-            whole.push(&event(index as u64 + 1, &"x".repeat(usize::from(data % 5))), 1);
+            expected.push(&event(index as u64 + 1, &"x".repeat(usize::from(data % 5))), 1);
         }
-        group_text.add(&text.outcome(0, None).rest) && group_text.data == whole.outcome(0, None).rest.data
+        group_text.add(&text.outcome(0, None).rest) && group_text.data == expected.outcome(0, None).rest.data
     }
     QuickCheck::new().tests(500).quickcheck(check as fn(Vec<(u8, bool, bool)>) -> bool);
 }
@@ -79,8 +79,8 @@
             remaining = after;
         }
         pieces.push(remaining);
-        let whole = read(vec![&stream[..]]);
-        whole.0.len() >= 3 && read(pieces) == whole
+        let expected = read(vec![&stream[..]]);
+        expected.0.len() >= 3 && read(pieces) == expected
     }
     QuickCheck::new().tests(500).quickcheck(check as fn(Vec<u8>) -> bool);
 }
