--- a/crates/coordinator/tests/text.rs
+++ b/crates/coordinator/tests/text.rs
@@ -28,7 +28,7 @@
 
 /// Whenever parts are saved and whichever acknowledgements are lost, the group reassembles the full text.
 #[test]
-fn saved_parts_and_the_unsaved_part_make_up_the_text() {
+fn saved_parts_and_the_rest_make_up_the_text() {
     fn check(steps: Vec<(u8, bool, bool)>) -> bool {
         let mut text = ItemText::default();
         let mut group_text = PartialText::default();
--- a/crates/duties/src/config.rs
+++ b/crates/duties/src/config.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 /// Share of `due_after`, in percent, during which relays may still deliver counts of an ended window: a request is
-/// counted only when it ends, which may be seconds later. The remaining time covers leader changes and retries to the platform.
+/// counted only when it ends, which may be seconds later. The remaining time covers leader changes and retries to the
+/// platform.
 const COUNTING_PERCENT: u32 = 40;
 
 /// Timing of usage reports.
