--- a/crates/control-client/src/replicas.rs
+++ b/crates/control-client/src/replicas.rs
@@ -167,7 +167,8 @@
         index.map(|index| self.entries.remove(index)).is_some()
     }
 
-    /// Replaces the configured replicas. Discovered ones are kept during a search, as the leader may be among them only.
+    /// Replaces the configured replicas. Discovered ones are kept during a search, as the leader may be among them
+    /// only.
     pub fn replace_configured(&mut self, addresses: &BTreeSet<SocketAddr>, is_searching: bool) {
         self.entries
             .retain(|entry| addresses.contains(&entry.address()) || is_searching && entry.origin == Origin::Discovered);
--- a/crates/control-client/tests/may_have_run.rs
+++ b/crates/control-client/tests/may_have_run.rs
@@ -1,7 +1,7 @@
 //! A request is reported as not executed only if no replica can have executed it.
 //!
-//! Guards against the results `NotDone` and `NotUnderstood` if one replica has received the request without a reply, and
-//! the next attempt was made at a replica that seems to run an older build.
+//! Guards against the results `NotDone` and `NotUnderstood` if one replica has received the request without a reply,
+//! and the next attempt was made at a replica that seems to run an older build.
 
 use compio::net::TcpListener;
 use saddlerelay_control_client::{ControlClient, GatewayError};
--- a/crates/control/src/commands/gateway.rs
+++ b/crates/control/src/commands/gateway.rs
@@ -1,5 +1,5 @@
-//! Commands for routing, engine instances, weight versions, batch jobs, store machines, orders, usage, suspicions, trial
-//! leases and engine counts.
+//! Commands for routing, engine instances, weight versions, batch jobs, store machines, orders, usage, suspicions,
+//! trial leases and engine counts.
 
 use crate::state::ControlState;
 use saddlerelay_types::gateway::{GatewayCommand, GatewayOutcome};
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -39,7 +39,8 @@
     pub instance_silence_timeout: Duration,
     /// Minimum time that a batch job is kept after its submission; a job that has not ended is always kept.
     pub job_retention: Duration,
-    /// Minimum time between orders of two replicas about the same subject (an engine, usage reports or an engine count).
+    /// Minimum time between orders of two replicas about the same subject (an engine, usage reports or an engine
+    /// count).
     pub order_separation: Duration,
     /// Maximum time between proposing an order note and sending the order.
     pub order_validity: Duration,
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -95,7 +95,8 @@
 }
 
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
-    /// Opens the replica and starts the background tasks. The caller has to serve the node as RPC handler on a listener.
+    /// Opens the replica and starts the background tasks. The caller has to serve the node as RPC handler on a
+    /// listener.
     pub async fn start(
         platform: P,
         backends: B,
--- a/crates/control/src/older_level.rs
+++ b/crates/control/src/older_level.rs
@@ -1,8 +1,8 @@
 //! Compatibility of a leader of this build with a group at an older feature level.
 //!
 //! Older members receive only messages that they can decode. State that the older level encodes differently is written
-//! in its encoding. For state that it cannot encode, no log entry is written, or the feature is disabled until the level
-//! is raised:
+//! in its encoding. For state that it cannot encode, no log entry is written, or the feature is disabled until the
+//! level is raised:
 //!
 //! | Feature | At level one |
 //! |---|---|
--- a/crates/control/src/state/rollouts.rs
+++ b/crates/control/src/state/rollouts.rs
@@ -58,7 +58,8 @@
     pub ready: BTreeSet<SampleKey>,
     /// Unacknowledged samples by delivery position.
     pub positioned: BTreeMap<Position, SampleKey>,
-    /// Whether unacknowledged delivery positions are withdrawn at the trainer's next fetch, after its cursor is applied.
+    /// Whether unacknowledged delivery positions are withdrawn at the trainer's next fetch, after its cursor is
+    /// applied.
     pub withdrawal_due: bool,
     /// Reply to the newest publication, repeated for retries.
     pub last_publication: Option<TrainerState>,
--- a/crates/control/src/state/suspicions.rs
+++ b/crates/control/src/state/suspicions.rs
@@ -30,7 +30,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 struct Trial {
     id: TrialId,
-    /// Latest end of the work as stated by the holder, in Unix milliseconds. Shown to operators; does not end the lease.
+    /// Latest end of the work as stated by the holder, in Unix milliseconds. Shown to operators; does not end the
+    /// lease.
     until: u64,
     /// Number of renewals. The lease expires if the count does not change for a lease duration by a replica's own
     /// clock.
@@ -126,9 +127,9 @@
     /// Grants the exclusive lease to run suspected work. It is exclusive because parallel trials could crash several
     /// engines before the first failure is reported.
     ///
-    /// A lease ends by [`Self::end_trial`], or by [`Self::expire_trials`] if it is not renewed. The time in the log does
-    /// not end it, as a leader with a wrong clock may advance that time too far. `limit_ms` is the holder's own time
-    /// limit for the work, shown to operators.
+    /// A lease ends by [`Self::end_trial`], or by [`Self::expire_trials`] if it is not renewed. The time in the log
+    /// does not end it, as a leader with a wrong clock may advance that time too far. `limit_ms` is the holder's own
+    /// time limit for the work, shown to operators.
     pub fn begin_trial(&mut self, work: WorkDigest, id: TrialId, now: u64, limit_ms: u64) -> TrialAnswer {
         if self.is_trial_rejected(&work, id) {
             return TrialAnswer::Taken;
--- a/crates/control/tests/suspicion_watch.rs
+++ b/crates/control/tests/suspicion_watch.rs
@@ -50,8 +50,8 @@
     assert!(watch.may_expire(&table, expires_at, SUSPICION_TTL));
 }
 
-/// The command `ExpireSuspicions` removes all suspicions that have expired by log time, so it must not be committed while
-/// one of them is recent by the monotonic clock.
+/// The command `ExpireSuspicions` removes all suspicions that have expired by log time, so it must not be committed
+/// while one of them is recent by the monotonic clock.
 #[test]
 fn expiry_waits_for_a_recent_suspicion_that_would_also_be_removed() {
     let mut table = SuspicionTable::default();
--- a/crates/coordinator/src/moves.rs
+++ b/crates/coordinator/src/moves.rs
@@ -92,8 +92,8 @@
     candidates
 }
 
-/// Groups that determine when the job is complete: as many as the trainer waits for. Groups repeated from an earlier job
-/// come first, then those with the earliest expected end.
+/// Groups that determine when the job is complete: as many as the trainer waits for. Groups repeated from an earlier
+/// job come first, then those with the earliest expected end.
 fn critical_groups<'a, B: Backends>(context: &JobContext<'a, '_, B>) -> BTreeSet<&'a str> {
     let mut ends: BTreeMap<&str, Duration> = BTreeMap::new();
     for (item, run) in context.job.submission.items.iter().zip(&context.run.items) {
--- a/crates/coordinator/src/orders.rs
+++ b/crates/coordinator/src/orders.rs
@@ -176,8 +176,8 @@
     outdated
 }
 
-/// Maximum number of concurrent report requests, so that a new leader with a large working set still sends its heartbeats
-/// in time.
+/// Maximum number of concurrent report requests, so that a new leader with a large working set still sends its
+/// heartbeats in time.
 const MAX_CONCURRENT_REPORT_REQUESTS: usize = 8;
 
 /// Requests reports from engines, so that a new leader does not depend on their next periodic report.
--- a/crates/coordinator/src/plan.rs
+++ b/crates/coordinator/src/plan.rs
@@ -25,8 +25,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Maximum number of new jobs that one plan initializes. Bounds the time that a new leader spends on loading saved texts
-/// before it handles replication messages again.
+/// Maximum number of new jobs that one plan initializes. Bounds the time that a new leader spends on loading saved
+/// texts before it handles replication messages again.
 const MAX_NEW_JOBS_PER_PLAN: usize = 2;
 
 /// Maximum number of items that one plan starts. Bounds the time that the leader spends on opening connections and
--- a/crates/duties/src/format.rs
+++ b/crates/duties/src/format.rs
@@ -47,8 +47,8 @@
     Taken,
     /// The platform has received a higher fencing token; a retry needs a new token.
     Fenced,
-    /// An order for preemptible engines was rejected: the platform has received a higher fencing token, or it has no such
-    /// engines at present.
+    /// An order for preemptible engines was rejected: the platform has received a higher fencing token, or it has no
+    /// such engines at present.
     FencedOrNoneThere,
     /// The call was rate limited; retry later.
     TooMany,
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -1,8 +1,8 @@
 //! Periodic calls from the control group's leader to the platform.
 //!
 //! `usage_reports` reports the number of requests that engines started for each tenant; `engine_counts` orders the
-//! number of engines that a policy from `policies` wants per service and zone. Each call carries a fencing token from the
-//! control group (`saddlerelay_control::orders`). [`format::PlatformFormat`] defines the platform's formats,
+//! number of engines that a policy from `policies` wants per service and zone. Each call carries a fencing token from
+//! the control group (`saddlerelay_control::orders`). [`format::PlatformFormat`] defines the platform's formats,
 //! [`client::PlatformClient`] its transport.
 
 pub mod backoff;
--- a/crates/duties/src/policies/keep_initial.rs
+++ b/crates/duties/src/policies/keep_initial.rs
@@ -2,7 +2,8 @@
 
 use crate::policies::{EngineCountPolicy, PlaceView};
 
-/// Chooses the committed number of engines or, before the first decision, the number present, within the scaling limits.
+/// Chooses the committed number of engines or, before the first decision, the number present, within the scaling
+/// limits.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KeepInitial;
 
