--- a/crates/control-client/src/search.rs
+++ b/crates/control-client/src/search.rs
@@ -1,11 +1,11 @@
-//! The last answer of each replica, which shows why a client finds no leader.
+//! The result of the last request to each replica, which shows why a client finds no leader.
 
 use saddlerelay_rpc::client::CallError;
 use saddlerelay_types::protocol::ControlReply;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Maximum number of replicas listed in a log line; the rest are counted.
+/// Maximum number of replicas listed in a log line; the number of further ones follows.
 const MAX_LISTED: usize = 12;
 
 /// The result of the last request to a replica.
@@ -59,7 +59,7 @@
     }
 }
 
-/// All replicas known to a client, with their last answers.
+/// All replicas known to a client, with the result of the last request to each.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaderSearch {
     /// Configured replicas first, then discovered ones.
--- a/crates/control/tests/routing_updates.rs
+++ b/crates/control/tests/routing_updates.rs
@@ -89,19 +89,19 @@
 
 #[test]
 fn update_turns_the_older_document_into_the_newer_one() {
-    fn holds(History(documents): History) -> bool {
+    fn check(History(documents): History) -> bool {
         documents.windows(2).all(|pair| {
             let (old, new) = (document(1, &pair[0]), document(2, &pair[1]));
             let update = RoutingUpdate::between(Some(&old), &new);
             update.apply(Some(&old)).map(sorted) == Some(sorted(new))
         })
     }
-    QuickCheck::new().tests(400).quickcheck(holds as fn(History) -> bool);
+    QuickCheck::new().tests(400).quickcheck(check as fn(History) -> bool);
 }
 
 #[test]
 fn update_from_any_earlier_document_leads_to_the_newest() {
-    fn holds(History(documents): History) -> bool {
+    fn check(History(documents): History) -> bool {
         let documents: Vec<RoutingDocument> =
             documents.iter().enumerate().map(|(index, routes)| document(index as u64 + 1, routes)).collect();
         let mut updates = RoutingUpdates::default();
@@ -119,7 +119,7 @@
         }
         true
     }
-    QuickCheck::new().tests(200).quickcheck(holds as fn(History) -> bool);
+    QuickCheck::new().tests(200).quickcheck(check as fn(History) -> bool);
 }
 
 #[test]
@@ -129,10 +129,10 @@
     changed[7].1 = 1;
     let (old, new) = (document(1, &routes), document(2, &changed));
     let mut updates = RoutingUpdates::default();
-    let whole = updates.update(&old, None).expect("the document has changed");
-    let small = updates.update(&new, Some(1)).expect("the document has changed");
-    assert!(whole.len() < old.routes.len() * 150, "{} bytes for 200 routes and tenants", whole.len());
-    assert!(small.len() < 300, "{} bytes for one route", small.len());
+    let full_update = updates.update(&old, None).expect("the document has changed");
+    let delta = updates.update(&new, Some(1)).expect("the document has changed");
+    assert!(full_update.len() < old.routes.len() * 150, "{} bytes for 200 routes and tenants", full_update.len());
+    assert!(delta.len() < 300, "{} bytes for one route", delta.len());
 }
 
 #[test]
