--- a/crates/replication/src/announcement.rs
+++ b/crates/replication/src/announcement.rs
@@ -36,10 +36,10 @@
     /// member omits the last group, as the next leader will be a member and each unreachable address delays the
     /// caller.
     pub fn redirect_addresses(&self) -> Vec<SocketAddr> {
-        self.peers_by_likelihood_in(&self.inner.state.borrow())
+        self.redirect_addresses_in(&self.inner.state.borrow())
     }
 
-    pub(crate) fn peers_by_likelihood_in(&self, state: &State<S>) -> Vec<SocketAddr> {
+    pub(crate) fn redirect_addresses_in(&self, state: &State<S>) -> Vec<SocketAddr> {
         let members: Vec<SocketAddr> = state.membership().members.iter().map(|member| member.address).collect();
         let mut candidates = self.recently_announced_leader().into_iter().collect::<Vec<_>>();
         candidates.extend(members);
@@ -79,8 +79,8 @@
 
     /// Handles an announcement by a leader; rejected if it is of another group.
     pub(crate) fn handle_announcement(&self, group: u64, leader: SocketAddr, members: Vec<SocketAddr>) -> ReplicaReply {
-        let own = self.inner.state.borrow().identity.group;
-        if own.is_some_and(|own| own != group) {
+        let own_group = self.inner.state.borrow().identity.group;
+        if own_group.is_some_and(|own_group| own_group != group) {
             return ReplicaReply::Rejected;
         }
         let now = self.inner.platform.monotonic();
--- a/crates/replication/src/calls.rs
+++ b/crates/replication/src/calls.rs
@@ -15,7 +15,7 @@
 /// Connection to a peer over which a message is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Channel {
-    /// Messages that use no other channel.
+    /// Messages that no other channel is for.
     Log,
     /// Heartbeats, which must not queue behind large messages.
     Heartbeats,
@@ -60,8 +60,8 @@
     ) -> Result<ReplicaReply, CallError> {
         let client = self.client(channel, address);
         client.set_level_selection(level_selection);
-        let answer = client.call(|level| message_codec::encode_call(request, level), timeout).await?;
-        let reply = message_codec::decode_answer(&answer.body, answer.level);
+        let response = client.call(|level| message_codec::encode_call(request, level), timeout).await?;
+        let reply = message_codec::decode_answer(&response.body, response.level);
         reply.ok_or(CallError::OutcomeUnknown)
     }
 
@@ -69,8 +69,8 @@
     /// time.
     pub async fn call_leader(&self, request: &ControlRequest, timeout: Duration) -> Option<ControlReply> {
         let client = self.client(Channel::Negotiated, self.leader_address()?);
-        let answer = client.call(|level| messages::encode_request(request, level), timeout).await.ok()?;
-        messages::decode_reply(&answer.body, answer.level)
+        let response = client.call(|level| messages::encode_request(request, level), timeout).await.ok()?;
+        messages::decode_reply(&response.body, response.level)
     }
 
     pub(crate) fn client(&self, channel: Channel, address: SocketAddr) -> Client<P> {
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -50,16 +50,16 @@
     requested: usize,
     pub granted: usize,
     pub refused: usize,
-    /// Requests that were sent and not answered in time.
+    /// Requests that may have been sent and had no reply in time.
     late: usize,
-    /// From sending the requests to the last reply that was evaluated, or to the timeout.
+    /// Time from sending the requests to the last reply that was evaluated, or to the timeout.
     waited: Duration,
 }
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
     pub(crate) async fn run_elections(self) {
         loop {
-            self.inner.platform.sleep(self.election_pause()).await;
+            self.inner.platform.sleep(self.time_to_next_check()).await;
             self.step_down_without_quorum();
             self.report_role_changes();
             if self.election_is_due() {
@@ -71,7 +71,7 @@
 
     /// Time until the next check of the election timer. The pause ends at the exact deadline, as whole ticks would
     /// synchronize the campaigns of replicas that started together.
-    fn election_pause(&self) -> Duration {
+    fn time_to_next_check(&self) -> Duration {
         let due = self.inner.state.borrow().election_deadline.saturating_sub(self.inner.platform.monotonic());
         if due.is_zero() { MAX_TIMER_PAUSE } else { due.min(MAX_TIMER_PAUSE) }
     }
--- a/crates/replication/src/file_format.rs
+++ b/crates/replication/src/file_format.rs
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Reads the format of the files on `disk`. If there is none, writes `new` before any other file; fails if `new`
-    /// is `None`.
-    pub(crate) async fn read<D: Disk>(disk: &D, new: Option<Self>) -> Result<Self, StorageError> {
+    /// Reads the format of the files on `disk`. If none is recorded, writes `initial` before any other file; fails if
+    /// `initial` is `None`.
+    pub(crate) async fn read_or_initialize<D: Disk>(disk: &D, initial: Option<Self>) -> Result<Self, StorageError> {
         let Some(bytes) = disk.read(FORMAT_FILE).await? else {
-            let new = new.ok_or(StorageError::OtherFormat { found: None })?;
-            new.write(disk).await?;
-            return Ok(new);
+            let initial = initial.ok_or(StorageError::OtherFormat { found: None })?;
+            initial.write(disk).await?;
+            return Ok(initial);
         };
         let corrupt = || StorageError::Corrupt { file: FORMAT_FILE, offset: 0 };
         let body = wal::unframe(&bytes).ok().flatten().ok_or_else(corrupt)?;
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -192,9 +192,9 @@
         }
         // The old state is dropped before the file is written, to limit memory use.
         self.replace_state(&snapshot);
-        let writing = self.inner.snapshot_file.lock().await;
+        let snapshot_guard = self.inner.snapshot_file.lock().await;
         let written = write_snapshot(&self.inner.platform.disk(), snapshot, self.inner.format.get()).await;
-        drop(writing);
+        drop(snapshot_guard);
         let written = match written {
             Ok(()) => storage.rewrite(header.term, voted_for, &[]).await,
             Err(error) => Err(error),
--- a/crates/replication/src/heartbeat.rs
+++ b/crates/replication/src/heartbeat.rs
@@ -1,8 +1,8 @@
 //! Heartbeats while an append is in flight.
 //!
 //! An append is acknowledged only after the peer's disk sync. If it is in flight for longer than the heartbeat
-//! interval, heartbeats are sent over a separate connection and answered without disk access, so that slow disks and
-//! large messages cause no election. None are sent while appends are acknowledged in time.
+//! interval, heartbeats are sent over a separate connection. Peers reply to them without disk access, so that slow
+//! disks and large messages cause no election. None are sent while appends are acknowledged in time.
 
 use crate::calls::Channel;
 use crate::membership::Member;
@@ -33,11 +33,11 @@
         let request = ReplicaRequest::Heartbeat { header: self.header(peer.id, term) };
         let timeout = self.inner.options.config.call_timeout;
         let call = self.try_send(Channel::Heartbeats, peer.address, &request, timeout);
-        let record_late = || {
+        let record_late_reply = || {
             let last_late_heartbeat = self.inner.platform.monotonic();
             self.with_progress(&peer, term, |progress| progress.last_late_heartbeat = Some(last_late_heartbeat));
         };
-        let reply = self.watch_promptness(call, record_late).await;
+        let reply = self.detect_late_reply(call, record_late_reply).await;
         if let Ok(ReplicaReply::Heartbeat { term: observed_term, acknowledged }) = reply {
             if acknowledged {
                 self.with_progress(&peer, term, |progress| {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Answers a heartbeat without disk access. The leader's lease relies on the answer: a replica that has entered,
+    /// Replies to a heartbeat without disk access. The leader's lease relies on the reply: a replica that has entered,
     /// or is writing, a newer term does not acknowledge the heartbeat.
     pub(crate) fn handle_heartbeat(&self, header: Header) -> ReplicaReply {
         let mut state = self.inner.state.borrow_mut();
--- a/crates/replication/src/leader.rs
+++ b/crates/replication/src/leader.rs
@@ -58,8 +58,8 @@
         self.halvings = (self.halvings + 1).min(MAX_HALVINGS);
     }
 
-    fn record_reply_time(&mut self, after: Duration, call_timeout: Duration) {
-        if after <= call_timeout / PROMPT_REPLY_DIVISOR {
+    fn record_reply_time(&mut self, elapsed: Duration, call_timeout: Duration) {
+        if elapsed <= call_timeout / PROMPT_REPLY_DIVISOR {
             self.halvings = self.halvings.saturating_sub(1);
         }
     }
@@ -105,13 +105,13 @@
             let next_level = state.level_at_end();
             state.role =
                 Role::Leader(Leadership { first_index, since, progress, transfer_in_progress: false, next_level });
-            track_new_members(&mut state)
+            update_tracked_peers(&mut state)
         };
-        self.start_peers(peers, term);
+        self.start_replication(peers, term);
         self.write_batch(vec![Proposal { payload: EntryPayload::Empty, sender: None, based_on_index: None }]).await;
     }
 
-    fn start_peers(&self, peers: Vec<Member>, term: u64) {
+    fn start_replication(&self, peers: Vec<Member>, term: u64) {
         for peer in peers {
             self.inner.platform.spawn(self.clone().replicate_to(peer, term));
         }
@@ -173,52 +173,52 @@
                 state.pending_proposals.insert(index, crate::state::PendingProposal { term, sender });
             }
         }
-        let (added, term) = (track_new_members(&mut state), state.term);
+        let (added, term) = (update_tracked_peers(&mut state), state.term);
         drop(state);
-        self.start_peers(added, term);
+        self.start_replication(added, term);
         records
     }
 
     /// Replicates to one peer while this replica leads `term` and the peer is a member.
     async fn replicate_to(self, peer: Member, term: u64) {
         let config = &self.inner.options.config;
-        let mut transfer = None;
+        let mut snapshot_transfer = None;
         let mut size = MessageSize::default();
         loop {
             let change_count = self.inner.changed.count();
-            let Some(request) = self.next_message(&peer, term, size, &mut transfer).await else {
+            let Some(request) = self.next_message(&peer, term, size, &mut snapshot_transfer).await else {
                 return;
             };
             let sent_at = self.inner.platform.monotonic();
-            let level_selection = self.level_selection_for(&request, &transfer);
+            let level_selection = self.level_selection_for(&request, &snapshot_transfer);
             let sent = self.send_as(level_selection, Channel::Log, peer.address, &request, config.call_timeout);
             let reply = self.with_heartbeats(&peer, term, sent).await;
             match &reply {
                 Ok(_) => {
-                    let after = self.inner.platform.monotonic().saturating_sub(sent_at);
-                    size.record_reply_time(after, config.call_timeout);
+                    let elapsed = self.inner.platform.monotonic().saturating_sub(sent_at);
+                    size.record_reply_time(elapsed, config.call_timeout);
                 }
                 Err(CallError::OutcomeUnknown) => size.record_timeout(),
                 Err(CallError::NotSent | CallError::UnsupportedByPeer) => {}
             }
             let has_more = match reply {
-                Ok(ReplicaReply::Append { term: seen_term, accepted, index }) => {
-                    self.observe_term(seen_term).await;
-                    transfer = None;
+                Ok(ReplicaReply::Append { term: observed_term, accepted, index }) => {
+                    self.observe_term(observed_term).await;
+                    snapshot_transfer = None;
                     self.record_append_reply(&peer, term, sent_at, accepted, index)
                 }
-                Ok(ReplicaReply::SnapshotPart { term: seen_term, next_offset }) => {
-                    self.observe_term(seen_term).await;
+                Ok(ReplicaReply::SnapshotPart { term: observed_term, next_offset }) => {
+                    self.observe_term(observed_term).await;
                     self.with_progress(&peer, term, |progress| {
                         progress.acknowledged_append_sent_at = progress.acknowledged_append_sent_at.max(Some(sent_at));
                     });
-                    if let Some(transfer) = &mut transfer {
-                        transfer.offset = usize::try_from(next_offset).unwrap_or(0);
+                    if let Some(snapshot_transfer) = &mut snapshot_transfer {
+                        snapshot_transfer.offset = usize::try_from(next_offset).unwrap_or(0);
                     }
                     true
                 }
-                Ok(ReplicaReply::FetchingSegments { term: seen_term }) => {
-                    self.observe_term(seen_term).await;
+                Ok(ReplicaReply::FetchingSegments { term: observed_term }) => {
+                    self.observe_term(observed_term).await;
                     self.with_progress(&peer, term, |progress| {
                         progress.acknowledged_append_sent_at = progress.acknowledged_append_sent_at.max(Some(sent_at));
                     });
@@ -238,12 +238,18 @@
 
     /// Feature level at which a message is encoded. It is that of the first entry or of the snapshot, as a peer with
     /// an empty log adopts it.
-    fn level_selection_for(&self, request: &ReplicaRequest, transfer: &Option<SnapshotTransfer>) -> LevelSelection {
-        match (request, transfer) {
+    fn level_selection_for(
+        &self,
+        request: &ReplicaRequest,
+        snapshot_transfer: &Option<SnapshotTransfer>,
+    ) -> LevelSelection {
+        match (request, snapshot_transfer) {
             (ReplicaRequest::Append { previous_index, .. }, _) => {
                 LevelSelection::Fixed(self.inner.state.borrow().level_of_append(*previous_index))
             }
-            (ReplicaRequest::SnapshotPart { .. }, Some(transfer)) => LevelSelection::Fixed(transfer.snapshot.level),
+            (ReplicaRequest::SnapshotPart { .. }, Some(snapshot_transfer)) => {
+                LevelSelection::Fixed(snapshot_transfer.snapshot.level)
+            }
             _ => self.level_selection(),
         }
     }
@@ -255,7 +261,7 @@
         peer: &Member,
         term: u64,
         size: MessageSize,
-        transfer: &mut Option<SnapshotTransfer>,
+        snapshot_transfer: &mut Option<SnapshotTransfer>,
     ) -> Option<ReplicaRequest> {
         let header = self.header(peer.id, term);
         let next = {
@@ -268,14 +274,14 @@
             let previous_index = next - 1;
             let entries = state.log.entries_within(next, limit, size.entries_bytes());
             let in_memory = state.log.term_at(previous_index).zip(entries);
-            if let (Some((previous_term, entries)), None) = (in_memory, &transfer) {
+            if let (Some((previous_term, entries)), None) = (in_memory, &snapshot_transfer) {
                 let commit = state.commit;
                 return Some(ReplicaRequest::Append { header, previous_index, previous_term, entries, commit });
             }
             next
         };
         // An empty replica is sent a snapshot, which is smaller than the log before it.
-        if transfer.is_none() && next > 1 {
+        if snapshot_transfer.is_none() && next > 1 {
             let from_file = self.entries_from_file(header, next, size.entries_bytes()).await;
             if from_file.is_some() {
                 return from_file;
@@ -294,8 +300,8 @@
             });
             SnapshotTransfer { snapshot, offset: 0 }
         };
-        let transfer = transfer.get_or_insert_with(begin);
-        Some(ReplicaRequest::SnapshotPart { header, part: transfer.next_part(size) })
+        let snapshot_transfer = snapshot_transfer.get_or_insert_with(begin);
+        Some(ReplicaRequest::SnapshotPart { header, part: snapshot_transfer.next_part(size) })
     }
 
     /// Entries from the log file that are no longer in memory.
@@ -351,9 +357,9 @@
     }
 }
 
-/// Tracks progress for new members, starting at the end of the log, and drops it for removed ones. Returns the new
+/// Adds progress for new members, starting at the end of the log, and removes that of former members. Returns the new
 /// peers.
-fn track_new_members<S: StateMachine>(state: &mut State<S>) -> Vec<Member> {
+fn update_tracked_peers<S: StateMachine>(state: &mut State<S>) -> Vec<Member> {
     let next_index = state.log.last_index().max(1);
     let own = state.identity.id;
     let members = state.membership().members.clone();
--- a/crates/replication/src/leadership_offer.rs
+++ b/crates/replication/src/leadership_offer.rs
@@ -6,11 +6,11 @@
 //! for it, it sends an offer. The leader then probes the voters itself and transfers leadership only if it does not
 //! reach a quorum promptly.
 //!
-//! An offer is a pre-vote request with `transfer` set. Older builds answer it as a pre-vote and ignore the offer.
+//! An offer is a pre-vote request with `transfer` set. Older builds reply to it as to any pre-vote and ignore the offer.
 
 use crate::calls::Channel;
 use crate::election::VoteCount;
-use crate::leadership_transfer::{SUCCESSOR_POLL, Successor};
+use crate::leadership_transfer::{SUCCESSOR_POLL_INTERVAL, Successor};
 use crate::link_probe::LinkProbe;
 use crate::membership::Member;
 use crate::message::{Header, ReplicaRequest};
@@ -29,7 +29,7 @@
 /// overdue.
 const SLOW_LEADER_WINDOW: Duration = Duration::from_secs(1);
 
-/// Initial pause between two probe rounds of a voter. Doubles after each round that leads to no offer.
+/// Initial pause between two probe rounds of a voter; doubled after each round that leads to no offer.
 const MIN_PROBE_PAUSE: Duration = Duration::from_secs(1);
 
 /// Longest pause between two probe rounds.
@@ -48,7 +48,7 @@
 /// An offer by a voter to take over leadership.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Offer {
-    at: Duration,
+    received_at: Duration,
     /// Term and index of the voter's last entry.
     last_entry: (u64, u64),
 }
@@ -126,17 +126,17 @@
         let has_better_links = probe.is_link_bad(leader.id) && reached >= quorum;
         let next_term = leader.term + 1;
         let mut count = VoteCount::default();
-        let offers = has_better_links && self.collect_votes(next_term, true, true, &mut count).await;
+        let may_offer = has_better_links && self.collect_votes(next_term, true, true, &mut count).await;
         spdlog::info!("leader heard late", kv: {
             leader = leader.id.0, term = leader.term, late = probe.describe_late_probes().as_str(),
             reached = reached, quorum = quorum, leader_is_bad = probe.is_link_bad(leader.id), granted = count.granted,
-            refused = count.refused, offers = offers
+            refused = count.refused, offers = may_offer
         });
-        if offers {
+        if may_offer {
             self.inner.leadership_offers.borrow_mut().offered_term = Some(next_term);
             self.send_offer(leader, next_term).await;
         }
-        offers
+        may_offer
     }
 
     async fn send_offer(&self, leader: SlowLeader, next_term: u64) {
@@ -154,7 +154,7 @@
     pub(crate) fn record_offer(&self, header: &Header, last_entry: (u64, u64)) {
         let state = self.inner.state.borrow();
         if state.leadership().is_some() && header.term == state.term + 1 {
-            let offer = Offer { at: self.inner.platform.monotonic(), last_entry };
+            let offer = Offer { received_at: self.inner.platform.monotonic(), last_entry };
             self.inner.leadership_offers.borrow_mut().received.insert(header.from, offer);
         }
     }
@@ -169,12 +169,12 @@
             let probe = self.probe_voters().await;
             let quorum = self.inner.state.borrow().membership().quorum();
             let reached = 1 + probe.prompt_voters_except(None);
-            let hands_over = reached < quorum;
+            let must_transfer = reached < quorum;
             spdlog::info!("offer to lead considered", kv: {
-                term = term, offers = self.fresh_offers().len(), late = probe.describe_late_probes().as_str(),
-                reached = reached, quorum = quorum, hands_over = hands_over
+                term = term, offers = self.unexpired_offers().len(), late = probe.describe_late_probes().as_str(),
+                reached = reached, quorum = quorum, hands_over = must_transfer
             });
-            if hands_over && self.await_ready_successor(term).await {
+            if must_transfer && self.await_ready_successor(term).await {
                 self.transfer_leadership_to(|attempted| self.best_offer(attempted)).await;
             }
             self.inner.leadership_offers.borrow_mut().received.clear();
@@ -188,14 +188,14 @@
         let now = self.inner.platform.monotonic();
         let took_over_at = self.inner.leadership_offers.borrow().took_over_at;
         let in_cooldown = took_over_at.is_some_and(|since| now < since + OFFER_COOLDOWN);
-        (!in_cooldown && !self.fresh_offers().is_empty()).then_some(state.term)
+        (!in_cooldown && !self.unexpired_offers().is_empty()).then_some(state.term)
     }
 
     /// Offers that have not expired.
-    fn fresh_offers(&self) -> BTreeMap<ReplicaId, Offer> {
+    fn unexpired_offers(&self) -> BTreeMap<ReplicaId, Offer> {
         let now = self.inner.platform.monotonic();
         let mut offers = self.inner.leadership_offers.borrow_mut();
-        offers.received.retain(|_, offer| now < offer.at + OFFER_VALIDITY);
+        offers.received.retain(|_, offer| now < offer.received_at + OFFER_VALIDITY);
         offers.received.clone()
     }
 
@@ -210,7 +210,7 @@
             if self.best_offer(&BTreeSet::new()).is_some() {
                 return true;
             }
-            self.inner.platform.sleep(SUCCESSOR_POLL).await;
+            self.inner.platform.sleep(SUCCESSOR_POLL_INTERVAL).await;
         }
         let state = self.inner.state.borrow();
         let peers = state.describe_peers(self.inner.platform.monotonic());
@@ -223,9 +223,9 @@
     fn best_offer(&self, attempted: &BTreeSet<ReplicaId>) -> Option<Successor> {
         let state = self.inner.state.borrow();
         let offers = self.inner.leadership_offers.borrow();
-        let unwanted = self.inner.excluded_replicas.borrow();
+        let excluded = self.inner.excluded_replicas.borrow();
         let own = state.identity.id;
-        let voters = state.membership().voters().filter(|voter| voter.id != own && !unwanted.contains(&voter.id));
+        let voters = state.membership().voters().filter(|voter| voter.id != own && !excluded.contains(&voter.id));
         let match_index = |voter: &Member| {
             let offer = offers.received.get(&voter.id)?;
             Some(known_match_index(&state, voter.id, offer)).filter(|match_index| *match_index >= state.commit)
--- a/crates/replication/src/leadership_transfer.rs
+++ b/crates/replication/src/leadership_transfer.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 /// Interval between checks for a voter that is ready to take over.
-pub(crate) const SUCCESSOR_POLL: Duration = Duration::from_millis(5);
+pub(crate) const SUCCESSOR_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Timeout of one take-over request.
-const TAKE_OVER_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout of one request to take over.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Timeout of a leadership transfer.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -48,12 +48,12 @@
         let mut attempted = BTreeSet::new();
         while self.inner.platform.monotonic() < deadline && self.block_proposals() {
             let Some(successor) = choose(&attempted) else {
-                self.inner.platform.sleep(SUCCESSOR_POLL).await;
+                self.inner.platform.sleep(SUCCESSOR_POLL_INTERVAL).await;
                 continue;
             };
             // Proposals are blocked meanwhile, so a slow successor is skipped.
             attempted.insert(successor.id);
-            self.request_take_over(successor).await;
+            self.request_takeover(successor).await;
             self.inner.platform.sleep(self.inner.options.config.heartbeat_interval).await;
         }
         !self.step_down()
@@ -61,18 +61,18 @@
 
     /// Sends the request over two connections to tolerate packet loss, as proposals are blocked until it arrives. The
     /// second copy is rejected.
-    async fn request_take_over(&self, successor: Successor) {
+    async fn request_takeover(&self, successor: Successor) {
         let request = ReplicaRequest::TimeoutNow { header: self.header(successor.id, successor.term) };
-        let send_request = |channel| self.try_send(channel, successor.address, &request, TAKE_OVER_TIMEOUT);
-        let (log, probes) = join(send_request(Channel::Log), send_request(Channel::Probes)).await;
+        let send_request = |channel| self.try_send(channel, successor.address, &request, TAKEOVER_TIMEOUT);
+        let (log_reply, probes_reply) = join(send_request(Channel::Log), send_request(Channel::Probes)).await;
         spdlog::info!("leadership transfer requested", kv: {
             successor = successor.id.0, address = successor.address.to_string().as_str(), term = successor.term,
-            answered = log.is_ok() || probes.is_ok()
+            answered = log_reply.is_ok() || probes_reply.is_ok()
         });
     }
 
     /// Steps down if this replica still leads, and returns whether it did. It must not serve again in this term: a
-    /// voter that received a take-over request may still campaign, and voters ignore the lease for that campaign.
+    /// voter that received a request to take over may still campaign, and voters ignore the lease for that campaign.
     fn step_down(&self) -> bool {
         let mut state = self.inner.state.borrow_mut();
         if state.leadership().is_none() {
@@ -118,8 +118,8 @@
         let last_index = state.log.last_index();
         let progress = |member: &Member| progress_by_peer.get(&member.id).copied().unwrap_or_default();
         let others = state.membership().voters().filter(|member| member.id != own);
-        let unwanted = self.inner.excluded_replicas.borrow();
-        let eligible = others.filter(|member| !unwanted.contains(&member.id));
+        let excluded = self.inner.excluded_replicas.borrow();
+        let eligible = others.filter(|member| !excluded.contains(&member.id));
         let caught_up = eligible.filter(|member| progress(member).match_index >= last_index);
         let best = caught_up
             .max_by_key(|member| (!attempted.contains(&member.id), progress(member).acknowledged_append_sent_at))?;
--- a/crates/replication/src/levels.rs
+++ b/crates/replication/src/levels.rs
@@ -23,11 +23,12 @@
     [RAISE_PREFIX, &level.number().to_le_bytes()].concat()
 }
 
-/// Level that the command raises the group to; `None` for other commands.
+/// Level that the command raises the group to; `None` for other commands. Panics if this build does not support the
+/// level.
 pub fn raised_to(command: &[u8]) -> Option<FeatureLevel> {
     let number = command.strip_prefix(RAISE_PREFIX)?.try_into().ok().map(u32::from_le_bytes);
     let level = number.and_then(FeatureLevel::from_number);
-    Some(level.expect("a level is raised only when every member supports it"))
+    Some(level.expect("the group raised its feature level to one that this build does not support"))
 }
 
 fn raised_level(payload: &EntryPayload) -> Option<FeatureLevel> {
--- a/crates/replication/src/link_probe.rs
+++ b/crates/replication/src/link_probe.rs
@@ -23,20 +23,21 @@
 /// Timeout of one probe; long enough for one retransmission.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A link is bad if at least one in this many probes is answered late.
+/// A link is bad if the reply to at least one in this many probes is late or missing.
 const BAD_LINK_DIVISOR: u32 = 3;
 
-/// Term of a probe. No leader has this term, so replicas answer without recording contact with a leader.
+/// Term of a probe. No leader has this term, so replicas reply without recording contact with a leader.
 const PROBE_TERM: u64 = 0;
 
-/// Number of late or missing answers of each voter.
+/// Result of a probe round.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LinkProbe {
+    /// The voters, each with the number of its probes whose reply was late or missing.
     voters: Vec<(Member, u32)>,
 }
 
 impl LinkProbe {
-    /// Number of voters, without `excluded`, that answered all probes promptly.
+    /// Number of voters, without `excluded`, that replied to all probes promptly.
     pub fn prompt_voters_except(&self, excluded: Option<ReplicaId>) -> usize {
         let counted = self.voters.iter().filter(|(voter, _)| Some(voter.id) != excluded);
         counted.filter(|(_, late)| *late == 0).count()
@@ -47,7 +48,7 @@
         self.voters.iter().any(|(probed, late)| probed.id == voter && late * BAD_LINK_DIVISOR >= PROBES_PER_VOTER)
     }
 
-    /// Describes the late answers of each voter for log lines.
+    /// Describes the late or missing replies of each voter for log lines.
     pub fn describe_late_probes(&self) -> String {
         let late = self.voters.iter().map(|(voter, late)| format!("{}:{late}", voter.address));
         late.collect::<Vec<_>>().join(" ")
@@ -66,23 +67,23 @@
         LinkProbe { voters: voters.into_iter().zip(late).collect() }
     }
 
-    /// Returns how many probes a voter answered late.
+    /// Returns the number of probes to which the voter replied late or not at all.
     async fn probe(&self, voter: &Member) -> u32 {
         // The first probe opens the connection and is not counted.
         let probes = (0..=PROBES_PER_VOTER).map(|number| async move {
             self.inner.platform.sleep(PROBE_INTERVAL * number).await;
-            let is_prompt = self.is_answered_promptly(voter).await;
+            let is_prompt = self.replies_promptly(voter).await;
             u32::from(number > 0 && !is_prompt)
         });
         join_all(probes).await.into_iter().sum()
     }
 
-    async fn is_answered_promptly(&self, voter: &Member) -> bool {
+    async fn replies_promptly(&self, voter: &Member) -> bool {
         let header: Header = self.header(voter.id, PROBE_TERM);
         let request = ReplicaRequest::Heartbeat { header };
         let is_late = Cell::new(false);
         let call = self.try_send(Channel::Probes, voter.address, &request, PROBE_TIMEOUT);
-        let reply = self.watch_promptness(call, || is_late.set(true)).await;
+        let reply = self.detect_late_reply(call, || is_late.set(true)).await;
         matches!(reply, Ok(ReplicaReply::Heartbeat { .. })) && !is_late.get()
     }
 }
--- a/crates/replication/src/link_quality.rs
+++ b/crates/replication/src/link_quality.rs
@@ -1,4 +1,4 @@
-//! Detects late answers to messages that peers answer without disk access, which indicate problems of the network
+//! Detects late replies to messages that peers handle without disk access, which indicate problems of the network
 //! path.
 
 use crate::replica::Replica;
@@ -9,7 +9,7 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// Limit for a prompt answer. A slower one indicates a lost packet, which TCP retransmits after 200 ms at the
+/// Limit for a prompt reply. A slower one indicates a lost packet, which TCP retransmits after 200 ms at the
 /// earliest, or a stalled process.
 pub(crate) const PROMPT_REPLY_LIMIT: Duration = Duration::from_millis(150);
 
@@ -17,8 +17,9 @@
 const STALL_THRESHOLD: Duration = Duration::from_millis(50);
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
-    /// Waits for `call` and invokes `on_late` if it is not answered promptly, unless this process itself was stalled.
-    pub(crate) async fn watch_promptness<T>(&self, call: impl Future<Output = T>, on_late: impl FnOnce()) -> T {
+    /// Waits for `call` and invokes `on_late` if there is no reply within `PROMPT_REPLY_LIMIT`, unless this process
+    /// itself was stalled.
+    pub(crate) async fn detect_late_reply<T>(&self, call: impl Future<Output = T>, on_late: impl FnOnce()) -> T {
         let started_at = self.inner.platform.monotonic();
         let timer = pin!(self.inner.platform.sleep(PROMPT_REPLY_LIMIT));
         match select(pin!(call), timer).await {
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -135,7 +135,7 @@
     }
 
     /// Index up to which entries must be removed to leave at most `bytes` in memory.
-    pub fn excess(&self, bytes: u64) -> u64 {
+    pub fn excess_end(&self, bytes: u64) -> u64 {
         let mut left = self.bytes;
         let mut index = self.base_index;
         for entry in &self.entries {
--- a/crates/replication/src/log_file.rs
+++ b/crates/replication/src/log_file.rs
@@ -14,7 +14,7 @@
     pub length: u64,
 }
 
-/// Locations of all entries in the log file that were not replaced, in consecutive order of index.
+/// Locations of all entries in the log file that were not replaced, ordered by consecutive indexes.
 #[derive(Clone, Debug, Default)]
 pub struct LogFileIndex {
     locations: VecDeque<EntryLocation>,
@@ -37,7 +37,7 @@
     }
 
     /// Locations of the entries from `first` on: at least two if they exist, and further ones within `max_bytes`.
-    pub fn from(&self, first: u64, max_bytes: u64) -> Vec<EntryLocation> {
+    pub fn locations_from(&self, first: u64, max_bytes: u64) -> Vec<EntryLocation> {
         let Some(start) = self.locations.front().and_then(|front| first.checked_sub(front.index)) else {
             return Vec::new();
         };
--- a/crates/replication/src/maintenance.rs
+++ b/crates/replication/src/maintenance.rs
@@ -31,21 +31,21 @@
         let config = &self.inner.options.config;
         let entries = state.applied - state.snapshot_index;
         // Spreads the snapshots of different replicas over time.
-        let share = 50 + state.identity.id.0 % 51;
+        let percent = 50 + state.identity.id.0 % 51;
         // A leader with peers behind delays its snapshot, to keep the log that they need.
-        let delay_factor = if state.has_peers_behind() { 2 } else { 1 };
-        let snapshot_bytes = config.snapshot_bytes * share / 100 * delay_factor;
+        let delay_factor = if state.has_lagging_peers() { 2 } else { 1 };
+        let snapshot_bytes = config.snapshot_bytes * percent / 100 * delay_factor;
         entries >= config.snapshot_entries || entries > 0 && state.applied_bytes_since_snapshot >= snapshot_bytes
     }
 
     /// Writes a snapshot without blocking appends, then compacts the log.
     async fn take_snapshot(&self) {
-        let writing = self.inner.snapshot_file.lock().await;
+        let snapshot_guard = self.inner.snapshot_file.lock().await;
         let Ok(header) = self.write_current_snapshot().await else {
             self.fail_storage();
             return;
         };
-        drop(writing);
+        drop(snapshot_guard);
         let index = header.index;
         let mut storage = self.inner.storage.lock().await;
         let (term, voted_for, entries) = {
@@ -92,12 +92,12 @@
         if state.log.bytes() <= config.memory_bytes {
             return;
         }
-        let excess_end = state.log.excess(config.memory_bytes);
+        let excess_end = state.log.excess_end(config.memory_bytes);
         let needed_from = state.lowest_match_index(now, config.replace_after).unwrap_or(excess_end);
-        let forced = state.log.excess(config.memory_bytes_behind);
-        let upto = excess_end.min(needed_from).max(forced).min(state.applied);
-        if upto > state.log.base_index() {
-            state.log.compact(upto);
+        let forced_end = state.log.excess_end(config.memory_bytes_behind);
+        let compact_to = excess_end.min(needed_from).max(forced_end).min(state.applied);
+        if compact_to > state.log.base_index() {
+            state.log.compact(compact_to);
         }
     }
 
@@ -121,11 +121,11 @@
             state.log.base_index() > state.snapshot_index
         };
         if log_has_gap {
-            let writing = self.inner.snapshot_file.lock().await;
+            let snapshot_guard = self.inner.snapshot_file.lock().await;
             let Ok(header) = self.write_current_snapshot().await else {
                 return;
             };
-            drop(writing);
+            drop(snapshot_guard);
             let mut state = self.inner.state.borrow_mut();
             state.snapshot_index = header.index;
             state.synced = state.synced.max(header.index);
--- a/crates/replication/src/member_health.rs
+++ b/crates/replication/src/member_health.rs
@@ -13,7 +13,8 @@
 /// Silence after which a learner is removed, as a multiple of `replace_after`.
 const LEARNER_SILENCE_FACTOR: u32 = 8;
 
-/// A single late voter indicates a problem with its own links, not with the leader's.
+/// Minimum number of voters with late replies that indicates a problem with the leader's own links; a single one
+/// indicates a problem with that voter's links.
 const MIN_LATE_VOTERS: usize = 2;
 
 /// A leader's assessment of the members.
@@ -25,7 +26,8 @@
     pub now: Duration,
     /// Silence after which a voter is replaced.
     pub replace_after: Duration,
-    pub unwanted: &'a BTreeSet<ReplicaId>,
+    /// Replicas that must be removed from the group or kept out of it.
+    pub excluded: &'a BTreeSet<ReplicaId>,
 }
 
 impl MemberHealth<'_> {
@@ -39,7 +41,7 @@
 
     /// Time since the member last acknowledged what a healthy member would.
     ///
-    /// While heartbeats are answered promptly, appends must be as well: otherwise the member's disk is stuck. If
+    /// If heartbeats are acknowledged promptly and appends are not, the member's disk is stuck, so only appends count. If
     /// heartbeats are late, appends may be delayed by packet loss, so an acknowledgement of either kind counts, unless
     /// appends have been unacknowledged for longer than `long_silence_limit`.
     fn silence(&self, member: &Member) -> Duration {
@@ -59,7 +61,7 @@
         self.progress(member).is_late_since(self.now.saturating_sub(self.replace_after))
     }
 
-    /// Whether this leader's own links appear to lose packets: at least two reachable voters answer late, and they are
+    /// Whether this leader's own links appear to lose packets: at least two reachable voters reply late, and they are
     /// at least half of the other voters. An unreachable voter may then be healthy.
     fn has_bad_links(&self) -> bool {
         let is_reachable = |voter: &Member| self.time_since(self.progress(voter).last_contact()) <= self.replace_after;
@@ -85,7 +87,7 @@
         spdlog::info!("voter removed", kv: {
             replica = voter.id.0,
             address = voter.address.to_string().as_str(),
-            unwanted = self.unwanted.contains(&voter.id),
+            unwanted = self.excluded.contains(&voter.id),
             replaced = self.replacement(voter).is_some(),
             disk_silent_ms = silent_ms(progress.acknowledged_append_sent_at),
             silent_ms = silent_ms(progress.last_contact()),
@@ -101,7 +103,7 @@
     }
 
     pub fn has_failed(&self, member: &Member) -> bool {
-        self.unwanted.contains(&member.id) || self.replacement(member).is_some() || self.is_silent(member)
+        self.excluded.contains(&member.id) || self.replacement(member).is_some() || self.is_silent(member)
     }
 
     fn is_caught_up(&self, member: &Member) -> bool {
@@ -139,7 +141,7 @@
     pub fn learner_to_remove(&self) -> Option<&Member> {
         let learners = self.membership.members.iter().filter(|member| !member.voter);
         let is_removable = |learner: &&Member| {
-            self.unwanted.contains(&learner.id)
+            self.excluded.contains(&learner.id)
                 || self.replacement(learner).is_some()
                 || self.silence(learner) > self.long_silence_limit()
         };
--- a/crates/replication/src/membership_change.rs
+++ b/crates/replication/src/membership_change.rs
@@ -1,5 +1,5 @@
-//! Membership changes, one at a time: joins, promotion of learners, and removal of voters that have failed, were
-//! replaced or are unwanted.
+//! Membership changes, one at a time: joins, promotion of learners, and removal of members that have failed, were
+//! replaced or are excluded.
 
 use crate::calls::Channel;
 use crate::log::EntryPayload;
@@ -36,14 +36,14 @@
 const JOIN_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
-    /// Adds addresses at which replicas may listen.
+    /// Adds addresses at which replicas may listen, for join requests and redirects.
     pub fn add_known_addresses(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         self.inner.discovered_addresses.borrow_mut().extend(addresses);
     }
 
     /// Sets the replicas that must be removed from the group or kept out of it.
-    pub fn set_excluded_replicas(&self, unwanted: BTreeSet<ReplicaId>) {
-        *self.inner.excluded_replicas.borrow_mut() = unwanted;
+    pub fn set_excluded_replicas(&self, excluded: BTreeSet<ReplicaId>) {
+        *self.inner.excluded_replicas.borrow_mut() = excluded;
     }
 
     /// Whether `replica` is not a member, and the target number of healthy voters has synced all committed entries.
@@ -73,7 +73,7 @@
     }
 
     fn assess_members<T>(&self, state: &State<S>, assess: impl FnOnce(&MemberHealth) -> T) -> Option<T> {
-        let unwanted = self.inner.excluded_replicas.borrow();
+        let excluded = self.inner.excluded_replicas.borrow();
         let health = MemberHealth {
             membership: state.membership(),
             leadership: state.leadership()?,
@@ -81,7 +81,7 @@
             commit: state.commit,
             now: self.inner.platform.monotonic(),
             replace_after: self.inner.options.config.replace_after,
-            unwanted: &unwanted,
+            excluded: &excluded,
         };
         Some(assess(&health))
     }
@@ -138,7 +138,7 @@
     /// Addresses for a join request to try next, the leader first if it is known.
     fn known_addresses(&self, state: &State<S>) -> Vec<SocketAddr> {
         let leader = state.leader.and_then(|leader| state.address_of(leader));
-        leader.into_iter().chain(self.peers_by_likelihood_in(state)).collect()
+        leader.into_iter().chain(self.redirect_addresses_in(state)).collect()
     }
 
     /// Proposes a membership based on the one at index `based_on_index`. Of several pending proposals based on the same
--- a/crates/replication/src/message_codec.rs
+++ b/crates/replication/src/message_codec.rs
@@ -11,9 +11,9 @@
 use saddlerelay_types::protocol::{ControlReply, ControlRequest};
 use std::net::SocketAddr;
 
-/// A request as encoded at level one. Frozen.
+/// A request as encoded at level one. Released, so its encoding must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-enum RequestOne {
+enum LevelOneRequest {
     Vote { header: Header, pre_vote: bool, transfer: bool, last_index: u64, last_term: u64 },
     Append { header: Header, previous_index: u64, previous_term: u64, entries: Vec<LogEntry>, commit: u64 },
     SnapshotPart { header: Header, part: SnapshotPart },
@@ -22,37 +22,37 @@
     Join { id: ReplicaId, address: SocketAddr },
 }
 
-/// A reply as encoded at level one. Frozen.
+/// A reply as encoded at level one. Released, so its encoding must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-enum ReplyOne {
+enum LevelOneReply {
     Vote { term: u64, granted: bool },
     Append { term: u64, accepted: bool, index: u64 },
     SnapshotPart { term: u64, next_offset: u64 },
     FetchingSegments { term: u64 },
     Segment(Vec<u8>),
-    Taken,
+    Accepted,
     Members(Vec<SocketAddr>),
-    Refused,
+    Rejected,
 }
 
-impl From<RequestOne> for ReplicaRequest {
-    fn from(request: RequestOne) -> Self {
+impl From<LevelOneRequest> for ReplicaRequest {
+    fn from(request: LevelOneRequest) -> Self {
         match request {
-            RequestOne::Vote { header, pre_vote, transfer, last_index, last_term } => {
+            LevelOneRequest::Vote { header, pre_vote, transfer, last_index, last_term } => {
                 Self::Vote { header, pre_vote, transfer, last_index, last_term }
             }
-            RequestOne::Append { header, previous_index, previous_term, entries, commit } => {
+            LevelOneRequest::Append { header, previous_index, previous_term, entries, commit } => {
                 Self::Append { header, previous_index, previous_term, entries, commit }
             }
-            RequestOne::SnapshotPart { header, part } => Self::SnapshotPart { header, part },
-            RequestOne::ReadSegment { header, number } => Self::ReadSegment { header, number },
-            RequestOne::TimeoutNow { header } => Self::TimeoutNow { header },
-            RequestOne::Join { id, address } => Self::Join { id, address },
+            LevelOneRequest::SnapshotPart { header, part } => Self::SnapshotPart { header, part },
+            LevelOneRequest::ReadSegment { header, number } => Self::ReadSegment { header, number },
+            LevelOneRequest::TimeoutNow { header } => Self::TimeoutNow { header },
+            LevelOneRequest::Join { id, address } => Self::Join { id, address },
         }
     }
 }
 
-impl RequestOne {
+impl LevelOneRequest {
     fn of(request: ReplicaRequest) -> Option<Self> {
         Some(match request {
             ReplicaRequest::Vote { header, pre_vote, transfer, last_index, last_term } => {
@@ -70,22 +70,22 @@
     }
 }
 
-impl From<ReplyOne> for ReplicaReply {
-    fn from(reply: ReplyOne) -> Self {
+impl From<LevelOneReply> for ReplicaReply {
+    fn from(reply: LevelOneReply) -> Self {
         match reply {
-            ReplyOne::Vote { term, granted } => Self::Vote { term, granted },
-            ReplyOne::Append { term, accepted, index } => Self::Append { term, accepted, index },
-            ReplyOne::SnapshotPart { term, next_offset } => Self::SnapshotPart { term, next_offset },
-            ReplyOne::FetchingSegments { term } => Self::FetchingSegments { term },
-            ReplyOne::Segment(bytes) => Self::Segment(bytes),
-            ReplyOne::Taken => Self::Accepted,
-            ReplyOne::Members(members) => Self::Members(members),
-            ReplyOne::Refused => Self::Rejected,
+            LevelOneReply::Vote { term, granted } => Self::Vote { term, granted },
+            LevelOneReply::Append { term, accepted, index } => Self::Append { term, accepted, index },
+            LevelOneReply::SnapshotPart { term, next_offset } => Self::SnapshotPart { term, next_offset },
+            LevelOneReply::FetchingSegments { term } => Self::FetchingSegments { term },
+            LevelOneReply::Segment(bytes) => Self::Segment(bytes),
+            LevelOneReply::Accepted => Self::Accepted,
+            LevelOneReply::Members(members) => Self::Members(members),
+            LevelOneReply::Rejected => Self::Rejected,
         }
     }
 }
 
-impl From<ReplicaReply> for ReplyOne {
+impl From<ReplicaReply> for LevelOneReply {
     fn from(reply: ReplicaReply) -> Self {
         match reply {
             ReplicaReply::Vote { term, granted } => Self::Vote { term, granted },
@@ -93,10 +93,10 @@
             ReplicaReply::SnapshotPart { term, next_offset } => Self::SnapshotPart { term, next_offset },
             ReplicaReply::FetchingSegments { term } => Self::FetchingSegments { term },
             ReplicaReply::Segment(bytes) => Self::Segment(bytes),
-            ReplicaReply::Accepted => Self::Taken,
+            ReplicaReply::Accepted => Self::Accepted,
             // Level one has no `NotNeeded`; the joining replica retries at the listed addresses.
             ReplicaReply::Members(members) | ReplicaReply::NotNeeded { members, .. } => Self::Members(members),
-            ReplicaReply::Rejected | ReplicaReply::Heartbeat { .. } => Self::Refused,
+            ReplicaReply::Rejected | ReplicaReply::Heartbeat { .. } => Self::Rejected,
         }
     }
 }
@@ -104,7 +104,7 @@
 /// Encodes a request; `None` if the level does not have it.
 pub fn encode_request(request: &ReplicaRequest, level: FeatureLevel) -> Option<Vec<u8>> {
     match level {
-        FeatureLevel::One => Some(bitcode::encode(&RequestOne::of(request.clone())?)),
+        FeatureLevel::One => Some(bitcode::encode(&LevelOneRequest::of(request.clone())?)),
         FeatureLevel::Two => Some(bitcode::encode(request)),
     }
 }
@@ -112,15 +112,15 @@
 /// Decodes a request; `None` if it is malformed.
 pub fn decode_request(bytes: &[u8], level: FeatureLevel) -> Option<ReplicaRequest> {
     match level {
-        FeatureLevel::One => bitcode::decode::<RequestOne>(bytes).ok().map(Into::into),
+        FeatureLevel::One => bitcode::decode::<LevelOneRequest>(bytes).ok().map(Into::into),
         FeatureLevel::Two => bitcode::decode(bytes).ok(),
     }
 }
 
-/// Encodes a reply; replies that the level does not have become the closest one that it has.
+/// Encodes a reply; a reply that the level does not have is replaced by the closest one that it has.
 pub fn encode_reply(reply: ReplicaReply, level: FeatureLevel) -> Vec<u8> {
     match level {
-        FeatureLevel::One => bitcode::encode(&ReplyOne::from(reply)),
+        FeatureLevel::One => bitcode::encode(&LevelOneReply::from(reply)),
         FeatureLevel::Two => bitcode::encode(&reply),
     }
 }
@@ -128,12 +128,12 @@
 /// Decodes a reply; `None` if it is malformed.
 pub fn decode_reply(bytes: &[u8], level: FeatureLevel) -> Option<ReplicaReply> {
     match level {
-        FeatureLevel::One => bitcode::decode::<ReplyOne>(bytes).ok().map(Into::into),
+        FeatureLevel::One => bitcode::decode::<LevelOneReply>(bytes).ok().map(Into::into),
         FeatureLevel::Two => bitcode::decode(bytes).ok(),
     }
 }
 
-/// Encodes `request` together with its control envelope; `None` if the level does not have it.
+/// Encodes `request` as a [`ControlRequest`]; `None` if the level does not have it.
 pub fn encode_call(request: &ReplicaRequest, level: FeatureLevel) -> Option<Vec<u8>> {
     messages::encode_request(&ControlRequest::Replication(encode_request(request, level)?), level)
 }
@@ -146,7 +146,7 @@
     }
 }
 
-/// Encodes `reply` together with its control envelope.
+/// Encodes `reply` as a [`ControlReply`]; `None` if the level cannot express it.
 pub fn encode_answer(reply: ReplicaReply, level: FeatureLevel) -> Option<Vec<u8>> {
     messages::encode_reply(ControlReply::Replication(encode_reply(reply, level)), level)
 }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -105,7 +105,7 @@
     /// Leadership offers made and received.
     pub leadership_offers: RefCell<LeadershipOffers>,
     /// What was last logged about this replica's role in the group.
-    pub reports: RefCell<RoleReports>,
+    pub role_reports: RefCell<RoleReports>,
 }
 
 /// A replica of a group. Clones share the same state.
@@ -198,7 +198,7 @@
             announcement_targets: RefCell::default(),
             rejected_joins: RefCell::default(),
             leadership_offers: RefCell::default(),
-            reports: RefCell::default(),
+            role_reports: RefCell::default(),
         };
         let replica = Self { inner: Rc::new(inner) };
         replica.finish_forming_group().await?;
@@ -208,7 +208,7 @@
 
     /// Spawns the replica's tasks. Panics if called twice.
     pub fn start(&self) {
-        let queue = self.inner.proposal_queue.borrow_mut().take().expect("a replica is started once");
+        let queue = self.inner.proposal_queue.borrow_mut().take().expect("a replica must be started only once");
         let platform = &self.inner.platform;
         platform.spawn(self.clone().run_elections());
         platform.spawn(self.clone().write_proposals(queue));
@@ -238,7 +238,7 @@
         let mut last = None;
         // The entries are queued without yielding, so that no level change can be queued between them.
         for command in entries {
-            match self.queue(command) {
+            match self.enqueue(command) {
                 Ok(outcome) => last = Some(outcome),
                 Err(error) if last.is_none() => return Err(error),
                 Err(_) => return Err(ProposeError::OutcomeUnknown),
@@ -248,7 +248,7 @@
         outcome.await.map_err(|_| ProposeError::OutcomeUnknown)
     }
 
-    fn queue(&self, command: Vec<u8>) -> Result<oneshot::Receiver<S::Outcome>, ProposeError> {
+    fn enqueue(&self, command: Vec<u8>) -> Result<oneshot::Receiver<S::Outcome>, ProposeError> {
         let (sender, outcome) = oneshot::channel();
         let proposal = Proposal { payload: EntryPayload::Command(command), sender: Some(sender), based_on_index: None };
         let queued = self.inner.proposals.borrow_mut().try_send(proposal);
--- a/crates/replication/src/role_report.rs
+++ b/crates/replication/src/role_report.rs
@@ -14,7 +14,7 @@
 /// Interval at which a member without a leader repeats its log line.
 const LEADERLESS_REPEAT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The same for a replica that is not a member; most of those have no leader.
+/// Interval at which a non-member without a leader repeats its log line. Longer, as most non-members have no leader.
 const NON_MEMBER_REPEAT_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Role of a replica in its newest membership.
@@ -57,8 +57,8 @@
 /// Refused votes since the last log line about them.
 #[derive(Debug, Default)]
 struct RefusedVotes {
-    leader_heard: u64,
-    term_taken: u64,
+    leader_active: u64,
+    term_unavailable: u64,
     log_behind: u64,
     logged_at: Option<Duration>,
 }
@@ -98,7 +98,7 @@
     pub(crate) fn report_role_changes(&self) {
         let now = self.inner.platform.monotonic();
         let state = self.inner.state.borrow();
-        let mut reports = self.inner.reports.borrow_mut();
+        let mut reports = self.inner.role_reports.borrow_mut();
         self.report_leader(&state, &mut reports, now);
         report_role(&state, &mut reports);
         report_refused_votes(&state, &mut reports.refused, now);
@@ -111,15 +111,15 @@
             reports.last_contact = now;
             return;
         }
-        let pause = match (active_leader.or(reports.leader), MemberRole::of(state)) {
+        let interval = match (active_leader.or(reports.leader), MemberRole::of(state)) {
             (Some(_), _) => MIN_REPORT_INTERVAL,
             (None, MemberRole::NonMember) => NON_MEMBER_REPEAT_INTERVAL,
             (None, MemberRole::Voter | MemberRole::Learner) => LEADERLESS_REPEAT_INTERVAL,
         };
-        if reports.leader_logged_at.is_some_and(|at| now < at + pause) {
+        if reports.leader_logged_at.is_some_and(|at| now < at + interval) {
             return;
         }
-        let leader_heard_ms = now.saturating_sub(state.last_leader_contact).as_millis() as u64;
+        let since_contact_ms = now.saturating_sub(state.last_leader_contact).as_millis() as u64;
         match active_leader {
             Some(leader) => spdlog::info!("leader regained", kv: {
                 dependency = "leader", leader = leader.0, term = state.term, own = leader == state.identity.id,
@@ -127,7 +127,7 @@
             }),
             None => spdlog::warn!("leader lost", kv: {
                 dependency = "leader", last_leader = reports.leader.map_or(0, |leader| leader.0), term = state.term,
-                leader_heard_ms = leader_heard_ms,
+                leader_heard_ms = since_contact_ms,
                 standing = MemberRole::of(state).name(),
                 voters = state.membership().voters().count(), quorum = state.membership().quorum(),
                 members = state.membership().describe().as_str()
@@ -142,10 +142,10 @@
 
     /// Counts a refused vote for the next log line.
     pub(crate) fn record_refused_vote(&self, refusal: VoteRefusal) {
-        let refused = &mut self.inner.reports.borrow_mut().refused;
+        let refused = &mut self.inner.role_reports.borrow_mut().refused;
         match refusal {
-            VoteRefusal::LeaderActive => refused.leader_heard += 1,
-            VoteRefusal::TermUnavailable => refused.term_taken += 1,
+            VoteRefusal::LeaderActive => refused.leader_active += 1,
+            VoteRefusal::TermUnavailable => refused.term_unavailable += 1,
             VoteRefusal::LogBehind => refused.log_behind += 1,
         }
     }
@@ -164,12 +164,12 @@
 }
 
 fn report_refused_votes<S: StateMachine>(state: &State<S>, refused: &mut RefusedVotes, now: Duration) {
-    let count = refused.leader_heard + refused.term_taken + refused.log_behind;
+    let count = refused.leader_active + refused.term_unavailable + refused.log_behind;
     if count == 0 || refused.logged_at.is_some_and(|at| now < at + MIN_REPORT_INTERVAL) {
         return;
     }
     spdlog::info!("votes refused", kv: {
-        count = count, leader_heard = refused.leader_heard, term_taken = refused.term_taken,
+        count = count, leader_heard = refused.leader_active, term_taken = refused.term_unavailable,
         log_behind = refused.log_behind, term = state.term, last_index = state.log.last_index(),
         last_term = state.log.last_term(),
         leader_heard_ms = now.saturating_sub(state.last_leader_contact).as_millis() as u64
--- a/crates/replication/src/segment_fetch.rs
+++ b/crates/replication/src/segment_fetch.rs
@@ -76,8 +76,8 @@
         // Different segments start with different followers to distribute the load.
         let (followers, leader) = sources.split_at(sources.len().saturating_sub(1));
         let first = segment.number as usize % followers.len().max(1);
-        let in_turn = followers.iter().cycle().skip(first).take(followers.len()).chain(leader);
-        for source in in_turn {
+        let ordered_sources = followers.iter().cycle().skip(first).take(followers.len()).chain(leader);
+        for source in ordered_sources {
             let request = ReplicaRequest::ReadSegment { header: self.header(source.id, term), number: segment.number };
             let Some(ReplicaReply::Segment(bytes)) = self.send(source.address, &request, FETCH_TIMEOUT).await else {
                 continue;
--- a/crates/replication/src/segments.rs
+++ b/crates/replication/src/segments.rs
@@ -95,7 +95,7 @@
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
     /// Writes and syncs a segment. Serialized, as two writers of one file would share its temporary file.
     pub(crate) async fn store_segment(&self, segment: Segment, bytes: Vec<u8>) -> Result<(), StorageError> {
-        let _writing = self.inner.segment_files.lock().await;
+        let _guard = self.inner.segment_files.lock().await;
         self.inner.platform.disk().replace(&file_name(segment.number), bytes).await?;
         self.inner.segments.borrow_mut().0.insert(segment.number, segment);
         Ok(())
@@ -143,7 +143,7 @@
         self.read_verified(number, self.segment(number)).await
     }
 
-    /// Like `read_own_segment`, but also finds segments that the state no longer refers to while their files exist.
+    /// Like `read_own_segment`, but also reads segments to which the state no longer refers, as long as their files exist.
     pub(crate) async fn read_kept_segment(&self, number: u64) -> Result<Rc<Vec<u8>>, SegmentError> {
         let kept = || self.inner.segments.borrow().0.get(&number).copied();
         self.read_verified(number, self.segment(number).or_else(kept)).await
--- a/crates/replication/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -85,5 +85,5 @@
 }
 
 fn decode_u32(bytes: &[u8]) -> u32 {
-    u32::from_le_bytes(bytes.try_into().expect("four bytes"))
+    u32::from_le_bytes(bytes.try_into().expect("the slice has four bytes"))
 }
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -61,9 +61,9 @@
     /// Send time of the newest append or snapshot message that the peer acknowledged. Appends are acknowledged after
     /// the peer's disk sync, so this stops advancing while its disk is stuck.
     pub acknowledged_append_sent_at: Option<Duration>,
-    /// Send time of the newest acknowledged heartbeat. Heartbeats are answered without disk access.
+    /// Send time of the newest acknowledged heartbeat. Peers reply to heartbeats without disk access.
     pub acknowledged_heartbeat_sent_at: Option<Duration>,
-    /// When a heartbeat last exceeded the time of a prompt answer.
+    /// When a heartbeat last had no reply within `PROMPT_REPLY_LIMIT`.
     pub last_late_heartbeat: Option<Duration>,
 }
 
@@ -73,7 +73,7 @@
         self.acknowledged_append_sent_at.max(self.acknowledged_heartbeat_sent_at)
     }
 
-    /// Whether a heartbeat has been answered late since `time`, which indicates packet loss on the path.
+    /// Whether a reply to a heartbeat has been late since `time`, which indicates packet loss on the path.
     pub fn is_late_since(&self, time: Duration) -> bool {
         self.last_late_heartbeat.is_some_and(|at| at >= time)
     }
@@ -222,7 +222,7 @@
     }
 
     /// Whether this replica leads and a peer needs entries that are no longer in memory.
-    pub fn has_peers_behind(&self) -> bool {
+    pub fn has_lagging_peers(&self) -> bool {
         let base = self.log.base_index();
         self.leadership().is_some_and(|leading| leading.progress.values().any(|progress| progress.next_index <= base))
     }
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -139,25 +139,25 @@
     term: u64,
     /// Last vote written.
     voted_for: Option<ReplicaId>,
-    /// Shared with the writers of snapshots.
+    /// Current format of the files. Shared with the writers of snapshots.
     format: Rc<Cell<FileFormat>>,
 }
 
 impl<D: Disk> Storage<D> {
-    /// Opens the files; an empty disk gets the identity `new_id` and the format `new`. Errors are also logged, as the
+    /// Opens the files; an empty disk gets the identity `new_id` and the format `new_format`. Errors are also logged, as the
     /// process then exits.
-    pub async fn open(disk: D, new_id: ReplicaId, new: FileFormat) -> Result<(Self, Recovered), StorageError> {
-        let opened = Self::open_files(disk, new_id, new).await;
+    pub async fn open(disk: D, new_id: ReplicaId, new_format: FileFormat) -> Result<(Self, Recovered), StorageError> {
+        let opened = Self::open_files(disk, new_id, new_format).await;
         if let Err(error) = &opened {
             spdlog::error!("replica start failed", kv: { dependency = "disk", reason = error.to_string().as_str() });
         }
         opened
     }
 
-    async fn open_files(disk: D, new_id: ReplicaId, new: FileFormat) -> Result<(Self, Recovered), StorageError> {
+    async fn open_files(disk: D, new_id: ReplicaId, new_format: FileFormat) -> Result<(Self, Recovered), StorageError> {
         sync_existing_files(&disk).await?;
         let is_empty = disk.read(IDENTITY_FILE).await?.is_none();
-        let format = FileFormat::read(&disk, is_empty.then_some(new)).await?;
+        let format = FileFormat::read_or_initialize(&disk, is_empty.then_some(new_format)).await?;
         let identity = read_framed::<Identity, D>(&disk, IDENTITY_FILE).await?;
         let snapshot = read_snapshot(&disk, format).await?;
         let wal_bytes = disk.read(WAL_FILE).await?.unwrap_or_default();
@@ -171,7 +171,7 @@
         content.records.iter().zip(&content.lengths).for_each(|(record, length)| log_file.push(record, *length));
         let is_new = identity.is_none();
         let identity = identity.unwrap_or(Identity { id: new_id, group: None });
-        let recovered = rebuild(identity, snapshot, content, format)?;
+        let recovered = recover_state(identity, snapshot, content, format)?;
         let mut storage = Self {
             disk,
             damaged: false,
@@ -261,7 +261,7 @@
     /// Entries from `first` on: at least two if the file has them, and further ones within `max_bytes`. Empty if
     /// `first` is not in the file.
     pub async fn entries_from(&self, first: u64, max_bytes: u64) -> Result<Vec<LogEntry>, StorageError> {
-        let locations = self.log_file.from(first, max_bytes);
+        let locations = self.log_file.locations_from(first, max_bytes);
         let (Some(front), Some(back), false) = (locations.first(), locations.last(), self.damaged) else {
             return Ok(Vec::new());
         };
@@ -311,7 +311,7 @@
     }
 }
 
-/// Syncs the log file that a previous process may have written without syncing. Recovered entries are acknowledged
+/// Syncs the folder and the log file, which a previous process may have written without syncing. Recovered entries are acknowledged
 /// without being written again, so they must survive a power loss.
 async fn sync_existing_files<D: Disk>(disk: &D) -> Result<(), StorageError> {
     disk.sync_folder().await?;
@@ -349,7 +349,7 @@
     bitcode::decode(body).map(Some).map_err(|_| corrupt())
 }
 
-fn rebuild(
+fn recover_state(
     identity: Identity,
     snapshot: Option<Snapshot>,
     content: WalContent,
@@ -363,7 +363,7 @@
     let mut offset = 0;
     for (record, length) in content.records.into_iter().zip(content.lengths) {
         match record {
-            WalRecord::HardState { term: new_term, voted_for: vote } => (term, voted_for) = (new_term, vote),
+            WalRecord::HardState { term: new_term, voted_for: new_vote } => (term, voted_for) = (new_term, new_vote),
             WalRecord::Entry(entry) => add_entry(&mut log, entry, offset)?,
         }
         offset += length as usize;
--- a/crates/replication/src/wal.rs
+++ b/crates/replication/src/wal.rs
@@ -80,7 +80,7 @@
 }
 
 fn decode_u32(bytes: &[u8]) -> u32 {
-    u32::from_le_bytes(bytes.try_into().expect("four bytes"))
+    u32::from_le_bytes(bytes.try_into().expect("the slice has four bytes"))
 }
 
 /// The framed body at the start of `bytes`; `Ok(None)` if it is incomplete.
@@ -94,7 +94,7 @@
     };
     let (length, checksums) = header.split_at(LENGTH_BYTES);
     let (length_crc, body_crc) = checksums.split_at(CHECKSUM_BYTES);
-    if length_checksum(length.try_into().expect("four bytes")) != decode_u32(length_crc) {
+    if length_checksum(length.try_into().expect("the slice has four bytes")) != decode_u32(length_crc) {
         return corrupt;
     }
     let Some(body) = bytes.get(HEADER_BYTES..HEADER_BYTES + decode_u32(length) as usize) else {
@@ -106,7 +106,7 @@
     Ok(Some(body))
 }
 
-/// Reads a whole file.
+/// Decodes the content of a log file. A torn write at the end is left out and counted in `torn_bytes`.
 pub fn read(bytes: &[u8]) -> Result<WalContent, WalError> {
     let mut records = Vec::new();
     let mut lengths = Vec::new();
--- a/crates/replication/tests/files_at_start.rs
+++ b/crates/replication/tests/files_at_start.rs
@@ -32,12 +32,12 @@
 }
 
 fn open_valid(disk: &MemoryDisk) -> Recovered {
-    open(disk).unwrap_or_else(|error| panic!("rejected: {error}"))
+    open(disk).unwrap_or_else(|error| panic!("valid files were rejected: {error}"))
 }
 
 fn open_error(disk: &MemoryDisk) -> String {
     match open(disk) {
-        Ok(recovered) => panic!("opened with a log up to {}", recovered.log.last_index()),
+        Ok(recovered) => panic!("invalid files were opened, with a log up to index {}", recovered.log.last_index()),
         Err(error) => error.to_string(),
     }
 }
@@ -51,7 +51,7 @@
 }
 
 fn remove_file(disk: &MemoryDisk, file: &str) {
-    disk.0.borrow_mut().remove(file).expect("the file is there");
+    disk.0.borrow_mut().remove(file).expect("the file exists");
 }
 
 /// Creates the files of a replica that voted in term 1 and appended `batches`, one write and sync each. Returns the
@@ -59,7 +59,7 @@
 fn write_batches(disk: &MemoryDisk, batches: &[Vec<LogEntry>]) -> Vec<usize> {
     block_on(async {
         let (mut storage, _) =
-            Storage::open(disk.clone(), OWN, FileFormat::MultipleLevels).await.expect("an empty folder");
+            Storage::open(disk.clone(), OWN, FileFormat::MultipleLevels).await.expect("an empty folder opens");
         storage.append(&[WalRecord::HardState { term: 1, voted_for: Some(OWN) }]).await.expect("the write succeeds");
         let mut ends = Vec::new();
         for batch in batches {
@@ -87,8 +87,9 @@
     assert_eq!(recovered.identity, Identity { id: OWN, group: None });
     assert_eq!((recovered.term, recovered.log.last_index()), (0, 0));
     // The identity on disk takes precedence over a new one.
-    let again = block_on(Storage::open(disk, ReplicaId(8), FileFormat::MultipleLevels)).expect("its own files").1;
-    assert_eq!(again.identity.id, OWN);
+    let reopened =
+        block_on(Storage::open(disk, ReplicaId(8), FileFormat::MultipleLevels)).expect("the files are valid").1;
+    assert_eq!(reopened.identity.id, OWN);
 }
 
 /// Files that are replaced atomically cannot be left empty by a power loss.
@@ -116,9 +117,9 @@
 fn a_last_write_truncated_at_any_byte_is_cut_off() {
     let disk = MemoryDisk::default();
     let ends = write_batches(&disk, &[entries(1..=3, 40), entries(4..=6, 300)]);
-    let whole = disk.0.borrow()["wal"].clone();
+    let original = disk.0.borrow()["wal"].clone();
     for cut in ends[0]..ends[1] {
-        write_file(&disk, "wal", whole[..cut].to_vec());
+        write_file(&disk, "wal", original[..cut].to_vec());
         let recovered = open_valid(&disk);
         assert!((3..6).contains(&recovered.log.last_index()), "cut at {cut}");
         assert_eq!(length_of(&disk, "wal") + recovered.torn_bytes, cut);
@@ -130,15 +131,15 @@
 fn trailing_zeros_are_cut_off() {
     let disk = MemoryDisk::default();
     let ends = write_batches(&disk, &[entries(1..=3, 40), entries(4..=4, 1_700), entries(5..=5, 1_700)]);
-    let whole = disk.0.borrow()["wal"].clone();
+    let original = disk.0.borrow()["wal"].clone();
     for zeros in [1, 11, SECTOR_BYTES, 5_000] {
-        let mut bytes = whole.clone();
-        bytes.resize(whole.len() + zeros, 0);
+        let mut bytes = original.clone();
+        bytes.resize(original.len() + zeros, 0);
         write_file(&disk, "wal", bytes);
         assert_eq!(open_valid(&disk).log.last_index(), 5, "{zeros} zeros");
     }
     for sector in ends[1] / SECTOR_BYTES + 1..=(ends[2] - 1) / SECTOR_BYTES {
-        let mut bytes = whole.clone();
+        let mut bytes = original.clone();
         bytes[sector * SECTOR_BYTES..].fill(0);
         write_file(&disk, "wal", bytes);
         assert_eq!(open_valid(&disk).log.last_index(), 4, "zeros from sector {sector} on");
@@ -150,11 +151,11 @@
 fn missing_sectors_in_the_last_write_cut_off_that_write_only() {
     let disk = MemoryDisk::default();
     let ends = write_batches(&disk, &[entries(1..=3, 700), entries(4..=6, 700)]);
-    let whole = disk.0.borrow()["wal"].clone();
+    let original = disk.0.borrow()["wal"].clone();
     let first = ends[0] / SECTOR_BYTES;
     let sectors = (ends[1] - 1) / SECTOR_BYTES + 1 - first;
     for missing in 1..1_u32 << sectors {
-        let mut bytes = whole.clone();
+        let mut bytes = original.clone();
         for sector in (0..sectors).filter(|sector| missing & (1 << sector) != 0) {
             let start = ((first + sector) * SECTOR_BYTES).max(ends[0]);
             let end = ((first + sector + 1) * SECTOR_BYTES).min(ends[1]);
@@ -162,7 +163,7 @@
         }
         write_file(&disk, "wal", bytes);
         let last = open_valid(&disk).log.last_index();
-        assert!((3..6).contains(&last), "sectors {missing:b}: up to {last}");
+        assert!((3..6).contains(&last), "missing sectors {missing:b}: recovered up to index {last}");
     }
 }
 
@@ -171,9 +172,9 @@
 fn a_missing_sector_before_a_later_write_is_rejected() {
     let disk = MemoryDisk::default();
     let ends = write_batches(&disk, &[entries(1..=3, 700), entries(4..=6, 700), entries(7..=7, 1)]);
-    let whole = disk.0.borrow()["wal"].clone();
+    let original = disk.0.borrow()["wal"].clone();
     for sector in 1..ends[1] / SECTOR_BYTES {
-        let mut bytes = whole.clone();
+        let mut bytes = original.clone();
         bytes[sector * SECTOR_BYTES..(sector + 1) * SECTOR_BYTES].fill(0);
         write_file(&disk, "wal", bytes);
         assert!(open_error(&disk).contains("file `wal` is corrupt at byte"), "sector {sector}");
@@ -184,10 +185,14 @@
 fn a_wrong_checksum_is_rejected_with_its_offset() {
     let disk = MemoryDisk::default();
     let ends = write_batches(&disk, &[entries(1..=1, 40), entries(2..=2, 40)]);
-    disk.0.borrow_mut().get_mut("wal").expect("the log's file")[ends[1] - 1] ^= 1;
+    disk.0.borrow_mut().get_mut("wal").expect("the log file exists")[ends[1] - 1] ^= 1;
     let message = open_error(&disk);
-    let offset = message.split("corrupt at byte ").nth(1).and_then(|rest| rest.split(';').next()).expect("an offset");
-    let offset: usize = offset.parse().expect("a number");
+    let offset = message
+        .split("corrupt at byte ")
+        .nth(1)
+        .and_then(|suffix| suffix.split(';').next())
+        .expect("the message contains an offset");
+    let offset: usize = offset.parse().expect("the offset is a number");
     assert!((ends[0]..ends[1]).contains(&offset), "{message}");
 }
 
@@ -295,7 +300,8 @@
     store_snapshot(&disk, snapshot(1, 1, Vec::new()));
     let vote = Some(ReplicaId(9));
     block_on(async {
-        let (mut storage, _) = Storage::open(disk.clone(), OWN, FileFormat::MultipleLevels).await.expect("sound files");
+        let (mut storage, _) =
+            Storage::open(disk.clone(), OWN, FileFormat::MultipleLevels).await.expect("the files are valid");
         storage.rewrite(5, vote, &entries(2..=3, 40)).await.expect("the write succeeds");
     });
     let recovered = open_valid(&disk);
--- a/crates/replication/tests/log.rs
+++ b/crates/replication/tests/log.rs
@@ -45,7 +45,7 @@
     }
 }
 
-fn step(log: &mut MemoryLog, model: &mut Model, step: Step) {
+fn apply_step(log: &mut MemoryLog, model: &mut Model, step: Step) {
     let last = model.entries.len() as u64;
     match step {
         Step::Push { term, membership: changes } => {
@@ -73,15 +73,15 @@
     fn matches_model(steps: Vec<Step>) -> bool {
         let mut log = MemoryLog::new(0, 0, membership(3, 0));
         let mut model = Model::default();
-        steps.into_iter().for_each(|next| step(&mut log, &mut model, next));
+        steps.into_iter().for_each(|step| apply_step(&mut log, &mut model, step));
         let last = model.entries.len() as u64;
         let entries_match =
             (model.base + 1..=last).all(|index| log.entry(index) == model.entries.get(index as usize - 1));
-        let compacted_entries_are_gone = (1..=model.base).all(|index| log.entry(index).is_none());
+        let compacted_entries_are_removed = (1..=model.base).all(|index| log.entry(index).is_none());
         let memberships_match =
             (model.base..=last).all(|index| *log.membership_at(index) == model.membership_at(index));
         entries_match
-            && compacted_entries_are_gone
+            && compacted_entries_are_removed
             && memberships_match
             && log.last_index() == last
             && *log.membership() == model.membership_at(last)
--- a/crates/replication/tests/log_file.rs
+++ b/crates/replication/tests/log_file.rs
@@ -52,7 +52,7 @@
         let disk = MemoryDisk::default();
         let mut storage = open(&disk).await;
         append(&mut storage, &[entry(1, 1, 100), entry(2, 1, 100)]).await;
-        disk.0.borrow_mut().get_mut("wal").expect("the log's file")[60] ^= 1;
+        disk.0.borrow_mut().get_mut("wal").expect("the log file exists")[60] ^= 1;
         assert!(storage.entries_from(1, NO_LIMIT).await.is_err());
         assert_eq!(storage.entries_from(2, NO_LIMIT).await.expect("this entry is valid"), [entry(2, 1, 100)]);
     });
@@ -61,12 +61,12 @@
 /// An operation on the log.
 #[derive(Clone, Debug)]
 enum Change {
-    /// Replaces the last `back` entries and appends `count + 1` entries of `size` bytes.
-    Append { back: u8, count: u8, size: u8 },
+    /// Replaces the last `replaced` entries and appends `count + 1` entries of `size` bytes.
+    Append { replaced: u8, count: u8, size: u8 },
     /// Writes a hard state.
     Vote,
-    /// Removes the first `n / 256` of the entries, as after a snapshot.
-    Cut(u8),
+    /// Removes the first `fraction / 256` of the entries, as after a snapshot.
+    Compact(u8),
     /// Opens the files again.
     Reopen,
 }
@@ -75,10 +75,10 @@
     fn arbitrary(random: &mut Gen) -> Self {
         match u8::arbitrary(random) % 6 {
             0 => Self::Vote,
-            1 => Self::Cut(u8::arbitrary(random)),
+            1 => Self::Compact(u8::arbitrary(random)),
             2 => Self::Reopen,
             _ => Self::Append {
-                back: u8::arbitrary(random) % 4,
+                replaced: u8::arbitrary(random) % 4,
                 count: u8::arbitrary(random) % 5,
                 size: u8::arbitrary(random),
             },
@@ -86,15 +86,15 @@
     }
 }
 
-async fn holds(changes: Vec<Change>) -> bool {
+async fn returns_last_written_entries(changes: Vec<Change>) -> bool {
     let disk = MemoryDisk::default();
     let mut storage = open(&disk).await;
     let mut expected: Vec<LogEntry> = Vec::new();
     let mut next = 1;
     for (term, change) in (1..).zip(changes) {
         match change {
-            Change::Append { back, count, size } => {
-                let first = next - u64::from(back).min(expected.len() as u64);
+            Change::Append { replaced, count, size } => {
+                let first = next - u64::from(replaced).min(expected.len() as u64);
                 let new: Vec<LogEntry> =
                     (first..=first + u64::from(count)).map(|index| entry(index, term, size.into())).collect();
                 append(&mut storage, &new).await;
@@ -106,9 +106,9 @@
                 let record = WalRecord::HardState { term, voted_for: None };
                 storage.append(&[record]).await.expect("the write succeeds");
             }
-            Change::Cut(part) => {
-                let cut = expected.len() * usize::from(part) / 256;
-                expected.drain(..cut);
+            Change::Compact(fraction) => {
+                let removed = expected.len() * usize::from(fraction) / 256;
+                expected.drain(..removed);
                 storage.rewrite(term, None, &expected).await.expect("the write succeeds");
             }
             // A compacted log can be opened only together with its snapshot, which this test does not write.
@@ -132,7 +132,7 @@
 #[test]
 fn the_file_returns_the_entries_last_written() {
     fn property(changes: Vec<Change>) -> bool {
-        block_on(holds(changes))
+        block_on(returns_last_written_entries(changes))
     }
     QuickCheck::new().tests(500).quickcheck(property as fn(Vec<Change>) -> bool);
 }
--- a/crates/replication/tests/memory_disk/mod.rs
+++ b/crates/replication/tests/memory_disk/mod.rs
@@ -17,9 +17,9 @@
 
     async fn read_range(&self, file: &str, offset: u64, length: usize) -> io::Result<Vec<u8>> {
         let files = self.0.borrow();
-        let whole = files.get(file).map_or(&[][..], Vec::as_slice);
-        let start = (offset as usize).min(whole.len());
-        Ok(whole[start..whole.len().min(start + length)].to_vec())
+        let content = files.get(file).map_or(&[][..], Vec::as_slice);
+        let start = (offset as usize).min(content.len());
+        Ok(content[start..content.len().min(start + length)].to_vec())
     }
 
     async fn append(&self, file: &str, bytes: Vec<u8>) -> io::Result<()> {
--- a/crates/replication/tests/wal.rs
+++ b/crates/replication/tests/wal.rs
@@ -37,42 +37,42 @@
 
 #[test]
 fn records_round_trip() {
-    fn holds(written: Vec<Record>) -> bool {
-        let content = wal::read(&file(&written)).expect("an undamaged file");
+    fn property(written: Vec<Record>) -> bool {
+        let content = wal::read(&file(&written)).expect("the file is valid");
         content.records == records(&written) && content.torn_bytes == 0
     }
-    check(holds as fn(Vec<Record>) -> bool);
+    check(property as fn(Vec<Record>) -> bool);
 }
 
 #[test]
 fn a_truncated_file_keeps_complete_records_and_reports_the_torn_length() {
-    fn holds(written: Vec<Record>, cut: usize) -> bool {
+    fn property(written: Vec<Record>, cut: usize) -> bool {
         let bytes = file(&written);
         let cut = cut % (bytes.len() + 1);
-        let content = wal::read(&bytes[..cut]).expect("a torn file is not a damaged one");
-        let whole: usize = content.records.iter().map(|record| wal::encode(record).len()).sum();
-        records(&written).starts_with(&content.records) && whole + content.torn_bytes == cut
+        let content = wal::read(&bytes[..cut]).expect("a torn write is not corruption");
+        let intact_bytes: usize = content.records.iter().map(|record| wal::encode(record).len()).sum();
+        records(&written).starts_with(&content.records) && intact_bytes + content.torn_bytes == cut
     }
-    check(holds as fn(Vec<Record>, usize) -> bool);
+    check(property as fn(Vec<Record>, usize) -> bool);
 }
 
 /// A file system may extend a file before its data is written.
 #[test]
 fn zeros_at_the_end_are_a_torn_write() {
-    fn holds(written: Vec<Record>, zeros: u8) -> bool {
+    fn property(written: Vec<Record>, zeros: u8) -> bool {
         let mut bytes = file(&written);
         bytes.extend(vec![0; usize::from(zeros)]);
-        let content = wal::read(&bytes).expect("a torn file is not a damaged one");
+        let content = wal::read(&bytes).expect("a torn write is not corruption");
         content.records == records(&written) && content.torn_bytes == usize::from(zeros)
     }
-    check(holds as fn(Vec<Record>, u8) -> bool);
+    check(property as fn(Vec<Record>, u8) -> bool);
 }
 
 /// Corruption of any byte must be detected. In particular, a corrupt length that points beyond the end of the file
 /// must not look like a torn write, as acknowledged records would be dropped.
 #[test]
 fn a_changed_byte_is_rejected() {
-    fn holds(written: Vec<Record>, position: usize, change: u8) -> TestResult {
+    fn property(written: Vec<Record>, position: usize, change: u8) -> TestResult {
         let mut bytes = file(&written);
         if bytes.is_empty() || change == 0 {
             return TestResult::discard();
@@ -82,15 +82,15 @@
         let rejected = matches!(wal::read(&bytes), Err(WalError::Corrupt { offset }) if offset <= position);
         TestResult::from_bool(rejected)
     }
-    check(holds as fn(Vec<Record>, usize, u8) -> TestResult);
+    check(property as fn(Vec<Record>, usize, u8) -> TestResult);
 }
 
 #[test]
 fn arbitrary_bytes_do_not_panic() {
-    fn holds(bytes: Vec<u8>) -> bool {
+    fn property(bytes: Vec<u8>) -> bool {
         // The result is irrelevant; the call must not panic.
         let _ = wal::read(&bytes);
         true
     }
-    check(holds as fn(Vec<u8>) -> bool);
+    check(property as fn(Vec<u8>) -> bool);
 }
