--- a/crates/layouts/src/level_one/convert/commands.rs
+++ b/crates/layouts/src/level_one/convert/commands.rs
@@ -15,7 +15,7 @@
             reports.into_iter().map(|report| One::ReportInstance(report.into())).collect()
         }
         GatewayCommand::RemoveInstance(id) => vec![One::RemoveInstance((&id).into())],
-        GatewayCommand::PublishVersion(named) => vec![One::PublishVersion(named)],
+        GatewayCommand::PublishVersion(loaded_model) => vec![One::PublishVersion(loaded_model)],
         GatewayCommand::SubmitJob { job, keep_ms } => {
             vec![One::SubmitJob { job: one::JobSubmission::of(job)?, keep_ms }]
         }
--- a/crates/layouts/src/level_one/convert/control.rs
+++ b/crates/layouts/src/level_one/convert/control.rs
@@ -8,7 +8,7 @@
 use saddlerelay_types::protocol::{Command, CommandOutcome, ControlReply, ControlRequest, RenewReply, RenewRequest};
 
 /// Converts a command of an `Execute` request; `None` for gateway commands, which are not requested by `Execute`.
-fn executed_from_one(command: one_protocol::Command) -> Option<Command> {
+fn executable_command_from_one(command: one_protocol::Command) -> Option<Command> {
     use one_protocol::Command as One;
     Some(match command {
         One::Configuration(change) => Command::Configuration(change),
@@ -19,7 +19,8 @@
     })
 }
 
-fn executed_to_one(command: Command) -> Option<one_protocol::Command> {
+/// Converts the command of an `Execute` request; `None` unless level one expresses it as a single command.
+fn executable_command_to_one(command: Command) -> Option<one_protocol::Command> {
     match commands_to_one(command)?.as_slice() {
         [command] => Some(command.clone()),
         _ => None,
@@ -78,7 +79,7 @@
             targets: renewal.targets,
             suspicion_revision: 0,
         }),
-        One::Execute(command) => ControlRequest::Execute(executed_from_one(command)?),
+        One::Execute(command) => ControlRequest::Execute(executable_command_from_one(command)?),
         One::Query(query) => ControlRequest::Query(query),
         One::Initialize => ControlRequest::Initialize,
         One::Gateway(request) => ControlRequest::Gateway(request_from_one(request)?),
@@ -97,7 +98,7 @@
             engines: renewal.engines,
             targets: renewal.targets,
         }),
-        ControlRequest::Execute(command) => One::Execute(executed_to_one(command)?),
+        ControlRequest::Execute(command) => One::Execute(executable_command_to_one(command)?),
         ControlRequest::Query(query) => One::Query(query),
         ControlRequest::Initialize => One::Initialize,
         ControlRequest::Gateway(request) => One::Gateway(request_to_one(request)?),
--- a/crates/layouts/src/level_one/follow.rs
+++ b/crates/layouts/src/level_one/follow.rs
@@ -9,7 +9,7 @@
 use saddlerelay_types::instance::{InstanceState, InstanceUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// State from the last reply.
+/// Converts follow requests to level one and replies from it, with the state from the last reply.
 #[derive(Debug, Default)]
 pub struct FollowConverter {
     revision: u64,
--- a/crates/layouts/src/level_one/mod.rs
+++ b/crates/layouts/src/level_one/mod.rs
@@ -1,4 +1,4 @@
-//! Types of level one, as released. Types that have not changed since are shared with the current level.
+//! Types of feature level one, as released. Types that have not changed since are shared with the current level.
 
 pub mod convert;
 pub mod follow;
--- a/crates/layouts/src/messages.rs
+++ b/crates/layouts/src/messages.rs
@@ -64,11 +64,11 @@
 pub fn decode_follow_one(
     bytes: &[u8],
     request: &FollowRequestOne,
-    memory: &mut FollowConverter,
+    converter: &mut FollowConverter,
 ) -> Option<ControlReply> {
     match bitcode::decode(bytes).ok()? {
         one::ControlReply::Gateway(GatewayReplyOne::Followed(reply)) => {
-            memory.convert_reply(request, reply).map(|reply| ControlReply::Gateway(GatewayReply::Followed(reply)))
+            converter.convert_reply(request, reply).map(|reply| ControlReply::Gateway(GatewayReply::Followed(reply)))
         }
         other => convert::control_reply_from_one(other),
     }
--- a/crates/replication/src/leadership_offer.rs
+++ b/crates/replication/src/leadership_offer.rs
@@ -6,7 +6,8 @@
 //! for it, it sends an offer. The leader then probes the voters itself and transfers leadership only if it does not
 //! reach a quorum promptly.
 //!
-//! An offer is a pre-vote request with `transfer` set. Older builds reply to it as to any pre-vote and ignore the offer.
+//! An offer is a pre-vote request with `transfer` set. Older builds reply to it as to any pre-vote and ignore the
+//! offer.
 
 use crate::calls::Channel;
 use crate::election::VoteCount;
--- a/crates/replication/src/member_health.rs
+++ b/crates/replication/src/member_health.rs
@@ -41,9 +41,9 @@
 
     /// Time since the member last acknowledged what a healthy member would.
     ///
-    /// If heartbeats are acknowledged promptly and appends are not, the member's disk is stuck, so only appends count. If
-    /// heartbeats are late, appends may be delayed by packet loss, so an acknowledgement of either kind counts, unless
-    /// appends have been unacknowledged for longer than `long_silence_limit`.
+    /// If heartbeats are acknowledged promptly and appends are not, the member's disk is stuck, so only appends count.
+    /// If heartbeats are late, appends may be delayed by packet loss, so an acknowledgement of either kind counts,
+    /// unless appends have been unacknowledged for longer than `long_silence_limit`.
     fn silence(&self, member: &Member) -> Duration {
         if member.id == self.own {
             return Duration::ZERO;
--- a/crates/replication/src/segments.rs
+++ b/crates/replication/src/segments.rs
@@ -143,7 +143,8 @@
         self.read_verified(number, self.segment(number)).await
     }
 
-    /// Like `read_own_segment`, but also reads segments to which the state no longer refers, as long as their files exist.
+    /// Like `read_own_segment`, but also reads segments to which the state no longer refers, as long as their files
+    /// exist.
     pub(crate) async fn read_kept_segment(&self, number: u64) -> Result<Rc<Vec<u8>>, SegmentError> {
         let kept = || self.inner.segments.borrow().0.get(&number).copied();
         self.read_verified(number, self.segment(number).or_else(kept)).await
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -144,8 +144,8 @@
 }
 
 impl<D: Disk> Storage<D> {
-    /// Opens the files; an empty disk gets the identity `new_id` and the format `new_format`. Errors are also logged, as the
-    /// process then exits.
+    /// Opens the files; an empty disk gets the identity `new_id` and the format `new_format`. Errors are also logged,
+    /// as the process then exits.
     pub async fn open(disk: D, new_id: ReplicaId, new_format: FileFormat) -> Result<(Self, Recovered), StorageError> {
         let opened = Self::open_files(disk, new_id, new_format).await;
         if let Err(error) = &opened {
@@ -311,8 +311,8 @@
     }
 }
 
-/// Syncs the folder and the log file, which a previous process may have written without syncing. Recovered entries are acknowledged
-/// without being written again, so they must survive a power loss.
+/// Syncs the folder and the log file, which a previous process may have written without syncing. Recovered entries are
+/// acknowledged without being written again, so they must survive a power loss.
 async fn sync_existing_files<D: Disk>(disk: &D) -> Result<(), StorageError> {
     disk.sync_folder().await?;
     Ok(disk.sync(WAL_FILE).await?)
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -36,9 +36,11 @@
 /// between zones. If the peer rejects it later, the requests sent until then fail with an unknown outcome.
 const ASSUME_ACCEPTED_AFTER: Duration = Duration::from_millis(100);
 
-type Pending = Rc<RefCell<BTreeMap<u64, oneshot::Sender<Vec<u8>>>>>;
+/// Senders for the responses of calls in flight, by request identifier.
+type PendingCalls = Rc<RefCell<BTreeMap<u64, oneshot::Sender<Vec<u8>>>>>;
 
 struct Connection {
+    /// Distinguishes this connection from earlier ones to the same peer.
     generation: u64,
     level: FeatureLevel,
     /// Whether the peer has accepted the connection, or is assumed to have.
@@ -46,7 +48,7 @@
     /// The newest level that the peer supports, from its [`Welcome`].
     newest_level_of_peer: Cell<Option<FeatureLevel>>,
     outgoing: mpsc::UnboundedSender<Vec<u8>>,
-    pending: Pending,
+    pending: PendingCalls,
     /// When the last frame from the peer was received.
     last_received_at: Rc<Cell<Duration>>,
 }
@@ -207,8 +209,8 @@
     async fn connect_at_supported_level(&self) {
         let platform = &self.inner.platform;
         for level in self.levels_to_try() {
-            let halves = timeout(platform, CONNECT_ATTEMPT_TIMEOUT, platform.connect(self.inner.address)).await;
-            let Some(Ok((sender, receiver))) = halves else {
+            let connected = timeout(platform, CONNECT_ATTEMPT_TIMEOUT, platform.connect(self.inner.address)).await;
+            let Some(Ok((sender, receiver))) = connected else {
                 return;
             };
             let Some(generation) = self.install_connection(sender, receiver, level) else {
@@ -263,7 +265,7 @@
             return None;
         }
         let (outgoing, queue) = mpsc::unbounded();
-        let pending: Pending = Rc::default();
+        let pending: PendingCalls = Rc::default();
         let generation = self.inner.next_generation.replace(self.inner.next_generation.get() + 1);
         let last_received_at = Rc::new(Cell::new(platform.monotonic()));
         let is_accepted = self.inner.level_selection.get() != LevelSelection::Negotiated
@@ -311,8 +313,8 @@
         self.with_connection(generation, |connection| connection.newest_level_of_peer.set(newest));
     }
 
-    /// The peer may not support the level, may have rejected the secret or may have stopped; a call that timed out may
-    /// also have closed the connection.
+    /// Logs that a connection was closed before any frame was received. The peer may not support the level, may have
+    /// rejected the secret or may have stopped; a call that timed out may also have closed the connection.
     fn log_closed_before_first_frame(&self, level: FeatureLevel) {
         let now = self.inner.platform.monotonic();
         if let Some(connections) = self.inner.closed_before_first_frame.borrow_mut().count(now) {
@@ -352,7 +354,7 @@
     }
 }
 
-async fn read_responses(mut receiver: impl FrameReceiver, pending: Pending, on_envelope: impl Fn(&Envelope)) {
+async fn read_responses(mut receiver: impl FrameReceiver, pending: PendingCalls, on_envelope: impl Fn(&Envelope)) {
     while let Ok(Some(frame)) = receiver.receive().await {
         let Ok(envelope) = bitcode::decode::<Envelope>(&frame) else {
             return;
--- a/crates/runtime-compio/src/clock.rs
+++ b/crates/runtime-compio/src/clock.rs
@@ -7,10 +7,10 @@
 use std::cell::Cell;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Time since boot, including time for which the machine was suspended.
+/// Time since boot, including time for which the machine was suspended. Panics if the kernel lacks `CLOCK_BOOTTIME`.
 pub fn boot_time() -> Duration {
-    let read = clock_gettime(ClockId::CLOCK_BOOTTIME);
-    read.expect("Linux has had this clock since version 2.6.39").into()
+    let boot_time = clock_gettime(ClockId::CLOCK_BOOTTIME);
+    boot_time.expect("the kernel supports CLOCK_BOOTTIME (Linux 2.6.39 or later)").into()
 }
 
 /// Wall-clock time since the Unix epoch.
--- a/crates/runtime-compio/src/connection.rs
+++ b/crates/runtime-compio/src/connection.rs
@@ -13,6 +13,7 @@
 /// example during a network partition.
 const TCP_USER_TIMEOUT_MS: u32 = 1_500;
 
+/// Maximum number of bytes in one read.
 const READ_BYTES: usize = 64 * 1024;
 
 /// Shared counters of a process's traffic with its peers.
@@ -31,6 +32,7 @@
     received: Vec<u8>,
     /// Number of bytes at the start of `received` that belong to frames already returned.
     consumed: usize,
+    /// Buffer for one read, reused to avoid allocations.
     scratch: Vec<u8>,
     traffic: TrafficCounter,
 }
@@ -103,7 +105,7 @@
         let Some(header) = unread.get(..LENGTH_BYTES) else {
             return Ok(None);
         };
-        let length = u32::from_le_bytes(header.try_into().expect("four bytes")) as usize;
+        let length = u32::from_le_bytes(header.try_into().expect("the slice has four bytes")) as usize;
         if length > MAX_FRAME_BYTES {
             return Err(io::Error::new(io::ErrorKind::InvalidData, "frame exceeds the maximum size"));
         }
@@ -131,10 +133,10 @@
             let mut scratch = std::mem::take(&mut self.scratch);
             scratch.clear();
             let BufResult(count, scratch) = self.stream.read(scratch).await;
-            let ended = count? == 0;
+            let is_closed = count? == 0;
             self.received.extend_from_slice(&scratch);
             self.scratch = scratch;
-            if ended {
+            if is_closed {
                 return Ok(None);
             }
         }
--- a/crates/runtime-compio/src/disk.rs
+++ b/crates/runtime-compio/src/disk.rs
@@ -10,6 +10,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
+/// A file that is open for appending.
 struct Appender {
     file: File,
     length: u64,
@@ -19,6 +20,7 @@
 #[derive(Clone)]
 pub struct FolderDisk {
     folder: Rc<PathBuf>,
+    /// Files that are open for appending, by name.
     appenders: Rc<Mutex<BTreeMap<String, Appender>>>,
 }
 
@@ -33,7 +35,7 @@
         let is_new = !path.exists();
         let file = OpenOptions::new().write(true).create(true).open(path).await?;
         if is_new {
-            self.sync_names().await?;
+            self.sync_folder_entries().await?;
         }
         let length = file.metadata().await?.len();
         Ok(Appender { file, length })
@@ -48,7 +50,7 @@
         }
     }
 
-    async fn read_part(&self, name: &str, offset: u64, length: usize) -> io::Result<Vec<u8>> {
+    async fn read_range_from(&self, name: &str, offset: u64, length: usize) -> io::Result<Vec<u8>> {
         let file = match File::open(self.folder.join(name)).await {
             Ok(file) => file,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
@@ -88,7 +90,7 @@
         }
     }
 
-    async fn replace_whole(&self, name: &str, bytes: Vec<u8>) -> io::Result<()> {
+    async fn replace_atomically(&self, name: &str, bytes: Vec<u8>) -> io::Result<()> {
         let temporary = self.folder.join(format!("{name}.new"));
         let mut new_file = File::create(&temporary).await?;
         let BufResult(written, _) = new_file.write_all_at(bytes, 0).await;
@@ -98,10 +100,10 @@
         let mut appenders = self.appenders.lock().await;
         appenders.remove(name);
         compio::fs::rename(&temporary, self.folder.join(name)).await?;
-        self.sync_names().await
+        self.sync_folder_entries().await
     }
 
-    async fn sync_names(&self) -> io::Result<()> {
+    async fn sync_folder_entries(&self) -> io::Result<()> {
         File::open(self.folder.as_path()).await?.sync_all().await
     }
 }
@@ -121,7 +123,7 @@
     }
 
     async fn read_range(&self, file: &str, offset: u64, length: usize) -> io::Result<Vec<u8>> {
-        with_file_name(file, self.read_part(file, offset, length).await)
+        with_file_name(file, self.read_range_from(file, offset, length).await)
     }
 
     async fn append(&self, file: &str, bytes: Vec<u8>) -> io::Result<()> {
@@ -133,11 +135,11 @@
     }
 
     async fn sync_folder(&self) -> io::Result<()> {
-        with_file_name(".", self.sync_names().await)
+        with_file_name(".", self.sync_folder_entries().await)
     }
 
     async fn replace(&self, file: &str, bytes: Vec<u8>) -> io::Result<()> {
-        with_file_name(file, self.replace_whole(file, bytes).await)
+        with_file_name(file, self.replace_atomically(file, bytes).await)
     }
 
     async fn remove(&self, file: &str) -> io::Result<()> {
--- a/crates/runtime-compio/tests/frames.rs
+++ b/crates/runtime-compio/tests/frames.rs
@@ -13,12 +13,12 @@
 use std::net::SocketAddr;
 
 fn block_on<T>(future: impl Future<Output = T>) -> T {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(future)
+    compio::runtime::Runtime::new().expect("the runtime starts").block_on(future)
 }
 
 async fn listen() -> (TcpFrameListener, SocketAddr) {
-    let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.expect("the listener binds to a free port");
+    let address = listener.local_addr().expect("the listener has an address");
     (TcpFrameListener::new(listener, Default::default()), address)
 }
 
@@ -27,9 +27,9 @@
 }
 
 async fn send_raw(address: SocketAddr, bytes: Vec<u8>) -> TcpStream {
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address).await.expect("the connection is established");
     let BufResult(sent, _) = stream.write_all(bytes).await;
-    sent.expect("the bytes were sent");
+    sent.expect("the bytes are sent");
     stream
 }
 
@@ -39,18 +39,19 @@
         let (mut listener, address) = listen().await;
         let sizes = [0, 1, 5, 100, 65_536, 65_537, 3_000_000, 2];
         let sending = async {
-            let (mut sender, _receiver) = platform().connect(address).await.expect("a connection");
+            let (mut sender, _receiver) = platform().connect(address).await.expect("the connection is established");
             for (index, size) in sizes.into_iter().enumerate() {
-                sender.send(vec![index as u8; size]).await.expect("a frame was sent");
+                sender.send(vec![index as u8; size]).await.expect("the frame is sent");
             }
         };
         let receiving = async {
-            let (_sender, mut receiver) = listener.accept().await.expect("a connection");
+            let (_sender, mut receiver) = listener.accept().await.expect("the connection is established");
             for (index, size) in sizes.into_iter().enumerate() {
-                let frame = receiver.receive().await.expect("a frame").expect("not the end");
+                let frame =
+                    receiver.receive().await.expect("the receive succeeds").expect("the connection is still open");
                 assert_eq!(frame, vec![index as u8; size]);
             }
-            assert_eq!(receiver.receive().await.expect("an orderly end"), None);
+            assert_eq!(receiver.receive().await.expect("the connection is closed without an error"), None);
         };
         futures::future::join(sending, receiving).await;
     });
@@ -62,7 +63,7 @@
         let (mut listener, address) = listen().await;
         let length = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes().to_vec();
         let _stream = send_raw(address, length).await;
-        let (_sender, mut receiver) = listener.accept().await.expect("a connection");
+        let (_sender, mut receiver) = listener.accept().await.expect("the connection is established");
         assert!(receiver.receive().await.is_err());
     });
 }
@@ -74,7 +75,7 @@
         let mut bytes = 10u32.to_le_bytes().to_vec();
         bytes.extend(b"half");
         drop(send_raw(address, bytes).await);
-        let (_sender, mut receiver) = listener.accept().await.expect("a connection");
+        let (_sender, mut receiver) = listener.accept().await.expect("the connection is established");
         assert!(!matches!(receiver.receive().await, Ok(Some(_))));
     });
 }
@@ -103,9 +104,9 @@
             [b"GET / HTTP/1.1\r\n\r\n".to_vec(), framed(b"nonsense"), framed(&wrong_secret), framed(&unknown_version)]
         {
             let mut stream = send_raw(address, [invalid_hello, vec![0; 64]].concat()).await;
-            let BufResult(answer, bytes) = stream.read_to_end(Vec::new()).await;
+            let BufResult(result, bytes) = stream.read_to_end(Vec::new()).await;
             // The server closes or resets the connection without sending anything.
-            assert!(answer.is_err() || bytes.is_empty());
+            assert!(result.is_err() || bytes.is_empty());
         }
         let client = saddlerelay_rpc::client::Client::new(platform(), address, "secret");
         let limit = std::time::Duration::from_secs(10);
--- a/crates/runtime/src/signal.rs
+++ b/crates/runtime/src/signal.rs
@@ -6,7 +6,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-/// Counts notifications; a waiter passes the count it last observed and waits for another one.
+/// Counts notifications. A task passes the count that it last observed and waits until the count changes.
 #[derive(Default)]
 pub struct Signal {
     count: Cell<u64>,
--- a/crates/types/src/configuration.rs
+++ b/crates/types/src/configuration.rs
@@ -88,12 +88,12 @@
     pub fn refusal(&self, value: &ParameterValue) -> Option<String> {
         match (self, value) {
             (Self::Integer { minimum, maximum, .. }, ParameterValue::Integer(number)) => {
-                let inside = (*minimum..=*maximum).contains(number);
-                (!inside).then(|| format!("{number} is outside {minimum} to {maximum}"))
+                let is_allowed = (*minimum..=*maximum).contains(number);
+                (!is_allowed).then(|| format!("{number} is outside {minimum} to {maximum}"))
             }
             (Self::Text { allowed, .. }, ParameterValue::Text(text)) => {
-                let inside = allowed.is_empty() || allowed.contains(text);
-                (!inside).then(|| format!("\"{text}\" is not one of {allowed:?}"))
+                let is_allowed = allowed.is_empty() || allowed.contains(text);
+                (!is_allowed).then(|| format!("\"{text}\" is not one of {allowed:?}"))
             }
             (Self::Integer { .. }, _) => Some(format!("{value} is not a whole number")),
             (Self::Text { .. }, _) => Some(format!("{value} is not a text")),
@@ -101,7 +101,7 @@
     }
 }
 
-const PERCENT: (i64, i64) = (0, 100);
+const PERCENT_RANGE: (i64, i64) = (0, 100);
 
 impl ParameterName {
     /// Every parameter.
@@ -133,9 +133,9 @@
             Self::CallerClass => text(&["interactive", "batch"], "interactive"),
             Self::MaxInFlight => integer((1, 100_000), 256),
             Self::MaxQueued => integer((0, 100_000), 256),
-            Self::RolloutSharePercent => integer(PERCENT, 75),
-            Self::IdleWeight => integer(PERCENT, 50),
-            Self::StalenessWeight => integer(PERCENT, 50),
+            Self::RolloutSharePercent => integer(PERCENT_RANGE, 75),
+            Self::IdleWeight => integer(PERCENT_RANGE, 50),
+            Self::StalenessWeight => integer(PERCENT_RANGE, 50),
         }
     }
 }
@@ -154,7 +154,7 @@
 pub struct Tenant {
     /// The template whose rules apply.
     pub template: TemplateId,
-    /// Values that differ from the template's defaults.
+    /// Values set by the tenant; other parameters have the template's defaults.
     pub values: BTreeMap<ParameterName, ParameterValue>,
 }
 
@@ -165,7 +165,7 @@
     pub tenant: Option<TenantId>,
     /// The parameter.
     pub parameter: ParameterName,
-    /// The reason, for people.
+    /// Human-readable reason.
     pub reason: String,
 }
 
@@ -247,20 +247,20 @@
             ParameterValue::Text(text) => text,
             ParameterValue::Integer(number) => number.to_string(),
         };
-        let pinned = integer(ParameterName::WeightVersion);
-        let secret = text(ParameterName::CallerSecretDigest);
-        let batch = text(ParameterName::CallerClass) == "batch";
+        let pinned_version = integer(ParameterName::WeightVersion);
+        let secret_digest = text(ParameterName::CallerSecretDigest);
+        let is_batch = text(ParameterName::CallerClass) == "batch";
         Self {
             model: ModelName(text(ParameterName::Model)),
-            pinned_version: (pinned > 0).then_some(WeightVersion(pinned)),
+            pinned_version: (pinned_version > 0).then_some(WeightVersion(pinned_version)),
             staleness_bound: integer(ParameterName::StalenessBound),
-            caller_class: if batch { Priority::Batch } else { Priority::Interactive },
+            caller_class: if is_batch { Priority::Batch } else { Priority::Interactive },
             max_in_flight: integer(ParameterName::MaxInFlight) as usize,
             max_queued: integer(ParameterName::MaxQueued) as usize,
             rollout_share_percent: integer(ParameterName::RolloutSharePercent) as u32,
             idle_weight: integer(ParameterName::IdleWeight) as u32,
             staleness_weight: integer(ParameterName::StalenessWeight) as u32,
-            caller_secret_digest: (!secret.is_empty()).then_some(secret),
+            caller_secret_digest: (!secret_digest.is_empty()).then_some(secret_digest),
         }
     }
 }
--- a/crates/types/src/gateway.rs
+++ b/crates/types/src/gateway.rs
@@ -84,7 +84,7 @@
     RetireStore(String),
     /// Reads the drain status of the storage machine of this name.
     ReadRetirement(String),
-    /// Reads the status of the leader's duties towards the platform.
+    /// Reads the status of the leader's duties towards the platform: usage reports and engine counts.
     ReadDuties,
     /// A relay reports engine processes that terminated while running a request, or suspected work that completed.
     ReportEvidence(WorkEvidence),
@@ -224,7 +224,7 @@
     Unavailable,
 }
 
-/// Status of the leader's duties towards the platform.
+/// Status of the leader's duties towards the platform: usage reports and engine counts.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct DutyOverview {
     /// The leader, which carries out the duties.
@@ -299,7 +299,7 @@
     RetireStore(String),
     /// Records that a storage machine is drained.
     StoreRetired(String),
-    /// Records the holder of the right to issue orders, before the orders are sent.
+    /// Records which replica may issue orders for the subjects, before it sends the orders.
     NoteOrders {
         /// The replica that issues the orders.
         holder: ReplicaId,
@@ -408,7 +408,7 @@
     Trial(TrialAnswer),
     /// The trial leases that could not be renewed because they are no longer held.
     TrialsLost(Vec<HeldTrial>),
-    /// The right to issue the recorded orders.
+    /// Permission to send the recorded orders.
     Orders {
         /// The fencing token for the orders.
         fence: Fence,
--- a/crates/types/src/hexadecimal.rs
+++ b/crates/types/src/hexadecimal.rs
@@ -1,12 +1,12 @@
 //! Hexadecimal encoding of digests.
 
 /// Encodes bytes as lower-case hexadecimal.
-pub(crate) fn write(bytes: &[u8]) -> String {
+pub(crate) fn encode(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 /// Decodes exactly `BYTES` bytes; `None` if the text has another length or other characters.
-pub(crate) fn read<const BYTES: usize>(text: &str) -> Option<[u8; BYTES]> {
+pub(crate) fn decode<const BYTES: usize>(text: &str) -> Option<[u8; BYTES]> {
     if text.len() != 2 * BYTES || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
     }
@@ -24,17 +24,17 @@
         impl $name {
             /// Parses a digest in hexadecimal; `None` if it is malformed.
             pub fn from_hexadecimal(text: &str) -> Option<Self> {
-                crate::hexadecimal::read(text).map(Self)
+                crate::hexadecimal::decode(text).map(Self)
             }
 
             /// The digest in hexadecimal.
             pub fn to_hexadecimal(self) -> String {
-                crate::hexadecimal::write(&self.0)
+                crate::hexadecimal::encode(&self.0)
             }
 
             /// The first bytes in hexadecimal, for logs.
             pub fn log_prefix(&self) -> String {
-                crate::hexadecimal::write(&self.0[..$prefix_bytes])
+                crate::hexadecimal::encode(&self.0[..$prefix_bytes])
             }
         }
 
--- a/crates/types/src/identity.rs
+++ b/crates/types/src/identity.rs
@@ -65,7 +65,7 @@
     TemplateId
 );
 text_identifier!(
-    /// A model engine, unique in a deployment.
+    /// Name of a model engine, unique in a deployment.
     EngineId
 );
 text_identifier!(
@@ -114,7 +114,7 @@
     StepNumber
 );
 number_identifier!(
-    /// A control replica; random, generated when its disk is initialized.
+    /// Identifier of a control replica; random, generated when its disk is initialized.
     ReplicaId
 );
 number_identifier!(
--- a/crates/types/src/job.rs
+++ b/crates/types/src/job.rs
@@ -151,7 +151,7 @@
     pub text: Vec<u8>,
     /// Weight versions that generated events of the text, ascending.
     pub versions: Vec<u64>,
-    /// The stamp from the scorer's response, if the item has a scorer.
+    /// Value of the stamp header in the scorer's response, if the item has a scorer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub score: Option<String>,
 }
@@ -182,7 +182,7 @@
     pub end: ItemEnd,
     /// The rest of its text.
     pub rest: TextPart,
-    /// The stamp from the scorer's response, if the item has a scorer.
+    /// Value of the stamp header in the scorer's response, if the item has a scorer.
     pub score: Option<String>,
 }
 
--- a/crates/types/src/protocol.rs
+++ b/crates/types/src/protocol.rs
@@ -19,11 +19,11 @@
     Replication(Vec<u8>),
     /// A relay renews its configuration lease.
     Renew(RenewRequest),
-    /// Commit a command.
+    /// Commits a command.
     Execute(Command),
-    /// Read the committed state.
+    /// Reads the committed state.
     Query(Query),
-    /// Form a new control group of this one replica.
+    /// Forms a new control group with this replica as its only member.
     Initialize,
     /// A request about routing, instances, weight versions or batch jobs.
     Gateway(GatewayRequest),
@@ -192,7 +192,7 @@
         /// Maximum number of samples to return.
         limit: u32,
     },
-    /// Publish a weight version.
+    /// Publishes a weight version.
     Publish {
         /// The tenant.
         tenant: TenantId,
--- a/crates/types/src/rollout.rs
+++ b/crates/types/src/rollout.rs
@@ -73,9 +73,9 @@
 /// A sample and its position in the delivery order.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct DeliveredSample {
-    /// The position.
+    /// Position in the trainer's delivery order.
     pub position: Position,
-    /// Its identifier.
+    /// Identifier of the sample.
     pub sample: SampleId,
     /// The sample's content.
     pub payload: SamplePayload,
--- a/crates/types/src/suspicion.rs
+++ b/crates/types/src/suspicion.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Number of engine processes terminated while running a request, without success in between, that quarantines it.
-/// Fewer may end by coincidence, as other requests run on the same engine.
+/// Number of engine processes terminated while running a request, without success in between, after which the request
+/// is quarantined. Fewer may have been terminated by other requests on the same engines.
 pub const QUARANTINE_THRESHOLD: usize = 3;
 
 /// Retry delay for a client whose suspected work is already being run by another attempt.
--- a/crates/types/src/work.rs
+++ b/crates/types/src/work.rs
@@ -19,7 +19,7 @@
     pub caller: &'a Caller,
     /// The HTTP method.
     pub method: &'a str,
-    /// The `Host`.
+    /// Value of the `Host` header.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
--- a/crates/types/tests/codec.rs
+++ b/crates/types/tests/codec.rs
@@ -26,7 +26,7 @@
     generation
 }
 
-fn claim(generator: &mut Gen) -> ClaimCommand {
+fn claim_command(generator: &mut Gen) -> ClaimCommand {
     let key = ClaimKey {
         tenant: TenantId::new(String::arbitrary(generator)),
         caller: CallerId::new(String::arbitrary(generator)),
@@ -49,7 +49,7 @@
     }
 }
 
-fn change(generator: &mut Gen) -> ConfigurationChange {
+fn configuration_change(generator: &mut Gen) -> ConfigurationChange {
     let rule = ParameterRule::Integer { minimum: i64::arbitrary(generator), maximum: 9, default: 1 };
     let values = BTreeMap::from([
         (ParameterName::StalenessBound, ParameterValue::Integer(i64::arbitrary(generator))),
@@ -70,7 +70,7 @@
     }
 }
 
-fn rollout(generator: &mut Gen) -> RolloutCommand {
+fn rollout_command(generator: &mut Gen) -> RolloutCommand {
     let tenant = TenantId::new(String::arbitrary(generator));
     let incarnation = Incarnation(u64::arbitrary(generator));
     match u8::arbitrary(generator) % 3 {
@@ -91,9 +91,9 @@
 impl Arbitrary for Request {
     fn arbitrary(generator: &mut Gen) -> Self {
         let command = match u8::arbitrary(generator) % 3 {
-            0 => Command::Claim(claim(generator)),
-            1 => Command::Configuration(change(generator)),
-            _ => Command::Rollout(rollout(generator)),
+            0 => Command::Claim(claim_command(generator)),
+            1 => Command::Configuration(configuration_change(generator)),
+            _ => Command::Rollout(rollout_command(generator)),
         };
         Self(ControlRequest::Execute(command))
     }
@@ -105,33 +105,33 @@
 
 #[test]
 fn messages_round_trip() {
-    fn holds(request: Request) -> bool {
+    fn property(request: Request) -> bool {
         bitcode::decode(&bitcode::encode(&request.0)).is_ok_and(|read: ControlRequest| read == request.0)
     }
-    check(holds as fn(Request) -> bool);
+    check(property as fn(Request) -> bool);
 }
 
 #[test]
 fn truncated_or_corrupted_messages_never_panic() {
-    fn holds(request: Request, cut: usize, place: usize, change: u8) -> bool {
+    fn property(request: Request, cut: usize, position: usize, change: u8) -> bool {
         let mut bytes = bitcode::encode(&request.0);
-        let place = place % bytes.len();
-        bytes[place] ^= change;
+        let position = position % bytes.len();
+        bytes[position] ^= change;
         bytes.truncate(cut % (bytes.len() + 1));
         // Decoding may succeed or fail, but must not panic.
         let _ = bitcode::decode::<ControlRequest>(&bytes);
         let _ = bitcode::decode::<ControlReply>(&bytes);
         true
     }
-    check(holds as fn(Request, usize, usize, u8) -> bool);
+    check(property as fn(Request, usize, usize, u8) -> bool);
 }
 
 #[test]
 fn arbitrary_bytes_never_panic() {
-    fn holds(bytes: Vec<u8>) -> bool {
+    fn property(bytes: Vec<u8>) -> bool {
         let _ = bitcode::decode::<ControlRequest>(&bytes);
         let _ = bitcode::decode::<LogCommand>(&bytes);
         true
     }
-    check(holds as fn(Vec<u8>) -> bool);
+    check(property as fn(Vec<u8>) -> bool);
 }
--- a/crates/types/tests/tenancy.rs
+++ b/crates/types/tests/tenancy.rs
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_digest_round_trips_through_hexadecimal_and_matches_only_its_secret() {
-    fn holds(secret: Vec<u8>, other: Vec<u8>) -> bool {
+    fn property(secret: Vec<u8>, other: Vec<u8>) -> bool {
         let digest = SecretDigest::of(&secret);
         let text = digest.to_hexadecimal();
         SecretDigest::from_hexadecimal(&text) == Some(digest)
@@ -62,7 +62,7 @@
             && digest.matches(&secret)
             && digest.matches(&other) == (secret == other)
     }
-    QuickCheck::new().tests(200).quickcheck(holds as fn(Vec<u8>, Vec<u8>) -> bool);
+    QuickCheck::new().tests(200).quickcheck(property as fn(Vec<u8>, Vec<u8>) -> bool);
     assert_eq!(SecretDigest::from_hexadecimal(&"é".repeat(32)), None);
     assert_eq!(SecretDigest::from_hexadecimal(&"+1".repeat(32)), None, "a sign is not a hexadecimal digit");
 }
