--- a/crates/checker/src/check.rs
+++ b/crates/checker/src/check.rs
@@ -12,9 +12,9 @@
 /// Time limits and options of the checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Milliseconds after an engine starts draining during which it may still receive new work.
+    /// Time after an engine starts draining during which it may still receive new work, in milliseconds.
     pub leaving: u64,
-    /// Milliseconds within which every relay must apply an accepted configuration.
+    /// Time within which every relay must apply an accepted configuration, in milliseconds.
     pub configuration: u64,
     /// Whether the trainers must have received every sample of every opened step by the end of the run.
     pub all_samples: bool,
@@ -31,7 +31,7 @@
     matches!(outcome, ConfigurationOutcome::Accepted(_))
 }
 
-/// Checks all records of a run, in the order of their times.
+/// Checks all records of a run, ordered by time, against every invariant.
 pub fn check(records: &[Record], limits: &Limits) -> Report {
     let mut ordered = records.to_vec();
     ordered.sort_by_key(time_of);
@@ -75,7 +75,7 @@
     }
 }
 
-fn violate(report: &mut Report, promise: Promise, detail: String) {
+fn add_violation(report: &mut Report, promise: Promise, detail: String) {
     report.violations.push(Violation { promise, detail });
 }
 
@@ -97,7 +97,7 @@
         match record {
             Record::Caller { prompt, repeatable, result, broken, .. } => {
                 if only_planned_stops && *broken > 0 {
-                    violate(
+                    add_violation(
                         report,
                         Promise::PlannedStop,
                         format!("{prompt}: interrupted {broken} times during planned stops"),
@@ -110,7 +110,11 @@
                 check_not_executed(prompt, executions.get(prompt.as_str()).copied().unwrap_or(0), report);
             }
             Record::ServedUnconfirmed { engine, .. } => {
-                violate(report, Promise::SampleVersions, format!("{engine} admitted work with no confirmed version"));
+                add_violation(
+                    report,
+                    Promise::SampleVersions,
+                    format!("{engine} admitted work with no confirmed version"),
+                );
             }
             _ => {}
         }
@@ -123,17 +127,25 @@
         report.counts.non_repeatable += 1;
         if executed > 1 {
             report.counts.non_repeatable_doubled += 1;
-            violate(report, Promise::AtMostOnce, format!("{prompt}: executed {executed} times, but is not repeatable"));
+            add_violation(
+                report,
+                Promise::AtMostOnce,
+                format!("{prompt}: executed {executed} times, but is not repeatable"),
+            );
         }
     }
     match result {
         CallerResult::Answered { fault } => {
             report.counts.answered += 1;
             if let Some(fault) = fault {
-                violate(report, Promise::WholeAnswers, format!("{prompt}: {fault}"));
+                add_violation(report, Promise::WholeAnswers, format!("{prompt}: {fault}"));
             }
             if executed == 0 {
-                violate(report, Promise::WholeAnswers, format!("{prompt}: answered, but no engine executed it"));
+                add_violation(
+                    report,
+                    Promise::WholeAnswers,
+                    format!("{prompt}: received a complete response, but no engine executed it"),
+                );
             }
         }
         CallerResult::Failed { outcome, code, retry_after_given } => {
@@ -142,7 +154,7 @@
                 check_not_executed(prompt, executed, report);
             }
             if requires_retry_after(*code) && !retry_after_given {
-                violate(
+                add_violation(
                     report,
                     Promise::RetryAfter,
                     format!("{prompt}: rejected with {code:?} without a retry-after time"),
@@ -155,7 +167,7 @@
 
 fn check_not_executed(prompt: &str, executed: u64, report: &mut Report) {
     if executed > 0 {
-        violate(
+        add_violation(
             report,
             Promise::NotExecuted,
             format!("{prompt}: reported as not executed, but executed {executed} times"),
@@ -184,7 +196,7 @@
 
 fn check_samples(records: &[Record], limits: &Limits, report: &mut Report) {
     let mut received: BTreeSet<&SampleId> = BTreeSet::new();
-    let mut next: BTreeMap<&TenantId, Position> = BTreeMap::new();
+    let mut next_positions: BTreeMap<&TenantId, Position> = BTreeMap::new();
     for record in records {
         let Record::SampleReceived { tenant, position, sample, fault, .. } = record else {
             continue;
@@ -192,11 +204,11 @@
         report.counts.samples_delivered += 1;
         if !received.insert(sample) {
             report.counts.samples_duplicated += 1;
-            violate(report, Promise::ExactlyOnce, format!("{sample}: received more than once"));
+            add_violation(report, Promise::ExactlyOnce, format!("{sample}: received more than once"));
         }
-        let expected = next.entry(tenant).or_insert(Position(1));
+        let expected = next_positions.entry(tenant).or_insert(Position(1));
         if *position != *expected {
-            violate(
+            add_violation(
                 report,
                 Promise::ExactlyOnce,
                 format!("{sample}: received at position {position}, expected {expected}"),
@@ -204,7 +216,7 @@
         }
         *expected = position.next();
         if let Some(fault) = fault {
-            violate(report, Promise::SampleVersions, format!("{sample}: {fault}"));
+            add_violation(report, Promise::SampleVersions, format!("{sample}: {fault}"));
         }
     }
     let expected: u64 = records.iter().map(samples_opened).sum();
@@ -212,7 +224,7 @@
     report.counts.samples_missing = expected.saturating_sub(received.len() as u64);
     if limits.all_samples && report.counts.samples_missing > 0 {
         let detail = format!("{} of {expected} samples never received", report.counts.samples_missing);
-        violate(report, Promise::ExactlyOnce, detail);
+        add_violation(report, Promise::ExactlyOnce, detail);
     }
 }
 
@@ -239,7 +251,11 @@
                 let staleness = published.0.saturating_sub(oldest.0);
                 if staleness > bound {
                     report.counts.samples_stale += 1;
-                    violate(report, Promise::Staleness, format!("{sample}: {staleness} versions stale, bound {bound}"));
+                    add_violation(
+                        report,
+                        Promise::Staleness,
+                        format!("{sample}: {staleness} versions stale, bound {bound}"),
+                    );
                 }
             }
             _ => {}
@@ -247,26 +263,27 @@
     }
 }
 
+/// The largest of the bounds that a relay may apply at time `at`; `bounds` holds the time of acceptance and the value.
 fn loosest_bound(bounds: &[(u64, u64)], at: u64, limits: &Limits) -> Option<u64> {
-    let settled = bounds.iter().rposition(|(accepted, _)| accepted + limits.configuration <= at).unwrap_or(0);
-    bounds[settled..].iter().map(|(_, bound)| *bound).max()
+    let latest_enforced = bounds.iter().rposition(|(accepted, _)| accepted + limits.configuration <= at).unwrap_or(0);
+    bounds[latest_enforced..].iter().map(|(_, bound)| *bound).max()
 }
 
 fn check_leaving(records: &[Record], limits: &Limits, report: &mut Report) {
-    let mut leaving: BTreeMap<&EngineId, u64> = BTreeMap::new();
+    let mut draining_since: BTreeMap<&EngineId, u64> = BTreeMap::new();
     for record in records {
         match record {
             Record::Leaving { at, engine } => {
-                leaving.entry(engine).or_insert(*at);
+                draining_since.entry(engine).or_insert(*at);
             }
             Record::EngineStarted { engine, .. } => {
-                leaving.remove(engine);
+                draining_since.remove(engine);
             }
             Record::Execution { at, engine, prompt, .. } => {
-                let late = leaving.get(engine).filter(|since| *at > *since + limits.leaving);
-                if let Some(since) = late {
+                let exceeded = draining_since.get(engine).filter(|since| *at > *since + limits.leaving);
+                if let Some(since) = exceeded {
                     let detail = format!("{engine}: admitted {prompt} {} ms after it started draining", at - since);
-                    violate(report, Promise::Leaving, detail);
+                    add_violation(report, Promise::Leaving, detail);
                 }
             }
             _ => {}
@@ -277,16 +294,16 @@
 /// Checks that at most one change is accepted per expected revision of an object, and that every retry under one
 /// idempotency key gets the same outcome.
 fn check_changes(records: &[Record], report: &mut Report) {
-    let mut winners: BTreeMap<(&str, u64), &str> = BTreeMap::new();
-    let mut answers: BTreeMap<&str, &ConfigurationOutcome> = BTreeMap::new();
+    let mut accepted_keys: BTreeMap<(&str, u64), &str> = BTreeMap::new();
+    let mut outcomes: BTreeMap<&str, &ConfigurationOutcome> = BTreeMap::new();
     for record in records {
         let Record::Change { object, key, expected, outcome, .. } = record else {
             continue;
         };
-        if let Some(first) = answers.insert(key, outcome)
+        if let Some(first) = outcomes.insert(key, outcome)
             && first != outcome
         {
-            violate(
+            add_violation(
                 report,
                 Promise::Configuration,
                 format!("idempotency key {key}: outcome {first:?}, then {outcome:?}"),
@@ -297,11 +314,11 @@
         }
         report.counts.changes_accepted += 1;
         if let Some(expected) = expected
-            && let Some(other) = winners.insert((object, expected.0), key)
+            && let Some(other) = accepted_keys.insert((object, expected.0), key)
             && other != key
         {
             let detail = format!("{object} at revision {expected}: both {other} and {key} were accepted");
-            violate(report, Promise::Configuration, detail);
+            add_violation(report, Promise::Configuration, detail);
         }
     }
 }
@@ -310,7 +327,7 @@
 /// one.
 fn check_probes(records: &[Record], limits: &Limits, report: &mut Report) {
     let mut accepted: Vec<(u64, u64)> = Vec::new();
-    let mut seen: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut newest_values: BTreeMap<&str, u64> = BTreeMap::new();
     for record in records {
         match record {
             Record::Change { to, probe: Some(probe), outcome, .. } if is_accepted(outcome) => {
@@ -321,11 +338,11 @@
                 let due = due.map(|(_, probe)| *probe).max().unwrap_or(0);
                 if *value < due {
                     let detail = format!("{relay}: applies probe value {value}, but {due} is overdue");
-                    violate(report, Promise::Configuration, detail);
+                    add_violation(report, Promise::Configuration, detail);
                 }
-                let newest = seen.entry(relay).or_insert(*value);
+                let newest = newest_values.entry(relay).or_insert(*value);
                 if value < newest {
-                    violate(
+                    add_violation(
                         report,
                         Promise::Configuration,
                         format!("{relay}: reverted from probe value {newest} to {value}"),
--- a/crates/checker/src/measures.rs
+++ b/crates/checker/src/measures.rs
@@ -78,7 +78,7 @@
 /// Computes the measures of a whole run.
 pub fn measure(records: &[Record]) -> Measures {
     Measures {
-        trainers: trainers(records),
+        trainers: trainer_measures(records),
         latency: latencies(records, |from, to, _| Some(to - from)),
         first_token: latencies(records, |_, _, first_token_after| first_token_after),
         configuration_in_force: percentiles(propagation_times(records)),
@@ -86,7 +86,8 @@
     }
 }
 
-fn trainers(records: &[Record]) -> BTreeMap<String, TrainerMeasures> {
+fn trainer_measures(records: &[Record]) -> BTreeMap<String, TrainerMeasures> {
+    // Time waited, time trained and number of steps by tenant.
     let mut times: BTreeMap<String, (u64, u64, u64)> = BTreeMap::new();
     let mut staleness: BTreeMap<String, Vec<u64>> = BTreeMap::new();
     for record in records {
@@ -96,8 +97,8 @@
                 *time = (time.0 + waited, time.1 + trained, time.2 + 1);
             }
             Record::SampleReceived { tenant, oldest, published, .. } => {
-                let staleness_values = published.0.saturating_sub(oldest.0);
-                staleness.entry(tenant.to_string()).or_default().push(staleness_values);
+                let versions_behind = published.0.saturating_sub(oldest.0);
+                staleness.entry(tenant.to_string()).or_default().push(versions_behind);
             }
             _ => {}
         }
@@ -138,20 +139,21 @@
         }
         _ => None,
     });
-    let last_relay_at = |probe: u64| {
-        let mut first_seen: BTreeMap<&str, u64> = BTreeMap::new();
+    let last_reported_at = |probe: u64| {
+        let mut first_reported_at: BTreeMap<&str, u64> = BTreeMap::new();
         for record in records {
             if let Record::Probe { to, relay, value: Some(value), .. } = record
                 && *value >= probe
             {
-                first_seen.entry(relay).or_insert(*to);
+                first_reported_at.entry(relay).or_insert(*to);
             }
         }
-        first_seen.into_values().max()
+        first_reported_at.into_values().max()
     };
-    accepted.filter_map(|(probe, at)| Some(last_relay_at(probe)?.saturating_sub(at))).collect()
+    accepted.filter_map(|(probe, at)| Some(last_reported_at(probe)?.saturating_sub(at))).collect()
 }
 
+/// For each completed weight swap, the time since the publication of its version.
 fn swap_times(records: &[Record]) -> Vec<u64> {
     let mut published: BTreeMap<u64, u64> = BTreeMap::new();
     let mut times = Vec::new();
--- a/crates/checker/tests/check.rs
+++ b/crates/checker/tests/check.rs
@@ -150,8 +150,8 @@
     let reported = Record::ReportedNotExecuted { at: 150, prompt: "a".to_string() };
     let resent = [execution(180, "a send 2"), caller("a send 2", true, answered())];
     assert_eq!(violated_promises(&[vec![reported.clone()], resent.to_vec()].concat()), []);
-    let ran = [vec![reported, execution(110, "a")], resent.to_vec()].concat();
-    assert_eq!(violated_promises(&ran), [Promise::NotExecuted]);
+    let executed = [vec![reported, execution(110, "a")], resent.to_vec()].concat();
+    assert_eq!(violated_promises(&executed), [Promise::NotExecuted]);
 }
 
 /// "Not executed" must remain true at any later time.
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn an_incomplete_answer_or_one_without_an_execution_is_a_violation() {
+fn an_incomplete_response_or_one_without_an_execution_is_a_violation() {
     let defective = CallerResult::Answered { fault: Some("another request's tokens".to_string()) };
     assert_eq!(violated_promises(&[execution(110, "a"), caller("a", true, defective)]), [Promise::WholeAnswers]);
     assert_eq!(violated_promises(&[caller("a", true, answered())]), [Promise::WholeAnswers]);
@@ -195,15 +195,18 @@
 
 #[test]
 fn a_lowered_staleness_bound_applies_after_the_configuration_limit() {
-    let late = |at| match sample(1, 0, 1, 3) {
+    let sample_at = |at| match sample(1, 0, 1, 3) {
         Record::SampleReceived { tenant, position, sample, oldest, published, fault, .. } => {
             Record::SampleReceived { at, tenant, position, sample, oldest, published, fault }
         }
         other => other,
     };
     let bounds = [accepted_bound(1, 2), accepted_bound(1_000, 1)];
-    assert_eq!(violated_promises(&[bounds[0].clone(), bounds[1].clone(), step(1), late(2_000)]), []);
-    assert_eq!(violated_promises(&[bounds[0].clone(), bounds[1].clone(), step(1), late(5_001)]), [Promise::Staleness]);
+    assert_eq!(violated_promises(&[bounds[0].clone(), bounds[1].clone(), step(1), sample_at(2_000)]), []);
+    assert_eq!(
+        violated_promises(&[bounds[0].clone(), bounds[1].clone(), step(1), sample_at(5_001)]),
+        [Promise::Staleness]
+    );
 }
 
 #[test]
@@ -242,13 +245,14 @@
 #[test]
 fn two_accepted_changes_of_one_revision_or_two_outcomes_of_one_key_are_a_violation() {
     let accepted = |revision| ConfigurationOutcome::Accepted(Revision(revision));
-    let both = [change(1, "k1", 4, accepted(5)), change(2, "k2", 4, accepted(6))];
-    assert_eq!(violated_promises(&both), [Promise::Configuration]);
+    let both_accepted = [change(1, "k1", 4, accepted(5)), change(2, "k2", 4, accepted(6))];
+    assert_eq!(violated_promises(&both_accepted), [Promise::Configuration]);
     let state = ObjectState { name: ObjectName::Tenant(TenantId::new("probe")), revision: Revision(5), value: None };
-    let one_lost = [change(1, "k1", 4, accepted(5)), change(2, "k2", 4, ConfigurationOutcome::RevisionMismatch(state))];
-    assert_eq!(violated_promises(&one_lost), []);
-    let answers = [change(1, "k1", 4, accepted(5)), change(2, "k1", 4, accepted(6))];
-    assert_eq!(violated_promises(&answers), [Promise::Configuration]);
+    let one_rejected =
+        [change(1, "k1", 4, accepted(5)), change(2, "k2", 4, ConfigurationOutcome::RevisionMismatch(state))];
+    assert_eq!(violated_promises(&one_rejected), []);
+    let two_outcomes = [change(1, "k1", 4, accepted(5)), change(2, "k1", 4, accepted(6))];
+    assert_eq!(violated_promises(&two_outcomes), [Promise::Configuration]);
 }
 
 #[test]
@@ -258,14 +262,14 @@
     assert_eq!(violated_promises(&overdue), [Promise::Configuration]);
     let in_time = [accepted_probe(100, 1), accepted_probe(200, 2), probe(199 + limit, Some(1))];
     assert_eq!(violated_promises(&in_time), []);
-    let back = [accepted_probe(100, 1), accepted_probe(200, 2), probe(300, Some(2)), probe(400, Some(1))];
-    assert_eq!(violated_promises(&back), [Promise::Configuration]);
+    let reverted = [accepted_probe(100, 1), accepted_probe(200, 2), probe(300, Some(2)), probe(400, Some(1))];
+    assert_eq!(violated_promises(&reverted), [Promise::Configuration]);
     let fenced = [accepted_probe(100, 1), accepted_probe(200, 2), probe(200 + limit, None)];
     assert_eq!(violated_promises(&fenced), []);
 }
 
 #[test]
-fn work_on_an_engine_without_a_confirmed_version_is_a_violation() {
+fn a_request_admitted_by_an_engine_without_a_confirmed_version_is_a_violation() {
     let served = Record::ServedUnconfirmed { at: 10, engine: EngineId::new("engine-1") };
     assert_eq!(violated_promises(&[served]), [Promise::SampleVersions]);
 }
--- a/crates/fleet/src/bench.rs
+++ b/crates/fleet/src/bench.rs
@@ -26,14 +26,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Number of tenants in the key check.
+/// Number of tenants in the measurement of key lookups.
 const TENANTS: usize = 5_000;
 
 /// Keys per tenant.
-const KEYS_EACH: usize = 3;
+const KEYS_PER_TENANT: usize = 3;
 
-/// Number of timed key checks.
-const KEY_CHECKS: usize = 200_000;
+/// Number of timed key lookups.
+const KEY_LOOKUPS: usize = 200_000;
 
 /// Number of timed requests of each kind, sent sequentially.
 const TIMED_REQUESTS: u64 = 2_000;
@@ -42,12 +42,12 @@
 /// Concurrent requests during the throughput measurement.
 const CONCURRENCY: usize = 64;
 /// Tokens in each response.
-const ANSWER_TOKENS: u32 = 4;
+const RESPONSE_TOKENS: u32 = 4;
 /// Concurrent sequences per engine; enough that engines are not the bottleneck.
 const SLOTS: u32 = 64;
 
 /// Formats the percentiles of one kind of request, in microseconds.
-fn line(name: &str, times: &Histogram<u64>) -> String {
+fn format_percentiles(name: &str, times: &Histogram<u64>) -> String {
     let value = |quantile| times.value_at_quantile(quantile);
     format!("{name:<44} p50 {:>6} us   p99 {:>6} us\n", value(0.5), value(0.99))
 }
@@ -84,38 +84,44 @@
         record(&mut through_relay, time_relay_request(&access, request(&fleet, &platform, number, false)).await?);
         record(&mut at_most_once, time_relay_request(&access, request(&fleet, &platform, number, true)).await?);
     }
-    let mut text = line("directly to the engine", &direct);
-    text += &line("through a relay", &through_relay);
-    text += &line("through a relay, at most once (two commits)", &at_most_once);
+    let mut text = format_percentiles("directly to the engine", &direct);
+    text += &format_percentiles("through a relay", &through_relay);
+    text += &format_percentiles("through a relay, at most once (two commits)", &at_most_once);
     text += &throughput(&fleet, &platform, &access).await?;
-    text += &key_check()?;
+    text += &time_key_lookups()?;
     Ok(text)
 }
 
 /// Times the lookup of valid and unknown API keys among those of many tenants.
-fn key_check() -> Result<String> {
+fn time_key_lookups() -> Result<String> {
     let key = |tenant: usize, number: usize| format!("a key of twenty {tenant}-{number}");
     let tenants: Vec<TenantAccess> = (0..TENANTS)
         .map(|tenant| TenantAccess {
             name: TenantId::new(format!("tenant-{tenant}")),
-            keys: (0..KEYS_EACH).map(|number| SecretDigest::of(key(tenant, number).as_bytes())).collect(),
+            keys: (0..KEYS_PER_TENANT).map(|number| SecretDigest::of(key(tenant, number).as_bytes())).collect(),
             priority: None,
         })
         .collect();
-    let began_at = Instant::now();
-    let ring = ApiKeyIndex::new(&tenants);
-    let indexed = began_at.elapsed();
+    let indexing_started_at = Instant::now();
+    let key_index = ApiKeyIndex::new(&tenants);
+    let indexing_time = indexing_started_at.elapsed();
     let mut times = Histogram::<u64>::new(3)?;
-    for number in 0..KEY_CHECKS {
-        let key = key(fastrand::usize(..TENANTS), number % (2 * KEYS_EACH));
+    for number in 0..KEY_LOOKUPS {
+        let key = key(fastrand::usize(..TENANTS), number % (2 * KEYS_PER_TENANT));
         let started_at = Instant::now();
-        let is_valid = ring.tenant(key.as_bytes()).is_some();
+        let is_valid = key_index.tenant(key.as_bytes()).is_some();
         times.saturating_record(started_at.elapsed().as_nanos() as u64);
-        ensure!(is_valid == (number % (2 * KEYS_EACH) < KEYS_EACH), "the key lookup returned a wrong result");
+        ensure!(
+            is_valid == (number % (2 * KEYS_PER_TENANT) < KEYS_PER_TENANT),
+            "the key lookup returned a wrong result"
+        );
     }
     let (p50, p99) = (times.value_at_quantile(0.5), times.value_at_quantile(0.99));
-    let keys = TENANTS * KEYS_EACH;
-    Ok(format!("check of a key among {keys}: p50 {p50} ns, p99 {p99} ns; indexed in {} us\n", indexed.as_micros()))
+    let keys = TENANTS * KEYS_PER_TENANT;
+    Ok(format!(
+        "check of a key among {keys}: p50 {p50} ns, p99 {p99} ns; indexed in {} us\n",
+        indexing_time.as_micros()
+    ))
 }
 
 fn record(times: &mut Histogram<u64>, time: Duration) {
@@ -129,7 +135,7 @@
         attempt_id: number,
         prompt: "what a relay adds".to_string(),
         resume_tokens: Vec::new(),
-        max_tokens: ANSWER_TOKENS,
+        max_tokens: RESPONSE_TOKENS,
         seed: number,
         priority: Priority::Interactive,
     };
@@ -153,7 +159,7 @@
         caller: CallerId::new("bench"),
         model: ModelName::new(tenant.model.as_str()),
         prompt: "what a relay adds".to_string(),
-        max_tokens: ANSWER_TOKENS,
+        max_tokens: RESPONSE_TOKENS,
         seed: number,
         key: at_most_once.then_some(key),
         repeatability: if at_most_once { Repeatability::NotRepeatable } else { Repeatability::Repeatable },
@@ -164,25 +170,25 @@
 
 async fn time_relay_request(access: &HttpAccess, request: CallerRequest) -> Result<Duration> {
     let started_at = Instant::now();
-    let answer = access.ask(0, &request).await;
-    ensure!(matches!(answer, CallerResponse::Whole { .. }), "the relay returned {answer:?}");
+    let response = access.ask(0, &request).await;
+    ensure!(matches!(response, CallerResponse::Whole { .. }), "the relay returned {response:?}");
     Ok(started_at.elapsed())
 }
 
 /// Measures requests per second through one relay, and requests per second of processor time.
 async fn throughput(fleet: &Fleet, platform: &CompioRuntime, access: &HttpAccess) -> Result<String> {
-    let relay = fleet.children.get("relay-0").context("the relay runs")?;
+    let relay = fleet.children.get("relay-0").context("relay-0 is not running")?;
     let before = relay.usage().context("cannot read the resource usage of the relay")?.1;
     let started = Instant::now();
-    let done = Rc::new(Cell::new(0u64));
+    let completed = Rc::new(Cell::new(0u64));
     let tasks: Vec<_> = (0..CONCURRENCY as u64)
         .map(|client| {
-            let (access, done) = (access.clone(), done.clone());
+            let (access, completed) = (access.clone(), completed.clone());
             let request = request(fleet, platform, client, false);
             compio::runtime::spawn(async move {
                 while started.elapsed() < THROUGHPUT_TIME {
                     if time_relay_request(&access, request.clone()).await.is_ok() {
-                        done.set(done.get() + 1);
+                        completed.set(completed.get() + 1);
                     }
                 }
             })
@@ -193,13 +199,13 @@
     }
     let seconds = started.elapsed().as_secs_f64();
     let (resident, after) = relay.usage().context("cannot read the resource usage of the relay")?;
-    let core = (after - before) as f64 / 1000.0;
+    let core_seconds = (after - before) as f64 / 1000.0;
     Ok(format!(
         "{CONCURRENCY} clients: {:.0} requests/s; the relay used {:.2} of a core: {:.0} requests for each second of a core\n\
          the relay's memory after it: {:.1} MB\n",
-        done.get() as f64 / seconds,
-        core / seconds,
-        done.get() as f64 / core.max(0.001),
+        completed.get() as f64 / seconds,
+        core_seconds / seconds,
+        completed.get() as f64 / core_seconds.max(0.001),
         resident as f64 / 1e6
     ))
 }
--- a/crates/fleet/src/command_line.rs
+++ b/crates/fleet/src/command_line.rs
@@ -48,26 +48,26 @@
 
 /// Runs the command in `arguments`, which exclude the program name.
 pub fn main(arguments: Vec<OsString>) -> ExitCode {
-    let first = arguments.first().and_then(|word| word.to_str()).unwrap_or_default().to_string();
-    let rest = arguments.get(1..).unwrap_or_default().to_vec();
+    let first = arguments.first().and_then(|argument| argument.to_str()).unwrap_or_default().to_string();
+    let remaining = arguments.get(1..).unwrap_or_default().to_vec();
     let is_own = !first.starts_with(CHILD_PREFIX);
     let outcome = match first.as_str() {
-        _ if is_own && asks_for_help(&rest) => {
+        _ if is_own && asks_for_help(&remaining) => {
             print!("{HELP}");
             Ok(true)
         }
-        "run-product" => return ExitCode::from(saddlerelay_command_line::run(rest) as u8),
-        "run-standin" => saddlerelay_standins::http::process::run(rest).map(|()| true),
-        "run-hollow" => scale::hollow::run(rest).map(|()| true),
+        "run-product" => return ExitCode::from(saddlerelay_command_line::run(remaining) as u8),
+        "run-standin" => saddlerelay_standins::http::process::run(remaining).map(|()| true),
+        "run-hollow" => scale::hollow::run(remaining).map(|()| true),
         "demo" => demo(),
         "up" => block_on(up::run(deployment::demo())).map(|()| true),
         "bench" => block_on(bench::run()).map(|table| {
             print!("{table}");
             true
         }),
-        "experiment" => experiment_command(rest),
-        "scale" => scale_command(rest),
-        "run" => run_command(rest),
+        "experiment" => experiment_command(remaining),
+        "scale" => scale_command(remaining),
+        "run" => run_command(remaining),
         "" | "--help" | "-h" => {
             print!("{HELP}");
             Ok(true)
--- a/crates/fleet/src/experiment/mod.rs
+++ b/crates/fleet/src/experiment/mod.rs
@@ -74,62 +74,62 @@
 
 /// One run of the experiment.
 #[derive(Clone, Copy)]
-struct Job {
+struct Simulation {
     deployment: usize,
     policy: PolicyName,
     seed: u64,
 }
 
-struct JobResult {
-    job: Job,
+struct SimulationResult {
+    run: Simulation,
     measures: Measures,
     violations: usize,
 }
 
 /// Runs the experiment.
 pub fn run(experiment: &Experiment) -> Result<Vec<Row>> {
-    let mut jobs = Vec::new();
+    let mut runs = Vec::new();
     for deployment in 0..DEPLOYMENTS.len() {
         for policy in PolicyName::ALL {
-            jobs.extend(experiment.seeds.clone().map(|seed| Job { deployment, policy, seed }));
+            runs.extend(experiment.seeds.clone().map(|seed| Simulation { deployment, policy, seed }));
         }
     }
-    let next_job = AtomicUsize::new(0);
+    let next_run = AtomicUsize::new(0);
     let results = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..experiment.threads.max(1) {
             scope.spawn(|| {
-                while let Some(job) = jobs.get(next_job.fetch_add(1, Ordering::Relaxed)) {
-                    let outcome = run_job(experiment, *job);
+                while let Some(run) = runs.get(next_run.fetch_add(1, Ordering::Relaxed)) {
+                    let outcome = measure_run(experiment, *run);
                     results.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(outcome);
                 }
             });
         }
     });
     let results = results.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
-    let results: Vec<JobResult> = results.into_iter().collect::<Result<_>>()?;
+    let results: Vec<SimulationResult> = results.into_iter().collect::<Result<_>>()?;
     let mut rows = Vec::new();
     for (index, (name, _)) in DEPLOYMENTS.iter().enumerate() {
         for policy in PolicyName::ALL {
-            let runs: Vec<&JobResult> =
-                results.iter().filter(|run| run.job.deployment == index && run.job.policy == policy).collect();
+            let runs: Vec<&SimulationResult> =
+                results.iter().filter(|result| result.run.deployment == index && result.run.policy == policy).collect();
             rows.push(row(name, policy, &runs));
         }
     }
     Ok(rows)
 }
 
-fn run_job(experiment: &Experiment, job: Job) -> Result<JobResult> {
-    let (name, default_scenario) = DEPLOYMENTS[job.deployment];
+fn measure_run(experiment: &Experiment, run: Simulation) -> Result<SimulationResult> {
+    let (name, default_scenario) = DEPLOYMENTS[run.deployment];
     let deployment = deployment::by_name(name).context("unknown deployment")?;
     let scenario = experiment.scenario.as_deref().unwrap_or(default_scenario);
     let mut scenario = builtin::scenario(scenario).with_context(|| format!("unknown scenario `{scenario}`"))?;
     scenario.duration_ms = experiment.duration_ms;
-    let outcome = run_on(&scenario, deployment, job.seed, job.policy)?;
-    Ok(JobResult { job, measures: outcome.report.measures, violations: outcome.report.violations.len() })
+    let outcome = run_on(&scenario, deployment, run.seed, run.policy)?;
+    Ok(SimulationResult { run, measures: outcome.report.measures, violations: outcome.report.violations.len() })
 }
 
-fn row(deployment: &str, policy: PolicyName, runs: &[&JobResult]) -> Row {
+fn row(deployment: &str, policy: PolicyName, runs: &[&SimulationResult]) -> Row {
     let spread = |value: &dyn Fn(&Measures) -> f64| {
         let values: Vec<f64> = runs.iter().map(|run| value(&run.measures)).collect();
         Spread::of(&values)
--- a/crates/fleet/src/faults.rs
+++ b/crates/fleet/src/faults.rs
@@ -17,8 +17,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time limit of a planned stop.
-const PLANNED_STOP_LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of a planned stop.
+const PLANNED_STOP_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A fleet shared by the run and its fault tasks.
 pub type SharedFleet = Rc<RefCell<Fleet>>;
@@ -28,7 +28,7 @@
 pub struct FaultContext {
     /// The fleet.
     pub fleet: SharedFleet,
-    /// The clock and timers.
+    /// Runtime that provides the clock and timers.
     pub platform: CompioRuntime,
     /// Recorder for the injected faults.
     pub recorder: Recorder,
@@ -83,8 +83,8 @@
                 let fleet = context.fleet.borrow();
                 (fleet.plan.control_http.clone(), fleet.plan.control_peers.clone())
             };
-            let place = leader_index(&http, &peers).await?;
-            Some(format!("control-{place}"))
+            let index = leader_index(&http, &peers).await?;
+            Some(format!("control-{index}"))
         }
         Target::Control { place } => Some(format!("control-{place}")),
         Target::Relay { place } => Some(format!("relay-{place}")),
@@ -142,32 +142,32 @@
         return Ok(());
     };
     child.ask_to_stop().await;
-    let exit = child.wait(PLANNED_STOP_LIMIT).await;
+    let exit = child.wait(PLANNED_STOP_TIMEOUT).await;
     anyhow::ensure!(
         exit == Some(true),
-        "{name}: planned stop did not exit cleanly within {PLANNED_STOP_LIMIT:?}: {exit:?}"
+        "{name}: planned stop did not exit cleanly within {PLANNED_STOP_TIMEOUT:?}: {exit:?}"
     );
     context.platform.sleep(Duration::from_millis(restart_after_ms)).await;
     context.fleet.borrow_mut().start_child(&child.spec)
 }
 
-async fn post_to_engine(context: &FaultContext, place: u32, path: &str, body: Option<FaultBody>) -> Result<()> {
-    let address = context.fleet.borrow().plan.engines[place as usize].address;
+async fn post_to_engine(context: &FaultContext, engine_index: u32, path: &str, body: Option<FaultBody>) -> Result<()> {
+    let address = context.fleet.borrow().plan.engines[engine_index as usize].address;
     let body = serde_json::to_vec(&body.unwrap_or_default())?;
     // The engine may be down because of another fault.
     let _ = call(address, Method::POST, path, &[], body).await;
     Ok(())
 }
 
-async fn inject_engine_fault(context: &FaultContext, place: u32, body: FaultBody) -> Result<()> {
-    post_to_engine(context, place, FAULTS_PATH, Some(body)).await
+async fn inject_engine_fault(context: &FaultContext, engine_index: u32, body: FaultBody) -> Result<()> {
+    post_to_engine(context, engine_index, FAULTS_PATH, Some(body)).await
 }
 
-async fn machine_leaves(context: &FaultContext, place: u32) -> Result<()> {
+async fn machine_leaves(context: &FaultContext, engine_index: u32) -> Result<()> {
     let (engine, machines, platform) = {
         let mut fleet = context.fleet.borrow_mut();
-        fleet.machines[place as usize].leaving = true;
-        (fleet.plan.engines[place as usize].id.clone(), fleet.machines.clone(), fleet.plan.platform)
+        fleet.machines[engine_index as usize].leaving = true;
+        (fleet.plan.engines[engine_index as usize].id.clone(), fleet.machines.clone(), fleet.plan.platform)
     };
     call(platform, Method::PUT, "/machines", &[], serde_json::to_vec(&machines)?).await?;
     // The platform lists the change only after its lag.
@@ -176,8 +176,8 @@
     Ok(())
 }
 
-async fn set_staleness(context: &FaultContext, place: u32, bound: u64) -> Result<()> {
-    let tenant = context.fleet.borrow().plan.deployment.tenants[place as usize].clone();
+async fn set_staleness(context: &FaultContext, tenant_index: u32, bound: u64) -> Result<()> {
+    let tenant = context.fleet.borrow().plan.deployment.tenants[tenant_index as usize].clone();
     let mut values = tenant.values();
     values.insert(ParameterName::StalenessBound, ParameterValue::Integer(bound as i64));
     context.operator.put_tenant(&tenant.id, values, None).await;
--- a/crates/fleet/src/launch.rs
+++ b/crates/fleet/src/launch.rs
@@ -14,10 +14,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time limit for each condition of the start.
-const START_LIMIT: Duration = Duration::from_secs(40);
-/// Time limit of one request for the state of the control group.
-const GROUP_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout of each condition that the start waits for.
+const START_TIMEOUT: Duration = Duration::from_secs(40);
+/// Timeout of one request for the state of the control group.
+const GROUP_TIMEOUT: Duration = Duration::from_secs(2);
 /// Polling interval during the start.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -38,10 +38,10 @@
         let mut fleet = Self { machines: machines.collect(), children: BTreeMap::new(), plan };
         fleet.start_all(fleet.plan.services())?;
         fleet.start_all(fleet.engine_specs()?)?;
-        fleet.start_all((0..fleet.plan.control_peers.len()).map(|place| fleet.plan.control(place)).collect())?;
+        fleet.start_all((0..fleet.plan.control_peers.len()).map(|index| fleet.plan.control(index)).collect())?;
         fleet.send_machine_list().await?;
         fleet.initialize().await?;
-        fleet.start_all((0..fleet.plan.relays.len()).map(|place| fleet.plan.relay(place)).collect())?;
+        fleet.start_all((0..fleet.plan.relays.len()).map(|index| fleet.plan.relay(index)).collect())?;
         fleet.wait_until_ready().await?;
         Ok(fleet)
     }
@@ -49,7 +49,7 @@
     fn engine_specs(&self) -> Result<Vec<ChildSpec>> {
         let plan = &self.plan;
         if !plan.hollow_engines {
-            return Ok((0..plan.engines.len()).map(|place| plan.engine(place)).collect());
+            return Ok((0..plan.engines.len()).map(|index| plan.engine(index)).collect());
         }
         let hollow =
             HollowPlan { engines: plan.engines.clone(), data_folder: plan.folder.clone(), ..HollowPlan::default() };
@@ -76,11 +76,11 @@
     }
 
     async fn initialize(&self) -> Result<()> {
-        let first = self.plan.control_http[0];
+        let first_replica = self.plan.control_http[0];
         let authorization = format!("Bearer {OPERATOR_TOKEN}");
         wait_for("the first control replica", || async {
             let headers = [("authorization", authorization.as_str())];
-            let response = call(first, Method::POST, "/admin/v1/initialize", &headers, Vec::new()).await;
+            let response = call(first_replica, Method::POST, "/admin/v1/initialize", &headers, Vec::new()).await;
             response.is_ok_and(|response| response.status.is_success())
         })
         .await
@@ -111,7 +111,7 @@
     for control in control_http {
         let headers = [("authorization", authorization.as_str())];
         let request = call(*control, Method::GET, "/admin/v1/group", &headers, Vec::new());
-        let Ok(Ok(response)) = compio::time::timeout(GROUP_LIMIT, request).await else {
+        let Ok(Ok(response)) = compio::time::timeout(GROUP_TIMEOUT, request).await else {
             continue;
         };
         if let Ok(view) = serde_json::from_slice(&response.body) {
@@ -134,14 +134,14 @@
     response.is_ok_and(|response| response.status.is_success())
 }
 
-/// Polls `condition` until it holds, for at most `START_LIMIT`.
+/// Polls `condition` until it is true, for at most `START_TIMEOUT`. `what` names the condition in the error.
 pub async fn wait_for<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) -> Result<()> {
-    let deadline = Instant::now() + START_LIMIT;
+    let deadline = Instant::now() + START_TIMEOUT;
     while Instant::now() < deadline {
-        if compio::time::timeout(START_LIMIT, condition()).await.context("timed out during a readiness check")? {
+        if compio::time::timeout(START_TIMEOUT, condition()).await.context("timed out during a readiness check")? {
             return Ok(());
         }
         compio::time::sleep(START_POLL_INTERVAL).await;
     }
-    bail!("{what} was not ready within {START_LIMIT:?}")
+    bail!("{what} was not ready within {START_TIMEOUT:?}")
 }
--- a/crates/fleet/src/process.rs
+++ b/crates/fleet/src/process.rs
@@ -7,8 +7,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Time limit for a child to install its signal handler.
-const SIGNAL_HANDLER_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout for a child to install its signal handler.
+const SIGNAL_HANDLER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Polling interval while waiting for a child.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -114,9 +114,9 @@
         self.signal(Signal::HUP);
     }
 
-    /// Waits until the process handles `signal` or has exited, for at most [`SIGNAL_HANDLER_LIMIT`].
+    /// Waits until the process handles `signal` or has exited, for at most [`SIGNAL_HANDLER_TIMEOUT`].
     async fn wait_for_handler(&mut self, signal: Signal) {
-        let deadline = Instant::now() + SIGNAL_HANDLER_LIMIT;
+        let deadline = Instant::now() + SIGNAL_HANDLER_TIMEOUT;
         while !self.handles(signal) && self.ended().is_none() && Instant::now() < deadline {
             compio::time::sleep(POLL_INTERVAL).await;
         }
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -27,8 +27,8 @@
 const CHANGE_INTERVAL: Duration = Duration::from_millis(700);
 /// Time between probes of each relay.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
-/// Time limit for trainers and callers to drain.
-const DRAIN_LIMIT: Duration = Duration::from_secs(90);
+/// Timeout for trainers and callers to drain.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(90);
 /// Interval between progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -82,9 +82,9 @@
 /// Runs a scenario. The folder is kept if there are violations or the run fails.
 pub async fn run(options: RunOptions) -> Result<RunResult> {
     let folder = run_folder();
-    let result = run_in(&options, &folder).await;
-    let clean = result.as_ref().is_ok_and(|result| result.report.violations.is_empty());
-    if clean && !options.keep {
+    let result = run_in_folder(&options, &folder).await;
+    let has_no_violations = result.as_ref().is_ok_and(|result| result.report.violations.is_empty());
+    if has_no_violations && !options.keep {
         std::fs::remove_dir_all(&folder)?;
     } else {
         eprintln!("the run's files are in {}", folder.display());
@@ -92,7 +92,7 @@
     result
 }
 
-async fn run_in(options: &RunOptions, folder: &Path) -> Result<RunResult> {
+async fn run_in_folder(options: &RunOptions, folder: &Path) -> Result<RunResult> {
     let scenario = &options.scenario;
     let scenario_deployment = deployment::by_name(&scenario.deployment);
     let deployment =
@@ -134,8 +134,8 @@
     records.extend(collect_records(folder)?);
     if let Some(file) = &options.record {
         let faults = scenario.faults.iter().filter(|fault| faults::is_supported(&fault.kind)).cloned().collect();
-        let run = Scenario { faults, duration_ms: duration.as_millis() as u64, ..scenario.clone() };
-        let trace = recording::recorded(&run, &fleet.borrow().plan.deployment, &records, started_at);
+        let recorded_scenario = Scenario { faults, duration_ms: duration.as_millis() as u64, ..scenario.clone() };
+        let trace = recording::recorded(&recorded_scenario, &fleet.borrow().plan.deployment, &records, started_at);
         std::fs::write(file, trace.write()?)?;
     }
     let mut report = check(&records, &options.limits);
@@ -188,7 +188,7 @@
     specs.iter().try_for_each(|spec| fleet.start_child(spec))
 }
 
-fn is_load(name: &str) -> bool {
+fn is_load_process(name: &str) -> bool {
     name.starts_with("trainer-") || name.starts_with("callers-")
 }
 
@@ -196,7 +196,7 @@
     let mut load = Vec::new();
     {
         let mut fleet = fleet.borrow_mut();
-        let names: Vec<String> = fleet.children.keys().filter(|name| is_load(name)).cloned().collect();
+        let names: Vec<String> = fleet.children.keys().filter(|name| is_load_process(name)).cloned().collect();
         for name in names {
             load.extend(fleet.children.remove(&name));
         }
@@ -205,7 +205,7 @@
         child.ask_to_stop().await;
     }
     for child in &mut load {
-        if child.wait(DRAIN_LIMIT).await.is_none() {
+        if child.wait(DRAIN_TIMEOUT).await.is_none() {
             eprintln!("{} did not exit within the time limit", child.spec.name);
         }
     }
--- a/crates/fleet/src/scale/hollow.rs
+++ b/crates/fleet/src/scale/hollow.rs
@@ -1,7 +1,8 @@
 //! Hollow processes: many engines or relays in one process, for scale runs.
 //!
-//! Hollow engines are stand-in engines that receive no prompts. Hollow relays run the relay's own code without the HTTP
-//! server: they hold leases and apply configurations. They can commit claims at a given rate, as keyed requests do.
+//! Hollow engines are stand-in engines that receive no prompts; they load weights and report their status. Hollow
+//! relays run the relay's own code without the HTTP server: they hold leases and apply configurations. They can commit
+//! claims at a given rate, as keyed requests do.
 
 use anyhow::{Context, Result, bail};
 use compio::net::TcpListener;
@@ -40,9 +41,9 @@
 /// Interval between writes of the statistics file.
 const STATISTICS_INTERVAL: Duration = Duration::from_millis(500);
 /// Lifetime of a claim's idempotency key, in milliseconds.
-const KEY_LIFETIME: u64 = 600_000;
-/// Time limit of a claim's commit.
-const CLAIM_LIMIT: Duration = Duration::from_secs(5);
+const KEY_LIFETIME_MS: u64 = 600_000;
+/// Timeout of a claim's commit.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Totals over all hollow relays of the process.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -205,10 +206,10 @@
         let (relays, times) = (relays.clone(), times.clone());
         let index = number as usize % relays.len();
         compio::runtime::spawn(async move {
-            let claimed = commit_claim(&relays[index], holder, number, plan.answer_tokens, &times).await;
+            let finished = commit_claim(&relays[index], holder, number, plan.answer_tokens, &times).await;
             let mut times = times.borrow_mut();
-            times.finished += u64::from(claimed.is_some());
-            times.failed += u64::from(claimed.is_none());
+            times.finished += u64::from(finished.is_some());
+            times.failed += u64::from(finished.is_none());
         })
         .detach();
     }
@@ -224,7 +225,7 @@
     };
     let command = Command::Membership(MembershipCommand::RelayJoined(description));
     // On failure, all claims fail and are counted in the statistics.
-    let _ = relay.control().execute(command, CLAIM_LIMIT).await;
+    let _ = relay.control().execute(command, CLAIM_TIMEOUT).await;
 }
 
 async fn commit_claim(
@@ -242,14 +243,14 @@
     let request = ClaimRequest {
         key: key.clone(),
         digest: BodyDigest::of(&number.to_le_bytes()),
-        expires_at: hollow.platform.unix_milliseconds() + KEY_LIFETIME,
+        expires_at: hollow.platform.unix_milliseconds() + KEY_LIFETIME_MS,
         holder,
         arrival: number,
         repeatability: Repeatability::NotRepeatable,
     };
     let control = hollow.relay.control();
     let started_at = Instant::now();
-    let granted = control.execute(Command::Claim(ClaimCommand::Acquire(request)), CLAIM_LIMIT).await.ok()?;
+    let granted = control.execute(Command::Claim(ClaimCommand::Acquire(request)), CLAIM_TIMEOUT).await.ok()?;
     if !matches!(granted, CommandOutcome::Claim(saddlerelay_types::claim::ClaimOutcome::Granted)) {
         return None;
     }
@@ -259,7 +260,7 @@
     generation.extend(&tokens, &"word ".repeat(answer_tokens as usize), WeightVersion(1));
     let result = ClaimResult::Answered(generation);
     let finish = ClaimCommand::Finish { key, arrival: number, result };
-    control.execute(Command::Claim(finish), CLAIM_LIMIT).await.ok().map(drop)
+    control.execute(Command::Claim(finish), CLAIM_TIMEOUT).await.ok().map(drop)
 }
 
 fn write_statistics(file: &Path, relays: &[HollowRelay], claims: &ClaimTimes) -> Result<()> {
--- a/crates/fleet/src/scale/mod.rs
+++ b/crates/fleet/src/scale/mod.rs
@@ -31,6 +31,7 @@
     /// Planned value of the dimension.
     planned: f64,
     sizes: Vec<Size>,
+    /// Value of the varied dimension.
     varied: fn(&Size) -> f64,
 }
 
@@ -52,7 +53,7 @@
     let engines = [200, 400, 800, 1500].map(|engines| Size { engines, weights: true, ..base() });
     let claims = [100, 200, 400, 800].map(|claims_per_second| Size { claims_per_second, ..base() });
     let answers = [24, 200, 600, 1200].map(|answer_tokens| Size { claims_per_second: 100, answer_tokens, ..base() });
-    let whole =
+    let combined =
         [100, 200, 300, 390].map(|relays| Size { relays, engines: relays * 1500 / 390, weights: true, ..base() });
     vec![
         Series {
@@ -87,7 +88,7 @@
             name: "whole",
             along: "relays, 1500/390 engines each",
             planned: PLANNED_RELAYS,
-            sizes: whole.to_vec(),
+            sizes: combined.to_vec(),
             varied: |size| size.relays as f64,
         },
     ]
--- a/crates/fleet/src/scale/point.rs
+++ b/crates/fleet/src/scale/point.rs
@@ -192,8 +192,8 @@
         let after = self.snapshot(&leader).await?;
         ensure!(self.leader_name().await? == leader, "the control leader changed during the measurement");
         let mut measured = self.rates(&leader, &before, &after);
-        measured.leader_memory = self.memory(&leader);
-        measured.relay_memory = self.memory("relay-0");
+        measured.leader_memory = self.resident_megabytes(&leader);
+        measured.relay_memory = self.resident_megabytes("relay-0");
         let mut times = Vec::new();
         for change in 0..CHANGES {
             times.push(self.time_change(change).await?);
@@ -202,12 +202,12 @@
         measured.in_force_median = times[times.len() / 2];
         measured.in_force_max = times[times.len() - 1];
         if self.size.weights {
-            measured.weights_everywhere = Some(self.time_weights().await?);
+            measured.weights_everywhere = Some(self.time_weight_rollout().await?);
         }
         Ok(measured)
     }
 
-    fn memory(&self, name: &str) -> f64 {
+    fn resident_megabytes(&self, name: &str) -> f64 {
         let usage = self.fleet.children.get(name).and_then(RunningChild::usage);
         usage.map_or(0.0, |(bytes, _)| bytes as f64 / 1e6)
     }
@@ -276,7 +276,7 @@
     }
 
     /// Milliseconds from the publication of a weight version until every engine has confirmed it.
-    async fn time_weights(&self) -> Result<u64> {
+    async fn time_weight_rollout(&self) -> Result<u64> {
         self.trainer("open", json!({"incarnation": 1})).await?;
         let started_at = Instant::now();
         self.trainer("versions", json!({"incarnation": 1, "version": 1, "cursor": 0})).await?;
--- a/crates/scenarios/src/builtin.rs
+++ b/crates/scenarios/src/builtin.rs
@@ -36,7 +36,7 @@
 
 /// All built-in scenarios.
 pub fn scenarios() -> Vec<Scenario> {
-    let parse = |text: &&str| Scenario::parse(text).expect("the tests parse every trace of the repository");
+    let parse = |text: &&str| Scenario::parse(text).expect("the built-in trace is valid");
     TRACES.iter().map(parse).collect()
 }
 
--- a/crates/scenarios/src/deployment.rs
+++ b/crates/scenarios/src/deployment.rs
@@ -62,9 +62,9 @@
     pub model: ModelName,
     /// Maximum staleness of a sample, in weight versions.
     pub staleness_bound: u64,
-    /// Value of the parameter for the weight of trainer idle time.
+    /// Weight of trainer idle time, 0 to 100.
     pub idle_weight: i64,
-    /// Value of the parameter for the weight of staleness.
+    /// Weight of staleness, 0 to 100.
     pub staleness_weight: i64,
     /// Its trainer, if it has one.
     pub trainer: Option<TrainerLoad>,
--- a/crates/standins/src/callers.rs
+++ b/crates/standins/src/callers.rs
@@ -16,12 +16,12 @@
 use std::time::Duration;
 
 /// Maximum number of sends of one request.
-const MAXIMUM_SENDS: u32 = 12;
+const MAX_SENDS: u32 = 12;
 
 /// Minimum delay before a retry.
-const MINIMUM_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Time after the deadline at which a caller treats a response as lost.
+/// Time after a request's deadline for which a caller still waits for the response.
 const RESPONSE_GRACE: Duration = Duration::from_secs(2);
 
 /// Percentage of the repeatable requests that carry an idempotency key.
@@ -30,8 +30,8 @@
 /// Percentage of the keyed requests that are sent twice almost concurrently.
 const DUPLICATED_PERCENT: u64 = 10;
 
-/// Maximum time between the two sends.
-const MAXIMUM_DUPLICATE_DELAY: Duration = Duration::from_millis(60);
+/// Maximum time between the two sends of a duplicated request.
+const MAX_DUPLICATE_DELAY: Duration = Duration::from_millis(60);
 
 /// Lifetime of an idempotency key.
 const KEY_LIFETIME: Duration = Duration::from_secs(600);
@@ -65,15 +65,19 @@
 /// The state of one request.
 struct RequestState {
     request: CallerRequest,
-    from: Duration,
+    first_sent_at: Duration,
+    /// Number of sends, retries included.
     sends: u32,
+    /// Number of sends that were lost before a final response.
     broken: u32,
+    /// Milliseconds from the first send to the first token; to the complete response if the request was retried.
     first_token_after: Option<u64>,
 }
 
 /// The random or recorded properties of a request.
 #[derive(Clone, Copy, Debug)]
 struct RequestProperties {
+    /// Whether it must be executed at most once.
     once: bool,
     prefix: u64,
 }
@@ -99,7 +103,7 @@
     recorder: Recorder,
     options: CallerOptions,
     stop: Rc<Cell<bool>>,
-    under_way: InFlight,
+    in_flight: InFlight,
 ) {
     let mut number = 0;
     while !stop.get() {
@@ -112,14 +116,14 @@
             prefix: platform.random() % options.prefixes.max(1),
         };
         let request = make_request(&platform, &options, number, properties);
-        under_way.set(under_way.get() + 1);
+        in_flight.set(in_flight.get() + 1);
         let duplicated = request.key.is_some() && platform.random() % 100 < DUPLICATED_PERCENT;
         let submission = Submission { request, prefix: properties.prefix, duplicated };
         let task = submit(platform.clone(), access.clone(), recorder.clone(), submission);
-        let under_way = under_way.clone();
+        let in_flight = in_flight.clone();
         platform.spawn(async move {
             task.await;
-            under_way.set(under_way.get() - 1);
+            in_flight.set(in_flight.get() - 1);
         });
     }
 }
@@ -131,12 +135,12 @@
     properties: RequestProperties,
 ) -> CallerRequest {
     let RequestProperties { once, prefix } = properties;
-    let keyed = once || platform.random() % 100 < KEYED_PERCENT;
-    let unique = platform.random();
-    let prompt = format!("{} prefix {prefix} {} request {number}-{unique:x}", "context ".repeat(40), options.name);
+    let has_key = once || platform.random() % 100 < KEYED_PERCENT;
+    let nonce = platform.random();
+    let prompt = format!("{} prefix {prefix} {} request {number}-{nonce:x}", "context ".repeat(40), options.name);
     let lifetime = KEY_LIFETIME.as_millis() as u64;
     let key = RequestKey {
-        key: IdempotencyKey(format!("{}-{number}-{unique:x}", options.name)),
+        key: IdempotencyKey(format!("{}-{number}-{nonce:x}", options.name)),
         expires_at: platform.unix_milliseconds() + lifetime,
     };
     CallerRequest {
@@ -146,15 +150,15 @@
         prompt,
         max_tokens: options.max_tokens,
         seed: number,
-        key: keyed.then_some(key),
+        key: has_key.then_some(key),
         repeatability: if once { Repeatability::NotRepeatable } else { Repeatability::Repeatable },
         priority: options.class,
         deadline_milliseconds: options.deadline.as_millis() as u64,
     }
 }
 
-/// What follows a response.
-enum Next {
+/// What the caller does after a response.
+enum NextAction {
     End(CallerResult),
     RetryAfter(Duration),
 }
@@ -163,6 +167,7 @@
 struct Submission {
     request: CallerRequest,
     prefix: u64,
+    /// Whether a second copy is sent.
     duplicated: bool,
 }
 
@@ -170,22 +175,22 @@
 /// after the first, as a retrying proxy would send it, and a complete response to the copy is verified too.
 async fn submit<P: Runtime, A: Access>(platform: P, access: A, recorder: Recorder, submission: Submission) {
     let Submission { request, prefix, duplicated } = submission;
-    let from = platform.monotonic();
-    let from_unix = platform.unix_milliseconds();
+    let first_sent_at = platform.monotonic();
+    let first_sent_unix = platform.unix_milliseconds();
     let copy = request.clone();
-    let mut state = RequestState { request, from, sends: 0, broken: 0, first_token_after: None };
-    let first = async {
+    let mut state = RequestState { request, first_sent_at, sends: 0, broken: 0, first_token_after: None };
+    let original = async {
         loop {
-            let answer = send(&platform, &access, &state.request).await;
+            let response = send(&platform, &access, &state.request).await;
             state.sends += 1;
-            state.broken += u32::from(answer == CallerResponse::Lost);
+            state.broken += u32::from(response == CallerResponse::Lost);
             let not_executed = matches!(
-                &answer,
+                &response,
                 CallerResponse::Failed(failure) if failure.outcome == ExecutionOutcome::NotExecuted
             );
-            match next(&platform, &mut state, answer) {
-                Next::End(result) => break result,
-                Next::RetryAfter(pause) => platform.sleep(pause).await,
+            match next_action(&platform, &mut state, response) {
+                NextAction::End(result) => break result,
+                NextAction::RetryAfter(delay) => platform.sleep(delay).await,
             }
             if state.request.key.is_none() {
                 if not_executed {
@@ -197,22 +202,22 @@
             }
         }
     };
-    let second = async {
+    let duplicate = async {
         if !duplicated {
             return None;
         }
-        platform.sleep(platform.jitter(MAXIMUM_DUPLICATE_DELAY)).await;
+        platform.sleep(platform.jitter(MAX_DUPLICATE_DELAY)).await;
         match send(&platform, &access, &copy).await {
-            CallerResponse::Whole { generation, .. } => answer_fault(&copy, &generation),
+            CallerResponse::Whole { generation, .. } => response_defect(&copy, &generation),
             _ => None,
         }
     };
-    let (mut result, second_fault) = futures::future::join(first, second).await;
-    if second_fault.is_some() {
-        result = CallerResult::Answered { fault: second_fault };
+    let (mut result, copy_defect) = futures::future::join(original, duplicate).await;
+    if copy_defect.is_some() {
+        result = CallerResult::Answered { fault: copy_defect };
     }
     recorder.record(Record::Caller {
-        from: from_unix,
+        from: first_sent_unix,
         to: platform.unix_milliseconds(),
         tenant: state.request.tenant.clone(),
         class: state.request.priority,
@@ -233,23 +238,23 @@
     timeout(platform, limit, access.ask(relay, request)).await.unwrap_or(CallerResponse::Lost)
 }
 
-fn next<P: Runtime>(platform: &P, state: &mut RequestState, answer: CallerResponse) -> Next {
-    let retries_left = state.sends < MAXIMUM_SENDS;
-    match answer {
+fn next_action<P: Runtime>(platform: &P, state: &mut RequestState, response: CallerResponse) -> NextAction {
+    let retries_left = state.sends < MAX_SENDS;
+    match response {
         CallerResponse::Whole { generation, first_token_after } => {
-            let elapsed = platform.monotonic().saturating_sub(state.from);
+            let elapsed = platform.monotonic().saturating_sub(state.first_sent_at);
             state.first_token_after =
                 first_token_after.map(|after| after.as_millis() as u64).filter(|_| state.sends == 1);
             state.first_token_after = state.first_token_after.or(Some(elapsed.as_millis() as u64));
-            Next::End(CallerResult::Answered { fault: answer_fault(&state.request, &generation) })
+            NextAction::End(CallerResult::Answered { fault: response_defect(&state.request, &generation) })
         }
         CallerResponse::Failed(failure) => after_failure(state, &failure, retries_left),
-        CallerResponse::NotSent if retries_left => Next::RetryAfter(MINIMUM_RETRY_DELAY),
+        CallerResponse::NotSent if retries_left => NextAction::RetryAfter(MIN_RETRY_DELAY),
         // A repeatable or keyed request is safe to retry after a lost response.
         CallerResponse::Lost if retries_left && is_safe_to_retry(&state.request) => {
-            Next::RetryAfter(MINIMUM_RETRY_DELAY)
+            NextAction::RetryAfter(MIN_RETRY_DELAY)
         }
-        CallerResponse::NotSent | CallerResponse::Lost => Next::End(CallerResult::Lost),
+        CallerResponse::NotSent | CallerResponse::Lost => NextAction::End(CallerResult::Lost),
     }
 }
 
@@ -257,25 +262,25 @@
     request.key.is_some() || request.repeatability == Repeatability::Repeatable
 }
 
-fn after_failure(state: &RequestState, failure: &RequestFailure, retries_left: bool) -> Next {
+fn after_failure(state: &RequestState, failure: &RequestFailure, retries_left: bool) -> NextAction {
     let retry_after_given = failure.retry_after_milliseconds > 0;
-    let pause = Duration::from_millis(failure.retry_after_milliseconds).max(MINIMUM_RETRY_DELAY);
+    let delay = Duration::from_millis(failure.retry_after_milliseconds).max(MIN_RETRY_DELAY);
     // "Not executed" is the final outcome of an idempotency key; a retry would need a new key.
     let is_final_for_key = state.request.key.is_some() && failure.outcome == ExecutionOutcome::NotExecuted;
     if retries_left && retry_after_given && !is_final_for_key && is_safe_to_retry(&state.request) {
-        return Next::RetryAfter(pause);
+        return NextAction::RetryAfter(delay);
     }
-    Next::End(CallerResult::Failed { outcome: failure.outcome, code: failure.code, retry_after_given })
+    NextAction::End(CallerResult::Failed { outcome: failure.outcome, code: failure.code, retry_after_given })
 }
 
-fn answer_fault(request: &CallerRequest, generation: &Generation) -> Option<String> {
-    let Some(answer_tokens) = tokens::tokens_of(&generation.text) else {
+fn response_defect(request: &CallerRequest, generation: &Generation) -> Option<String> {
+    let Some(response_tokens) = tokens::parse_tokens(&generation.text) else {
         return Some("the text contains words that are not tokens".to_string());
     };
-    let fault = tokens::answer_fault(&request.prompt, request.seed, request.max_tokens, &answer_tokens);
-    fault.or_else(|| {
+    let defect = tokens::response_defect(&request.prompt, request.seed, request.max_tokens, &response_tokens);
+    defect.or_else(|| {
         let listed_versions = &generation.versions;
-        let token_versions = tokens::spans_of(&answer_tokens);
+        let token_versions = tokens::version_spans(&response_tokens);
         (!listed_versions.is_empty() && *listed_versions != token_versions)
             .then(|| format!("lists versions {listed_versions:?}, tokens contain {token_versions:?}"))
     })
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -21,7 +21,7 @@
 const CHUNK_TOKENS: u32 = 4;
 
 /// Polling interval while a swap is in progress.
-const SWAP_POLL: Duration = Duration::from_millis(5);
+const SWAP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Length of the cached prefix of a prompt, in characters.
 const PREFIX_CHARACTERS: usize = 256;
@@ -37,7 +37,7 @@
 pub struct EngineOptions {
     /// Identity, address and capacity.
     pub description: EngineDescription,
-    /// Base time per token; it is multiplied by one plus the share of slots in use.
+    /// Base time per token; it is multiplied by one plus the fraction of slots in use.
     pub token_time: Duration,
     /// Prefill time of a prompt whose prefix is not cached.
     pub prefill_time: Duration,
@@ -70,7 +70,7 @@
 
 /// Why a request or an order was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refusal(pub String);
+pub struct Rejection(pub String);
 
 struct State {
     weights: WeightState,
@@ -79,9 +79,12 @@
     leaving: bool,
     fence: Fence,
     running: u32,
+    /// Queued requests by priority and arrival; each is sent a message when it gets a slot.
     waiting: BTreeMap<(Priority, u64), oneshot::Sender<()>>,
-    next_ticket: u64,
+    next_queue_number: u64,
+    /// Cached prompt prefixes, least recently used first.
     cache: VecDeque<String>,
+    /// Recent loads with their times, for delayed reports.
     reports: VecDeque<(Duration, EngineLoad)>,
     faults: EngineFaults,
 }
@@ -135,7 +138,7 @@
             fence: Fence(0),
             running: 0,
             waiting: BTreeMap::new(),
-            next_ticket: 0,
+            next_queue_number: 0,
             cache: VecDeque::new(),
             reports: VecDeque::new(),
             faults: EngineFaults::default(),
@@ -195,10 +198,10 @@
     }
 
     /// Executes a fenced order; rejects one with an older fencing token.
-    pub fn order(&self, order: EngineOrder) -> Result<(), Refusal> {
+    pub fn order(&self, order: EngineOrder) -> Result<(), Rejection> {
         let mut state = self.inner.state.borrow_mut();
         if order.fence < state.fence {
-            return Err(Refusal(format!("fence {} is below {}", order.fence, state.fence)));
+            return Err(Rejection(format!("fence {} is below {}", order.fence, state.fence)));
         }
         state.fence = order.fence;
         match order.action {
@@ -245,8 +248,8 @@
     }
 
     /// Admits or rejects a generation. Dropping the receiver cancels it.
-    pub fn admit(&self, request: EngineRequest) -> Result<mpsc::UnboundedReceiver<EngineChunk>, Refusal> {
-        let waiter = self.acquire_slot_or_enqueue(&request)?;
+    pub fn admit(&self, request: EngineRequest) -> Result<mpsc::UnboundedReceiver<EngineChunk>, Rejection> {
+        let admission = self.acquire_slot_or_enqueue(&request)?;
         self.inner.recorder.record(Record::Execution {
             at: self.now(),
             engine: self.description().id.clone(),
@@ -256,49 +259,50 @@
             priority: request.priority,
         });
         let (chunks, stream) = mpsc::unbounded();
-        self.inner.platform.spawn(self.clone().run(request, waiter, chunks));
+        self.inner.platform.spawn(self.clone().run(request, admission, chunks));
         Ok(stream)
     }
 
-    fn acquire_slot_or_enqueue(&self, request: &EngineRequest) -> Result<Option<oneshot::Receiver<()>>, Refusal> {
+    /// Takes a free slot and returns `None`, or queues the request and returns a receiver for its slot.
+    fn acquire_slot_or_enqueue(&self, request: &EngineRequest) -> Result<Option<oneshot::Receiver<()>>, Rejection> {
         let mut state = self.inner.state.borrow_mut();
         if state.leaving {
-            return Err(Refusal("leaving".to_string()));
+            return Err(Rejection("leaving".to_string()));
         }
         if state.faults.refuse {
-            return Err(Refusal("refusing".to_string()));
+            return Err(Rejection("refusing".to_string()));
         }
         if state.weights == WeightState::Broken {
-            return Err(Refusal("no confirmed weights".to_string()));
+            return Err(Rejection("no confirmed weights".to_string()));
         }
         if state.running < self.inner.options.description.slots {
             state.running += 1;
             return Ok(None);
         }
         if state.waiting.len() >= self.inner.options.queue_limit {
-            return Err(Refusal("the queue is full".to_string()));
+            return Err(Rejection("the queue is full".to_string()));
         }
-        let (waiter, ticket) = oneshot::channel();
-        state.next_ticket += 1;
-        let key = (request.priority, state.next_ticket);
-        state.waiting.insert(key, waiter);
-        Ok(Some(ticket))
+        let (sender, receiver) = oneshot::channel();
+        state.next_queue_number += 1;
+        let key = (request.priority, state.next_queue_number);
+        state.waiting.insert(key, sender);
+        Ok(Some(receiver))
     }
 
     async fn run(
         self,
         request: EngineRequest,
-        waiter: Option<oneshot::Receiver<()>>,
+        admission: Option<oneshot::Receiver<()>>,
         chunks: mpsc::UnboundedSender<EngineChunk>,
     ) {
-        if let Some(waiter) = waiter
-            && waiter.await.is_err()
+        if let Some(admission) = admission
+            && admission.await.is_err()
         {
             return;
         }
         let _slot = Slot(self.clone());
         self.prefill(&request.prompt).await;
-        let length = tokens::answer_length(&request.prompt, request.seed, request.max_tokens);
+        let length = tokens::response_length(&request.prompt, request.seed, request.max_tokens);
         let mut position = request.resume_tokens.len() as u32;
         let mut sequence = 0;
         while position < length {
@@ -306,8 +310,8 @@
             let Some(version) = self.generate_tokens(count).await else {
                 return;
             };
-            let end = position + count >= length;
-            let chunk = self.chunk(&request, sequence, position..position + count, version, end);
+            let is_last = position + count >= length;
+            let chunk = self.chunk(&request, sequence, position..position + count, version, is_last);
             if !self.send(chunk, sequence, &chunks) {
                 return;
             }
@@ -352,13 +356,13 @@
     async fn generate_tokens(&self, count: u32) -> Option<WeightVersion> {
         let time = {
             let state = self.inner.state.borrow();
-            let share = f64::from(state.running) / f64::from(self.inner.options.description.slots.max(1));
+            let utilization = f64::from(state.running) / f64::from(self.inner.options.description.slots.max(1));
             let slowness = state.faults.slowness.max(1);
-            self.inner.options.token_time.mul_f64(f64::from(count * slowness) * (1.0 + share))
+            self.inner.options.token_time.mul_f64(f64::from(count * slowness) * (1.0 + utilization))
         };
         self.inner.platform.sleep(time).await;
         while self.inner.state.borrow().swapping {
-            self.inner.platform.sleep(SWAP_POLL).await;
+            self.inner.platform.sleep(SWAP_POLL_INTERVAL).await;
         }
         self.confirmed_version()
     }
@@ -369,7 +373,7 @@
         sequence: u32,
         positions: std::ops::Range<u32>,
         version: WeightVersion,
-        end: bool,
+        is_last: bool,
     ) -> EngineChunk {
         let token_at = |position| tokens::token(&request.prompt, request.seed, position, version);
         let tokens_in_chunk: Vec<u32> = positions.map(token_at).collect();
@@ -379,7 +383,7 @@
             text: tokens_in_chunk.iter().map(|token| tokens::token_text(*token)).collect(),
             tokens: tokens_in_chunk,
             version,
-            finish: end.then_some(FinishReason::Stop),
+            finish: is_last.then_some(FinishReason::Stop),
             load: current_load(&self.inner.state.borrow()),
         }
     }
--- a/crates/standins/src/http/access.rs
+++ b/crates/standins/src/http/access.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    async fn read_stream(&self, response: hyper::Response<hyper::body::Incoming>, from: Instant) -> CallerResponse {
+    async fn read_stream(&self, response: hyper::Response<hyper::body::Incoming>, sent_at: Instant) -> CallerResponse {
         let mut reader = EventReader::new(response.into_body());
         let mut generation = Generation::empty();
         let mut finish = None;
@@ -125,7 +125,7 @@
             if let Some(error) = event.error {
                 return CallerResponse::Failed(failure(error));
             }
-            first_token_after = first_token_after.or_else(|| Some(from.elapsed()));
+            first_token_after = first_token_after.or_else(|| Some(sent_at.elapsed()));
             for choice in event.choices {
                 generation.text.push_str(&choice.text);
                 finish = finish.or(choice.finish_reason);
@@ -155,7 +155,7 @@
     }
 
     async fn ask(&self, relay: usize, request: &CallerRequest) -> CallerResponse {
-        let from = Instant::now();
+        let sent_at = Instant::now();
         let mut connection = match Connection::open(self.relays[relay]).await {
             Ok(connection) => connection,
             Err(_) => return CallerResponse::NotSent,
@@ -163,10 +163,10 @@
         let authorization = format!("Bearer {}:{}:", request.tenant, request.caller);
         let deadline = request.deadline_milliseconds.to_string();
         let mut headers = vec![("authorization", authorization.as_str()), ("saddlerelay-deadline-ms", &deadline)];
-        let expires = request.key.as_ref().map(|key| key.expires_at.to_string()).unwrap_or_default();
+        let expires_at = request.key.as_ref().map(|key| key.expires_at.to_string()).unwrap_or_default();
         if let Some(key) = &request.key {
             headers.push(("idempotency-key", key.key.as_str()));
-            headers.push(("idempotency-key-expires", &expires));
+            headers.push(("idempotency-key-expires", &expires_at));
         }
         if request.repeatability == Repeatability::NotRepeatable {
             headers.push(("saddlerelay-not-repeatable", "true"));
@@ -176,7 +176,7 @@
             "seed": request.seed, "stream": true,
         });
         match connection.send(Method::POST, "/v1/completions", &headers, body.to_string()).await {
-            Ok(response) if response.status().is_success() => self.read_stream(response, from).await,
+            Ok(response) if response.status().is_success() => self.read_stream(response, sent_at).await,
             Ok(response) => {
                 let body = saddlerelay_http::body::read_whole(response.into_body()).await.unwrap_or_default();
                 match parse_json::<ErrorBody>(&body) {
--- a/crates/standins/src/http/engine.rs
+++ b/crates/standins/src/http/engine.rs
@@ -1,6 +1,6 @@
 //! The HTTP server of a stand-in engine: OpenAI completions and control endpoints.
 
-use crate::engine::{Engine, EngineFaults, Refusal, WeightSource};
+use crate::engine::{Engine, EngineFaults, Rejection, WeightSource};
 use futures::StreamExt;
 use futures::channel::mpsc;
 use hyper::body::Incoming;
@@ -66,7 +66,7 @@
         }
         let bytes = match read_whole(body).await {
             Ok(bytes) => bytes,
-            Err(error) => return rejection(StatusCode::BAD_REQUEST, &Refusal(format!("{error:?}"))),
+            Err(error) => return rejection(StatusCode::BAD_REQUEST, &Rejection(format!("{error:?}"))),
         };
         match (&head.method, head.uri.path()) {
             (&Method::POST, COMPLETIONS_PATH) => self.complete(&bytes),
@@ -89,7 +89,7 @@
     fn complete(&self, bytes: &[u8]) -> Reply {
         let request = match parse_json::<CompletionRequest>(bytes) {
             Ok(request) => request,
-            Err(error) => return rejection(StatusCode::BAD_REQUEST, &Refusal(format!("{error:?}"))),
+            Err(error) => return rejection(StatusCode::BAD_REQUEST, &Rejection(format!("{error:?}"))),
         };
         match self.engine.admit(request.into()) {
             Ok(stream) => {
@@ -97,34 +97,34 @@
                 compio::runtime::spawn(send_chunks(stream, events)).detach();
                 parts(sse::CONTENT_TYPE, body)
             }
-            Err(refusal) => rejection(StatusCode::SERVICE_UNAVAILABLE, &refusal),
+            Err(error) => rejection(StatusCode::SERVICE_UNAVAILABLE, &error),
         }
     }
 
     fn order(&self, bytes: &[u8]) -> Reply {
         let order = match parse_json::<EngineOrder>(bytes) {
             Ok(order) => order,
-            Err(error) => return rejection(StatusCode::BAD_REQUEST, &Refusal(format!("{error:?}"))),
+            Err(error) => return rejection(StatusCode::BAD_REQUEST, &Rejection(format!("{error:?}"))),
         };
         match self.engine.order(order) {
             Ok(()) => json(StatusCode::OK, &"ok"),
-            Err(refusal) => rejection(StatusCode::CONFLICT, &refusal),
+            Err(error) => rejection(StatusCode::CONFLICT, &error),
         }
     }
 }
 
-fn rejection(status: StatusCode, refusal: &Refusal) -> Reply {
-    json(status, &ErrorReply { error: ErrorDetail { message: refusal.0.clone(), admitted: Some(false) } })
+fn rejection(status: StatusCode, error: &Rejection) -> Reply {
+    json(status, &ErrorReply { error: ErrorDetail { message: error.0.clone(), admitted: Some(false) } })
 }
 
 /// Sends chunks until the stream ends or the client disconnects, which cancels the generation.
 async fn send_chunks(mut stream: mpsc::UnboundedReceiver<EngineChunk>, events: mpsc::UnboundedSender<bytes::Bytes>) {
     while let Some(chunk) = stream.next().await {
-        let last = chunk.finish.is_some();
+        let is_last = chunk.finish.is_some();
         if events.unbounded_send(sse::event(&CompletionChunk::from(chunk))).is_err() {
             return;
         }
-        if last {
+        if is_last {
             let _ = events.unbounded_send(sse::done());
             return;
         }
--- a/crates/standins/src/http/process.rs
+++ b/crates/standins/src/http/process.rs
@@ -50,7 +50,7 @@
 /// Maximum number of requests queued at an engine.
 const QUEUE_LIMIT: usize = 64;
 /// Polling interval while a stopping application drains.
-const STOP_POLL: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Parsed command-line flags.
 #[derive(Default)]
@@ -220,7 +220,7 @@
     let in_flight = InFlight::default();
     run_callers(platform.clone(), access, recorder, options, stop_on_signal(), in_flight.clone()).await;
     while in_flight.get() > 0 {
-        platform.sleep(STOP_POLL).await;
+        platform.sleep(STOP_POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/standins/src/http/services.rs
+++ b/crates/standins/src/http/services.rs
@@ -13,7 +13,7 @@
 
 /// The reward of a text; deterministic.
 pub fn reward_of(text: &str) -> i64 {
-    tokens::tokens_of(text).map_or(0, |tokens| tokens.len() as i64 * 10)
+    tokens::parse_tokens(text).map_or(0, |tokens| tokens.len() as i64 * 10)
 }
 
 /// A scorer with a fixed delay.
--- a/crates/standins/src/http/weights.rs
+++ b/crates/standins/src/http/weights.rs
@@ -32,18 +32,18 @@
 impl HttpHandler for WeightStore {
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         let path = request.uri().path().trim_matches('/').to_string();
-        let Some((model, version)) = path.strip_prefix("weights/").and_then(|rest| rest.split_once('/')) else {
+        let Some((model, version)) = path.strip_prefix("weights/").and_then(|suffix| suffix.split_once('/')) else {
             return whole(StatusCode::NOT_FOUND, "text/plain", "no such path\n");
         };
         let Ok(version) = version.parse::<u64>() else {
             return whole(StatusCode::BAD_REQUEST, "text/plain", "no such version\n");
         };
-        let name = (model.to_string(), version);
+        let key = (model.to_string(), version);
         if request.method() == Method::PUT {
-            self.versions.borrow_mut().insert(name);
+            self.versions.borrow_mut().insert(key);
             return json(StatusCode::OK, &version);
         }
-        if !self.versions.borrow().contains(&name) {
+        if !self.versions.borrow().contains(&key) {
             return whole(StatusCode::NOT_FOUND, "text/plain", "no such version\n");
         }
         let completes_at = self.busy_until.get().max(Instant::now()) + self.fetch_time;
--- a/crates/standins/src/operators.rs
+++ b/crates/standins/src/operators.rs
@@ -16,14 +16,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time limit of one change.
-const CHANGE_LIMIT: Duration = Duration::from_secs(6);
+/// Timeout of one attempt at a change.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Delay before a change is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Time limit of one probe.
-const PROBE_LIMIT: Duration = Duration::from_millis(1000);
+/// Timeout of one probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// The template that stand-in operators use.
 pub const TEMPLATE: &str = "standard";
@@ -42,7 +42,7 @@
     pub access: A,
     /// Recorder for the outcomes of changes.
     pub recorder: Recorder,
-    /// Prefix of the idempotency keys.
+    /// Name of the operator, used as prefix of its idempotency keys.
     pub name: String,
 }
 
@@ -50,7 +50,7 @@
 pub type TenantValues = BTreeMap<ParameterName, ParameterValue>;
 
 impl<P: Runtime, A: Access> Operator<P, A> {
-    fn key(&self) -> IdempotencyKey {
+    fn new_key(&self) -> IdempotencyKey {
         IdempotencyKey(format!("{}-{:016x}", self.name, self.platform.random()))
     }
 
@@ -61,12 +61,12 @@
         value: Option<ObjectValue>,
         expected: Option<Revision>,
     ) -> ConfigurationOutcome {
-        let key = self.key();
+        let key = self.new_key();
         let change = ConfigurationChange { name, value, expected, idempotency_key: Some(key.clone()) };
         let from = self.platform.unix_milliseconds();
         loop {
-            let answer = timeout(&self.platform, CHANGE_LIMIT, self.access.change(&change)).await.flatten();
-            if let Some(outcome) = answer {
+            let response = timeout(&self.platform, CHANGE_TIMEOUT, self.access.change(&change)).await.flatten();
+            if let Some(outcome) = response {
                 self.record(&change, &key, from, &outcome);
                 return outcome;
             }
@@ -149,9 +149,9 @@
     while !stop.get() {
         first.platform.sleep(interval / 2 + first.platform.jitter(interval)).await;
         value += 1;
-        let race =
+        let changes =
             futures::future::join(first.put_probe(value, Some(revision)), second.put_probe(value, Some(revision)));
-        let (first_outcome, second_outcome) = race.await;
+        let (first_outcome, second_outcome) = changes.await;
         for outcome in [first_outcome, second_outcome] {
             if let ConfigurationOutcome::Accepted(accepted) = outcome {
                 revision = revision.max(accepted);
@@ -181,7 +181,7 @@
 
 async fn probe<P: Runtime, A: Access>(platform: P, access: A, recorder: Recorder, relay: usize) {
     let from = platform.unix_milliseconds();
-    let Some(models) = timeout(&platform, PROBE_LIMIT, access.models(relay)).await else {
+    let Some(models) = timeout(&platform, PROBE_TIMEOUT, access.models(relay)).await else {
         return;
     };
     let value = models.and_then(|models| {
@@ -192,7 +192,7 @@
     recorder.record(Record::Probe { from, to, relay: format!("relay-{relay}"), value });
 }
 
-/// Whether a change was accepted.
+/// Whether the outcome of a change is [`ConfigurationOutcome::Accepted`].
 pub fn accepted(outcome: &ConfigurationOutcome) -> bool {
     is_accepted(outcome)
 }
--- a/crates/standins/src/tokens.rs
+++ b/crates/standins/src/tokens.rs
@@ -26,11 +26,11 @@
 }
 
 /// Number of tokens in the complete response; the distribution is skewed towards short ones.
-pub fn answer_length(prompt: &str, seed: u64, max_tokens: u32) -> u32 {
+pub fn response_length(prompt: &str, seed: u64, max_tokens: u32) -> u32 {
     let hash = xxh3_64_with_seed(prompt.as_bytes(), !(seed % SEEDS));
     let uniform = (hash % 10_000) as f64 / 10_000.0;
-    let share = 0.15 + 0.85 * uniform.powi(4);
-    ((f64::from(max_tokens) * share) as u32).max(1)
+    let fraction = 0.15 + 0.85 * uniform.powi(4);
+    ((f64::from(max_tokens) * fraction) as u32).max(1)
 }
 
 /// Formats a token as text.
@@ -39,12 +39,12 @@
 }
 
 /// Parses the tokens of a text; `None` if a word is not a token.
-pub fn tokens_of(text: &str) -> Option<Vec<u32>> {
+pub fn parse_tokens(text: &str) -> Option<Vec<u32>> {
     text.split_whitespace().map(|word| u32::from_str_radix(word, 16).ok()).collect()
 }
 
 /// The weight versions that generated `tokens`, as spans.
-pub fn spans_of(tokens: &[u32]) -> Vec<VersionSpan> {
+pub fn version_spans(tokens: &[u32]) -> Vec<VersionSpan> {
     let mut spans = Vec::new();
     for token in tokens {
         extend_spans(&mut spans, version_of(*token), 1);
@@ -53,8 +53,8 @@
 }
 
 /// The defect of `tokens` as the response to `prompt`, if any.
-pub fn answer_fault(prompt: &str, seed: u64, max_tokens: u32, tokens: &[u32]) -> Option<String> {
-    let expected = answer_length(prompt, seed, max_tokens) as usize;
+pub fn response_defect(prompt: &str, seed: u64, max_tokens: u32, tokens: &[u32]) -> Option<String> {
+    let expected = response_length(prompt, seed, max_tokens) as usize;
     for (position, found) in tokens.iter().enumerate() {
         if *found != token(prompt, seed, position as u32, version_of(*found)) {
             return Some(format!("token {position} is not the expected one"));
@@ -64,13 +64,13 @@
 }
 
 /// Whether `tokens` are the complete response to `prompt` with any seed.
-pub fn is_whole_under_any_seed(prompt: &str, max_tokens: u32, tokens: &[u32]) -> bool {
-    (0..SEEDS).any(|seed| answer_fault(prompt, seed, max_tokens, tokens).is_none())
+pub fn is_complete_with_any_seed(prompt: &str, max_tokens: u32, tokens: &[u32]) -> bool {
+    (0..SEEDS).any(|seed| response_defect(prompt, seed, max_tokens, tokens).is_none())
 }
 
 /// The mismatch between a generation's listed versions and its tokens, if any.
-pub fn version_fault(generation: &Generation) -> Option<String> {
-    let token_versions = spans_of(&generation.tokens);
+pub fn version_defect(generation: &Generation) -> Option<String> {
+    let token_versions = version_spans(&generation.tokens);
     (token_versions != generation.versions)
         .then(|| format!("lists versions {:?}, tokens contain {token_versions:?}", generation.versions))
 }
--- a/crates/standins/src/trainer.rs
+++ b/crates/standins/src/trainer.rs
@@ -19,8 +19,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time limit of one call.
-const CALL_LIMIT: Duration = Duration::from_secs(8);
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Delay before a call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -63,7 +63,7 @@
     receipts: Vec<String>,
 }
 
-/// Once set, the trainer opens no more steps.
+/// Flag that stops a trainer: once set, it opens no more steps.
 pub type StopFlag = Rc<Cell<bool>>;
 
 struct Trainer<P, A, W> {
@@ -116,7 +116,7 @@
 
 impl<P: Runtime, A: Access, W: WeightSink> Trainer<P, A, W> {
     async fn run(&mut self, stop: &StopFlag) -> Result<(), TrainerRefusal> {
-        let state = self.call_with_retries(Call::Open).await?;
+        let state = self.call_with_retries(Call::OpenTrainer).await?;
         self.persisted.epoch = self.persisted.epoch.max(state.epoch);
         self.reconcile(&state).await;
         let mut waited = Duration::ZERO;
@@ -158,7 +158,7 @@
     async fn open_steps(&mut self, stop: &StopFlag) -> Result<(), TrainerRefusal> {
         while !stop.get() && self.persisted.opened.0 <= self.persisted.trained_steps + self.options.steps_ahead {
             let step = self.persisted.opened.next();
-            self.call_with_retries(Call::Step(step)).await?;
+            self.call_with_retries(Call::OpenStep(step)).await?;
             self.persisted.opened = step;
             self.save().await;
             self.record_step(step);
@@ -177,33 +177,33 @@
         let mut prefetch = self.start_prefetch();
         self.platform.sleep(self.options.train_time).await;
         let arrived_early = prefetch.try_recv().ok().flatten();
-        let answered = arrived_early.is_some();
-        self.receive_answer(arrived_early).await?;
+        let has_arrived = arrived_early.is_some();
+        self.receive_prefetched(arrived_early).await?;
         self.publish(waited).await?;
-        if !answered {
-            self.receive_answer(prefetch.await.ok()).await?;
+        if !has_arrived {
+            self.receive_prefetched(prefetch.await.ok()).await?;
         }
         Ok(())
     }
 
     /// Starts a fetch of samples in the background.
-    fn start_prefetch(&self) -> oneshot::Receiver<FetchAnswer> {
-        let (sender, answer) = oneshot::channel();
+    fn start_prefetch(&self) -> oneshot::Receiver<FetchResult> {
+        let (sender, receiver) = oneshot::channel();
         let (platform, access, tenant) = (self.platform.clone(), self.access.clone(), self.options.tenant.clone());
         let (relay, incarnation, cursor) = (self.relay, self.incarnation(), self.persisted.cursor);
         let limit = self.step_size() as u32;
         self.platform.spawn(async move {
             let call = access.fetch(relay, &tenant, incarnation, cursor, limit);
-            let answered = timeout(&platform, CALL_LIMIT, call).await.unwrap_or(Err(TrainerCallError::Again));
+            let fetched = timeout(&platform, CALL_TIMEOUT, call).await.unwrap_or(Err(TrainerCallError::Again));
             // The trainer may have ended.
-            let _ = sender.send(answered);
+            let _ = sender.send(fetched);
         });
-        answer
+        receiver
     }
 
-    /// Receives the batch of a prefetch, if it succeeded.
-    async fn receive_answer(&mut self, answer: Option<FetchAnswer>) -> Result<(), TrainerRefusal> {
-        match answer {
+    /// Receives the batch of a prefetch, unless the prefetch failed or has not completed.
+    async fn receive_prefetched(&mut self, prefetched: Option<FetchResult>) -> Result<(), TrainerRefusal> {
+        match prefetched {
             Some(Ok(batch)) => self.receive(batch).await,
             Some(Err(TrainerCallError::Refused(refusal))) => return Err(refusal),
             Some(Err(TrainerCallError::Again)) | None => {}
@@ -235,7 +235,7 @@
         let limit = self.step_size() as u32;
         let call =
             self.access.fetch(self.relay, &self.options.tenant, self.incarnation(), self.persisted.cursor, limit);
-        match timeout(&self.platform, CALL_LIMIT, call).await {
+        match timeout(&self.platform, CALL_TIMEOUT, call).await {
             Some(Ok(batch)) => self.receive(batch).await,
             Some(Err(TrainerCallError::Refused(refusal))) => return Err(refusal),
             Some(Err(TrainerCallError::Again)) | None => {
@@ -280,17 +280,17 @@
             sample: delivered.sample.clone(),
             oldest: versions.min().unwrap_or_default(),
             published: self.persisted.published,
-            fault: self.sample_fault(delivered),
+            fault: self.sample_defect(delivered),
         }
     }
 
-    fn sample_fault(&self, delivered: &DeliveredSample) -> Option<String> {
+    fn sample_defect(&self, delivered: &DeliveredSample) -> Option<String> {
         let sample = &delivered.sample;
         let generation = &delivered.payload.generation;
         let prompt = sample_prompt(&sample.tenant, sample.step, sample.prompt);
-        let is_complete = tokens::is_whole_under_any_seed(&prompt, self.options.max_tokens, &generation.tokens);
-        let token_fault = (!is_complete).then(|| "the tokens are not a complete response to the prompt".to_string());
-        token_fault.or_else(|| tokens::version_fault(generation))
+        let is_complete = tokens::is_complete_with_any_seed(&prompt, self.options.max_tokens, &generation.tokens);
+        let token_defect = (!is_complete).then(|| "the tokens are not a complete response to the prompt".to_string());
+        token_defect.or_else(|| tokens::version_defect(generation))
     }
 
     fn incarnation(&self) -> Incarnation {
@@ -310,7 +310,7 @@
 
     async fn call_with_retries(&mut self, call: Call) -> Result<TrainerState, TrainerRefusal> {
         loop {
-            match timeout(&self.platform, CALL_LIMIT, self.call(&call)).await {
+            match timeout(&self.platform, CALL_TIMEOUT, self.call(&call)).await {
                 Some(Ok(state)) => return Ok(state),
                 Some(Err(TrainerCallError::Refused(refusal))) if refusal != TrainerRefusal::UnknownTenant => {
                     return Err(refusal);
@@ -327,8 +327,8 @@
         let tenant = &self.options.tenant;
         let incarnation = self.incarnation();
         match call {
-            Call::Open => self.access.open_trainer(self.relay, tenant, incarnation).await,
-            Call::Step(step) => {
+            Call::OpenTrainer => self.access.open_trainer(self.relay, tenant, incarnation).await,
+            Call::OpenStep(step) => {
                 let request = StepRequest {
                     step: *step,
                     prompts: (0..self.options.prompts).map(|prompt| sample_prompt(tenant, *step, prompt)).collect(),
@@ -344,10 +344,10 @@
     }
 }
 
-type FetchAnswer = Result<DeliveryBatch, TrainerCallError>;
+type FetchResult = Result<DeliveryBatch, TrainerCallError>;
 
 enum Call {
-    Open,
-    Step(StepNumber),
+    OpenTrainer,
+    OpenStep(StepNumber),
     Publish(WeightVersion),
 }
