--- a/crates/fleet/src/ports.rs
+++ b/crates/fleet/src/ports.rs
@@ -14,10 +14,10 @@
 const PORT_COUNT: u16 = 22_000;
 
 /// Minimum block size; blocks of equal size never overlap.
-const MINIMUM_BLOCK_SIZE: usize = 64;
+const MIN_BLOCK_SIZE: usize = 64;
 
 /// Blocks tried before the allocation fails.
-const MAXIMUM_ATTEMPTS: u32 = 200;
+const MAX_ATTEMPTS: u32 = 200;
 
 /// A block of ports that is reserved until it is dropped.
 pub struct PortBlock {
@@ -31,7 +31,7 @@
     pub fn allocate(count: usize) -> Result<Self> {
         let size = block_size(count);
         let blocks = PORT_COUNT / size;
-        for _ in 0..MAXIMUM_ATTEMPTS {
+        for _ in 0..MAX_ATTEMPTS {
             let first_port = FIRST_PORT + fastrand::u16(..blocks) * size;
             if let Some(block) = try_block(first_port, size, count) {
                 return Ok(block);
@@ -43,7 +43,7 @@
 
 /// The size of a block with `count` ports and the lock port: a power of two.
 fn block_size(count: usize) -> u16 {
-    (count + 1).next_power_of_two().max(MINIMUM_BLOCK_SIZE) as u16
+    (count + 1).next_power_of_two().max(MIN_BLOCK_SIZE) as u16
 }
 
 fn try_block(first_port: u16, size: u16, count: usize) -> Option<PortBlock> {
--- a/crates/fleet/src/scale/mod.rs
+++ b/crates/fleet/src/scale/mod.rs
@@ -52,7 +52,7 @@
     let relays = [50, 100, 200, 390].map(|relays| Size { relays, ..base() });
     let engines = [200, 400, 800, 1500].map(|engines| Size { engines, weights: true, ..base() });
     let claims = [100, 200, 400, 800].map(|claims_per_second| Size { claims_per_second, ..base() });
-    let answers = [24, 200, 600, 1200].map(|answer_tokens| Size { claims_per_second: 100, answer_tokens, ..base() });
+    let responses = [24, 200, 600, 1200].map(|answer_tokens| Size { claims_per_second: 100, answer_tokens, ..base() });
     let combined =
         [100, 200, 300, 390].map(|relays| Size { relays, engines: relays * 1500 / 390, weights: true, ..base() });
     vec![
@@ -81,7 +81,7 @@
             name: "answers",
             along: "tokens",
             planned: PLANNED_REQUESTS,
-            sizes: answers.to_vec(),
+            sizes: responses.to_vec(),
             varied: |size| f64::from(size.answer_tokens),
         },
         Series {
--- a/crates/layouts/src/level_one/gateway.rs
+++ b/crates/layouts/src/level_one/gateway.rs
@@ -87,7 +87,7 @@
     ReadRetirement(String),
 }
 
-/// A relay's poll for newer state; only the leader answers it.
+/// A relay's poll for newer state; only the leader replies to it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct FollowRequest {
     /// The relay.
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -109,7 +109,7 @@
             state.leader = None;
             self.reset_election_timer(&mut state);
             drop(state);
-            self.inner.changed.notify();
+            self.inner.state_changed.notify();
         }
     }
 
@@ -278,7 +278,7 @@
         state.leader = None;
         state.become_follower();
         drop(state);
-        self.inner.changed.notify();
+        self.inner.state_changed.notify();
     }
 
     /// Handles a vote request; `candidate_last` is the term and index of the candidate's last entry.
@@ -290,7 +290,7 @@
         candidate_last: (u64, u64),
     ) -> ReplicaReply {
         let mut storage = self.inner.storage.lock().await;
-        let refusal = {
+        let negative_reply = {
             let state = self.inner.state.borrow();
             let now = self.inner.platform.monotonic();
             let leaderless = self.is_leader_silent(&state) && state.leadership().is_none();
@@ -322,8 +322,8 @@
             }
             refusal.map(|_| ReplicaReply::Vote { term: state.term, granted: false })
         };
-        if let Some(refusal) = refusal {
-            return refusal;
+        if let Some(reply) = negative_reply {
+            return reply;
         }
         if pre_vote {
             return ReplicaReply::Vote { term: header.term, granted: true };
@@ -344,6 +344,6 @@
         state.set_term(term, Some(candidate));
         self.reset_election_timer(&mut state);
         drop(state);
-        self.inner.changed.notify();
+        self.inner.state_changed.notify();
     }
 }
--- a/crates/replication/src/follower.rs
+++ b/crates/replication/src/follower.rs
@@ -92,13 +92,13 @@
             return ReplicaReply::Rejected;
         }
         let mut records = new_term_record(header.term, own_term);
-        let last_sent = previous_index + entries.len() as u64;
-        let checked = {
+        let last_sent_index = previous_index + entries.len() as u64;
+        let log_match = {
             let mut state = self.inner.state.borrow_mut();
             self.record_leader_contact(&mut state, &header);
             missing_entries(&state, previous_index, previous_term, entries)
         };
-        if let Ok(missing) = &checked {
+        if let Ok(missing) = &log_match {
             records.extend(missing.iter().cloned().map(WalRecord::Entry));
         }
         if !records.is_empty() && storage.append(&records).await.is_err() {
@@ -107,11 +107,11 @@
         }
         let mut state = self.inner.state.borrow_mut();
         enter_term(&mut state, &header);
-        match checked {
+        match log_match {
             Err(index) => ReplicaReply::Append { term: header.term, accepted: false, index },
             Ok(missing) => {
-                append_missing(&mut state, missing, last_sent, commit);
-                ReplicaReply::Append { term: header.term, accepted: true, index: last_sent }
+                append_missing(&mut state, missing, last_sent_index, commit);
+                ReplicaReply::Append { term: header.term, accepted: true, index: last_sent_index }
             }
         }
     }
@@ -131,7 +131,7 @@
         self.record_leader_contact(&mut self.inner.state.borrow_mut(), &header);
         let source = SnapshotSource { leader: header.from, term: header.term, index: part.index, level };
         {
-            let mut incoming = self.inner.incoming.borrow_mut();
+            let mut incoming = self.inner.incoming_snapshot.borrow_mut();
             let received = incoming.get_or_insert_default();
             received.add_part(source, &part);
             match received.decode_if_complete(source, &part) {
@@ -152,7 +152,7 @@
     /// Installs the complete snapshot, or starts fetching missing segments.
     async fn install_or_fetch(&self, header: Header) -> ReplicaReply {
         let snapshot = {
-            let mut incoming = self.inner.incoming.borrow_mut();
+            let mut incoming = self.inner.incoming_snapshot.borrow_mut();
             let missing = incoming.as_ref().map(|received| received.missing_segments(&self.inner.segments.borrow()));
             if missing.is_some_and(|missing| !missing.is_empty()) {
                 drop(incoming);
@@ -279,17 +279,17 @@
     if previous_index >= base && state.log.term_at(previous_index) != Some(previous_term) {
         return Err(previous_index.saturating_sub(1).min(state.commit.max(base)));
     }
-    let is_present = |entry: &LogEntry| entry.index <= base || state.log.term_at(entry.index) == Some(entry.term);
-    let first_missing = entries.iter().position(|entry| !is_present(entry));
+    let is_in_log = |entry: &LogEntry| entry.index <= base || state.log.term_at(entry.index) == Some(entry.term);
+    let first_missing = entries.iter().position(|entry| !is_in_log(entry));
     Ok(first_missing.map_or_else(Vec::new, |first| entries[first..].to_vec()))
 }
 
-fn append_missing<S: StateMachine>(state: &mut State<S>, missing: Vec<LogEntry>, last_sent: u64, commit: u64) {
+fn append_missing<S: StateMachine>(state: &mut State<S>, missing: Vec<LogEntry>, last_sent_index: u64, commit: u64) {
     for entry in missing {
         assert!(entry.index > state.commit, "a committed entry is never replaced");
         state.synced = entry.index;
         state.log.push(entry);
     }
-    state.commit = state.commit.max(commit.min(last_sent));
+    state.commit = state.commit.max(commit.min(last_sent_index));
     state.apply_committed();
 }
--- a/crates/replication/src/leader.rs
+++ b/crates/replication/src/leader.rs
@@ -142,7 +142,7 @@
         if records.is_empty() {
             return;
         }
-        self.inner.changed.notify();
+        self.inner.state_changed.notify();
         if storage.append(&records).await.is_err() {
             self.fail_storage();
             return;
@@ -185,7 +185,7 @@
         let mut snapshot_transfer = None;
         let mut size = MessageSize::default();
         loop {
-            let change_count = self.inner.changed.count();
+            let change_count = self.inner.state_changed.count();
             let Some(request) = self.next_message(&peer, term, size, &mut snapshot_transfer).await else {
                 return;
             };
@@ -231,7 +231,7 @@
             };
             if !has_more {
                 let pause = self.inner.platform.sleep(config.heartbeat_interval);
-                future::select(pin!(self.inner.changed.changed(change_count)), pin!(pause)).await;
+                future::select(pin!(self.inner.state_changed.changed(change_count)), pin!(pause)).await;
             }
         }
     }
@@ -325,7 +325,7 @@
 
     /// Snapshot to send. Reuses the one that is being sent to another peer if the log still continues from it.
     fn outgoing_snapshot(&self, state: &State<S>) -> Rc<Snapshot> {
-        let mut outgoing = self.inner.outgoing.borrow_mut();
+        let mut outgoing = self.inner.outgoing_snapshot.borrow_mut();
         let shared = outgoing.upgrade().filter(|snapshot| snapshot.header.index >= state.log.base_index());
         shared.unwrap_or_else(|| {
             let snapshot = Rc::new(state.snapshot());
--- a/crates/replication/src/leadership_offer.rs
+++ b/crates/replication/src/leadership_offer.rs
@@ -1,10 +1,10 @@
 //! Leadership offers: a leader with bad links transfers leadership to a voter that reaches the others better.
 //!
-//! A leader whose links lose packets may still keep its lease, and every write is then slow. The leader cannot tell
-//! whether a successor would do better, so both sides measure. A voter whose leader's appends are overdue probes all
-//! voters. If it reaches a quorum promptly without the leader, its link to the leader is bad, and a quorum would vote
-//! for it, it sends an offer. The leader then probes the voters itself and transfers leadership only if it does not
-//! reach a quorum promptly.
+//! A leader whose links lose packets may still keep its lease, and every write is then slow. The leader alone cannot
+//! determine whether a successor would do better, so both sides measure. A voter whose leader's appends are overdue
+//! probes all voters. If it reaches a quorum promptly without the leader, its link to the leader is bad, and a quorum
+//! would vote for it, it sends an offer. The leader then probes the voters itself and transfers leadership only if it
+//! does not reach a quorum promptly.
 //!
 //! An offer is a pre-vote request with `transfer` set. Older builds reply to it as to any pre-vote and ignore the
 //! offer.
--- a/crates/replication/src/leadership_transfer.rs
+++ b/crates/replication/src/leadership_transfer.rs
@@ -87,7 +87,7 @@
         state.become_follower();
         state.leader = None;
         drop(state);
-        self.inner.changed.notify();
+        self.inner.state_changed.notify();
         true
     }
 
--- a/crates/replication/src/link_probe.rs
+++ b/crates/replication/src/link_probe.rs
@@ -1,7 +1,7 @@
 //! Link probes, which measure for about a second how well this replica reaches each voter.
 //!
-//! A replica with a bad link to a peer cannot tell which end causes it. The probes show whether its links to the other
-//! voters are better.
+//! A replica with a bad link to a peer cannot determine which end causes it. The probes show whether its links to the
+//! other voters are better.
 
 use crate::calls::Channel;
 use crate::membership::Member;
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -136,13 +136,13 @@
 
     /// Index up to which entries must be removed to leave at most `bytes` in memory.
     pub fn excess_end(&self, bytes: u64) -> u64 {
-        let mut left = self.bytes;
+        let mut remaining_bytes = self.bytes;
         let mut index = self.base_index;
         for entry in &self.entries {
-            if left <= bytes {
+            if remaining_bytes <= bytes {
                 break;
             }
-            left -= entry.payload.size();
+            remaining_bytes -= entry.payload.size();
             index = entry.index;
         }
         index
--- a/crates/replication/src/maintenance.rs
+++ b/crates/replication/src/maintenance.rs
@@ -108,7 +108,7 @@
         state.become_follower();
         spdlog::warn!("disk write failed, replica suspended", kv: { dependency = "disk", term = state.term, synced = state.synced });
         drop(state);
-        self.inner.changed.notify();
+        self.inner.state_changed.notify();
     }
 
     /// Rewrites the log with the entries that are known to be synced or committed: other replicas may have committed
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -57,7 +57,7 @@
         /// The part.
         part: SnapshotPart,
     },
-    /// Reads a segment; any replica may answer.
+    /// Reads a segment; any replica may reply.
     ReadSegment {
         /// Sender and receiver.
         header: Header,
@@ -76,7 +76,7 @@
         /// Listen address of the joining replica.
         address: SocketAddr,
     },
-    /// Heartbeat while a larger message is in flight; answered without disk access.
+    /// Heartbeat while a larger message is in flight; the receiver replies without disk access.
     Heartbeat {
         /// Sender and receiver.
         header: Header,
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -78,8 +78,8 @@
     pub segment_files: Mutex<()>,
     pub proposals: RefCell<mpsc::Sender<Proposal<S::Outcome>>>,
     proposal_queue: RefCell<Option<mpsc::Receiver<Proposal<S::Outcome>>>>,
-    /// Notified on new entries, a leadership change or a new membership.
-    pub changed: Signal,
+    /// Wakes the tasks that replicate to peers, on new entries and when this leader steps down.
+    pub state_changed: Signal,
     /// Connections to other replicas, by channel and address.
     pub clients: RefCell<BTreeMap<(Channel, SocketAddr), Client<P>>>,
     /// Replicas that must be removed from the group or kept out of it.
@@ -89,9 +89,9 @@
     /// Whether a task is fetching missing segments.
     pub fetching: Cell<bool>,
     /// Snapshot that is being received.
-    pub incoming: RefCell<Option<IncomingSnapshot>>,
+    pub incoming_snapshot: RefCell<Option<IncomingSnapshot>>,
     /// Snapshot that is being sent; shared by peers that need one at the same time.
-    pub outgoing: RefCell<Weak<Snapshot>>,
+    pub outgoing_snapshot: RefCell<Weak<Snapshot>>,
     /// Addresses of replicas learned from other replicas or from callers.
     pub discovered_addresses: RefCell<BTreeSet<SocketAddr>>,
     /// Sender of the last leader announcement, and when it was received.
@@ -185,13 +185,13 @@
             segment_files: Mutex::new(()),
             proposals: RefCell::new(proposals),
             proposal_queue: RefCell::new(Some(proposal_queue)),
-            changed: Signal::default(),
+            state_changed: Signal::default(),
             clients: RefCell::default(),
             excluded_replicas: RefCell::default(),
             segments: RefCell::new(segments),
             fetching: Cell::default(),
-            incoming: RefCell::default(),
-            outgoing: RefCell::default(),
+            incoming_snapshot: RefCell::default(),
+            outgoing_snapshot: RefCell::default(),
             discovered_addresses: RefCell::default(),
             announced_leader: Cell::default(),
             excluded_at: Cell::default(),
--- a/crates/replication/src/segment_fetch.rs
+++ b/crates/replication/src/segment_fetch.rs
@@ -59,7 +59,7 @@
     /// or the replica is stopping.
     fn fetch_plan(&self) -> Option<(Vec<Segment>, Vec<Member>)> {
         let state = self.inner.state.borrow();
-        let incoming = self.inner.incoming.borrow();
+        let incoming = self.inner.incoming_snapshot.borrow();
         let received = incoming.as_ref().filter(|_| !state.storage_failed && !state.stopping)?;
         let mut missing = received.missing_segments(&self.inner.segments.borrow());
         missing.truncate(MAX_CONCURRENT_FETCHES);
--- a/crates/replication/src/segments.rs
+++ b/crates/replication/src/segments.rs
@@ -119,8 +119,8 @@
     /// Removes files of segments that are no longer needed for a snapshot with the segments `kept`. Segments of a
     /// snapshot that is being sent are kept until a later call.
     pub(crate) async fn remove_obsolete_segments(&self, kept: &[Segment]) {
-        let sent = self.inner.outgoing.borrow().upgrade();
-        let being_sent = sent.as_ref().map_or(&[][..], |snapshot| &snapshot.header.segments);
+        let outgoing = self.inner.outgoing_snapshot.borrow().upgrade();
+        let being_sent = outgoing.as_ref().map_or(&[][..], |snapshot| &snapshot.header.segments);
         let obsolete = self.inner.segments.borrow().obsolete(kept, being_sent);
         for number in obsolete {
             if let Err(error) = self.inner.platform.disk().remove(&file_name(number)).await {
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -327,8 +327,8 @@
     let Some(bytes) = disk.read(SNAPSHOT_FILE).await? else {
         return Ok(None);
     };
-    let damaged = StorageError::Corrupt { file: SNAPSHOT_FILE, offset: 0 };
-    let snapshot = format.decode_snapshot(bytes).ok_or(damaged)?;
+    let corrupt = StorageError::Corrupt { file: SNAPSHOT_FILE, offset: 0 };
+    let snapshot = format.decode_snapshot(bytes).ok_or(corrupt)?;
     for segment in &snapshot.header.segments {
         if !segment.is_stored(disk).await? {
             return Err(StorageError::MissingSegment { number: segment.number });
--- a/crates/types/src/gateway.rs
+++ b/crates/types/src/gateway.rs
@@ -116,7 +116,7 @@
     pub routing_version: Option<u64>,
     /// Revision of the instance table in use.
     pub instance_revision: u64,
-    /// Whether a follower may answer, because the leader has redirected the relay to it.
+    /// Whether a follower may reply, because the leader has redirected the relay to it.
     pub at_follower: bool,
     /// Incarnation of the relay process.
     pub incarnation: Incarnation,
--- a/crates/types/src/protocol.rs
+++ b/crates/types/src/protocol.rs
@@ -44,7 +44,7 @@
     NotLeader {
         /// The leader's address, if known.
         leader: Option<SocketAddr>,
-        /// If the leader is unknown, addresses of other replicas, the most likely to know it first.
+        /// If the leader is unknown, addresses of other replicas, in the order in which to try them.
         peers: Vec<SocketAddr>,
     },
     /// The outcome is unknown: the command may still be committed.
--- a/crates/types/src/request.rs
+++ b/crates/types/src/request.rs
@@ -98,7 +98,8 @@
     KeySealed,
     /// The engine failed while the request ran.
     EngineFailed,
-    /// Engine processes terminated while running the same request, which is now held back or quarantined.
+    /// Engine processes terminated while running the same request, which is now paused, waits for a trial lease, or is
+    /// quarantined.
     EnginesEnded,
     /// The control group did not commit a decision in time; resend with the same key.
     Undecided,
--- a/crates/types/src/suspicion.rs
+++ b/crates/types/src/suspicion.rs
@@ -74,7 +74,7 @@
     pub number: u64,
 }
 
-/// A trial lease, as its holder knows it.
+/// Identifies a trial lease: the request and the attempt that holds the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct HeldTrial {
     /// Digest of the request.
