--- a/crates/checker/src/measures.rs
+++ b/crates/checker/src/measures.rs
@@ -11,13 +11,13 @@
 pub struct Percentiles {
     /// Number of values.
     pub count: u64,
-    /// Median.
+    /// Median, in milliseconds.
     pub p50: u64,
-    /// 95th percentile.
+    /// 95th percentile, in milliseconds.
     pub p95: u64,
-    /// 99th percentile.
+    /// 99th percentile, in milliseconds.
     pub p99: u64,
-    /// Maximum.
+    /// Maximum, in milliseconds.
     pub max: u64,
 }
 
--- a/crates/checker/src/record.rs
+++ b/crates/checker/src/record.rs
@@ -102,7 +102,7 @@
         sends: u32,
         /// Number of sends that ended without a final response.
         broken: u32,
-        /// Milliseconds from the first send to the first token.
+        /// Milliseconds from the first send to the first token; to the complete response if the request was retried.
         first_token_after: Option<u64>,
         /// The final outcome.
         result: CallerResult,
--- a/crates/checker/src/report.rs
+++ b/crates/checker/src/report.rs
@@ -34,9 +34,9 @@
 /// One violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Violation {
-    /// The invariant.
+    /// The violated invariant.
     pub promise: Promise,
-    /// What was observed.
+    /// Human-readable description of what was observed.
     pub detail: String,
 }
 
--- a/crates/fleet/src/bench.rs
+++ b/crates/fleet/src/bench.rs
@@ -29,7 +29,6 @@
 /// Number of tenants in the measurement of key lookups.
 const TENANTS: usize = 5_000;
 
-/// Keys per tenant.
 const KEYS_PER_TENANT: usize = 3;
 
 /// Number of timed key lookups.
--- a/crates/fleet/src/command_line.rs
+++ b/crates/fleet/src/command_line.rs
@@ -17,7 +17,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Help text.
+/// Output of `--help`.
 pub const HELP: &str = "\
 saddlerelay-fleet: runs a whole deployment as processes on this machine
 
--- a/crates/fleet/src/experiment/mod.rs
+++ b/crates/fleet/src/experiment/mod.rs
@@ -52,9 +52,9 @@
 /// The results of one policy on one deployment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// The policy.
+    /// Name of the routing policy.
     pub policy: String,
     /// Time that the trainer spent waiting for samples, in percent.
     pub idle: Spread,
@@ -86,7 +86,7 @@
     violations: usize,
 }
 
-/// Runs the experiment.
+/// Runs every policy on both deployments with every seed; fails if a run fails.
 pub fn run(experiment: &Experiment) -> Result<Vec<Row>> {
     let mut runs = Vec::new();
     for deployment in 0..DEPLOYMENTS.len() {
--- a/crates/fleet/src/faults.rs
+++ b/crates/fleet/src/faults.rs
@@ -23,7 +23,7 @@
 /// A fleet shared by the run and its fault tasks.
 pub type SharedFleet = Rc<RefCell<Fleet>>;
 
-/// What the injection of faults needs.
+/// Fleet, clock, recorder and operator that the fault tasks use.
 #[derive(Clone)]
 pub struct FaultContext {
     /// The fleet.
--- a/crates/fleet/src/launch.rs
+++ b/crates/fleet/src/launch.rs
@@ -21,7 +21,7 @@
 /// Polling interval during the start.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A running deployment.
+/// A running deployment. Its processes are killed when it is dropped.
 pub struct Fleet {
     /// Addresses and files of the processes.
     pub plan: Plan,
--- a/crates/fleet/src/process.rs
+++ b/crates/fleet/src/process.rs
@@ -48,7 +48,7 @@
     pub name: String,
     /// The executable.
     pub executable: PathBuf,
-    /// The program.
+    /// The program that the executable runs.
     pub program: Program,
     /// Arguments after the subcommand.
     pub arguments: Vec<String>,
@@ -64,7 +64,7 @@
 }
 
 impl RunningChild {
-    /// Starts a child.
+    /// Starts a child; fails if its output file cannot be opened or the process cannot be spawned.
     pub fn start(spec: &ChildSpec) -> Result<Self> {
         let output = File::options().create(true).append(true).open(&spec.output);
         let output = output.with_context(|| format!("cannot write {}", spec.output.display()))?;
--- a/crates/replication/src/adaptive_timeout.rs
+++ b/crates/replication/src/adaptive_timeout.rs
@@ -15,7 +15,7 @@
 /// Upper bound of the failure count.
 const MAX_FAILURES: u32 = TOLERATED_FAILURES + MAX_DOUBLINGS * FAILURES_PER_DOUBLING;
 
-/// Maximum number of doublings.
+/// Maximum number of doublings, which limits the factor to 8.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// A term is not a failure if its leader was in contact over at least this many election timeouts.
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -44,7 +44,7 @@
         previous_index: u64,
         /// Term of the entry before the first.
         previous_term: u64,
-        /// The entries.
+        /// Consecutive entries after `previous_index`; empty for a heartbeat.
         entries: Vec<LogEntry>,
         /// The leader's commit index.
         commit: u64,
@@ -54,7 +54,7 @@
     SnapshotPart {
         /// Sender and receiver.
         header: Header,
-        /// The part.
+        /// The part, with its offset in the encoded snapshot.
         part: SnapshotPart,
     },
     /// Reads a segment; any replica may reply.
@@ -126,7 +126,7 @@
     },
     /// Content of a segment.
     Segment(Vec<u8>),
-    /// The request was accepted.
+    /// The join request, announcement or request to take over was accepted.
     Accepted,
     /// Reply to a join request by a replica that is not the leader: addresses of the group's replicas.
     Members(Vec<SocketAddr>),
--- a/crates/replication/src/segments.rs
+++ b/crates/replication/src/segments.rs
@@ -15,7 +15,7 @@
 use std::io;
 use std::rc::Rc;
 
-/// Describes a segment.
+/// Metadata of a segment, included in snapshots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Segment {
     /// Sequence number in the order of sealing.
@@ -27,7 +27,7 @@
 }
 
 impl Segment {
-    /// Describes a segment with the content `bytes`.
+    /// Metadata of a segment with the content `bytes`.
     pub fn of(number: u64, bytes: &[u8]) -> Self {
         Self { number, bytes: bytes.len() as u64, checksum: crc32fast::hash(bytes) }
     }
--- a/crates/replication/src/storage.rs
+++ b/crates/replication/src/storage.rs
@@ -190,7 +190,7 @@
         Ok((storage, recovered))
     }
 
-    /// Writes the identity.
+    /// Replaces the identity file, atomically and durably.
     pub async fn write_identity(&mut self, identity: Identity) -> Result<(), StorageError> {
         let bytes = wal::frame(&bitcode::encode(&identity));
         Ok(self.disk.replace(IDENTITY_FILE, bytes).await?)
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -19,7 +19,7 @@
 /// Delay after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Handles requests.
+/// Handles the requests that a server receives.
 pub trait Handler: 'static {
     /// Returns the response to the request `body`, or `None` to close the connection. Both are encoded at `level`.
     fn handle(self: Rc<Self>, level: FeatureLevel, body: Vec<u8>) -> impl Future<Output = Option<Vec<u8>>> + 'static;
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -96,9 +96,9 @@
     fn random(&self) -> u64;
     /// Connects to a peer.
     async fn connect(&self, address: SocketAddr) -> io::Result<(Self::Sender, Self::Receiver)>;
-    /// Listens for peers.
+    /// Listens for connections from peers.
     async fn listen(&self, address: SocketAddr) -> io::Result<Self::Listener>;
-    /// The process's disk.
+    /// Files in the process's data folder.
     fn disk(&self) -> Self::Disk;
 
     /// Traffic with peers so far; zero on platforms that do not count it.
--- a/crates/runtime/src/signal.rs
+++ b/crates/runtime/src/signal.rs
@@ -32,7 +32,7 @@
         self.waiting.borrow().len()
     }
 
-    /// Wakes every waiter.
+    /// Increments the count and wakes every waiter.
     pub fn notify(&self) {
         self.count.set(self.count.get() + 1);
         let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
--- a/crates/scenarios/src/deployment.rs
+++ b/crates/scenarios/src/deployment.rs
@@ -89,7 +89,7 @@
 pub struct Deployment {
     /// Its name.
     pub name: String,
-    /// Its zones.
+    /// Names of its zones, over which the processes are spread.
     pub zones: Vec<String>,
     /// One-way latency between zones.
     pub zone_delay: Duration,
@@ -101,7 +101,7 @@
     pub relays: u32,
     /// Groups of engines, each spread over the zones.
     pub engines: Vec<EngineGroup>,
-    /// Tenants.
+    /// Its tenants, with their load.
     pub tenants: Vec<TenantLoad>,
     /// Time that the weight store takes for one fetch; fetches are serialized.
     pub fetch_time: Duration,
--- a/crates/scenarios/src/trace.rs
+++ b/crates/scenarios/src/trace.rs
@@ -133,7 +133,7 @@
     SetStaleness {
         /// The tenant's index.
         tenant: u32,
-        /// The new bound.
+        /// The new bound, in weight versions.
         bound: u64,
     },
 }
@@ -180,7 +180,7 @@
 pub struct Scenario {
     /// Its name.
     pub name: String,
-    /// Description.
+    /// Description, shown by `--list`.
     pub about: String,
     /// The deployment's name.
     pub deployment: String,
@@ -208,12 +208,12 @@
 }
 
 impl Scenario {
-    /// Parses a trace.
+    /// Parses the TOML text of a trace.
     pub fn parse(text: &str) -> Result<Self, toml::de::Error> {
         toml::from_str(text)
     }
 
-    /// Formats a trace.
+    /// Formats the scenario as the TOML text of a trace.
     pub fn write(&self) -> Result<String, toml::ser::Error> {
         toml::to_string_pretty(self)
     }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -51,7 +51,7 @@
     pub queue_limit: usize,
 }
 
-/// Injectable faults.
+/// Faults to inject into an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineFaults {
     /// Factor on the time per token; 0 counts as 1.
--- a/crates/standins/src/http/process.rs
+++ b/crates/standins/src/http/process.rs
@@ -23,7 +23,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Help text.
+/// Output of `--help`.
 pub const HELP: &str = "\
 saddlerelay-standin: stand-ins for the systems around saddlerelay
 
--- a/crates/standins/src/operators.rs
+++ b/crates/standins/src/operators.rs
@@ -33,10 +33,10 @@
 
 const PROBE_PREFIX: &str = "probe-";
 
-/// An operator.
+/// An operator, who changes the configuration through the administration API.
 #[derive(Clone)]
 pub struct Operator<P, A> {
-    /// The runtime.
+    /// Runtime that provides the clock, timers and random numbers.
     pub platform: P,
     /// Client for the administration API.
     pub access: A,
--- a/crates/standins/src/recorder.rs
+++ b/crates/standins/src/recorder.rs
@@ -15,7 +15,7 @@
         Self { sink: Rc::new(sink) }
     }
 
-    /// Writes a record.
+    /// Passes `record` to the sink.
     pub fn record(&self, record: Record) {
         (self.sink)(record);
     }
--- a/crates/types/src/configuration.rs
+++ b/crates/types/src/configuration.rs
@@ -148,7 +148,7 @@
     pub parameters: BTreeMap<ParameterName, ParameterRule>,
 }
 
-/// A tenant's values.
+/// A tenant's configuration: its template and parameter values.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
@@ -163,7 +163,7 @@
 pub struct ParameterError {
     /// The tenant whose values a template change would make invalid.
     pub tenant: Option<TenantId>,
-    /// The parameter.
+    /// The parameter whose value or rule is invalid.
     pub parameter: ParameterName,
     /// Human-readable reason.
     pub reason: String,
--- a/crates/types/src/gateway.rs
+++ b/crates/types/src/gateway.rs
@@ -140,7 +140,7 @@
 /// A relay's wall clock.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RelayClock {
-    /// The relay.
+    /// The relay's name.
     pub relay: String,
     /// The relay's wall clock when the follower forwarded it, in Unix milliseconds.
     pub unix_ms: u64,
@@ -201,7 +201,7 @@
     },
     /// A page of a job's results.
     Results(ResultPage),
-    /// An item's body.
+    /// The request body of an item.
     Body(Vec<u8>),
     /// The named object does not exist.
     NotFound,
@@ -266,11 +266,11 @@
         /// Instances whose reports have resumed.
         resumed: Vec<InstanceId>,
     },
-    /// Removes an instance.
+    /// Deregisters an instance.
     RemoveInstance(InstanceId),
     /// Records a published weight version of a model.
     PublishVersion(LoadedModel),
-    /// Stores a job.
+    /// Stores a submitted job.
     SubmitJob {
         /// The job.
         job: JobSubmission,
@@ -291,7 +291,7 @@
         /// Outcomes of items; an outcome of an item that is already listed is ignored.
         outcomes: Vec<ItemOutcome>,
     },
-    /// Cancels a job.
+    /// Cancels a job; its items are no longer run.
     EndJob(JobId),
     /// Registers a machine that stores the control group's data.
     RegisterStore(StoreRecord),
--- a/crates/types/src/instance.rs
+++ b/crates/types/src/instance.rs
@@ -65,7 +65,7 @@
     pub slots: u32,
     /// Whether it is draining and accepts no new work.
     pub leaving: bool,
-    /// Loaded models.
+    /// Loaded models, with their weight versions.
     pub models: Vec<LoadedModel>,
     /// Increases with each report of an instance; used to discard reports that arrive out of order.
     pub sequence: u64,
--- a/crates/types/src/job.rs
+++ b/crates/types/src/job.rs
@@ -33,7 +33,7 @@
     pub minimum_version: u64,
     /// Number of complete groups that the trainer waits for.
     pub wanted_groups: u32,
-    /// The items.
+    /// Its generation requests.
     pub items: Vec<JobItem>,
 }
 
@@ -163,7 +163,7 @@
     pub item: u32,
     /// Byte offset of the chunk; stored text beyond it is replaced.
     pub offset: u64,
-    /// The bytes.
+    /// Event data of the chunk.
     pub data: Vec<u8>,
     /// Number of events in the text including this chunk.
     pub events: u32,
--- a/crates/types/src/protocol.rs
+++ b/crates/types/src/protocol.rs
@@ -178,7 +178,7 @@
         tenant: TenantId,
         /// The trainer's incarnation.
         incarnation: Incarnation,
-        /// The step.
+        /// The step's number, prompts and group size.
         request: StepRequest,
     },
     /// Acknowledges samples up to the cursor and fetches the samples after it.
@@ -187,7 +187,7 @@
         tenant: TenantId,
         /// The trainer's incarnation.
         incarnation: Incarnation,
-        /// The last position received.
+        /// Position of the last sample that the trainer has received.
         cursor: Position,
         /// Maximum number of samples to return.
         limit: u32,
@@ -200,7 +200,7 @@
         incarnation: Incarnation,
         /// The version, higher than any before.
         version: WeightVersion,
-        /// The last position received.
+        /// Position of the last sample that the trainer has received.
         cursor: Position,
     },
     /// Assigns pending samples to a relay.
@@ -212,7 +212,7 @@
         /// Maximum number of samples to assign.
         limit: u32,
     },
-    /// Completes a sample.
+    /// Completes a sample; discarded unless `attempt` is the sample's current attempt.
     Complete {
         /// The sample.
         sample: SampleId,
@@ -323,7 +323,7 @@
 /// The leader's view of the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct GroupView {
-    /// The term.
+    /// The leader's term.
     pub term: u64,
     /// The leader.
     pub leader: ReplicaId,
@@ -340,7 +340,7 @@
     pub id: ReplicaId,
     /// Its address.
     pub address: SocketAddr,
-    /// Whether it votes.
+    /// Whether it is a voter; otherwise it is a learner.
     pub voter: bool,
     /// The match index: the last log index known to be replicated to it.
     pub matched: u64,
--- a/crates/types/src/rollout.rs
+++ b/crates/types/src/rollout.rs
@@ -9,7 +9,7 @@
 /// Stable identifier of a sample, determined by tenant, step, prompt and group member.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize)]
 pub struct SampleId {
-    /// The tenant.
+    /// The tenant whose trainer requested it.
     pub tenant: TenantId,
     /// The step that requested it.
     pub step: StepNumber,
@@ -30,7 +30,7 @@
 pub struct StepRequest {
     /// The step's number; a repeated number marks a resend.
     pub step: StepNumber,
-    /// The prompts.
+    /// The prompt texts; `group_size` samples are generated for each.
     pub prompts: Vec<String>,
     /// Number of samples per prompt.
     pub group_size: u32,
@@ -38,7 +38,7 @@
     pub max_tokens: u32,
 }
 
-/// A finished sample.
+/// Content of a finished sample: the response and its reward.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct SamplePayload {
     /// The generated response.
--- a/crates/types/src/suspicion.rs
+++ b/crates/types/src/suspicion.rs
@@ -27,7 +27,7 @@
 pub struct EngineLoss {
     /// Digest of the request.
     pub work: WorkDigest,
-    /// The engine instance.
+    /// The engine instance that terminated.
     pub instance: InstanceId,
 }
 
--- a/crates/types/src/usage.rs
+++ b/crates/types/src/usage.rs
@@ -51,8 +51,8 @@
 /// Final counts of a closed window, as reported to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// The window.
+    /// The closed window.
     pub window: UsageWindow,
-    /// Its counts.
+    /// Requests started in the window, by tenant.
     pub counts: TenantCounts,
 }
--- a/crates/types/src/work.rs
+++ b/crates/types/src/work.rs
@@ -23,7 +23,7 @@
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// The body.
+    /// The request body.
     pub body: &'a [u8],
 }
 
