--- a/crates/replication/src/segments.rs
+++ b/crates/replication/src/segments.rs
@@ -15,7 +15,7 @@
 use std::io;
 use std::rc::Rc;
 
-/// Describes a segment.
+/// Metadata of a segment, included in snapshots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Segment {
     /// Sequence number in the order of sealing.
@@ -27,7 +27,7 @@
 }
 
 impl Segment {
-    /// Describes a segment with the content `bytes`.
+    /// Metadata of a segment with the content `bytes`.
     pub fn of(number: u64, bytes: &[u8]) -> Self {
         Self { number, bytes: bytes.len() as u64, checksum: crc32fast::hash(bytes) }
     }
@@ -95,7 +95,7 @@
 impl<P: Runtime, S: StateMachine> Replica<P, S> {
     /// Writes and syncs a segment. Serialized, as two writers of one file would share its temporary file.
     pub(crate) async fn store_segment(&self, segment: Segment, bytes: Vec<u8>) -> Result<(), StorageError> {
-        let _writing = self.inner.segment_files.lock().await;
+        let _guard = self.inner.segment_files.lock().await;
         self.inner.platform.disk().replace(&file_name(segment.number), bytes).await?;
         self.inner.segments.borrow_mut().0.insert(segment.number, segment);
         Ok(())
@@ -119,8 +119,8 @@
     /// Removes files of segments that are no longer needed for a snapshot with the segments `kept`. Segments of a
     /// snapshot that is being sent are kept until a later call.
     pub(crate) async fn remove_obsolete_segments(&self, kept: &[Segment]) {
-        let sent = self.inner.outgoing.borrow().upgrade();
-        let being_sent = sent.as_ref().map_or(&[][..], |snapshot| &snapshot.header.segments);
+        let outgoing = self.inner.outgoing_snapshot.borrow().upgrade();
+        let being_sent = outgoing.as_ref().map_or(&[][..], |snapshot| &snapshot.header.segments);
         let obsolete = self.inner.segments.borrow().obsolete(kept, being_sent);
         for number in obsolete {
             if let Err(error) = self.inner.platform.disk().remove(&file_name(number)).await {
@@ -143,7 +143,8 @@
         self.read_verified(number, self.segment(number)).await
     }
 
-    /// Like `read_own_segment`, but also finds segments that the state no longer refers to while their files exist.
+    /// Like `read_own_segment`, but also reads segments to which the state no longer refers, as long as their files
+    /// exist.
     pub(crate) async fn read_kept_segment(&self, number: u64) -> Result<Rc<Vec<u8>>, SegmentError> {
         let kept = || self.inner.segments.borrow().0.get(&number).copied();
         self.read_verified(number, self.segment(number).or_else(kept)).await
--- a/crates/runtime/src/signal.rs
+++ b/crates/runtime/src/signal.rs
@@ -6,7 +6,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll, Waker};
 
-/// Counts notifications; a waiter passes the count it last observed and waits for another one.
+/// Counts notifications. A task passes the count that it last observed and waits until the count changes.
 #[derive(Default)]
 pub struct Signal {
     count: Cell<u64>,
@@ -32,7 +32,7 @@
         self.waiting.borrow().len()
     }
 
-    /// Wakes every waiter.
+    /// Increments the count and wakes every waiter.
     pub fn notify(&self) {
         self.count.set(self.count.get() + 1);
         let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
--- a/crates/types/src/gateway.rs
+++ b/crates/types/src/gateway.rs
@@ -84,7 +84,7 @@
     RetireStore(String),
     /// Reads the drain status of the storage machine of this name.
     ReadRetirement(String),
-    /// Reads the status of the leader's duties towards the platform.
+    /// Reads the status of the leader's duties towards the platform: usage reports and engine counts.
     ReadDuties,
     /// A relay reports engine processes that terminated while running a request, or suspected work that completed.
     ReportEvidence(WorkEvidence),
@@ -116,7 +116,7 @@
     pub routing_version: Option<u64>,
     /// Revision of the instance table in use.
     pub instance_revision: u64,
-    /// Whether a follower may answer, because the leader has redirected the relay to it.
+    /// Whether a follower may reply, because the leader has redirected the relay to it.
     pub at_follower: bool,
     /// Incarnation of the relay process.
     pub incarnation: Incarnation,
@@ -140,7 +140,7 @@
 /// A relay's wall clock.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RelayClock {
-    /// The relay.
+    /// The relay's name.
     pub relay: String,
     /// The relay's wall clock when the follower forwarded it, in Unix milliseconds.
     pub unix_ms: u64,
@@ -201,7 +201,7 @@
     },
     /// A page of a job's results.
     Results(ResultPage),
-    /// An item's body.
+    /// The request body of an item.
     Body(Vec<u8>),
     /// The named object does not exist.
     NotFound,
@@ -224,7 +224,7 @@
     Unavailable,
 }
 
-/// Status of the leader's duties towards the platform.
+/// Status of the leader's duties towards the platform: usage reports and engine counts.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct DutyOverview {
     /// The leader, which carries out the duties.
@@ -266,11 +266,11 @@
         /// Instances whose reports have resumed.
         resumed: Vec<InstanceId>,
     },
-    /// Removes an instance.
+    /// Deregisters an instance.
     RemoveInstance(InstanceId),
     /// Records a published weight version of a model.
     PublishVersion(LoadedModel),
-    /// Stores a job.
+    /// Stores a submitted job.
     SubmitJob {
         /// The job.
         job: JobSubmission,
@@ -291,7 +291,7 @@
         /// Outcomes of items; an outcome of an item that is already listed is ignored.
         outcomes: Vec<ItemOutcome>,
     },
-    /// Cancels a job.
+    /// Cancels a job; its items are no longer run.
     EndJob(JobId),
     /// Registers a machine that stores the control group's data.
     RegisterStore(StoreRecord),
@@ -299,7 +299,7 @@
     RetireStore(String),
     /// Records that a storage machine is drained.
     StoreRetired(String),
-    /// Records the holder of the right to issue orders, before the orders are sent.
+    /// Records which replica may issue orders for the subjects, before it sends the orders.
     NoteOrders {
         /// The replica that issues the orders.
         holder: ReplicaId,
@@ -408,7 +408,7 @@
     Trial(TrialAnswer),
     /// The trial leases that could not be renewed because they are no longer held.
     TrialsLost(Vec<HeldTrial>),
-    /// The right to issue the recorded orders.
+    /// Permission to send the recorded orders.
     Orders {
         /// The fencing token for the orders.
         fence: Fence,
--- a/crates/types/src/job.rs
+++ b/crates/types/src/job.rs
@@ -33,7 +33,7 @@
     pub minimum_version: u64,
     /// Number of complete groups that the trainer waits for.
     pub wanted_groups: u32,
-    /// The items.
+    /// Its generation requests.
     pub items: Vec<JobItem>,
 }
 
@@ -151,7 +151,7 @@
     pub text: Vec<u8>,
     /// Weight versions that generated events of the text, ascending.
     pub versions: Vec<u64>,
-    /// The stamp from the scorer's response, if the item has a scorer.
+    /// Value of the stamp header in the scorer's response, if the item has a scorer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub score: Option<String>,
 }
@@ -163,7 +163,7 @@
     pub item: u32,
     /// Byte offset of the chunk; stored text beyond it is replaced.
     pub offset: u64,
-    /// The bytes.
+    /// Event data of the chunk.
     pub data: Vec<u8>,
     /// Number of events in the text including this chunk.
     pub events: u32,
@@ -182,7 +182,7 @@
     pub end: ItemEnd,
     /// The rest of its text.
     pub rest: TextPart,
-    /// The stamp from the scorer's response, if the item has a scorer.
+    /// Value of the stamp header in the scorer's response, if the item has a scorer.
     pub score: Option<String>,
 }
 
--- a/crates/types/src/protocol.rs
+++ b/crates/types/src/protocol.rs
@@ -19,11 +19,11 @@
     Replication(Vec<u8>),
     /// A relay renews its configuration lease.
     Renew(RenewRequest),
-    /// Commit a command.
+    /// Commits a command.
     Execute(Command),
-    /// Read the committed state.
+    /// Reads the committed state.
     Query(Query),
-    /// Form a new control group of this one replica.
+    /// Forms a new control group with this replica as its only member.
     Initialize,
     /// A request about routing, instances, weight versions or batch jobs.
     Gateway(GatewayRequest),
@@ -44,7 +44,7 @@
     NotLeader {
         /// The leader's address, if known.
         leader: Option<SocketAddr>,
-        /// If the leader is unknown, addresses of other replicas, the most likely to know it first.
+        /// If the leader is unknown, addresses of other replicas, in the order in which to try them.
         peers: Vec<SocketAddr>,
     },
     /// The outcome is unknown: the command may still be committed.
@@ -178,7 +178,7 @@
         tenant: TenantId,
         /// The trainer's incarnation.
         incarnation: Incarnation,
-        /// The step.
+        /// The step's number, prompts and group size.
         request: StepRequest,
     },
     /// Acknowledges samples up to the cursor and fetches the samples after it.
@@ -187,12 +187,12 @@
         tenant: TenantId,
         /// The trainer's incarnation.
         incarnation: Incarnation,
-        /// The last position received.
+        /// Position of the last sample that the trainer has received.
         cursor: Position,
         /// Maximum number of samples to return.
         limit: u32,
     },
-    /// Publish a weight version.
+    /// Publishes a weight version.
     Publish {
         /// The tenant.
         tenant: TenantId,
@@ -200,7 +200,7 @@
         incarnation: Incarnation,
         /// The version, higher than any before.
         version: WeightVersion,
-        /// The last position received.
+        /// Position of the last sample that the trainer has received.
         cursor: Position,
     },
     /// Assigns pending samples to a relay.
@@ -212,7 +212,7 @@
         /// Maximum number of samples to assign.
         limit: u32,
     },
-    /// Completes a sample.
+    /// Completes a sample; discarded unless `attempt` is the sample's current attempt.
     Complete {
         /// The sample.
         sample: SampleId,
@@ -323,7 +323,7 @@
 /// The leader's view of the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct GroupView {
-    /// The term.
+    /// The leader's term.
     pub term: u64,
     /// The leader.
     pub leader: ReplicaId,
@@ -340,7 +340,7 @@
     pub id: ReplicaId,
     /// Its address.
     pub address: SocketAddr,
-    /// Whether it votes.
+    /// Whether it is a voter; otherwise it is a learner.
     pub voter: bool,
     /// The match index: the last log index known to be replicated to it.
     pub matched: u64,
--- a/crates/types/src/suspicion.rs
+++ b/crates/types/src/suspicion.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Number of engine processes terminated while running a request, without success in between, that quarantines it.
-/// Fewer may end by coincidence, as other requests run on the same engine.
+/// Number of engine processes terminated while running a request, without success in between, after which the request
+/// is quarantined. Fewer may have been terminated by other requests on the same engines.
 pub const QUARANTINE_THRESHOLD: usize = 3;
 
 /// Retry delay for a client whose suspected work is already being run by another attempt.
@@ -27,7 +27,7 @@
 pub struct EngineLoss {
     /// Digest of the request.
     pub work: WorkDigest,
-    /// The engine instance.
+    /// The engine instance that terminated.
     pub instance: InstanceId,
 }
 
@@ -74,7 +74,7 @@
     pub number: u64,
 }
 
-/// A trial lease, as its holder knows it.
+/// Identifies a trial lease: the request and the attempt that holds the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct HeldTrial {
     /// Digest of the request.
--- a/crates/types/src/work.rs
+++ b/crates/types/src/work.rs
@@ -19,11 +19,11 @@
     pub caller: &'a Caller,
     /// The HTTP method.
     pub method: &'a str,
-    /// The `Host`.
+    /// Value of the `Host` header.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// The body.
+    /// The request body.
     pub body: &'a [u8],
 }
 
