--- a/crates/engine-client/src/lib.rs
+++ b/crates/engine-client/src/lib.rs
@@ -21,7 +21,7 @@
 use std::net::SocketAddr;
 use wire::{CompletionChunk, CompletionRequest, ScoreReply, ScoreRequest};
 
-/// Addresses of back ends other than engines.
+/// Addresses of backends other than engines.
 #[derive(Clone, Debug)]
 pub struct BackendAddresses {
     /// The scorer; without one, every sample has reward 0.
@@ -145,9 +145,9 @@
 /// Maps an error response: `Refused` only if the engine reported that it did not admit the request, else `Unknown`.
 async fn engine_error(status: StatusCode, response: hyper::Response<hyper::body::Incoming>) -> BackendError {
     let body = read_whole(response.into_body()).await.unwrap_or_default();
-    let text = format!("{status}: {}", String::from_utf8_lossy(&body));
-    let refused = parse_json::<wire::ErrorReply>(&body).is_ok_and(|reply| reply.error.admitted == Some(false));
-    if refused { BackendError::Refused(text) } else { BackendError::Unknown(text) }
+    let message = format!("{status}: {}", String::from_utf8_lossy(&body));
+    let not_admitted = parse_json::<wire::ErrorReply>(&body).is_ok_and(|reply| reply.error.admitted == Some(false));
+    if not_admitted { BackendError::Refused(message) } else { BackendError::Unknown(message) }
 }
 
 /// Forwards events until the stream ends, or until the first event after the receiver was dropped. Closes the
--- a/crates/engine-client/src/wire.rs
+++ b/crates/engine-client/src/wire.rs
@@ -102,7 +102,7 @@
     pub weight_version: WeightVersion,
     /// The engine's load when it sent the chunk.
     pub load: EngineLoad,
-    /// Always one choice.
+    /// The generated tokens; always exactly one choice.
     pub choices: Vec<CompletionChoice>,
 }
 
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -66,7 +66,7 @@
 /// Attempts of one request that may have executed: a byte was sent, and the engine did not report otherwise.
 #[derive(Default)]
 pub(crate) struct PossibleRuns {
-    /// Time of the first sent byte of each.
+    /// When the first byte of each such attempt was sent, in monotonic time.
     sent_at: RefCell<Vec<Duration>>,
 }
 
@@ -76,7 +76,7 @@
         !self.sent_at.borrow().is_empty()
     }
 
-    /// When the earliest of them was sent.
+    /// When the earliest attempt that may have executed was sent.
     pub fn first_sent_at(&self) -> Option<Duration> {
         self.sent_at.borrow().iter().min().copied()
     }
@@ -94,13 +94,13 @@
 }
 
 impl PossibleRun<'_> {
-    /// Records that sending starts at `now` if `sends` is set; returns `sends`.
-    pub fn record_send(&self, sends: bool, now: Duration) -> bool {
-        if sends && self.sent_at.get().is_none() {
+    /// Records that sending starts at `now` if `allowed` is set; returns `allowed`.
+    pub fn record_send(&self, allowed: bool, now: Duration) -> bool {
+        if allowed && self.sent_at.get().is_none() {
             self.sent_at.set(Some(now));
             self.runs.sent_at.borrow_mut().push(now);
         }
-        sends
+        allowed
     }
 
     /// Removes the attempt from the possible runs: the engine did not execute the request.
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -18,9 +18,9 @@
     pub whole_answer_bytes: usize,
     /// Maximum request body size until the first routing document arrives, in bytes.
     pub default_body_bytes: u64,
-    /// Timeout of a follow request to the control group.
+    /// Timeout of a follow request, which fetches updates from the control group and renews the lease.
     pub follow_timeout: Duration,
-    /// Delay before the last trial of suspected work, whose failure quarantines it.
+    /// Delay before the last trial of suspected work; the work is quarantined if that trial crashes an engine too.
     pub last_trial_pause: Duration,
 }
 
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps the view up to date by follow requests to the control group, which also renew the lease.
+//! Sends follow requests to the control group, which fetch routing and instance updates and renew the lease.
 
 use crate::gateway::Gateway;
 use saddlerelay_runtime::Runtime;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// A full instance list is logged engine by engine up to this size, larger ones as a count.
-const MAX_ENGINES_LOGGED: usize = 64;
+const MAX_INSTANCES_LOGGED: usize = 64;
 
 /// How long a replica that did not respond is skipped; at least the duration of an election.
 const UNRESPONSIVE_SKIP_TIME: Duration = Duration::from_millis(1_500);
@@ -15,7 +15,7 @@
 /// Pause after a replica could not confirm that its state is current; up to doubled by jitter.
 const UNCONFIRMED_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long such a replica is skipped once half of the lease has passed.
+/// How long a replica that could not confirm its state is skipped, once half of the lease has passed.
 const UNCONFIRMED_SKIP_TIME: Duration = Duration::from_millis(500);
 
 /// Interval of log lines about the search for the control group while there is no lease.
@@ -62,9 +62,9 @@
     let request = GatewayRequest::Follow(follow_request(gateway, true));
     match inner.control.call_replica(follower, request, limit).await {
         Some(GatewayReply::Followed(reply)) => Some(reply),
-        // The replica could not confirm its state: the leader is overloaded or absent. Waiting avoids that all relays
-        // send their requests to the leader at once.
-        Some(_) if inner.view.borrow().may_wait(inner.runtime.monotonic()) => {
+        // The replica could not confirm its state: the leader is overloaded or absent. Waiting prevents all relays from
+        // sending their requests to the leader at once.
+        Some(_) if inner.view.borrow().may_retry_follower(inner.runtime.monotonic()) => {
             inner.runtime.sleep(UNCONFIRMED_RETRY_PAUSE + inner.runtime.jitter(UNCONFIRMED_RETRY_PAUSE)).await;
             None
         }
@@ -126,7 +126,7 @@
 
 fn log_instance_changes(reply: &FollowReply) {
     let update = &reply.instances;
-    if update.whole && update.records.len() > MAX_ENGINES_LOGGED {
+    if update.whole && update.records.len() > MAX_INSTANCES_LOGGED {
         spdlog::info!("engine list received", kv: { revision = update.revision, engines = update.records.len() });
         return;
     }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -6,7 +6,7 @@
 use crate::refusal::Refusal;
 use crate::request::{ClientRequest, remove_hop_by_hop};
 use crate::suspicions::SuspectRequest;
-use crate::usage::CountedRuns;
+use crate::usage::UsageGuard;
 use bytes::Bytes;
 use futures::future::{self, Either};
 use futures::stream::FuturesUnordered;
@@ -52,12 +52,12 @@
         let work = RequestedWork::new(body.clone());
         let context =
             ForwardContext { request, chosen, service, deadline, possible_runs: PossibleRuns::default(), work };
-        let _counted = CountedRuns::new(self, &request.caller, &context.possible_runs);
+        let _usage = UsageGuard::new(self, &request.caller, &context.possible_runs);
         let outgoing = request.outgoing(body);
         let remaining = deadline.saturating_sub(self.now());
         let result = timeout(&self.inner.runtime, remaining, self.run_attempts(&context, &outgoing)).await;
         match result {
-            Some(Ok((head, body))) => self.answer(request, chosen, head, body),
+            Some(Ok((head, body))) => self.client_response(request, chosen, head, body),
             Some(Err(refusal)) => self.refuse(request, refusal),
             None if context.possible_runs.may_have_run() => self.refuse(request, Refusal::Timeout),
             None => self.refuse(request, Refusal::SendTimeout),
@@ -65,7 +65,13 @@
     }
 
     /// Builds the client's response from an engine's buffered response.
-    pub(crate) fn answer(&self, request: &ClientRequest, chosen: &ChosenRoute, mut head: Parts, body: Bytes) -> Reply {
+    pub(crate) fn client_response(
+        &self,
+        request: &ClientRequest,
+        chosen: &ChosenRoute,
+        mut head: Parts,
+        body: Bytes,
+    ) -> Reply {
         let elapsed = self.now().saturating_sub(request.arrived_at);
         self.inner.metrics.answered.inc();
         self.inner.metrics.request_seconds.observe(elapsed.as_secs_f64());
@@ -87,7 +93,7 @@
         let max_runs = route.max_attempts.max(1) as usize;
         let hedge_after = Duration::from_millis(route.objective_ms) * self.inner.options.config.hedge_percent / 100;
         let mut tried: Vec<InstanceId> = Vec::new();
-        // These did not execute the request and are not tried again.
+        // Engines that did not execute the request; they are not tried again.
         let mut not_executed_by: Vec<InstanceId> = Vec::new();
         let mut hedged = !repeatable;
         let mut last_failure = None;
@@ -227,11 +233,11 @@
         result: Result<WholeAnswer, Failure>,
     ) -> AttemptOutcome {
         let now = self.now();
-        let lasted = now.saturating_sub(started_at);
-        self.inner.metrics.observe_attempt(lasted);
+        let latency = now.saturating_sub(started_at);
+        self.inner.metrics.observe_attempt(latency);
         let outcome = AttemptOutcome::of(result, self.names());
         match &outcome {
-            AttemptOutcome::Answered(..) => self.inner.balance.answered(instance, lasted, now),
+            AttemptOutcome::Answered(..) => self.inner.balance.answered(instance, latency, now),
             AttemptOutcome::NotExecuted(reason)
             | AttemptOutcome::Failed(reason, _)
             | AttemptOutcome::ConnectionLost(reason) => {
@@ -241,7 +247,7 @@
                     request = context.request.id.as_str(),
                     instance = instance.name.as_str(),
                     may_have_run = may_have_run,
-                    lasted_ms = lasted.as_millis() as u64,
+                    lasted_ms = latency.as_millis() as u64,
                     reason = reason.as_str()
                 });
             }
@@ -262,8 +268,8 @@
     fn drop(&mut self) {
         if self.armed.get() {
             let now = self.gateway.now();
-            let lasted = now.saturating_sub(self.started_at);
-            self.gateway.inner.balance.cancelled(self.instance, lasted, now);
+            let latency = now.saturating_sub(self.started_at);
+            self.gateway.inner.balance.cancelled(self.instance, latency, now);
         }
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -55,14 +55,14 @@
     pub usage: RefCell<UsageLedger>,
     pub balance: LoadBalancer,
     pub suspicions: Rc<SuspicionSync<CompioRuntime>>,
-    pub ended_checks: TerminationChecks,
+    pub termination_checks: TerminationChecks,
     pub metrics: GatewayMetrics,
     /// Random start position (0 to 1) in the weighted round-robin of each route's targets.
     pub offset: f64,
     pub draining: Cell<bool>,
     /// The control replica that serves this relay's follow requests in place of the leader.
     pub follower: AssignedReplica,
-    /// A control replica in the relay's zone.
+    /// A control replica in the relay's zone, if there is one.
     pub nearest_replica: Cell<Option<SocketAddr>>,
     /// Time until which `nearest_replica` is skipped after a request to it failed.
     pub nearest_skipped_until: Cell<Duration>,
@@ -106,7 +106,7 @@
             usage: RefCell::default(),
             balance: LoadBalancer::default(),
             suspicions,
-            ended_checks: TerminationChecks::default(),
+            termination_checks: TerminationChecks::default(),
             metrics: GatewayMetrics::default(),
             offset,
             draining: Cell::new(false),
@@ -124,12 +124,12 @@
         self.inner.runtime.monotonic()
     }
 
-    /// The control group's client.
+    /// The client for requests to the control group.
     pub fn control(&self) -> &ControlClient<CompioRuntime> {
         &self.inner.control
     }
 
-    /// The header names in use.
+    /// Names of the headers exchanged with clients and engines.
     pub fn names(&self) -> &HeaderNames {
         &self.inner.options.names
     }
@@ -155,7 +155,7 @@
         self.inner.view.borrow().is_ready(instance)
     }
 
-    /// Number of work digests that are suspected of ending engines.
+    /// Number of work digests that are suspected of crashing engines.
     pub fn suspected_work_count(&self) -> usize {
         self.inner.suspicions.suspected()
     }
@@ -208,8 +208,8 @@
 
     /// Logs and counts a refusal and builds its response.
     pub fn refuse(&self, request: &ClientRequest, refusal: Refusal) -> Reply {
-        let not_run = refusal.status() == hyper::StatusCode::SERVICE_UNAVAILABLE;
-        let counter = if not_run { &self.inner.metrics.refused } else { &self.inner.metrics.failed };
+        let not_executed = refusal.status() == hyper::StatusCode::SERVICE_UNAVAILABLE;
+        let counter = if not_executed { &self.inner.metrics.rejected } else { &self.inner.metrics.failed };
         counter.inc();
         let view = self.inner.view.borrow();
         let lacks_lease = matches!(refusal, Refusal::NoLease);
--- a/crates/gateway/src/lost_connections.rs
+++ b/crates/gateway/src/lost_connections.rs
@@ -9,7 +9,8 @@
 use saddlerelay_upstream::EngineTarget;
 use std::cell::{OnceCell, RefCell};
 
-/// The work that a request asks for. Its digest is computed on first use.
+/// The work that a request asks for, identified by a digest of caller, method, host, path and body. The digest is
+/// computed on first use.
 pub(crate) struct RequestedWork {
     body: Bytes,
     digest: OnceCell<WorkDigest>,
@@ -23,12 +24,12 @@
         Self { body, digest: OnceCell::new(), trial: RefCell::default() }
     }
 
-    /// Whether this request holds the trial of its suspected work.
+    /// Whether this request holds a valid trial lease for its suspected work.
     pub fn has_trial(&self) -> bool {
         self.trial.borrow().as_ref().is_some_and(RelayTrial::holds)
     }
 
-    /// Stores the trial that this request acquired.
+    /// Stores the trial lease that this request acquired.
     pub fn set_trial(&self, trial: RelayTrial<CompioRuntime>) {
         self.trial.replace(Some(trial));
     }
@@ -47,13 +48,13 @@
         work: &RequestedWork,
         target: &EngineTarget,
     ) {
-        let ended = self.inner.ended_checks.has_terminated(target.address).await;
+        let ended = self.inner.termination_checks.has_terminated(target.address).await;
         // An engine that was not ready is assumed to have been shut down.
-        let counts = ended && self.is_engine_ready(&target.instance);
+        let is_reported = ended && self.is_engine_ready(&target.instance);
         if ended {
             self.inner.metrics.engines_ended.inc();
         }
-        if counts {
+        if is_reported {
             self.record_engine_loss(work.digest(request), &target.instance);
         }
         spdlog::warn!("engine connection lost during a request", kv: {
@@ -61,12 +62,12 @@
             work = work.digest(request).log_prefix().as_str(),
             instance = target.instance.name.as_str(),
             engine_ended = ended,
-            counts = counts,
+            counts = is_reported,
             engines_ended = self.engines_ended(request, work)
         });
-        if counts {
-            // The control group's reply contains losses reported by other relays; they are applied before a retry here
-            // or by the client.
+        if is_reported {
+            // The control group's reply contains losses reported by other relays. They are applied before this relay
+            // or the client retries.
             self.inner.suspicions.wait_for_commit(&work.digest(request)).await;
         }
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -11,7 +11,7 @@
     /// Engine responses forwarded to clients.
     pub answered: Counter,
     /// Requests rejected with status 503, without execution.
-    pub refused: Counter,
+    pub rejected: Counter,
     /// Requests that the gateway answered with any other error status; they may have executed.
     pub failed: Counter,
     /// Retries: attempts after a request's first, without hedges.
@@ -20,8 +20,8 @@
     pub hedges: Counter,
     /// Engines that terminated during a request of this relay.
     pub engines_ended: Counter,
-    /// Requests rejected because their work is suspected of ending engines.
-    pub kept_from_engines: Counter,
+    /// Requests rejected because their work is suspected of crashing engines.
+    pub suspected_work_rejected: Counter,
     /// Requests with an unknown or missing API key.
     pub keys_refused: Counter,
     /// Requests counted towards a tenant's usage.
@@ -44,12 +44,12 @@
         let mut counter = |name: &str, help: &str| registry.counter(name, help);
         let requests = counter("requests", "Requests taken");
         let answered = counter("answered", "Answers of engines passed on");
-        let refused = counter("refused", "Requests refused that have not run");
+        let rejected = counter("refused", "Requests refused that have not run");
         let failed = counter("failed", "Requests that failed and may have run");
         let retries = counter("retries", "Attempts beyond a request's first");
         let hedges = counter("hedges", "Requests tried at a second engine because the first was slow");
         let engines_ended = counter("engines_ended", "Engines found to have ended under a request");
-        let kept_from_engines =
+        let suspected_work_rejected =
             counter("kept_from_engines", "Requests not sent on because engines have ended under their work");
         let keys_refused = counter("keys_refused", "Calls with an unknown key, or with none where one is needed");
         let usage_counted = counter("usage_counted", "Requests of tenants that engines have begun");
@@ -64,12 +64,12 @@
             registry,
             requests,
             answered,
-            refused,
+            rejected,
             failed,
             retries,
             hedges,
             engines_ended,
-            kept_from_engines,
+            suspected_work_rejected,
             keys_refused,
             usage_counted,
             leases_lost,
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -26,9 +26,9 @@
     Timeout,
     /// The engine failed; the request may have executed.
     EngineFailed,
-    /// The work is suspected of ending engines; it can be retried after this time.
+    /// The work is suspected of crashing engines; it can be retried after this time.
     Suspected(Duration),
-    /// The work is quarantined because it ended too many engines.
+    /// The work is quarantined because it crashed too many engines.
     Quarantined,
 }
 
--- a/crates/gateway/src/results.rs
+++ b/crates/gateway/src/results.rs
@@ -14,10 +14,11 @@
 /// Timeout of a read from the leader, including retries; excludes the long-poll wait.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_400);
 
-/// Timeout of one attempt of such a read; excludes the long-poll wait.
+/// Timeout of one attempt of a read from the leader; excludes the long-poll wait.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Timeout for the leader's commit position, and for the nearest replica; excludes the long-poll wait.
+/// Timeout of the request for the leader's commit position, and of the read from the nearest replica; excludes the
+/// long-poll wait.
 const NEAREST_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// Longest long-poll wait at the nearest replica, after which the leader is read instead.
@@ -54,7 +55,8 @@
         nearest.filter(|_| self.now() >= inner.nearest_skipped_until.get())
     }
 
-    /// Reads from the nearest replica. `None` if it failed or its page is empty; the leader is read then.
+    /// Reads from the nearest replica. Returns `None` if the read failed or the page is empty; the caller then reads
+    /// from the leader.
     async fn read_nearest(
         &self,
         nearest: SocketAddr,
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -7,7 +7,7 @@
 use crate::refusal::Refusal;
 use crate::request::{ClientRequest, remove_hop_by_hop};
 use crate::suspicions::SuspectRequest;
-use crate::usage::CountedRuns;
+use crate::usage::UsageGuard;
 use bytes::Bytes;
 use futures::Stream;
 use hyper::header::{CONTENT_LENGTH, HeaderValue};
@@ -32,7 +32,7 @@
     /// Engines tried so far; the last one is streaming.
     tried: Vec<EngineTarget>,
     parser: EventParser,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
     body: AnswerStream,
     ended: bool,
 }
@@ -58,7 +58,7 @@
     /// An engine responded with an event stream.
     Answer(Box<Answer>),
     /// An engine responded with something else, which was read to its end.
-    Whole(Parts, Bytes),
+    Buffered(Parts, Bytes),
     /// No engine accepted the request.
     Refused(Refusal),
 }
@@ -72,22 +72,22 @@
         let outgoing = request.outgoing(body);
         let mut tried = Vec::new();
         let possible_runs = PossibleRuns::default();
-        let counted = CountedRuns::new(self, &request.caller, &possible_runs);
+        let usage = UsageGuard::new(self, &request.caller, &possible_runs);
         let remaining = deadline.saturating_sub(self.now());
         let context = StreamContext { request: &request, work: &work, chosen, service: &service, deadline };
         let starting = self.start_stream(&context, &outgoing, &mut tried, &possible_runs);
         let answer = match timeout(&self.inner.runtime, remaining, starting).await {
             Some(StreamStart::Answer(answer)) => {
                 // Engines send the response head together with the first event.
-                counted.began_at(self.now());
+                usage.set_started_at(self.now());
                 answer
             }
-            Some(StreamStart::Whole(head, body)) => return self.answer(&request, chosen, head, body),
+            Some(StreamStart::Buffered(head, body)) => return self.client_response(&request, chosen, head, body),
             Some(StreamStart::Refused(refusal)) => return self.refuse(&request, refusal),
             None if possible_runs.may_have_run() => return self.refuse(&request, Refusal::Timeout),
             None => return self.refuse(&request, Refusal::SendTimeout),
         };
-        drop(counted);
+        drop(usage);
         let (mut head, stream) = answer.into_stream();
         remove_hop_by_hop(&mut head.headers);
         head.headers.remove(CONTENT_LENGTH);
@@ -102,7 +102,7 @@
             service,
             deadline,
             tried,
-            last_event: None,
+            last_event_id: None,
             body: stream,
             ended: false,
         };
@@ -154,7 +154,7 @@
                     self.inner.balance.answered(&engine.target.instance, now.saturating_sub(started_at), now);
                     return started;
                 }
-                Err(AttemptOutcome::Answered(head, body)) => return StreamStart::Whole(head, body),
+                Err(AttemptOutcome::Answered(head, body)) => return StreamStart::Buffered(head, body),
                 Err(AttemptOutcome::NotExecuted(reason)) => {
                     run.mark_not_executed();
                     reason
@@ -178,7 +178,7 @@
             }
         }
         match last_failure {
-            Some((head, body)) => StreamStart::Whole(head, body),
+            Some((head, body)) => StreamStart::Buffered(head, body),
             None if possible_runs.may_have_run() => StreamStart::Refused(Refusal::EngineFailed),
             None => StreamStart::Refused(Refusal::NoEngine),
         }
@@ -187,7 +187,7 @@
     /// Returns a stream whose head has arrived; reads any other response to its end and classifies it.
     async fn read_stream_start(&self, sent: Result<Answer, Failure>) -> Result<StreamStart, AttemptOutcome> {
         let names = self.names();
-        let whole = match sent {
+        let buffered = match sent {
             Ok(answer) if answer.head.status.is_success() && answer.head.headers.contains_key(&names.stamp) => {
                 return Ok(StreamStart::Answer(Box::new(answer)));
             }
@@ -198,7 +198,7 @@
             }
             Err(failure) => Err(failure),
         };
-        Err(AttemptOutcome::of(whole, names))
+        Err(AttemptOutcome::of(buffered, names))
     }
 }
 
@@ -214,7 +214,7 @@
     async fn next_chunk(&mut self) -> Option<Result<Bytes, BrokenOff>> {
         while !self.ended {
             if let Some(event) = self.parser.next_event() {
-                self.last_event = event.id.or(self.last_event);
+                self.last_event_id = event.id.or(self.last_event_id);
                 return Some(Ok(event.raw.into()));
             }
             let remaining = self.deadline.saturating_sub(self.gateway.now());
@@ -243,7 +243,7 @@
         self.ended = true;
         spdlog::info!("{}", event, kv: {
             request = self.request.id.as_str(),
-            last_event = self.last_event.unwrap_or_default(),
+            last_event = self.last_event_id.unwrap_or_default(),
             engines = self.tried.len(),
             held_ms = self.gateway.now().saturating_sub(self.request.arrived_at).as_millis() as u64
         });
@@ -262,8 +262,8 @@
     }
 
     async fn resume(&mut self) -> bool {
-        if let Some(last_event) = self.last_event {
-            self.outgoing.headers.insert(self.gateway.names().last_event.clone(), HeaderValue::from(last_event));
+        if let Some(last_event_id) = self.last_event_id {
+            self.outgoing.headers.insert(self.gateway.names().last_event.clone(), HeaderValue::from(last_event_id));
         }
         let possible_runs = PossibleRuns::default();
         let gateway = self.gateway.clone();
--- a/crates/gateway/src/suspicions.rs
+++ b/crates/gateway/src/suspicions.rs
@@ -1,4 +1,4 @@
-//! Limits and rejects requests whose work is suspected of ending engines.
+//! Limits and rejects requests whose work is suspected of crashing engines.
 
 use crate::gateway::Gateway;
 use crate::lost_connections::RequestedWork;
@@ -25,7 +25,7 @@
         self.inner.suspicions.engines_ended(|| work.digest(request))
     }
 
-    /// Whether the relay may send a request to `instance` now. Suspected work also needs a valid trial.
+    /// Whether the relay may send a request to `instance` now. Suspected work also needs a valid trial lease.
     pub(crate) fn may_send_work(&self, suspect: &SuspectRequest<'_>, instance: &InstanceId) -> bool {
         let work = suspect.work;
         let verdict = self.inner.suspicions.verdict(|| work.digest(suspect.request));
@@ -33,11 +33,11 @@
         verdict == Verdict::Send && may_run && self.may_send(instance)
     }
 
-    /// Checks the request's work for suspicion and acquires a trial if needed. `may_have_run` says whether an earlier
-    /// attempt of the request may have executed.
+    /// Checks the request's work for suspicion and acquires a trial lease if needed. `may_have_run` says whether an
+    /// earlier attempt of the request may have executed.
     ///
-    /// Suspected work runs on one engine at a time across all relays, which hold a trial for it in turn. Concurrent
-    /// attempts would end several engines before the first result is known.
+    /// Suspected work runs on one engine at a time across all relays, which acquire the trial lease one after the
+    /// other. Concurrent attempts could crash several engines before the first result is known.
     pub(crate) async fn check_suspicion(
         &self,
         suspect: &SuspectRequest<'_>,
@@ -69,7 +69,7 @@
     fn reject_suspected_work(&self, suspect: &SuspectRequest<'_>, refusal: Refusal) -> Refusal {
         let SuspectRequest { request, work, .. } = *suspect;
         let pause = if let Refusal::Suspected(remaining) = refusal { remaining } else { Duration::ZERO };
-        self.inner.metrics.kept_from_engines.inc();
+        self.inner.metrics.suspected_work_rejected.inc();
         spdlog::warn!("suspected work rejected", kv: {
             request = request.id.as_str(),
             work = work.digest(request).to_hexadecimal().as_str(),
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Fractional parts of its multiples are evenly distributed.
+/// Fractional part of the golden ratio. The fractional parts of its multiples are evenly distributed between 0 and 1.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
 /// Versions are reduced modulo this value to limit the rounding error of their multiples.
@@ -19,7 +19,7 @@
     /// Indexes of each host's routes, longest path prefix first.
     by_host: BTreeMap<String, Vec<usize>>,
     /// Weighted round-robin state of each route.
-    turns: RefCell<Vec<WeightedRoundRobin>>,
+    round_robins: RefCell<Vec<WeightedRoundRobin>>,
     /// The tenants' API keys; `None` if authentication is disabled.
     keys: Option<Rc<ApiKeyIndex>>,
     has_public_routes: bool,
@@ -41,9 +41,10 @@
         for indexes in by_host.values_mut() {
             indexes.sort_by_key(|index| std::cmp::Reverse(document.routes[*index].path_prefix.len()));
         }
-        let turns = document.routes.iter().map(|route| WeightedRoundRobin::new(&route.targets, offset)).collect();
+        let round_robins =
+            document.routes.iter().map(|route| WeightedRoundRobin::new(&route.targets, offset)).collect();
         let has_public_routes = document.routes.iter().any(|route| route.public);
-        Self { document, by_host, turns: RefCell::new(turns), keys, has_public_routes }
+        Self { document, by_host, round_robins: RefCell::new(round_robins), keys, has_public_routes }
     }
 
     /// Indexes a document that replaces that of `previous`. Routes with unchanged targets keep their round-robin state.
@@ -59,19 +60,19 @@
         } else {
             Self::new(document, start)
         };
-        table.copy_turns_from(previous);
+        table.copy_round_robins_from(previous);
         table
     }
 
-    fn copy_turns_from(&self, previous: &Self) {
-        let previous_turns = previous.turns.borrow();
+    fn copy_round_robins_from(&self, previous: &Self) {
+        let previous_round_robins = previous.round_robins.borrow();
         let location = |route: &Route| (route.host.clone(), route.path_prefix.clone());
         let indexes: BTreeMap<_, usize> =
             previous.document.routes.iter().enumerate().map(|(index, route)| (location(route), index)).collect();
-        for (turns, route) in self.turns.borrow_mut().iter_mut().zip(&self.document.routes) {
+        for (round_robin, route) in self.round_robins.borrow_mut().iter_mut().zip(&self.document.routes) {
             let index = indexes.get(&location(route)).copied();
             if let Some(index) = index.filter(|index| previous.document.routes[*index].targets == route.targets) {
-                turns.clone_from(&previous_turns[index]);
+                round_robin.clone_from(&previous_round_robins[index]);
             }
         }
     }
@@ -106,7 +107,7 @@
     /// Picks the next service of a route by weighted round-robin.
     pub fn next_service(&self, index: usize) -> &str {
         let targets = &self.document.routes[index].targets;
-        let next = self.turns.borrow_mut()[index].next_index(targets);
+        let next = self.round_robins.borrow_mut()[index].next_index(targets);
         &targets[next].service
     }
 }
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -1,7 +1,7 @@
 //! Counts started requests by tenant and time window, and reports the counts to the control group.
 //!
-//! Counts are reported as numbered differences, at most one in flight. A difference is resent unchanged until the
-//! control group acknowledges its commit, so that it counts exactly once across leader changes.
+//! Counts are reported as numbered deltas, at most one in flight. A delta is resent unchanged until the control group
+//! acknowledges its commit, so that it counts exactly once across leader changes.
 
 use crate::attempt::PossibleRuns;
 use crate::gateway::Gateway;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The difference to send with the next follow request; the unacknowledged one if there is one.
+    /// The delta to send with the next follow request; the unacknowledged one if there is one.
     pub fn next_delta(&mut self) -> Option<UsageDelta> {
         if self.in_flight.is_none() && !self.counted.is_empty() {
             self.sequence += 1;
@@ -75,49 +75,49 @@
         self.in_flight.clone()
     }
 
-    /// Acknowledges all differences up to `sequence` as committed.
+    /// Acknowledges all deltas up to `sequence` as committed.
     pub fn acknowledge(&mut self, sequence: u64) {
-        if self.in_flight.as_ref().is_some_and(|difference| difference.sequence <= sequence) {
+        if self.in_flight.as_ref().is_some_and(|delta| delta.sequence <= sequence) {
             self.in_flight = None;
         }
     }
 }
 
 /// Counts a tenant's request on drop, unless no engine has started it.
-pub(crate) struct CountedRuns<'a> {
+pub(crate) struct UsageGuard<'a> {
     gateway: &'a Gateway,
     caller: &'a Caller,
     runs: &'a PossibleRuns,
-    began_at: Cell<Option<Duration>>,
+    started_at: Cell<Option<Duration>>,
 }
 
-impl<'a> CountedRuns<'a> {
+impl<'a> UsageGuard<'a> {
     pub fn new(gateway: &'a Gateway, caller: &'a Caller, runs: &'a PossibleRuns) -> Self {
-        Self { gateway, caller, runs, began_at: Cell::new(None) }
+        Self { gateway, caller, runs, started_at: Cell::new(None) }
     }
 
     /// Sets when an engine started the request; defaults to the time of the first send.
-    pub fn began_at(&self, at: Duration) {
-        self.began_at.set(Some(at));
+    pub fn set_started_at(&self, at: Duration) {
+        self.started_at.set(Some(at));
     }
 }
 
-impl Drop for CountedRuns<'_> {
+impl Drop for UsageGuard<'_> {
     fn drop(&mut self) {
-        let began_at = self.began_at.get().or_else(|| self.runs.first_sent_at());
-        if let (Some(began_at), Some(tenant)) = (began_at, self.caller.tenant()) {
-            self.gateway.count_usage(tenant, began_at);
+        let started_at = self.started_at.get().or_else(|| self.runs.first_sent_at());
+        if let (Some(started_at), Some(tenant)) = (started_at, self.caller.tenant()) {
+            self.gateway.count_usage(tenant, started_at);
         }
     }
 }
 
 impl Gateway {
-    fn count_usage(&self, tenant: &TenantId, began_at: Duration) {
+    fn count_usage(&self, tenant: &TenantId, started_at: Duration) {
         let inner = &self.inner;
         let Some(length) = inner.options.usage_window else {
             return;
         };
-        let Some(unix_ms) = inner.clock.borrow().unix_ms(began_at) else {
+        let Some(unix_ms) = inner.clock.borrow().unix_ms(started_at) else {
             spdlog::warn!("request not counted", kv: { tenant = tenant.as_str(), reason = "group time unknown" });
             return;
         };
--- a/crates/gateway/src/view.rs
+++ b/crates/gateway/src/view.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The view; empty and without a lease until the first reply from the control group.
+/// Routes and engine states; empty and without a lease until the first reply from the control group.
 #[derive(Default)]
 pub struct View {
     table: Option<Rc<RouteTable>>,
@@ -18,7 +18,8 @@
     /// Lease expiry in monotonic time.
     leased_until: Duration,
     /// Duration of the newest lease.
-    newest_lease: Duration,
+    lease_duration: Duration,
+    /// Send time of the request whose reply was applied last, in monotonic time.
     requested_at: Duration,
     /// The last routing update could not be applied to the current document.
     needs_full_document: bool,
@@ -41,8 +42,8 @@
     }
 
     /// Whether more than half of the lease remains at `now`, enough to retry a follower instead of the leader.
-    pub fn may_wait(&self, now: Duration) -> bool {
-        self.lease_left(now) > self.newest_lease / 2
+    pub fn may_retry_follower(&self, now: Duration) -> bool {
+        self.lease_left(now) > self.lease_duration / 2
     }
 
     /// Remaining lease time.
@@ -69,7 +70,7 @@
         }
         let lease = Duration::from_millis(reply.lease_ms);
         self.leased_until = self.leased_until.max(requested_at + lease);
-        self.newest_lease = lease;
+        self.lease_duration = lease;
         self.requested_at = requested_at;
         self.apply_instances(reply.instances);
     }
--- a/crates/gateway/tests/choice.rs
+++ b/crates/gateway/tests/choice.rs
@@ -51,11 +51,11 @@
     for offset in [0.0, 0.3, 0.7, 0.99] {
         let table = RouteTable::new(document(1, vec![route("a", "/", &[90, 10, 0])]), offset);
         let mut counts = [0_u32; 3];
-        for turn in 1..=200_u32 {
+        for request in 1..=200_u32 {
             let service = table.next_service(0).to_string();
-            counts[service[1..].parse::<usize>().expect("a number")] += 1;
-            let owed = f64::from(turn) * 0.1;
-            assert!((f64::from(counts[1]) - owed).abs() <= 1.0, "after {turn}: {counts:?}");
+            counts[service[1..].parse::<usize>().expect("the service name has no index")] += 1;
+            let expected = f64::from(request) * 0.1;
+            assert!((f64::from(counts[1]) - expected).abs() <= 1.0, "after {request} requests: {counts:?}");
         }
         assert_eq!(counts, [180, 20, 0]);
     }
@@ -67,7 +67,7 @@
     let mut table = RouteTable::new(document(1, vec![route("a", "/", &weights(1))]), 0.97);
     for version in 2..=201 {
         let service = table.next_service(0).to_string();
-        counts[service[1..].parse::<usize>().expect("a number")] += 1;
+        counts[service[1..].parse::<usize>().expect("the service name has no index")] += 1;
         let other = Route { timeout_ms: version, ..route("a", "/other/", &[1]) };
         let document = document(version, vec![route("a", "/", &weights(version)), other]);
         table = RouteTable::replacing(document, Some(&table), 0.97);
@@ -140,7 +140,7 @@
 
 fn chosen(balance: &LoadBalancer, engines: &[ReadyEngine], tried: &[InstanceId], now: u64) -> String {
     let choice = balance.choose(engines.iter().cloned(), "north", tried, Duration::from_millis(now));
-    choice.expect("there are engines").target.instance.name
+    choice.expect("no engine was chosen").target.instance.name
 }
 
 #[test]
@@ -165,10 +165,10 @@
     let engines = [engine("a", "north"), engine("b", "south")];
     let failing = InstanceId::named("a");
     let mut now = 0;
-    for pause in [400, 800, 1_600, 3_200, 6_400, 6_400] {
+    for ejection_ms in [400, 800, 1_600, 3_200, 6_400, 6_400] {
         balance.failed(&failing, Duration::from_millis(now));
-        assert_eq!(chosen(&balance, &engines, &[], now + pause - 1), "b");
-        now += pause;
+        assert_eq!(chosen(&balance, &engines, &[], now + ejection_ms - 1), "b");
+        now += ejection_ms;
         assert_eq!(chosen(&balance, &engines, &[], now), "a");
     }
 }
--- a/crates/gateway/tests/usage.rs
+++ b/crates/gateway/tests/usage.rs
@@ -10,49 +10,49 @@
 use std::time::Duration;
 
 #[test]
-fn a_difference_is_resent_unchanged_until_it_is_acknowledged() {
+fn a_delta_is_resent_unchanged_until_it_is_acknowledged() {
     let (tenant, window) = (TenantId::new("a"), UsageWindow(3));
     let mut ledger = UsageLedger::default();
     assert_eq!(ledger.next_delta(), None);
     ledger.count(&tenant, window);
-    let first = ledger.next_delta().expect("something was counted");
+    let first = ledger.next_delta().expect("no delta although a request was counted");
     ledger.count(&tenant, window);
-    assert_eq!(ledger.next_delta().as_ref(), Some(&first), "the first difference is not acknowledged yet");
+    assert_eq!(ledger.next_delta().as_ref(), Some(&first), "the first delta is not acknowledged yet");
     ledger.acknowledge(0);
     assert_eq!(ledger.next_delta().as_ref(), Some(&first));
     ledger.acknowledge(first.sequence);
-    let second = ledger.next_delta().expect("more was counted");
+    let second = ledger.next_delta().expect("no delta although another request was counted");
     assert_eq!((first.sequence, second.sequence, second.counts[&window][&tenant]), (1, 2, 1));
     ledger.acknowledge(2);
     assert_eq!(ledger.next_delta(), None);
 }
 
-/// Each request is in exactly one difference, whichever replies are lost.
+/// Each request is in exactly one delta, whichever replies are lost.
 #[test]
 fn every_request_is_reported_exactly_once() {
-    fn holds(steps: Vec<(u8, bool)>) -> bool {
+    fn reports_each_request_once(steps: Vec<(u8, bool)>) -> bool {
         let tenant = TenantId::new("a");
         let mut ledger = UsageLedger::default();
-        let (mut counted, mut reported, mut newest) = (0, 0, 0);
+        let (mut counted, mut reported, mut newest_sequence) = (0, 0, 0);
         for (requests, answered) in steps.into_iter().chain([(0, true), (0, true)]) {
             for _ in 0..requests % 5 {
                 ledger.count(&tenant, UsageWindow(u64::from(requests)));
                 counted += 1;
             }
-            let Some(difference) = ledger.next_delta() else {
+            let Some(delta) = ledger.next_delta() else {
                 continue;
             };
-            if difference.sequence > newest {
-                newest = difference.sequence;
-                reported += difference.counts.values().flat_map(|counts| counts.values()).sum::<u64>();
+            if delta.sequence > newest_sequence {
+                newest_sequence = delta.sequence;
+                reported += delta.counts.values().flat_map(|counts| counts.values()).sum::<u64>();
             }
             if answered {
-                ledger.acknowledge(newest);
+                ledger.acknowledge(newest_sequence);
             }
         }
         counted == reported && ledger.next_delta().is_none()
     }
-    QuickCheck::new().tests(400).quickcheck(holds as fn(Vec<(u8, bool)>) -> bool);
+    QuickCheck::new().tests(400).quickcheck(reports_each_request_once as fn(Vec<(u8, bool)>) -> bool);
 }
 
 #[test]
@@ -76,12 +76,12 @@
             priority: None,
         })
         .collect();
-    let ring = ApiKeyIndex::new(&tenants);
+    let index = ApiKeyIndex::new(&tenants);
     for (tenant, access) in tenants.iter().enumerate() {
         for number in 0..3 {
-            assert_eq!(ring.tenant(key(tenant, number).as_bytes()), Some(&access.name));
+            assert_eq!(index.tenant(key(tenant, number).as_bytes()), Some(&access.name));
         }
-        assert_eq!(ring.tenant(key(tenant, 3).as_bytes()), None);
+        assert_eq!(index.tenant(key(tenant, 3).as_bytes()), None);
     }
-    assert_eq!(ring.tenant(b""), None);
+    assert_eq!(index.tenant(b""), None);
 }
--- a/crates/policies/src/prefix_affinity.rs
+++ b/crates/policies/src/prefix_affinity.rs
@@ -1,7 +1,7 @@
 //! Sends requests with the same prompt prefix to the same engine, to reuse its KV cache, unless its load is too high.
 //!
 //! The preferred engine is selected by rendezvous hashing of the prefix, so relays agree without coordination or cache
-//! events. The load bound prevents that a popular prefix overloads one engine (consistent hashing with bounded loads;
+//! events. The load bound prevents a popular prefix from overloading one engine (consistent hashing with bounded loads;
 //! Mirrokni, Thorup and Zadimoghaddam, 2018).
 
 use crate::least_loaded::least_loaded;
@@ -14,15 +14,15 @@
 /// Staleness share, in percent, from which a tenant's rollouts prefer engines with the newest weight version.
 const NEWEST_VERSION_SHARE_PERCENT: u32 = 50;
 
-/// The default policy.
+/// Prefix affinity with a load bound; the default policy.
 pub struct PrefixAffinity;
 
 impl Policy for PrefixAffinity {
     fn choose(&self, request: &RoutingRequest<'_>, candidates: &[Candidate], random: u64) -> Option<usize> {
         let eligible = eligible_indexes(request, candidates);
         let eligible_candidates: Vec<Candidate> = eligible.iter().map(|index| candidates[*index].clone()).collect();
-        let least = eligible_candidates.iter().map(Candidate::utilization).fold(f64::INFINITY, f64::min);
-        let limit = least + LOAD_SLACK;
+        let lowest = eligible_candidates.iter().map(Candidate::utilization).fold(f64::INFINITY, f64::min);
+        let limit = lowest + LOAD_SLACK;
         let hash = request.prefix_hash();
         let within_limit =
             (0..eligible_candidates.len()).filter(|index| eligible_candidates[*index].utilization() < limit);
--- a/crates/policies/src/round_robin.rs
+++ b/crates/policies/src/round_robin.rs
@@ -3,7 +3,7 @@
 use crate::{Candidate, Policy, RoutingRequest};
 use std::cell::Cell;
 
-/// Picks engines in turn.
+/// Cycles through the candidates.
 #[derive(Default)]
 pub struct RoundRobin {
     next: Cell<usize>,
@@ -14,7 +14,7 @@
         if candidates.is_empty() {
             return None;
         }
-        let turn = self.next.replace(self.next.get().wrapping_add(1));
-        Some(turn % candidates.len())
+        let position = self.next.replace(self.next.get().wrapping_add(1));
+        Some(position % candidates.len())
     }
 }
--- a/crates/policies/tests/policies.rs
+++ b/crates/policies/tests/policies.rs
@@ -71,8 +71,8 @@
             return engines.is_empty();
         };
         let mean = engines.iter().map(Candidate::utilization).sum::<f64>() / engines.len() as f64;
-        let least = engines.iter().map(Candidate::utilization).fold(f64::INFINITY, f64::min);
-        engines[index].utilization() < mean + 0.25 || engines[index].utilization() <= least
+        let lowest = engines.iter().map(Candidate::utilization).fold(f64::INFINITY, f64::min);
+        engines[index].utilization() < mean + 0.25 || engines[index].utilization() <= lowest
     }
     let property = holds as fn(Loads, String, u64) -> bool;
     QuickCheck::new().rng(Gen::from_size_and_seed(14, 23)).tests(2_000).quickcheck(property);
--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -18,7 +18,7 @@
 
 /// Why a request was not admitted. It was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AdmissionRefusal {
+pub enum AdmissionError {
     /// The queue is full, or the expected wait exceeds the deadline. Carries the expected wait as retry delay.
     Overloaded(Duration),
     /// The deadline passed while the request was queued.
@@ -77,7 +77,7 @@
 /// An admitted request; releases its capacity on drop.
 pub struct Permit<P: Runtime> {
     admission: Admission,
-    platform: P,
+    runtime: P,
     tenant: TenantId,
     limits: AdmissionLimits,
     admitted_at: Duration,
@@ -88,20 +88,20 @@
     /// `deadline`.
     pub async fn admit<P: Runtime>(
         &self,
-        platform: &P,
+        runtime: &P,
         tenant: &TenantId,
         limits: AdmissionLimits,
         priority: Priority,
         deadline: Duration,
-    ) -> Result<Permit<P>, AdmissionRefusal> {
+    ) -> Result<Permit<P>, AdmissionError> {
         if let Some(waiter) = self.admit_or_enqueue(tenant, limits, priority, deadline)? {
-            match timeout(platform, deadline, waiter).await {
+            match timeout(runtime, deadline, waiter).await {
                 Some(Ok(())) => {}
-                _ => return Err(AdmissionRefusal::DeadlineExceeded),
+                _ => return Err(AdmissionError::DeadlineExceeded),
             }
         }
-        let admitted_at = platform.monotonic();
-        Ok(Permit { admission: self.clone(), platform: platform.clone(), tenant: tenant.clone(), limits, admitted_at })
+        let admitted_at = runtime.monotonic();
+        Ok(Permit { admission: self.clone(), runtime: runtime.clone(), tenant: tenant.clone(), limits, admitted_at })
     }
 
     /// Admits a request immediately (`None`), or queues it and returns a receiver for its admission.
@@ -111,7 +111,7 @@
         limits: AdmissionLimits,
         priority: Priority,
         deadline: Duration,
-    ) -> Result<Option<oneshot::Receiver<()>>, AdmissionRefusal> {
+    ) -> Result<Option<oneshot::Receiver<()>>, AdmissionError> {
         let mut queues = self.queues.borrow_mut();
         let queue = queues.entry(tenant.clone()).or_default();
         if queue.in_flight < limits.max_in_flight && queue.waiting.is_empty() {
@@ -121,7 +121,7 @@
         queue.waiting.retain(|_, waiter| !waiter.is_canceled());
         let wait = queue.expected_wait(limits);
         if queue.waiting.len() >= limits.max_queued || wait > deadline {
-            return Err(AdmissionRefusal::Overloaded(wait));
+            return Err(AdmissionError::Overloaded(wait));
         }
         let (waiter, admitted) = oneshot::channel();
         queue.last_sequence += 1;
@@ -147,7 +147,7 @@
             return;
         };
         queue.in_flight -= 1;
-        queue.record_service_time(self.platform.monotonic().saturating_sub(self.admitted_at));
+        queue.record_service_time(self.runtime.monotonic().saturating_sub(self.admitted_at));
         queue.admit_waiters(self.limits);
     }
 }
--- a/crates/relay/src/commands/callers.rs
+++ b/crates/relay/src/commands/callers.rs
@@ -1,7 +1,7 @@
 //! Callers' requests: admission, claim, generation, and a final status that says whether the request was executed.
 
-use crate::admission::{AdmissionLimits, AdmissionRefusal};
-use crate::dispatch::{DispatchFailure, GenerationWork, SHORT_RETRY};
+use crate::admission::{AdmissionError, AdmissionLimits};
+use crate::dispatch::{DispatchFailure, GenerationWork, RETRY_DELAY};
 use crate::relay::Relay;
 use futures::channel::mpsc;
 use saddlerelay_runtime::Runtime;
@@ -15,7 +15,7 @@
 };
 use std::time::Duration;
 
-/// Polling interval while another arrival holds the claim.
+/// Polling interval while another copy of the request holds the claim.
 const CLAIM_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long the relay retries in the background to commit a claim's end after losing the incarnation that holds the
@@ -23,12 +23,12 @@
 const CLAIM_END_RETRY_LIMIT: Duration = Duration::from_secs(60);
 
 /// Retry delay sent to callers after a transient failure, in milliseconds.
-const SHORT_RETRY_MILLISECONDS: u64 = SHORT_RETRY.as_millis() as u64;
+const RETRY_DELAY_MS: u64 = RETRY_DELAY.as_millis() as u64;
 
 /// Sends the parts of an answer to the caller.
 pub type PartSender = mpsc::UnboundedSender<AnswerPart>;
 
-/// The claim of one arrival of a keyed request.
+/// The claim for one received copy of a keyed request; the copies of a request compete for its claim.
 #[derive(Clone)]
 struct Claim {
     request: ClaimRequest,
@@ -41,7 +41,7 @@
         let (parts, answer) = mpsc::unbounded();
         let relay = self.clone();
         self.count(|counters| counters.requests += 1);
-        self.inner.platform.spawn(async move { relay.serve_to(request, parts).await });
+        self.inner.runtime.spawn(async move { relay.serve_to(request, parts).await });
         answer
     }
 
@@ -61,16 +61,13 @@
     }
 
     async fn run_request(&self, request: &CallerRequest, parts: &PartSender) -> Result<Generation, RequestFailure> {
-        let arrived_at = self.inner.platform.monotonic();
+        let arrived_at = self.inner.runtime.monotonic();
         let deadline = arrived_at + Duration::from_millis(request.deadline_milliseconds);
-        let parameters = self.check(request)?;
+        let parameters = self.validate(request)?;
         let limits = AdmissionLimits { max_in_flight: parameters.max_in_flight, max_queued: parameters.max_queued };
         let remaining = deadline.saturating_sub(arrived_at);
-        let admitted = self
-            .inner
-            .admission
-            .admit(&self.inner.platform, &request.tenant, limits, request.priority, remaining)
-            .await;
+        let admitted =
+            self.inner.admission.admit(&self.inner.runtime, &request.tenant, limits, request.priority, remaining).await;
         let _permit = admitted.map_err(|refusal| admission_failure(request, refusal))?;
         match &request.key {
             Some(key) => self.run_keyed(request, key, deadline, parts).await,
@@ -78,27 +75,27 @@
         }
     }
 
-    fn check(&self, request: &CallerRequest) -> Result<TenantParameters, RequestFailure> {
-        if self.inner.stopping.get() {
+    fn validate(&self, request: &CallerRequest) -> Result<TenantParameters, RequestFailure> {
+        if self.inner.draining.get() {
             let message = "this relay is stopping; ask another";
-            return Err(refusal(request, FailureCode::Stopping, message, SHORT_RETRY_MILLISECONDS));
+            return Err(rejection(request, FailureCode::Stopping, message, RETRY_DELAY_MS));
         }
         if !self.is_ready() {
             let message = "this relay holds no configuration lease";
-            return Err(refusal(request, FailureCode::NotReady, message, SHORT_RETRY_MILLISECONDS));
+            return Err(rejection(request, FailureCode::NotReady, message, RETRY_DELAY_MS));
         }
         let Some(parameters) = self.tenant(&request.tenant) else {
             let message = format!("tenant {} is not configured", request.tenant);
-            return Err(refusal(request, FailureCode::UnknownTenant, message, 0));
+            return Err(rejection(request, FailureCode::UnknownTenant, message, 0));
         };
         if parameters.model != request.model {
             let message = format!("tenant {} is not served by model {}", request.tenant, request.model);
-            return Err(refusal(request, FailureCode::UnknownModel, message, 0));
+            return Err(rejection(request, FailureCode::UnknownModel, message, 0));
         }
         Ok(parameters)
     }
 
-    fn work(&self, request: &CallerRequest, deadline: Duration, incarnation: Incarnation) -> GenerationWork {
+    fn generation_work(&self, request: &CallerRequest, deadline: Duration, incarnation: Incarnation) -> GenerationWork {
         GenerationWork {
             tenant: request.tenant.clone(),
             model: request.model.clone(),
@@ -108,7 +105,7 @@
             priority: request.priority,
             repeatability: request.repeatability,
             incarnation,
-            started_at: self.inner.platform.monotonic(),
+            started_at: self.inner.runtime.monotonic(),
             deadline,
             attempts: self.inner.options.config.attempts,
             oldest_useful_version: WeightVersion(0),
@@ -121,7 +118,7 @@
         deadline: Duration,
         parts: &PartSender,
     ) -> Result<Generation, RequestFailure> {
-        let work = self.work(request, deadline, self.inner.incarnation.get());
+        let work = self.generation_work(request, deadline, self.inner.incarnation.get());
         self.dispatch(&work, Some(parts)).await.map_err(|failure| dispatch_failure(failure.outcome, &failure))
     }
 
@@ -133,8 +130,8 @@
         parts: &PartSender,
     ) -> Result<Generation, RequestFailure> {
         let incarnation = self.inner.incarnation.get();
-        let claim = self.claim(request, key, incarnation);
-        match self.acquire(&claim, deadline).await {
+        let claim = self.new_claim(request, key, incarnation);
+        match self.acquire_claim(&claim, deadline).await {
             Some(ClaimOutcome::Granted) => self.run_claimed(request, &claim, deadline, parts).await,
             Some(ClaimOutcome::Finished(ClaimResult::Answered(generation))) => {
                 send_generation(&generation, parts);
@@ -143,39 +140,40 @@
             Some(ClaimOutcome::Finished(ClaimResult::Failed(failure))) => Err(failure),
             Some(outcome) => Err(claim_failure(&outcome)),
             None => {
-                // The claim may still be committed; sealing it prevents that the request is executed under it.
-                self.inner.platform.spawn(self.clone().seal_in_background(claim));
+                // The claim may still be committed; sealing it prevents a later execution of the request.
+                self.inner.runtime.spawn(self.clone().seal_in_background(claim));
                 let message = "the control group did not decide in time; resend with the same key";
-                Err(refusal(request, FailureCode::Undecided, message, SHORT_RETRY_MILLISECONDS))
+                Err(rejection(request, FailureCode::Undecided, message, RETRY_DELAY_MS))
             }
         }
     }
 
-    fn claim(&self, request: &CallerRequest, key: &RequestKey, holder: Incarnation) -> Claim {
-        let name = ClaimKey { tenant: request.tenant.clone(), caller: request.caller.clone(), key: key.key.clone() };
+    fn new_claim(&self, request: &CallerRequest, key: &RequestKey, holder: Incarnation) -> Claim {
+        let claim_key =
+            ClaimKey { tenant: request.tenant.clone(), caller: request.caller.clone(), key: key.key.clone() };
         let request = ClaimRequest {
-            key: name,
+            key: claim_key,
             digest: request_digest(request),
             expires_at: key.expires_at,
             holder,
-            arrival: self.inner.platform.random(),
+            arrival: self.inner.runtime.random(),
             repeatability: request.repeatability,
         };
         Claim { request }
     }
 
-    /// Acquires the claim; while another arrival runs it, polls until that one has ended or the deadline is near.
+    /// Acquires the claim; while another copy of the request runs, polls until it has ended or the deadline is near.
     /// `None` if the control group did not decide in time.
-    async fn acquire(&self, claim: &Claim, deadline: Duration) -> Option<ClaimOutcome> {
+    async fn acquire_claim(&self, claim: &Claim, deadline: Duration) -> Option<ClaimOutcome> {
         loop {
-            let remaining = deadline.saturating_sub(self.inner.platform.monotonic());
+            let remaining = deadline.saturating_sub(self.inner.runtime.monotonic());
             let limit = remaining.min(self.inner.options.config.claim_limit);
             let command = ClaimCommand::Acquire(claim.request.clone());
             let outcome = self.commit_claim(command, limit).await?;
             if outcome != ClaimOutcome::Running || remaining <= CLAIM_POLL_INTERVAL {
                 return Some(outcome);
             }
-            self.inner.platform.sleep(CLAIM_POLL_INTERVAL).await;
+            self.inner.runtime.sleep(CLAIM_POLL_INTERVAL).await;
         }
     }
 
@@ -186,7 +184,7 @@
         deadline: Duration,
         parts: &PartSender,
     ) -> Result<Generation, RequestFailure> {
-        let work = self.work(request, deadline, claim.request.holder);
+        let work = self.generation_work(request, deadline, claim.request.holder);
         match self.dispatch(&work, Some(parts)).await {
             Ok(generation) => {
                 let result = ClaimResult::Answered(generation.clone());
@@ -194,7 +192,7 @@
                 Ok(generation)
             }
             Err(failure) if failure.outcome == ExecutionOutcome::NotExecuted => {
-                Err(self.prove_not_executed(claim, &failure).await)
+                Err(self.seal_claim(claim, &failure).await)
             }
             Err(failure) => {
                 let answer = dispatch_failure(failure.outcome, &failure);
@@ -206,17 +204,17 @@
 
     /// Seals the claim. Returns `NotExecuted` only if the seal is committed, which rules out a later execution under
     /// the key.
-    async fn prove_not_executed(&self, claim: &Claim, failure: &DispatchFailure) -> RequestFailure {
+    async fn seal_claim(&self, claim: &Claim, failure: &DispatchFailure) -> RequestFailure {
         let command = ClaimCommand::Seal(claim.request.clone());
         let sealed = self.commit_claim(command, self.inner.options.config.claim_limit).await;
         if sealed == Some(ClaimOutcome::Sealed) {
             let message = format!("{}; use a new key to ask again", failure.message);
-            let retry = SHORT_RETRY_MILLISECONDS;
+            let retry = RETRY_DELAY_MS;
             return RequestFailure::new(ExecutionOutcome::NotExecuted, failure.code, message, retry);
         }
-        self.inner.platform.spawn(self.clone().seal_in_background(claim.clone()));
+        self.inner.runtime.spawn(self.clone().seal_in_background(claim.clone()));
         let message = format!("{}; undecided, resend with the same key", failure.message);
-        let retry = SHORT_RETRY_MILLISECONDS;
+        let retry = RETRY_DELAY_MS;
         RequestFailure::new(ExecutionOutcome::Unknown, FailureCode::Undecided, message, retry)
     }
 
@@ -225,7 +223,7 @@
         let (key, arrival) = (claim.request.key.clone(), claim.request.arrival);
         let command = ClaimCommand::Finish { key, arrival, result };
         if self.commit_claim(command.clone(), self.inner.options.config.claim_limit).await.is_none() {
-            self.inner.platform.spawn(self.clone().end_claim_in_background(command, claim.request.holder));
+            self.inner.runtime.spawn(self.clone().end_claim_in_background(command, claim.request.holder));
         }
     }
 
@@ -239,7 +237,7 @@
             }
         };
         if self.commit_claim(command.clone(), self.inner.options.config.claim_limit).await.is_none() {
-            self.inner.platform.spawn(self.clone().end_claim_in_background(command, claim.request.holder));
+            self.inner.runtime.spawn(self.clone().end_claim_in_background(command, claim.request.holder));
         }
     }
 
@@ -252,9 +250,9 @@
 
     /// Retries the end of a claim in the background.
     async fn end_claim_in_background(self, command: ClaimCommand, holder: Incarnation) {
-        let platform = &self.inner.platform;
-        let retry_until = platform.monotonic() + CLAIM_END_RETRY_LIMIT;
-        let is_needed = || self.inner.incarnation.get() == holder || platform.monotonic() < retry_until;
+        let runtime = &self.inner.runtime;
+        let retry_until = runtime.monotonic() + CLAIM_END_RETRY_LIMIT;
+        let is_needed = || self.inner.incarnation.get() == holder || runtime.monotonic() < retry_until;
         self.commit_until_decided(Command::Claim(command), is_needed).await;
     }
 
@@ -281,23 +279,23 @@
     }
 }
 
-/// A refusal before execution on this relay. For a keyed request the outcome is unknown, since an earlier copy may run
-/// on another relay.
-fn refusal(request: &CallerRequest, code: FailureCode, message: impl Into<String>, retry: u64) -> RequestFailure {
+/// A rejection before execution on this relay. For a keyed request the outcome is unknown, since an earlier copy may
+/// run on another relay.
+fn rejection(request: &CallerRequest, code: FailureCode, message: impl Into<String>, retry: u64) -> RequestFailure {
     let is_keyed = request.key.is_some();
     let outcome = if is_keyed { ExecutionOutcome::Unknown } else { ExecutionOutcome::NotExecuted };
     RequestFailure::new(outcome, code, message, retry)
 }
 
-fn admission_failure(request: &CallerRequest, admission: AdmissionRefusal) -> RequestFailure {
+fn admission_failure(request: &CallerRequest, admission: AdmissionError) -> RequestFailure {
     match admission {
-        AdmissionRefusal::Overloaded(wait) => {
-            let retry = (wait.as_millis() as u64).max(SHORT_RETRY_MILLISECONDS);
-            refusal(request, FailureCode::Overloaded, "the tenant's requests fill its queue", retry)
+        AdmissionError::Overloaded(wait) => {
+            let retry = (wait.as_millis() as u64).max(RETRY_DELAY_MS);
+            rejection(request, FailureCode::Overloaded, "the tenant's requests fill its queue", retry)
         }
-        AdmissionRefusal::DeadlineExceeded => {
+        AdmissionError::DeadlineExceeded => {
             let message = "the deadline passed while the request waited";
-            refusal(request, FailureCode::DeadlineExceeded, message, SHORT_RETRY_MILLISECONDS)
+            rejection(request, FailureCode::DeadlineExceeded, message, RETRY_DELAY_MS)
         }
     }
 }
@@ -325,7 +323,7 @@
             ExecutionOutcome::Unknown,
             FailureCode::Undecided,
             "an earlier copy is still running; resend with the same key",
-            SHORT_RETRY_MILLISECONDS,
+            RETRY_DELAY_MS,
         ),
     };
     RequestFailure::new(execution, code, message, retry)
--- a/crates/relay/src/commands/samples.rs
+++ b/crates/relay/src/commands/samples.rs
@@ -20,7 +20,7 @@
 /// Pause between calls to the scorer for one sample; up to doubled by jitter.
 const SCORE_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Maximum number of attempts to generate a sample before it is returned.
+/// Maximum number of attempts to generate a sample before it is returned to the control group.
 const SAMPLE_ATTEMPTS: u32 = 8;
 
 /// Counts a sample as running until dropped.
@@ -45,7 +45,7 @@
 pub(crate) async fn run_samples<P: Runtime, B: Backends>(relay: Relay<P, B>) {
     let mut sequence = 0;
     loop {
-        relay.inner.platform.sleep(relay.inner.options.config.rollout_interval).await;
+        relay.inner.runtime.sleep(relay.inner.options.config.rollout_interval).await;
         let free_slots = free_sample_slots(&relay).min(max_assignments(&relay));
         if !relay.is_ready() || free_slots == 0 {
             continue;
@@ -61,7 +61,7 @@
         if let Some(CommandOutcome::Assigned(assignments)) = outcome {
             for assignment in assignments {
                 let running = RunningSample::begin(&relay);
-                relay.inner.platform.spawn(run_sample(running, assignment, incarnation));
+                relay.inner.runtime.spawn(run_sample(running, assignment, incarnation));
             }
         }
         relay.inner.assignment_in_flight.set(false);
@@ -70,7 +70,7 @@
 
 /// Limits the relay to one sample at a time while the scorer is unreachable, to probe whether it is back.
 fn max_assignments<P: Runtime, B: Backends>(relay: &Relay<P, B>) -> u32 {
-    let is_unreachable = relay.inner.scorer.is_unreachable(relay.inner.platform.monotonic());
+    let is_unreachable = relay.inner.scorer.is_unreachable(relay.inner.runtime.monotonic());
     if is_unreachable { 1_u32.saturating_sub(relay.inner.samples_running.get()) } else { u32::MAX }
 }
 
@@ -118,7 +118,7 @@
     Some((generation, reward_milli))
 }
 
-/// Pause before a sample whose prompt is suspected of ending engines is returned.
+/// Pause before a sample whose prompt is suspected of crashing engines is returned to the control group.
 const SUSPECTED_PAUSE: Duration = Duration::from_secs(1);
 
 async fn generate<P: Runtime, B: Backends>(
@@ -138,8 +138,8 @@
         priority: Priority::Rollout,
         repeatability: Repeatability::Repeatable,
         incarnation,
-        started_at: relay.inner.platform.monotonic(),
-        deadline: relay.inner.platform.monotonic() + SAMPLE_TIMEOUT,
+        started_at: relay.inner.runtime.monotonic(),
+        deadline: relay.inner.runtime.monotonic() + SAMPLE_TIMEOUT,
         attempts: SAMPLE_ATTEMPTS,
         oldest_useful_version: assignment.oldest_useful_version,
     };
@@ -148,7 +148,7 @@
         && failure.code == FailureCode::EnginesEnded
     {
         // A returned sample is assigned again immediately.
-        relay.inner.platform.sleep(SUSPECTED_PAUSE).await;
+        relay.inner.runtime.sleep(SUSPECTED_PAUSE).await;
     }
     outcome.ok()
 }
@@ -162,19 +162,19 @@
 ) -> Option<i64> {
     while relay.inner.incarnation.get() == incarnation {
         let call = relay.inner.backends.score(prompt, generation);
-        if let Some(Ok(reward)) = timeout(&relay.inner.platform, SCORE_TIMEOUT, call).await {
+        if let Some(Ok(reward)) = timeout(&relay.inner.runtime, SCORE_TIMEOUT, call).await {
             relay.inner.scorer.record_success();
             return Some(reward);
         }
-        relay.inner.scorer.record_failure(relay.inner.platform.monotonic());
-        if relay.inner.scorer.is_unreachable(relay.inner.platform.monotonic()) {
+        relay.inner.scorer.record_failure(relay.inner.runtime.monotonic());
+        if relay.inner.scorer.is_unreachable(relay.inner.runtime.monotonic()) {
             spdlog::warn!("sample returned because the scorer is unreachable", kv: {
                 prompt_bytes = prompt.len(), tokens = generation.tokens.len()
             });
             return None;
         }
-        let pause = SCORE_RETRY_PAUSE + relay.inner.platform.jitter(SCORE_RETRY_PAUSE);
-        relay.inner.platform.sleep(pause).await;
+        let pause = SCORE_RETRY_PAUSE + relay.inner.runtime.jitter(SCORE_RETRY_PAUSE);
+        relay.inner.runtime.sleep(pause).await;
     }
     None
 }
--- a/crates/relay/src/commands/trainers.rs
+++ b/crates/relay/src/commands/trainers.rs
@@ -70,7 +70,7 @@
         cursor: Position,
         limit: u32,
     ) -> Result<DeliveryBatch, TrainerError> {
-        let wait_until = self.inner.platform.monotonic() + self.inner.options.config.fetch_wait;
+        let wait_until = self.inner.runtime.monotonic() + self.inner.options.config.fetch_wait;
         loop {
             let command = RolloutCommand::Fetch { tenant: tenant.clone(), incarnation, cursor, limit };
             let outcome = self.inner.control.execute(Command::Rollout(command), CALL_TIMEOUT).await?;
@@ -79,7 +79,7 @@
                 CommandOutcome::Refused(refusal) => return Err(TrainerError::Refused(refusal)),
                 _ => return Err(TrainerError::Unavailable),
             };
-            let stop_waiting = self.inner.stopping.get() || self.inner.platform.monotonic() >= wait_until;
+            let stop_waiting = self.inner.draining.get() || self.inner.runtime.monotonic() >= wait_until;
             if !batch.samples.is_empty() || stop_waiting {
                 return Ok(batch);
             }
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -18,7 +18,7 @@
     pub connect_timeout: Duration,
     /// Timeout for an engine's response to a request, and for each chunk of its stream.
     pub chunk_limit: Duration,
-    /// Maximum wait for an engine that can accept a request.
+    /// Maximum wait of an attempt for an engine that can accept the request.
     pub engine_wait: Duration,
     /// How long after its start a sample waits for an engine with newer weights than the oldest version that its
     /// trainer can use.
@@ -33,7 +33,7 @@
     pub fetch_wait: Duration,
     /// Maximum time that a drain waits for requests and samples in progress.
     pub drain_limit: Duration,
-    /// Delay before the last trial of suspected work, whose failure quarantines it.
+    /// Delay before the last trial of suspected work; the work is quarantined if that trial crashes an engine too.
     pub last_trial_pause: Duration,
 }
 
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -22,11 +22,11 @@
 /// Polling interval while no engine is available.
 const ENGINE_WAIT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Staleness share of a tenant whose weights are both zero, in percent.
-const EVEN_SHARE_PERCENT: u32 = 50;
+/// Weight of staleness relative to trainer idle time for a tenant that sets both weights to zero, in percent.
+const DEFAULT_STALENESS_SHARE_PERCENT: u32 = 50;
 
 /// Retry delay sent to callers after a transient failure.
-pub(crate) const SHORT_RETRY: Duration = Duration::from_millis(500);
+pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Path component of work digests of generations; distinguishes them from requests forwarded by the gateway.
 const GENERATION_PATH: &str = "generation";
@@ -56,7 +56,8 @@
     pub deadline: Duration,
     /// Maximum number of attempts.
     pub attempts: u32,
-    /// For samples, the oldest weight version that the trainer could use at assignment; zero for callers' requests.
+    /// For samples, the oldest weight version that the trainer could use when the sample was assigned; zero for
+    /// callers' requests.
     pub oldest_useful_version: WeightVersion,
 }
 
@@ -159,14 +160,14 @@
         Err(progress.failure(FailureCode::EngineFailed, last_message))
     }
 
-    /// Checks the work for suspicion and acquires a trial if needed. Fails if the work must not run now.
+    /// Checks the work for suspicion and acquires a trial lease if needed. Fails if the work must not run now.
     async fn check_suspicion(&self, progress: &mut Progress<'_, P>) -> Result<(), DispatchFailure> {
         let suspicions = &self.inner.suspicions;
         let is_suspected = suspicions.engines_ended(|| progress.work_digest()) > 0;
         let retry_after = match suspicions.verdict(|| progress.work_digest()) {
             Verdict::Send if !is_suspected || progress.trial.as_ref().is_some_and(RelayTrial::holds) => return Ok(()),
             Verdict::Send => {
-                let remaining = progress.work.deadline.saturating_sub(self.inner.platform.monotonic());
+                let remaining = progress.work.deadline.saturating_sub(self.inner.runtime.monotonic());
                 progress.trial = suspicions.begin_trial(progress.work_digest(), remaining).await;
                 if progress.trial.is_some() {
                     return Ok(());
@@ -202,8 +203,8 @@
     }
 
     fn may_retry(&self) -> bool {
-        let now = self.inner.platform.monotonic();
-        let allowed = self.inner.retries.borrow_mut().take(now);
+        let now = self.inner.runtime.monotonic();
+        let allowed = self.inner.retries.borrow_mut().try_acquire(now);
         if allowed {
             self.count(|counters| counters.retries += 1);
         }
@@ -215,16 +216,16 @@
         let config = &self.inner.options.config;
         let is_rollout = progress.work.priority == Priority::Rollout;
         let max_wait = if is_rollout { config.engine_wait + config.newer_weights_wait } else { config.engine_wait };
-        let wait_until = (self.inner.platform.monotonic() + max_wait).min(progress.work.deadline);
+        let wait_until = (self.inner.runtime.monotonic() + max_wait).min(progress.work.deadline);
         loop {
             if let Some(engine) = self.choose_engine(progress) {
                 return Some(engine);
             }
             let lease_lost = !self.is_leased_as(progress.work.incarnation);
-            if lease_lost || self.inner.platform.monotonic() >= wait_until {
+            if lease_lost || self.inner.runtime.monotonic() >= wait_until {
                 return None;
             }
-            self.inner.platform.sleep(ENGINE_WAIT_INTERVAL).await;
+            self.inner.runtime.sleep(ENGINE_WAIT_INTERVAL).await;
         }
     }
 
@@ -232,27 +233,27 @@
         let work = progress.work;
         let candidates = self.candidates(work);
         let untried: Vec<_> = candidates.iter().filter(|(engine, _)| !progress.tried.contains(&engine.id)).collect();
-        let pool: Vec<_> = if untried.is_empty() { candidates.iter().collect() } else { untried };
-        let choices: Vec<Candidate> = pool.iter().map(|(_, candidate)| candidate.clone()).collect();
+        let preferred: Vec<_> = if untried.is_empty() { candidates.iter().collect() } else { untried };
+        let choices: Vec<Candidate> = preferred.iter().map(|(_, candidate)| candidate.clone()).collect();
         let request = RoutingRequest {
             prompt: &work.prompt,
             priority: work.priority,
             staleness_share_percent: self.staleness_share_percent(&work.tenant),
         };
-        let index = self.inner.policy.choose(&request, &choices, self.inner.platform.random())?;
-        Some(pool[index].0.clone())
+        let index = self.inner.policy.choose(&request, &choices, self.inner.runtime.random())?;
+        Some(preferred[index].0.clone())
     }
 
     fn staleness_share_percent(&self, tenant: &TenantId) -> u32 {
         let view = self.inner.view.borrow();
         let weights = view.tenant(tenant).map(|tenant| (tenant.staleness_weight, tenant.idle_weight));
         let (staleness, idle) = weights.unwrap_or((1, 1));
-        (staleness * 100).checked_div(staleness + idle).unwrap_or(EVEN_SHARE_PERCENT)
+        (staleness * 100).checked_div(staleness + idle).unwrap_or(DEFAULT_STALENESS_SHARE_PERCENT)
     }
 
     /// Engines that can accept the work now.
     fn candidates(&self, work: &GenerationWork) -> Vec<(EngineDescription, Candidate)> {
-        let now = self.inner.platform.monotonic();
+        let now = self.inner.runtime.monotonic();
         let view = self.inner.view.borrow();
         let rollout = work.priority == Priority::Rollout;
         let oldest = if rollout { self.oldest_start_version(&view, work, now) } else { WeightVersion(0) };
@@ -262,9 +263,9 @@
         let mut candidates = Vec::new();
         for (engine, version) in view.ready_engines(&work.model) {
             let description = &engine.description;
-            let engine_use = self.inner.registry.get(&description.id);
-            let is_full = engine_use.in_flight * 100 >= description.slots * limit_percent;
-            let rollouts_full = rollout && engine_use.rollouts >= rollout_slots(description.slots, share, relay_count);
+            let stats = self.inner.registry.get(&description.id);
+            let is_full = stats.in_flight * 100 >= description.slots * limit_percent;
+            let rollouts_full = rollout && stats.rollouts >= rollout_slots(description.slots, share, relay_count);
             let unsuitable = version < oldest || self.inner.registry.is_ejected(&description.id, now);
             if is_full || rollouts_full || unsuitable {
                 continue;
@@ -272,9 +273,9 @@
             let candidate = Candidate {
                 id: description.id.clone(),
                 slots: description.slots,
-                in_flight: engine_use.in_flight,
-                reported: engine_use.reported,
-                report_age_milliseconds: now.saturating_sub(engine_use.reported_at).as_millis() as u64,
+                in_flight: stats.in_flight,
+                reported: stats.reported,
+                report_age_milliseconds: now.saturating_sub(stats.reported_at).as_millis() as u64,
                 same_zone: description.zone == self.inner.options.zone,
                 version,
             };
@@ -311,12 +312,12 @@
         }
         let request = self.engine_request(progress);
         let attempt_id = request.attempt_id;
-        let remaining = work.deadline.saturating_sub(self.inner.platform.monotonic());
+        let remaining = work.deadline.saturating_sub(self.inner.runtime.monotonic());
         let limit = remaining.min(self.inner.options.config.chunk_limit);
-        let stream = match timeout(&self.inner.platform, limit, connection.generate(request)).await {
+        let stream = match timeout(&self.inner.runtime, limit, connection.generate(request)).await {
             Some(Ok(stream)) => stream,
-            Some(Err(error)) => return Err(self.engine_failed(engine, error)),
-            None => return Err(self.engine_failed(engine, BackendError::Unknown("no answer in time".to_string()))),
+            Some(Err(error)) => return Err(self.record_error(engine, error)),
+            None => return Err(self.record_error(engine, BackendError::Unknown("no answer in time".to_string()))),
         };
         progress.may_have_run = true;
         self.read_stream(progress, engine, attempt_id, stream).await
@@ -324,15 +325,15 @@
 
     async fn connect(&self, engine: &EngineDescription) -> Result<B::Connection, AttemptFailure> {
         let limit = self.inner.options.config.connect_timeout;
-        match timeout(&self.inner.platform, limit, self.inner.backends.connect(engine)).await {
+        match timeout(&self.inner.runtime, limit, self.inner.backends.connect(engine)).await {
             Some(Ok(connection)) => Ok(connection),
-            Some(Err(error)) => Err(self.engine_failed(engine, error)),
-            None => Err(self.engine_failed(engine, BackendError::NotSent("no connection in time".to_string()))),
+            Some(Err(error)) => Err(self.record_error(engine, error)),
+            None => Err(self.record_error(engine, BackendError::NotSent("no connection in time".to_string()))),
         }
     }
 
-    fn engine_failed(&self, engine: &EngineDescription, error: BackendError) -> AttemptFailure {
-        self.inner.registry.record_failure(&engine.id, self.inner.platform.monotonic());
+    fn record_error(&self, engine: &EngineDescription, error: BackendError) -> AttemptFailure {
+        self.inner.registry.record_failure(&engine.id, self.inner.runtime.monotonic());
         match error {
             BackendError::NotSent(message) | BackendError::Refused(message) => AttemptFailure::NotExecuted(message),
             BackendError::Unknown(message) => AttemptFailure::PossiblyExecuted(message),
@@ -341,7 +342,7 @@
 
     fn engine_request(&self, progress: &Progress<'_, P>) -> EngineRequest {
         EngineRequest {
-            attempt_id: self.inner.platform.random(),
+            attempt_id: self.inner.runtime.random(),
             prompt: progress.work.prompt.clone(),
             resume_tokens: progress.generation.tokens.clone(),
             max_tokens: progress.work.max_tokens,
@@ -367,7 +368,7 @@
             }
             if chunk.sequence > next_sequence {
                 let error = BackendError::Unknown("a chunk is missing from the stream".to_string());
-                return Err(self.engine_failed(engine, error));
+                return Err(self.record_error(engine, error));
             }
             next_sequence += 1;
             self.apply_chunk(progress, engine, &chunk)?;
@@ -385,15 +386,15 @@
         engine: &EngineDescription,
         stream: &mut mpsc::UnboundedReceiver<StreamEvent>,
     ) -> Result<EngineChunk, AttemptFailure> {
-        let remaining = work.deadline.saturating_sub(self.inner.platform.monotonic());
+        let remaining = work.deadline.saturating_sub(self.inner.runtime.monotonic());
         let limit = remaining.min(self.inner.options.config.chunk_limit);
-        let event = timeout(&self.inner.platform, limit, stream.next()).await;
+        let event = timeout(&self.inner.runtime, limit, stream.next()).await;
         match event {
             Some(Some(Ok(chunk))) => Ok(chunk),
-            Some(Some(Err(error))) => Err(self.engine_failed(engine, error)),
+            Some(Some(Err(error))) => Err(self.record_error(engine, error)),
             Some(None) => {
                 let error = BackendError::Unknown("the stream broke off".to_string());
-                Err(self.engine_failed(engine, error))
+                Err(self.record_error(engine, error))
             }
             None if limit == remaining => {
                 let message = "the deadline passed while the request ran".to_string();
@@ -401,7 +402,7 @@
             }
             None => {
                 let error = BackendError::Unknown("the engine fell silent".to_string());
-                Err(self.engine_failed(engine, error))
+                Err(self.record_error(engine, error))
             }
         }
     }
@@ -412,7 +413,7 @@
         engine: &EngineDescription,
         chunk: &EngineChunk,
     ) -> Result<(), AttemptFailure> {
-        let now = self.inner.platform.monotonic();
+        let now = self.inner.runtime.monotonic();
         self.inner.registry.record_load(&engine.id, chunk.load, now);
         self.count(|counters| counters.tokens += chunk.tokens.len() as u64);
         progress.generation.extend(&chunk.tokens, &chunk.text, chunk.version);
@@ -463,6 +464,6 @@
         } else {
             ExecutionOutcome::FailedWhileExecuting
         };
-        DispatchFailure { outcome, code, message, retry_after: SHORT_RETRY }
+        DispatchFailure { outcome, code, message, retry_after: RETRY_DELAY }
     }
 }
--- a/crates/relay/src/grants.rs
+++ b/crates/relay/src/grants.rs
@@ -11,8 +11,8 @@
 /// Timeout of one commit attempt.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause after the leader rejected a proposal because its queue was full; up to doubled by jitter. Avoids that
-/// immediate retries keep the queue full.
+/// Pause after the leader rejected a proposal because its queue was full; up to doubled by jitter. Without
+/// the pause, immediate retries would keep the queue full.
 const REJECTED_PAUSE: Duration = Duration::from_millis(100);
 
 impl<P: Runtime, B: Backends> Relay<P, B> {
@@ -22,8 +22,8 @@
         command: Command,
         is_needed: impl Fn() -> bool,
     ) -> Option<CommandOutcome> {
-        let platform = &self.inner.platform;
-        let started_at = platform.monotonic();
+        let runtime = &self.inner.runtime;
+        let started_at = runtime.monotonic();
         let mut failures: u32 = 0;
         let mut decided = None;
         while decided.is_none() && is_needed() {
@@ -36,7 +36,7 @@
             }
         }
         if failures > 0 {
-            let took_ms = platform.monotonic().saturating_sub(started_at).as_millis() as u64;
+            let took_ms = runtime.monotonic().saturating_sub(started_at).as_millis() as u64;
             spdlog::warn!("commit of a claim or sample delayed by retries", kv: {
                 failures = failures, took_ms = took_ms, decided = decided.is_some()
             });
@@ -47,8 +47,8 @@
     /// Pauses after a rejection, which arrives immediately; other failures have already waited for the timeout.
     async fn pause_after(&self, error: &ControlError) {
         if matches!(error, ControlError::Refused(_)) {
-            let platform = &self.inner.platform;
-            platform.sleep(REJECTED_PAUSE + platform.jitter(REJECTED_PAUSE)).await;
+            let runtime = &self.inner.runtime;
+            runtime.sleep(REJECTED_PAUSE + runtime.jitter(REJECTED_PAUSE)).await;
         }
     }
 }
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -25,7 +25,7 @@
 impl<P: Runtime, B: Backends> Relay<P, B> {
     /// Loads the stored configuration, so that the relay does not use an older one after a restart.
     pub(crate) async fn load_configuration(&self) -> io::Result<()> {
-        let Some(bytes) = self.inner.platform.disk().read(CONFIGURATION_FILE).await? else {
+        let Some(bytes) = self.inner.runtime.disk().read(CONFIGURATION_FILE).await? else {
             return Ok(());
         };
         let stored: StoredConfiguration = bitcode::decode(&bytes)
@@ -39,7 +39,7 @@
     pub(crate) async fn run_lease_renewal(self) {
         let config = self.inner.options.config.clone();
         loop {
-            let sent_at = self.inner.platform.monotonic();
+            let sent_at = self.inner.runtime.monotonic();
             let renewal = self.renewal_request();
             let incarnation = renewal.relay.incarnation;
             let renewed = match self.inner.control.renew(renewal, config.renew_limit).await {
@@ -48,7 +48,7 @@
             };
             // Renewals are long polls: the control group replies immediately if there are changes, and later otherwise.
             let pause = if renewed { RENEWED_PAUSE } else { config.renew_interval };
-            self.inner.platform.sleep(pause).await;
+            self.inner.runtime.sleep(pause).await;
         }
     }
 
@@ -91,7 +91,7 @@
         };
         let stored = StoredConfiguration { revision: update.revision, objects: objects.values().cloned().collect() };
         let bytes = bitcode::encode(&stored);
-        if self.inner.platform.disk().replace(CONFIGURATION_FILE, bytes).await.is_err() {
+        if self.inner.runtime.disk().replace(CONFIGURATION_FILE, bytes).await.is_err() {
             return false;
         }
         self.inner.view.borrow_mut().set_configuration(update.revision, objects);
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -4,7 +4,7 @@
 //! - `lease` renews the configuration lease and `view` holds the leased configuration and engine list.
 //! - `admission` limits and queues requests by tenant; `dispatch` runs generations on engines.
 //! - `registry` tracks each engine's load and failures; `retry` is the retry budget.
-//! - `grants` commits the end of granted claims and samples; `scorer_watch` tracks whether the scorer is reachable.
+//! - `grants` commits the end of granted claims and samples; `scorer_health` tracks whether the scorer is reachable.
 
 pub mod admission;
 pub mod commands;
@@ -16,7 +16,7 @@
 pub mod registry;
 mod relay;
 pub mod retry;
-mod scorer_watch;
+mod scorer_health;
 pub mod view;
 
 pub use relay::{Relay, RelayCounters, RelayOptions};
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -5,7 +5,7 @@
 use crate::config::RelayConfig;
 use crate::registry::Registry;
 use crate::retry::RetryBudget;
-use crate::scorer_watch::ScorerWatch;
+use crate::scorer_health::ScorerHealth;
 use crate::view::View;
 use saddlerelay_control_client::ControlClient;
 use saddlerelay_control_client::suspicions::SuspicionSync;
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Polling interval while a relay drains.
+/// Interval at which a drain checks whether all work has ended.
 const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Start-up options.
@@ -59,14 +59,14 @@
     pub tokens: u64,
     /// Engines that terminated during a request or sample.
     pub engines_ended: u64,
-    /// Requests and samples rejected because their work is suspected of ending engines.
+    /// Requests and samples rejected because their work is suspected of crashing engines.
     pub kept_from_engines: u64,
     /// Times that the relay was fenced and continued under a new incarnation.
     pub fenced: u64,
 }
 
 pub(crate) struct Inner<P: Runtime, B: Backends> {
-    pub platform: P,
+    pub runtime: P,
     pub backends: B,
     pub options: RelayOptions,
     pub control: ControlClient<P>,
@@ -77,9 +77,9 @@
     pub policy: Box<dyn Policy>,
     pub retries: RefCell<RetryBudget>,
     pub suspicions: Rc<SuspicionSync<P>>,
-    pub stopping: Cell<bool>,
+    pub draining: Cell<bool>,
     pub samples_running: Cell<u32>,
-    pub scorer: ScorerWatch,
+    pub scorer: ScorerHealth,
     /// An assignment request is in flight, which may return samples.
     pub assignment_in_flight: Cell<bool>,
     pub counters: RefCell<RelayCounters>,
@@ -98,36 +98,36 @@
 
 impl<P: Runtime, B: Backends> Relay<P, B> {
     /// Loads the stored configuration and spawns the relay's tasks. Requests are rejected until the first lease.
-    pub async fn start(platform: P, backends: B, options: RelayOptions) -> io::Result<Self> {
-        let control = ControlClient::new(platform.clone(), &options.control, &options.secret);
+    pub async fn start(runtime: P, backends: B, options: RelayOptions) -> io::Result<Self> {
+        let control = ControlClient::new(runtime.clone(), &options.control, &options.secret);
         let pause = options.config.last_trial_pause;
-        let suspicions = SuspicionSync::start(platform.clone(), control.clone(), pause);
+        let suspicions = SuspicionSync::start(runtime.clone(), control.clone(), pause);
         let inner = Inner {
             control,
             suspicions,
-            incarnation: Cell::new(Incarnation(platform.random())),
+            incarnation: Cell::new(Incarnation(runtime.random())),
             view: RefCell::default(),
             registry: Registry::default(),
             admission: Admission::default(),
             policy: options.policy.build(),
-            retries: RefCell::new(RetryBudget::new(platform.monotonic())),
-            stopping: Cell::new(false),
+            retries: RefCell::new(RetryBudget::new(runtime.monotonic())),
+            draining: Cell::new(false),
             samples_running: Cell::new(0),
-            scorer: ScorerWatch::default(),
+            scorer: ScorerHealth::default(),
             assignment_in_flight: Cell::new(false),
             counters: RefCell::default(),
             backends,
             options,
-            platform: platform.clone(),
+            runtime: runtime.clone(),
         };
         let relay = Self { inner: Rc::new(inner) };
         relay.load_configuration().await?;
-        platform.spawn(relay.clone().run_lease_renewal());
-        platform.spawn(samples::run_samples(relay.clone()));
+        runtime.spawn(relay.clone().run_lease_renewal());
+        runtime.spawn(samples::run_samples(relay.clone()));
         Ok(relay)
     }
 
-    /// The client of the control group.
+    /// The client for requests to the control group.
     pub fn control(&self) -> &ControlClient<P> {
         &self.inner.control
     }
@@ -152,13 +152,13 @@
 
     /// Whether `incarnation` is current and its lease is valid.
     pub(crate) fn is_leased_as(&self, incarnation: Incarnation) -> bool {
-        let now = self.inner.platform.monotonic();
+        let now = self.inner.runtime.monotonic();
         self.inner.incarnation.get() == incarnation && self.inner.view.borrow().is_leased(now)
     }
 
     /// Whether the relay accepts new requests.
     pub fn is_ready(&self) -> bool {
-        !self.inner.stopping.get() && self.is_leased_as(self.inner.incarnation.get())
+        !self.inner.draining.get() && self.is_leased_as(self.inner.incarnation.get())
     }
 
     /// Starts a new incarnation after `fenced` was fenced. Work of the old incarnation is not sent to engines any more.
@@ -166,7 +166,7 @@
         if self.inner.incarnation.get() != fenced {
             return;
         }
-        self.inner.incarnation.set(Incarnation(self.inner.platform.random()));
+        self.inner.incarnation.set(Incarnation(self.inner.runtime.random()));
         self.inner.view.borrow_mut().end_lease();
         self.count(|counters| counters.fenced += 1);
     }
@@ -174,13 +174,13 @@
     /// Drains the relay: rejects new requests and waits, up to `drain_limit`, for requests and samples in progress.
     /// Returns whether all of them ended in time.
     pub async fn drain(&self) -> bool {
-        self.inner.stopping.set(true);
-        let deadline = self.inner.platform.monotonic() + self.inner.options.config.drain_limit;
-        while self.inner.platform.monotonic() < deadline {
+        self.inner.draining.set(true);
+        let deadline = self.inner.runtime.monotonic() + self.inner.options.config.drain_limit;
+        while self.inner.runtime.monotonic() < deadline {
             if self.in_progress() == 0 && !self.inner.assignment_in_flight.get() {
                 return true;
             }
-            self.inner.platform.sleep(DRAIN_INTERVAL).await;
+            self.inner.runtime.sleep(DRAIN_INTERVAL).await;
         }
         false
     }
--- a/crates/relay/src/retry.rs
+++ b/crates/relay/src/retry.rs
@@ -11,7 +11,7 @@
 /// Maximum number of tokens.
 const MAX_TOKENS: f64 = 100.0;
 
-/// The retry budget.
+/// A token bucket; each retry consumes one token.
 #[derive(Debug)]
 pub struct RetryBudget {
     tokens: f64,
@@ -29,8 +29,8 @@
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Takes a token for a retry; returns `false` if there is none.
-    pub fn take(&mut self, now: Duration) -> bool {
+    /// Consumes a token for a retry; returns `false` if there is none.
+    pub fn try_acquire(&mut self, now: Duration) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at);
         self.refilled_at = now;
         self.tokens = (self.tokens + elapsed.as_secs_f64() * TOKENS_PER_SECOND).min(MAX_TOKENS);
--- a/crates/relay/src/scorer_watch.rs
+++ b/crates/relay/src/scorer_health.rs
@@ -10,12 +10,12 @@
 
 /// Outcome of the newest calls to the scorer.
 #[derive(Debug, Default)]
-pub(crate) struct ScorerWatch {
+pub(crate) struct ScorerHealth {
     /// Time of the first failure since the last success.
     failing_since: Cell<Option<Duration>>,
 }
 
-impl ScorerWatch {
+impl ScorerHealth {
     /// Records a successful call.
     pub fn record_success(&self) {
         self.failing_since.set(None);
--- a/crates/upstream/src/answer.rs
+++ b/crates/upstream/src/answer.rs
@@ -77,7 +77,7 @@
     pub async fn read_whole(self, limit: usize) -> Result<(Parts, Bytes, Option<Connection>), Failure> {
         let Self { head, body, connection } = self;
         let collected = Limited::new(body, limit).collect().await;
-        let body = collected.map_err(|error| interrupted(error.as_ref()))?.to_bytes();
+        let body = collected.map_err(|error| read_failure(error.as_ref()))?.to_bytes();
         let reusable = reusable(connection, idle_timeout(&head.headers)).await;
         Ok((head, body, reusable))
     }
@@ -89,8 +89,8 @@
     }
 }
 
-/// The failure of a response that was interrupted or exceeded the size limit.
-fn interrupted(error: &(dyn std::error::Error + 'static)) -> Failure {
+/// The failure of a read of a response body, which was interrupted or exceeded the size limit.
+fn read_failure(error: &(dyn std::error::Error + 'static)) -> Failure {
     let reason = format!("response interrupted: {error}");
     match error.downcast_ref::<hyper::Error>() {
         Some(_) => Failure::ConnectionLost(reason),
@@ -150,7 +150,7 @@
                         return Some(Ok(bytes));
                     }
                 }
-                Err(error) => return Some(Err(interrupted(&error))),
+                Err(error) => return Some(Err(read_failure(&error))),
             }
         }
     }
--- a/crates/upstream/src/balance.rs
+++ b/crates/upstream/src/balance.rs
@@ -58,7 +58,7 @@
 /// An engine that is ready for new requests.
 #[derive(Clone, Debug)]
 pub struct ReadyEngine {
-    /// Its instance and address.
+    /// Its instance and address, to which requests are sent.
     pub target: EngineTarget,
     /// Its zone.
     pub zone: String,
@@ -104,15 +104,15 @@
             let penalty = u32::from(tried.contains(&engine.target.instance)) * 4
                 + u32::from(ejected) * 2
                 + u32::from(engine.silent);
-            let unseen = EngineStats::new(now);
-            let engine_stats = engine_stats.unwrap_or(&unseen);
+            let default_stats = EngineStats::new(now);
+            let engine_stats = engine_stats.unwrap_or(&default_stats);
             let load_factor = 1.0 + f64::from(engine_stats.in_flight) / f64::from(engine.slots.max(1)).max(1.0);
             let zone_cost = if engine.zone == own_zone { 0.0 } else { OTHER_ZONE_COST };
             (penalty, engine_stats.expected_latency(now) * load_factor + zone_cost)
         };
         let ranked = engines.map(|engine| (rank(&engine), engine));
-        let least = ranked.min_by(|(left, _), (right, _)| left.0.cmp(&right.0).then(left.1.total_cmp(&right.1)));
-        least.map(|(_, engine)| engine)
+        let best = ranked.min_by(|(left, _), (right, _)| left.0.cmp(&right.0).then(left.1.total_cmp(&right.1)));
+        best.map(|(_, engine)| engine)
     }
 
     /// Number of requests of this process in flight at an engine.
@@ -129,7 +129,7 @@
 
     /// Records a response after `latency`; ends any ejection.
     pub fn answered(&self, instance: &InstanceId, latency: Duration, now: Duration) {
-        self.measure(instance, latency, now);
+        self.record_latency(instance, latency, now);
         if let Some(stats) = self.stats.borrow_mut().get_mut(instance) {
             stats.consecutive_failures = 0;
             stats.ejected_until = Duration::ZERO;
@@ -138,11 +138,11 @@
 
     /// Records an attempt that was cancelled after `latency` without a response, as a failure.
     pub fn cancelled(&self, instance: &InstanceId, latency: Duration, now: Duration) {
-        self.measure(instance, latency, now);
+        self.record_latency(instance, latency, now);
         self.failed(instance, now);
     }
 
-    fn measure(&self, instance: &InstanceId, latency: Duration, now: Duration) {
+    fn record_latency(&self, instance: &InstanceId, latency: Duration, now: Duration) {
         let mut stats = self.stats.borrow_mut();
         let stats = stats.entry(instance.clone()).or_insert_with(|| EngineStats::new(now));
         let previous = stats.expected_latency(now);
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -15,8 +15,8 @@
 
 /// Splits a byte stream into events.
 pub struct EventParser {
-    received: Vec<u8>,
-    /// Number of bytes of `received` already searched for the end of an event.
+    buffer: Vec<u8>,
+    /// Number of bytes of `buffer` already searched for the end of an event.
     searched: usize,
     /// Name of the additional field to extract, in lower case, with its colon.
     extra_field: String,
@@ -25,27 +25,27 @@
 impl EventParser {
     /// A parser that also extracts the field `field_name`.
     pub fn new(field_name: &str) -> Self {
-        Self { received: Vec::new(), searched: 0, extra_field: format!("{}:", field_name.to_ascii_lowercase()) }
+        Self { buffer: Vec::new(), searched: 0, extra_field: format!("{}:", field_name.to_ascii_lowercase()) }
     }
 
     /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.received.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// Whether the buffer contains an incomplete event.
     pub fn is_mid_event(&self) -> bool {
-        !self.received.is_empty()
+        !self.buffer.is_empty()
     }
 
     /// The next complete event, if the buffer contains one.
     pub fn next_event(&mut self) -> Option<Event> {
         let from = self.searched.saturating_sub(3);
-        let Some(end) = end_of_event(&self.received[from..]).map(|end| from + end) else {
-            self.searched = self.received.len();
+        let Some(end) = end_of_event(&self.buffer[from..]).map(|end| from + end) else {
+            self.searched = self.buffer.len();
             return None;
         };
-        let raw: Vec<u8> = self.received.drain(..end).collect();
+        let raw: Vec<u8> = self.buffer.drain(..end).collect();
         self.searched = 0;
         Some(self.parse(raw))
     }
@@ -80,10 +80,10 @@
 
 /// The index after the first empty line, which ends an event.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
-    let with_line_feeds = bytes.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
-    let with_returns = bytes.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4);
-    match (with_line_feeds, with_returns) {
-        (Some(with_line_feeds), Some(with_returns)) => Some(with_line_feeds.min(with_returns)),
-        (with_line_feeds, with_returns) => with_line_feeds.or(with_returns),
+    let lf_end = bytes.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
+    let crlf_end = bytes.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4);
+    match (lf_end, crlf_end) {
+        (Some(lf_end), Some(crlf_end)) => Some(lf_end.min(crlf_end)),
+        (lf_end, crlf_end) => lf_end.or(crlf_end),
     }
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -4,7 +4,7 @@
 //! A connection carries one request at a time. A request is known not to have executed if the connect failed, no byte
 //! was sent, or the engine reported so. Any other failure leaves it open whether it executed.
 //!
-//! `turns` balances requests across the services of a route, `balance` across the engines of a service.
+//! `round_robin` balances requests across the services of a route, `balance` across the engines of a service.
 
 pub mod answer;
 pub mod balance;
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    fn take(&self, target: &EngineTarget, reuse: Reuse) -> Option<Connection> {
+    fn take_idle(&self, target: &EngineTarget, reuse: Reuse) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(target)?;
         while let Some(connection) = connections.pop() {
@@ -109,7 +109,7 @@
     /// Returns an idle connection to `target` that `reuse` allows, or opens a new one.
     async fn connect(&self, target: &EngineTarget, reuse: Reuse) -> Result<Connection, Failure> {
         if reuse != Reuse::None
-            && let Some(connection) = self.take(target, reuse)
+            && let Some(connection) = self.take_idle(target, reuse)
         {
             return Ok(connection);
         }
@@ -129,7 +129,7 @@
     ) -> Result<Answer, Failure> {
         loop {
             let mut connection = self.connect(target, reuse).await?;
-            let message = self.message(target, request, time_left())?;
+            let message = self.build_request(target, request, time_left())?;
             if !may_send() {
                 return Err(Failure::NotSent("permission to send expired".to_string()));
             }
@@ -151,7 +151,7 @@
     ) -> Result<(Parts, Bytes), Failure> {
         let exchange = async {
             let mut connection = self.connect(target, Reuse::Recent).await?;
-            let message = self.message(target, request, limit)?;
+            let message = self.build_request(target, request, limit)?;
             if !may_send() {
                 return Err(Failure::NotSent("permission to send expired".to_string()));
             }
@@ -164,7 +164,7 @@
         result.unwrap_or_else(|_| Err(Failure::PossiblyExecuted("response timed out".to_string())))
     }
 
-    fn message(
+    fn build_request(
         &self,
         target: &EngineTarget,
         request: &Outgoing,
--- a/crates/upstream/src/round_robin.rs
+++ b/crates/upstream/src/round_robin.rs
@@ -15,13 +15,13 @@
     /// State for `targets`, advanced by the fraction `offset` (0 to 1) of a cycle. With uniformly distributed offsets,
     /// the first picks are distributed by weight.
     pub fn new(targets: &[WeightedTarget], offset: f64) -> Self {
-        let mut turns = Self { credits: vec![0.0; targets.len()] };
+        let mut round_robin = Self { credits: vec![0.0; targets.len()] };
         if targets.len() > 1 {
             for _ in 0..(offset * CYCLE_LENGTH) as u32 {
-                turns.next_index(targets);
+                round_robin.next_index(targets);
             }
         }
-        turns
+        round_robin
     }
 
     /// Picks the target with the largest credit and returns its index. `targets` must be those passed to `new`.
