--- a/crates/api/src/commands/callers.rs
+++ b/crates/api/src/commands/callers.rs
@@ -106,7 +106,7 @@
         Err(message) => return failure_reply(&invalid(message)),
     };
     let answer = api.relay.serve(request);
-    if stream { streamed(reply_head, answer, api).await } else { complete(reply_head, answer).await }
+    if stream { streamed_reply(reply_head, answer, api).await } else { buffered_reply(reply_head, answer).await }
 }
 
 fn invalid(message: String) -> RequestFailure {
@@ -141,10 +141,10 @@
     if parsed.max_tokens == Some(0) {
         return Err("`max_tokens` must be at least 1".to_string());
     }
-    let not_repeatable = flag(headers, wire::NOT_REPEATABLE_HEADER)?;
+    let not_repeatable = header_flag(headers, wire::NOT_REPEATABLE_HEADER)?;
     let key = request_key(headers, not_repeatable)?;
     let class = api.relay.tenant(&credentials.tenant).map(|tenant| tenant.caller_class);
-    let deadline = number(headers, wire::DEADLINE_HEADER)?.unwrap_or(wire::DEFAULT_DEADLINE_MILLISECONDS);
+    let deadline = header_number(headers, wire::DEADLINE_HEADER)?.unwrap_or(wire::DEFAULT_DEADLINE_MILLISECONDS);
     Ok(CallerRequest {
         tenant: credentials.tenant,
         caller: credentials.caller,
@@ -154,28 +154,28 @@
         seed: parsed.seed.unwrap_or_else(|| default_seed(api, key.is_some())),
         key,
         repeatability: if not_repeatable { Repeatability::NotRepeatable } else { Repeatability::Repeatable },
-        priority: class_of(headers, class.unwrap_or(Priority::Interactive))?,
+        priority: priority_class(headers, class.unwrap_or(Priority::Interactive))?,
         deadline_milliseconds: deadline,
     })
 }
 
 /// A retry with an idempotency key must equal the original request, so such requests get a fixed seed.
-fn default_seed<P: Runtime, B: Backends>(api: &RelayApi<P, B>, keyed: bool) -> u64 {
-    if keyed { 0 } else { api.platform.random() }
+fn default_seed<P: Runtime, B: Backends>(api: &RelayApi<P, B>, is_keyed: bool) -> u64 {
+    if is_keyed { 0 } else { api.platform.random() }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, String> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, String> {
     let value = headers.get(name).map(|value| value.to_str());
     value.transpose().map_err(|_| format!("header `{name}` is not a text"))
 }
 
-fn number(headers: &HeaderMap, name: &str) -> Result<Option<u64>, String> {
-    let parsed = text(headers, name)?.map(str::parse);
+fn header_number(headers: &HeaderMap, name: &str) -> Result<Option<u64>, String> {
+    let parsed = header_text(headers, name)?.map(str::parse);
     parsed.transpose().map_err(|_| format!("header `{name}` is not a whole number"))
 }
 
-fn flag(headers: &HeaderMap, name: &str) -> Result<bool, String> {
-    match text(headers, name)? {
+fn header_flag(headers: &HeaderMap, name: &str) -> Result<bool, String> {
+    match header_text(headers, name)? {
         None | Some("false") => Ok(false),
         Some("true") => Ok(true),
         Some(other) => Err(format!("header `{name}` is `{other}`, not `true` or `false`")),
@@ -185,8 +185,8 @@
 /// An idempotency key without an expiry is ignored, or rejected if the request is not repeatable: once the key was dropped,
 /// the relay could not distinguish a late retry from a new request.
 fn request_key(headers: &HeaderMap, not_repeatable: bool) -> Result<Option<RequestKey>, String> {
-    let key = text(headers, wire::KEY_HEADER)?;
-    let expires_at = number(headers, wire::KEY_EXPIRES_HEADER)?;
+    let key = header_text(headers, wire::KEY_HEADER)?;
+    let expires_at = header_number(headers, wire::KEY_EXPIRES_HEADER)?;
     match (key, expires_at) {
         (Some(key), Some(expires_at)) => Ok(Some(RequestKey { key: IdempotencyKey::new(key), expires_at })),
         (Some(_), None) if not_repeatable => Err(format!(
@@ -197,8 +197,8 @@
     }
 }
 
-fn class_of(headers: &HeaderMap, class: Priority) -> Result<Priority, String> {
-    match text(headers, wire::CLASS_HEADER)? {
+fn priority_class(headers: &HeaderMap, class: Priority) -> Result<Priority, String> {
+    match header_text(headers, wire::CLASS_HEADER)? {
         None => Ok(class),
         Some("interactive") => Ok(class.max(Priority::Interactive)),
         Some("batch") => Ok(class.max(Priority::Batch)),
@@ -206,7 +206,7 @@
     }
 }
 
-async fn complete(head: ReplyHead, mut answer: mpsc::UnboundedReceiver<AnswerPart>) -> Reply {
+async fn buffered_reply(head: ReplyHead, mut answer: mpsc::UnboundedReceiver<AnswerPart>) -> Reply {
     let mut generation = Generation::empty();
     while let Some(part) = answer.next().await {
         match part {
@@ -256,7 +256,7 @@
 }
 
 /// Waits for the first part, so that an early failure gets its own status code, and then streams.
-async fn streamed<P: Runtime, B: Backends>(
+async fn streamed_reply<P: Runtime, B: Backends>(
     head: ReplyHead,
     mut answer: mpsc::UnboundedReceiver<AnswerPart>,
     api: &RelayApi<P, B>,
@@ -276,7 +276,7 @@
             }
             next = answer.next().await;
         }
-        // The relay's task ended early: the stream ends without `[DONE]`.
+        // The relay's task ended before the last part: the stream ends without `[DONE]`.
     });
     parts(sse::CONTENT_TYPE, body)
 }
--- a/crates/api/src/commands/control.rs
+++ b/crates/api/src/commands/control.rs
@@ -1,7 +1,7 @@
 //! Handlers of operators' changes.
 
 use crate::control::ControlApi;
-use crate::errors::{body_error_reply, error_reply, name_of, not_found};
+use crate::errors::{body_error_reply, error_reply, not_found, serialized_name};
 use crate::queries::control::{RETRY_MILLISECONDS, control_error, entity_tag, object_reply};
 use crate::wire::KEY_HEADER;
 use hyper::body::Incoming;
@@ -140,7 +140,7 @@
     };
     let command = Command::Membership(MembershipCommand::Observe(vec![observation]));
     match api.client.execute(command, CHANGE_TIMEOUT).await {
-        Ok(_) => json(StatusCode::OK, &name_of(&EngineAvailability::Leaving)),
+        Ok(_) => json(StatusCode::OK, &serialized_name(&EngineAvailability::Leaving)),
         Err(error) => control_error(&error),
     }
 }
--- a/crates/api/src/commands/trainers.rs
+++ b/crates/api/src/commands/trainers.rs
@@ -1,7 +1,7 @@
 //! Handlers of trainers' calls.
 
 use crate::commands::callers::check_credentials;
-use crate::errors::{Rejection, body_error_reply, error_reply, name_of};
+use crate::errors::{Rejection, body_error_reply, error_reply, serialized_name};
 use crate::relay::RelayApi;
 use crate::wire::{OpenStepBody, OpenTrainerBody, PublishBody};
 use hyper::StatusCode;
@@ -40,7 +40,7 @@
     match outcome {
         Ok(value) => json(StatusCode::OK, &value),
         Err(TrainerError::Refused(refusal)) => {
-            let code = name_of(&refusal);
+            let code = serialized_name(&refusal);
             error_reply(StatusCode::CONFLICT, &code, format!("refused: {code}"), 0)
         }
         Err(TrainerError::Unavailable) => {
--- a/crates/api/src/control.rs
+++ b/crates/api/src/control.rs
@@ -1,7 +1,7 @@
 //! Routes of a control process: health, metrics and the administration API.
 
 use crate::commands;
-use crate::credentials::{bearer, constant_time_equal};
+use crate::credentials::{bearer_token, constant_time_equal};
 use crate::errors::{error_reply, not_found};
 use crate::queries;
 use hyper::body::Incoming;
@@ -46,23 +46,23 @@
             ["metrics"] => return queries::control::metrics(&self),
             _ => {}
         }
-        let token = bearer(&head.headers).unwrap_or_default();
+        let token = bearer_token(&head.headers).unwrap_or_default();
         if !constant_time_equal(token.as_bytes(), self.operator_token.as_bytes()) {
             let message = "give `Authorization: Bearer OPERATOR_TOKEN`";
             return error_reply(StatusCode::UNAUTHORIZED, "unauthorized", message, 0);
         }
-        let [api, version, rest @ ..] = segments.as_slice() else {
+        let [api, version, admin_path @ ..] = segments.as_slice() else {
             return not_found();
         };
         if (*api, *version) != ("admin", "v1") {
             return not_found();
         }
-        self.administer(&head, rest, body).await
+        self.handle_admin_call(&head, admin_path, body).await
     }
 }
 
 impl<P: Runtime, B: Backends> ControlApi<P, B> {
-    async fn administer(&self, head: &hyper::http::request::Parts, path: &[&str], body: Incoming) -> Reply {
+    async fn handle_admin_call(&self, head: &hyper::http::request::Parts, path: &[&str], body: Incoming) -> Reply {
         if let Some(name) = object_name(path) {
             return match head.method {
                 Method::GET => queries::control::object(self, name).await,
--- a/crates/api/src/credentials.rs
+++ b/crates/api/src/credentials.rs
@@ -17,13 +17,13 @@
 }
 
 /// The bearer token of a request.
-pub fn bearer(headers: &HeaderMap) -> Option<&str> {
+pub fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     headers.get(AUTHORIZATION)?.to_str().ok()?.strip_prefix("Bearer ")
 }
 
 /// Parses a caller's credentials; `None` if the header or the tenant is missing.
 pub fn caller_credentials(headers: &HeaderMap) -> Option<CallerCredentials> {
-    let mut parts = bearer(headers)?.splitn(3, ':');
+    let mut parts = bearer_token(headers)?.splitn(3, ':');
     let tenant = TenantId::new(parts.next().filter(|tenant| !tenant.is_empty())?);
     let caller = CallerId::new(parts.next().unwrap_or("default"));
     Some(CallerCredentials { tenant, caller, secret: parts.next().unwrap_or_default().to_string() })
--- a/crates/api/src/errors.rs
+++ b/crates/api/src/errors.rs
@@ -20,12 +20,12 @@
     pub kind: &'static str,
     /// Machine-readable code.
     pub code: String,
-    /// The invalid parameter, if one is.
+    /// Name of the invalid parameter in the OpenAI API; always `None` here.
     pub param: Option<String>,
-    /// Whether the request ran at an engine; absent if the error concerns no execution.
+    /// Whether the request ran at an engine; absent if the error is not about an execution.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub execution: Option<ExecutionOutcome>,
-    /// Retry delay in milliseconds; zero if a retry is useless.
+    /// Retry delay in milliseconds; zero if a retry would fail again.
     pub retry_after_ms: u64,
 }
 
@@ -62,7 +62,7 @@
 }
 
 /// The JSON string form of an enum variant or name; empty if `value` does not serialize to a string.
-pub fn name_of(value: &impl Serialize) -> String {
+pub fn serialized_name(value: &impl Serialize) -> String {
     match serde_json::to_value(value) {
         Ok(serde_json::Value::String(name)) => name,
         _ => String::new(),
@@ -74,7 +74,7 @@
     let detail = ErrorDetail {
         message: failure.message.clone(),
         kind: kind(status(failure.code)),
-        code: name_of(&failure.code),
+        code: serialized_name(&failure.code),
         param: None,
         execution: Some(failure.outcome),
         retry_after_ms: failure.retry_after_milliseconds,
@@ -88,7 +88,7 @@
 /// The error response to a failed request.
 pub fn failure_reply(failure: &RequestFailure) -> Reply {
     let mut reply = json(status(failure.code), &failure_body(failure));
-    if let Ok(value) = HeaderValue::from_str(&name_of(&failure.outcome)) {
+    if let Ok(value) = HeaderValue::from_str(&serialized_name(&failure.outcome)) {
         reply.headers_mut().insert(OUTCOME_HEADER, value);
     }
     add_retry_after(&mut reply, failure.retry_after_milliseconds);
@@ -105,7 +105,7 @@
     headers.insert(RETRY_AFTER_MILLISECONDS_HEADER, HeaderValue::from(milliseconds));
 }
 
-/// An error response for a call that concerns no execution.
+/// An error response for a call that executes nothing at an engine.
 pub fn error_reply(status: StatusCode, code: &str, message: impl Into<String>, retry_after_ms: u64) -> Reply {
     let detail = ErrorDetail {
         message: message.into(),
--- a/crates/gateway-api/src/client.rs
+++ b/crates/gateway-api/src/client.rs
@@ -45,7 +45,7 @@
 
 impl<F: Formats> HttpHandler for ClientApi<F> {
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Reply {
-        let mut reply = self.answer(request).await;
+        let mut reply = self.handle_call(request).await;
         if self.gateway.is_draining() {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -54,7 +54,7 @@
 }
 
 impl<F: Formats> ClientApi<F> {
-    async fn answer(&self, request: Request<Incoming>) -> Reply {
+    async fn handle_call(&self, request: Request<Incoming>) -> Reply {
         let (head, body) = request.into_parts();
         let call = self.formats.client_call(&head.method, &head.uri, &head.headers);
         let request = ClientRequest::new(head, self.gateway.names(), self.gateway.now());
--- a/crates/gateway-api/src/control.rs
+++ b/crates/gateway-api/src/control.rs
@@ -22,10 +22,11 @@
 /// Timeout of one attempt at a single control replica.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Maximum request body size.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 34 * 1024 * 1024;
 
-/// Maximum size of an engine's report. Reports are stored even if no routing names their service yet.
+/// Maximum size of an engine's report, in bytes. Reports are stored even if the routing document does not contain their
+/// service yet.
 const MAX_REPORT_BYTES: usize = 16 * 1024;
 
 /// Serves the control endpoints of a coordinator.
@@ -38,7 +39,7 @@
     rejected: RejectedCalls,
 }
 
-/// Selects the address to which an engine must send its later reports; `None` if any coordinator will do.
+/// Selects the address to which an engine must send its later reports; `None` if it may use any coordinator.
 pub type ReportTarget = Box<dyn Fn(&InstanceReport) -> Option<SocketAddr>>;
 
 impl<F> ControlApi<F> {
--- a/crates/gateway-api/src/own.rs
+++ b/crates/gateway-api/src/own.rs
@@ -123,10 +123,10 @@
 /// The header with the fencing token of a call to the platform.
 pub const FENCE_HEADER: &str = "saddlerelay-fence";
 
-fn platform_call(path: &str, right: &CallGrant, body: &impl Serialize) -> PlatformCall {
+fn platform_call(path: &str, grant: &CallGrant, body: &impl Serialize) -> PlatformCall {
     let mut headers = HeaderMap::new();
-    headers.insert(FENCE_HEADER, HeaderValue::from(right.fence.0));
-    if let Ok(holder) = HeaderValue::from_str(&right.holder) {
+    headers.insert(FENCE_HEADER, HeaderValue::from(grant.fence.0));
+    if let Ok(holder) = HeaderValue::from_str(&grant.holder) {
         headers.insert(HOLDER_HEADER, holder);
     }
     let body = serde_json::to_vec(body).unwrap_or_default();
@@ -134,12 +134,12 @@
 }
 
 impl PlatformFormat for NativePlatform {
-    fn usage_report(&self, right: &CallGrant, report: &UsageReport) -> PlatformCall {
-        platform_call(USAGE_PATH, right, report)
+    fn usage_report(&self, grant: &CallGrant, report: &UsageReport) -> PlatformCall {
+        platform_call(USAGE_PATH, grant, report)
     }
 
-    fn engine_count(&self, right: &CallGrant, order: &EngineCountOrder) -> PlatformCall {
-        platform_call(ENGINE_COUNT_PATH, right, order)
+    fn engine_count(&self, grant: &CallGrant, order: &EngineCountOrder) -> PlatformCall {
+        platform_call(ENGINE_COUNT_PATH, grant, order)
     }
 }
 
--- a/crates/gateway-api/tests/abandoned_rights.rs
+++ b/crates/gateway-api/tests/abandoned_trials.rs
@@ -1,5 +1,5 @@
-//! Suspected work runs at one engine at a time, under a trial granted to a process. If that process terminates, the work must
-//! not wait until the trial expires.
+//! Suspected work runs on one engine at a time, under a trial lease granted to a process. If that process terminates, the
+//! work must not wait until the lease expires.
 
 mod common;
 
@@ -15,11 +15,11 @@
 use saddlerelay_types::work::WorkDigest;
 use std::time::{Duration, Instant};
 
-/// Incarnation of a terminated process that still holds trials.
+/// Incarnation of a terminated process that still holds trial leases.
 const TERMINATED_PROCESS: Incarnation = Incarnation(4_711);
 
-/// Time limit of the trials.
-const TRIAL_LIMIT_MS: u64 = 20_000;
+/// Duration of the trial leases.
+const TRIAL_LEASE_MS: u64 = 20_000;
 
 /// Maximum time for which suspected work may be delayed by a terminated process.
 const MAX_DELAY: Duration = Duration::from_secs(4);
@@ -28,14 +28,14 @@
 async fn record_crash(deployment: &Deployment, work: WorkDigest) {
     let loss = EngineLoss { work, instance: InstanceId::named("an engine that has ended") };
     let evidence = WorkEvidence { losses: vec![loss], served: Vec::new() };
-    deployment.node.commit_evidence(evidence).await.expect("it leads");
+    deployment.node.commit_evidence(evidence).await.expect("the command was not committed");
 }
 
-/// Grants a trial of `work` to the terminated process.
+/// Grants a trial lease for `work` to the terminated process.
 async fn grant_to_terminated_process(deployment: &Deployment, work: WorkDigest, number: u64) {
     let id = TrialId { holder: TERMINATED_PROCESS, number };
-    let request = TrialRequest { work, id, limit_ms: TRIAL_LIMIT_MS };
-    deployment.node.commit_gateway(GatewayCommand::BeginTrial(request)).await.expect("it leads");
+    let request = TrialRequest { work, id, limit_ms: TRIAL_LEASE_MS };
+    deployment.node.commit_gateway(GatewayCommand::BeginTrial(request)).await.expect("the command was not committed");
 }
 
 #[test]
@@ -70,12 +70,12 @@
         record_crash(&deployment, work).await;
         grant_to_terminated_process(&deployment, work, 1).await;
         let started_at = Instant::now();
-        let mut tries = 0;
+        let mut attempts = 0;
         eventually("the request is served", async || {
-            tries += 1;
-            let id = format!("try-{tries}");
+            attempts += 1;
+            let id = format!("try-{attempts}");
             let headers = [("saddlerelay-request", id.as_str()), ("host", HOST)];
-            call(deployment.front, Method::POST, "/plans/1", &headers, "a plan").await.status == StatusCode::OK
+            call(deployment.client_address, Method::POST, "/plans/1", &headers, "a plan").await.status == StatusCode::OK
         })
         .await;
         assert!(started_at.elapsed() < MAX_DELAY, "the request was rejected for {:?}", started_at.elapsed());
--- a/crates/gateway-api/tests/common/crashing.rs
+++ b/crates/gateway-api/tests/common/crashing.rs
@@ -13,11 +13,11 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
-/// A request whose body contains this crashes the engine before the response.
-pub const CRASHES: &str = "crashes its engine";
+/// Text in a request's body that makes the engine crash before it responds.
+pub const CRASH_MARKER: &str = "crashes its engine";
 
-/// A request whose body contains this crashes the engine after the first event of the stream.
-pub const CRASHES_LATER: &str = "crashes after an event";
+/// Text in a request's body that makes the engine crash after the first event of the stream.
+pub const CRASH_MID_STREAM_MARKER: &str = "crashes after an event";
 
 /// The first event of each stream.
 const EVENT: &str = "id: 1\ndata: a token\n\n";
@@ -28,13 +28,13 @@
 /// Base of the start times of engines that keep their name, in Unix milliseconds.
 const FIRST_START_MS: u64 = 1_764_720_000_000;
 
-/// Number of the next engine in this process.
-static ENGINES: AtomicU8 = AtomicU8::new(1);
+/// Number of the next engine in this test process; part of its address.
+static NEXT_ENGINE: AtomicU8 = AtomicU8::new(1);
 
 /// Returns a loopback address that no other engine uses, so that the port stays free while the engine is down.
-fn own_address() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     let process = std::process::id();
-    let engine = ENGINES.fetch_add(1, Ordering::Relaxed);
+    let engine = NEXT_ENGINE.fetch_add(1, Ordering::Relaxed);
     let address = Ipv4Addr::new(127, 64 + (process % 64) as u8, (process / 64 % 256) as u8, engine);
     SocketAddr::new(address.into(), 0)
 }
@@ -80,7 +80,7 @@
             keeps_name: Cell::new(false),
             log: log.clone(),
             starts: Cell::new(0),
-            address: Cell::new(own_address()),
+            address: Cell::new(unused_address()),
             tasks: RefCell::default(),
             crash_signal: Signal::default(),
             is_up: Cell::new(false),
@@ -96,8 +96,8 @@
         if state.is_up.get() {
             return false;
         }
-        let listener = bind(state.address.get()).expect("its own port");
-        state.address.set(listener.local_addr().expect("an address"));
+        let listener = bind(state.address.get()).expect("failed to bind the engine's previous address");
+        state.address.set(listener.local_addr().expect("listener has no local address"));
         state.starts.set(state.starts.get() + 1);
         state.is_up.set(true);
         let previous_crashes = state.crash_signal.count();
@@ -150,8 +150,8 @@
     while let Some((head, body)) = read_request(&mut stream).await {
         let id = header(&head, "saddlerelay-request").unwrap_or_default().to_string();
         let text = String::from_utf8_lossy(&body);
-        let crashes_later = text.contains(CRASHES_LATER);
-        let crashes = text.contains(CRASHES) || crashes_later;
+        let crashes_later = text.contains(CRASH_MID_STREAM_MARKER);
+        let crashes = text.contains(CRASH_MARKER) || crashes_later;
         let instance = engine.instance();
         let started = StartedRequest { instance: instance.clone(), request: id.clone(), crashed: crashes };
         engine.0.log.borrow_mut().push(started);
--- a/crates/gateway-api/tests/common/engine.rs
+++ b/crates/gateway-api/tests/common/engine.rs
@@ -19,27 +19,27 @@
 
 /// How an engine handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Conduct {
+pub enum EngineBehavior {
     /// Responds at once.
-    Answer,
+    Respond,
     /// Responds after a delay.
-    AnswerAfter(Duration),
+    RespondAfter(Duration),
     /// Rejects the request as not executed.
-    Shed,
+    Reject,
     /// Executes the request and fails with status 500.
     Fail,
     /// Executes the request and fails with status 503, which saddlerelay itself only sends for requests that did not run.
     FailUnavailable,
-    /// Fails with status 422: the request can never succeed.
-    Impossible,
+    /// Fails with status 422, which marks a request that can never succeed.
+    FailUnprocessable,
     /// Responds with another request's identifier.
-    AnswerAnother,
+    WrongRequestId,
     /// Responds without the stamp header.
-    AnswerUnsigned,
+    MissingStamp,
     /// Closes the connection in the middle of the response body.
-    BreakOff,
+    Truncate,
     /// Closes the connection after this many events of a stream.
-    BreakOffAfter(u32),
+    TruncateAfter(u32),
     /// Never responds.
     Hang,
 }
@@ -64,7 +64,7 @@
     name: String,
     /// Start time in Unix milliseconds, if the engine reports it.
     started_at_ms: Cell<Option<u64>>,
-    conduct: Cell<Conduct>,
+    behavior: Cell<EngineBehavior>,
     version: Cell<u64>,
     orders_taken: Cell<u64>,
     orders: RefCell<Vec<WeightOrder>>,
@@ -112,12 +112,12 @@
 impl StandInEngine {
     /// Starts an engine.
     pub async fn start(name: &str) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a loopback port");
+        let address = listener.local_addr().expect("listener has no local address");
         let state = Rc::new(State {
             name: name.to_string(),
             started_at_ms: Cell::new(None),
-            conduct: Cell::new(Conduct::Answer),
+            behavior: Cell::new(EngineBehavior::Respond),
             version: Cell::new(1),
             orders_taken: Cell::new(0),
             orders: RefCell::default(),
@@ -153,8 +153,8 @@
         vec![notes(self.state.version.get())]
     }
 
-    pub fn set_conduct(&self, conduct: Conduct) {
-        self.state.conduct.set(conduct);
+    pub fn set_behavior(&self, behavior: EngineBehavior) {
+        self.state.behavior.set(behavior);
     }
 
     pub fn set_version(&self, version: u64) {
@@ -204,22 +204,28 @@
         self.state.cancelled.get()
     }
 
-    fn sign(&self, reply: &mut Reply, request_id: &str) {
+    fn add_engine_headers(&self, reply: &mut Reply, request_id: &str) {
         let headers = reply.headers_mut();
-        headers.insert("saddlerelay-request", HeaderValue::from_str(request_id).expect("an identifier"));
-        headers.insert("saddlerelay-stamp", HeaderValue::from_str(&self.state.name).expect("a name"));
+        headers.insert(
+            "saddlerelay-request",
+            HeaderValue::from_str(request_id).expect("the request ID is not a valid header value"),
+        );
+        headers.insert(
+            "saddlerelay-stamp",
+            HeaderValue::from_str(&self.state.name).expect("the engine name is not a valid header value"),
+        );
         headers.insert("saddlerelay-version", HeaderValue::from(self.state.version.get()));
     }
 
     fn not_executed(&self, status: StatusCode, request_id: &str) -> Reply {
         let mut reply = whole(status, "text/plain", "not executed");
-        self.sign(&mut reply, request_id);
+        self.add_engine_headers(&mut reply, request_id);
         reply.headers_mut().insert("saddlerelay-not-executed", HeaderValue::from_static("1"));
         reply
     }
 
     async fn order(&self, body: Bytes) -> Reply {
-        let order: WeightOrder = serde_json::from_slice(&body).expect("an order");
+        let order: WeightOrder = serde_json::from_slice(&body).expect("the body is not a weight order");
         let executed = self.state.orders_taken.get();
         if order.orders_taken != executed {
             self.state.orders_rejected.set(self.state.orders_rejected.get() + 1);
@@ -232,57 +238,60 @@
         let lost = self.state.order_responses_to_lose.get();
         if lost > 0 {
             self.state.order_responses_to_lose.set(lost - 1);
-            *reply.body_mut() = broken_off();
+            *reply.body_mut() = truncated_body();
         }
         reply
     }
 
-    async fn answer(&self, request: ReceivedRequest) -> Reply {
+    async fn respond(&self, request: ReceivedRequest) -> Reply {
         let _in_progress = InProgress::begin(&self.state);
         let request_id = request.header("saddlerelay-request").unwrap_or_default().to_string();
         let events: Option<u32> = request.header("events").and_then(|events| events.parse().ok());
-        let wanted = request.header("saddlerelay-for-version").and_then(|version| version.parse().ok());
-        if wanted.is_some_and(|wanted: u64| wanted != self.state.version.get()) {
+        let required_version = request.header("saddlerelay-for-version").and_then(|version| version.parse().ok());
+        if required_version.is_some_and(|required_version: u64| required_version != self.state.version.get()) {
             return self.not_executed(StatusCode::MISDIRECTED_REQUEST, &request_id);
         }
-        let conduct = self.state.conduct.get();
-        match conduct {
-            Conduct::Shed => return self.not_executed(StatusCode::SERVICE_UNAVAILABLE, &request_id),
-            Conduct::Hang => {
-                let _watch = CancelCounter(self.state.clone());
+        let behavior = self.state.behavior.get();
+        match behavior {
+            EngineBehavior::Reject => return self.not_executed(StatusCode::SERVICE_UNAVAILABLE, &request_id),
+            EngineBehavior::Hang => {
+                let _cancel_counter = CancelCounter(self.state.clone());
                 std::future::pending::<()>().await;
             }
-            Conduct::AnswerAfter(time) => compio::time::sleep(time).await,
+            EngineBehavior::RespondAfter(time) => compio::time::sleep(time).await,
             _ => {}
         }
-        let streams = !matches!(conduct, Conduct::Fail | Conduct::FailUnavailable | Conduct::Impossible);
-        if let Some(events) = events.filter(|_| streams) {
-            return self.stream(&request, &request_id, events, conduct);
+        let is_streamable = !matches!(
+            behavior,
+            EngineBehavior::Fail | EngineBehavior::FailUnavailable | EngineBehavior::FailUnprocessable
+        );
+        if let Some(events) = events.filter(|_| is_streamable) {
+            return self.stream(&request, &request_id, events, behavior);
         }
-        let status = match conduct {
-            Conduct::Fail => StatusCode::INTERNAL_SERVER_ERROR,
-            Conduct::FailUnavailable => StatusCode::SERVICE_UNAVAILABLE,
-            Conduct::Impossible => StatusCode::UNPROCESSABLE_ENTITY,
+        let status = match behavior {
+            EngineBehavior::Fail => StatusCode::INTERNAL_SERVER_ERROR,
+            EngineBehavior::FailUnavailable => StatusCode::SERVICE_UNAVAILABLE,
+            EngineBehavior::FailUnprocessable => StatusCode::UNPROCESSABLE_ENTITY,
             _ => StatusCode::OK,
         };
         let mut reply = whole(status, "text/plain", format!("{} answers {}", self.state.name, request.path));
-        self.sign(&mut reply, &request_id);
-        match conduct {
-            Conduct::AnswerAnother => {
+        self.add_engine_headers(&mut reply, &request_id);
+        match behavior {
+            EngineBehavior::WrongRequestId => {
                 reply.headers_mut().insert("saddlerelay-request", HeaderValue::from_static("another"));
             }
-            Conduct::AnswerUnsigned => {
+            EngineBehavior::MissingStamp => {
                 reply.headers_mut().remove("saddlerelay-stamp");
             }
-            Conduct::BreakOff => {
-                *reply.body_mut() = broken_off();
+            EngineBehavior::Truncate => {
+                *reply.body_mut() = truncated_body();
             }
             _ => {}
         }
         reply
     }
 
-    fn stream(&self, request: &ReceivedRequest, request_id: &str, events: u32, conduct: Conduct) -> Reply {
+    fn stream(&self, request: &ReceivedRequest, request_id: &str, events: u32, behavior: EngineBehavior) -> Reply {
         let after = request.header("last-event-id").and_then(|id| id.parse().ok()).unwrap_or(0);
         let state = self.state.clone();
         let item = request.path.clone();
@@ -296,7 +305,7 @@
                     return None;
                 }
                 compio::time::sleep(state.event_interval.get()).await;
-                if matches!(conduct, Conduct::BreakOffAfter(count) if sent - after == count) {
+                if matches!(behavior, EngineBehavior::TruncateAfter(count) if sent - after == count) {
                     return Some((Err(BrokenOff), (sent, cancel_counter)));
                 }
                 state.events_sent.set(state.events_sent.get() + 1);
@@ -307,13 +316,13 @@
             }
         });
         let mut reply = Reply::new(LocalBody::Breakable(Box::pin(parts)));
-        self.sign(&mut reply, request_id);
+        self.add_engine_headers(&mut reply, request_id);
         reply
     }
 }
 
 /// A body that fails before its end.
-fn broken_off() -> LocalBody {
+fn truncated_body() -> LocalBody {
     let parts = futures::stream::iter([Ok(Bytes::from_static(b"half")), Err(BrokenOff)]);
     LocalBody::Breakable(Box::pin(parts))
 }
@@ -349,7 +358,7 @@
             _ => {
                 let received = ReceivedRequest { method: head.method.to_string(), path, headers: head.headers, body };
                 self.state.received_requests.borrow_mut().push(received.clone());
-                self.answer(received).await
+                self.respond(received).await
             }
         }
     }
@@ -363,17 +372,17 @@
 }
 
 impl RawServer {
-    /// Starts a server that sends `answer`, and then closes the connection if `closes` is set.
-    pub async fn start(answer: &'static str, closes: bool) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let address = listener.local_addr().expect("an address");
+    /// Starts a server that sends `response`, and then closes the connection if `closes` is set.
+    pub async fn start(response: &'static str, closes: bool) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a loopback port");
+        let address = listener.local_addr().expect("listener has no local address");
         let requests = Rc::new(Cell::new(0));
         let connections = Rc::new(Cell::new(0));
         let server = Self { address, requests: requests.clone(), connections: connections.clone() };
         compio::runtime::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 connections.set(connections.get() + 1);
-                compio::runtime::spawn(serve_raw(stream, answer, closes, requests.clone())).detach();
+                compio::runtime::spawn(serve_raw(stream, response, closes, requests.clone())).detach();
             }
         })
         .detach();
@@ -381,7 +390,7 @@
     }
 }
 
-async fn serve_raw(mut stream: TcpStream, answer: &str, closes: bool, requests: Rc<Cell<u32>>) {
+async fn serve_raw(mut stream: TcpStream, response: &str, closes: bool, requests: Rc<Cell<u32>>) {
     let mut received: Vec<u8> = Vec::new();
     loop {
         let compio::BufResult(count, buffer) = stream.read(Vec::with_capacity(4_096)).await;
@@ -396,7 +405,7 @@
         received.clear();
         requests.set(requests.get() + 1);
         let id = text.lines().find_map(|line| line.strip_prefix("saddlerelay-request: ")).unwrap_or_default();
-        let bytes = answer.replace("{id}", id.trim()).into_bytes();
+        let bytes = response.replace("{id}", id.trim()).into_bytes();
         if stream.write_all(bytes).await.0.is_err() || closes {
             return;
         }
--- a/crates/gateway-api/tests/common/mod.rs
+++ b/crates/gateway-api/tests/common/mod.rs
@@ -46,14 +46,14 @@
 /// Runs a test on a new runtime.
 pub fn block_on<T>(future: impl Future<Output = T>) -> T {
     spdlog::default_logger().set_level_filter(spdlog::LevelFilter::Off);
-    compio::runtime::Runtime::new().expect("a runtime").block_on(future)
+    compio::runtime::Runtime::new().expect("failed to create a runtime").block_on(future)
 }
 
-/// Waits until `holds` returns `true`; panics after [`EVENTUALLY_TIMEOUT`].
-pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let until = Instant::now() + EVENTUALLY_TIMEOUT;
-    while !holds().await {
-        assert!(Instant::now() < until, "timed out waiting until {what}");
+/// Waits until `condition` returns `true`; panics after [`EVENTUALLY_TIMEOUT`].
+pub async fn eventually(description: &str, mut condition: impl AsyncFnMut() -> bool) {
+    let deadline = Instant::now() + EVENTUALLY_TIMEOUT;
+    while !condition().await {
+        assert!(Instant::now() < deadline, "timed out waiting until {description}");
         compio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -62,9 +62,9 @@
 pub struct Deployment {
     pub node: ControlNode<CompioRuntime, HttpBackends>,
     pub gateway: Gateway,
-    pub front: SocketAddr,
+    pub client_address: SocketAddr,
     pub control: SocketAddr,
-    peer: SocketAddr,
+    peer_address: SocketAddr,
     name: String,
     /// Configuration of all gateways.
     gateway_config: GatewayConfig,
@@ -77,8 +77,8 @@
 }
 
 async fn bind() -> (compio::net::TcpListener, SocketAddr) {
-    let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a loopback port");
+    let address = listener.local_addr().expect("listener has no local address");
     (listener, address)
 }
 
@@ -89,7 +89,7 @@
 fn empty_folder(name: &str) -> std::path::PathBuf {
     let folder = folder(name);
     let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("failed to create the test folder");
     folder
 }
 
@@ -115,9 +115,10 @@
         },
     };
     let config = ControlConfig { order_separation: Duration::ZERO, ..ControlConfig::default() };
-    let backends = HttpBackends::new(BackendAddresses { scorer: None, platform: None }).expect("a client");
+    let backends =
+        HttpBackends::new(BackendAddresses { scorer: None, platform: None }).expect("failed to create the HTTP client");
     let node = ControlNode::start(runtime.clone(), backends, config, options).await;
-    let node = node.expect("an empty folder");
+    let node = node.expect("failed to start the control replica");
     let listener = saddlerelay_runtime_compio::connection::TcpFrameListener::new(listener, Default::default());
     let handler = Rc::new(node.clone());
     runtime.spawn(saddlerelay_rpc::server::serve(runtime.clone(), listener, SECRET.to_string(), handler));
@@ -127,7 +128,7 @@
 /// Starts a gateway in a zone; returns it with its client address.
 async fn start_gateway(
     runtime: &CompioRuntime,
-    peer: SocketAddr,
+    peer_address: SocketAddr,
     name: &str,
     zone: &str,
     config: GatewayConfig,
@@ -135,16 +136,17 @@
     let options = GatewayOptions {
         name: name.to_string(),
         zone: zone.to_string(),
-        seeds: Rc::new(RefCell::new(vec![peer])),
+        seeds: Rc::new(RefCell::new(vec![peer_address])),
         names: Default::default(),
         config,
         usage_window: Some(USAGE_WINDOW),
     };
-    let gateway = Gateway::start(runtime.clone(), ControlClient::new(runtime.clone(), &[peer], SECRET), options);
-    let (listener, front) = bind().await;
+    let gateway =
+        Gateway::start(runtime.clone(), ControlClient::new(runtime.clone(), &[peer_address], SECRET), options);
+    let (listener, client_address) = bind().await;
     let api = Rc::new(ClientApi { gateway: gateway.clone(), formats: NativeFormats });
     runtime.spawn(serve_until(listener, api, Shutdown::default()));
-    (gateway, front)
+    (gateway, client_address)
 }
 
 /// Coordinator configuration with short intervals.
@@ -178,8 +180,8 @@
 
     async fn start_configured(name: &str, gateway_config: GatewayConfig, coordinator: CoordinatorConfig) -> Self {
         let runtime = CompioRuntime::new(empty_folder(name));
-        let (peer_listener, peer) = bind().await;
-        let node = start_replica(&runtime, peer_listener, peer, peer).await;
+        let (peer_listener, peer_address) = bind().await;
+        let node = start_replica(&runtime, peer_listener, peer_address, peer_address).await;
         Coordinator::start(
             runtime.clone(),
             node.clone(),
@@ -188,14 +190,16 @@
             Box::new(NativeEngines),
             coordinator,
         );
-        let (gateway, front) = start_gateway(&runtime, peer, "gateway", "north", gateway_config.clone()).await;
+        let (gateway, client_address) =
+            start_gateway(&runtime, peer_address, "gateway", "north", gateway_config.clone()).await;
         let (control_listener, control) = bind().await;
         let control_api = {
-            let client = ControlClient::new(runtime.clone(), &[peer], SECRET);
+            let client = ControlClient::new(runtime.clone(), &[peer_address], SECRET);
             ControlApi::start(runtime.clone(), client, Duration::from_secs(1), Box::new(|_| None), NativeFormats)
         };
         runtime.spawn(serve_until(control_listener, control_api, Shutdown::default()));
-        let deployment = Self { node, gateway, front, control, peer, name: name.to_string(), gateway_config };
+        let deployment =
+            Self { node, gateway, client_address, control, peer_address, name: name.to_string(), gateway_config };
         eventually("the group has a leader", async || deployment.node.replica().leading_term().is_some()).await;
         deployment
     }
@@ -205,35 +209,36 @@
     pub async fn start_south_zone(&self) -> (ControlNode<CompioRuntime, HttpBackends>, Gateway, SocketAddr) {
         let runtime = CompioRuntime::new(empty_folder(&format!("{}-south", self.name)));
         let (listener, address) = bind().await;
-        let replica = start_replica(&runtime, listener, address, self.peer).await;
+        let replica = start_replica(&runtime, listener, address, self.peer_address).await;
         let record = StoreRecord {
             name: "south".to_string(),
             replica: replica.replica().id(),
             address,
             zone: "south".to_string(),
         };
-        self.node.commit_gateway(GatewayCommand::RegisterStore(record)).await.expect("the leader commits");
+        self.node.commit_gateway(GatewayCommand::RegisterStore(record)).await.expect("the command was not committed");
         eventually("the second replica is a member", async || {
             self.node.replica().member_addresses().contains(&address)
         })
         .await;
-        let (gateway, front) =
-            start_gateway(&runtime, self.peer, "gateway-south", "south", self.gateway_config.clone()).await;
-        eventually("its gateway is ready", async || gateway.is_ready()).await;
-        (replica, gateway, front)
+        let (gateway, client_address) =
+            start_gateway(&runtime, self.peer_address, "gateway-south", "south", self.gateway_config.clone()).await;
+        eventually("the gateway in zone `south` is ready", async || gateway.is_ready()).await;
+        (replica, gateway, client_address)
     }
 
     /// Starts another gateway in zone `north` and waits until it is ready; returns its client address.
     pub async fn start_north_gateway(&self, name: &str) -> SocketAddr {
         let runtime = CompioRuntime::new(empty_folder(&format!("{}-{name}", self.name)));
-        let (gateway, front) = start_gateway(&runtime, self.peer, name, "north", self.gateway_config.clone()).await;
-        eventually("the further gateway is ready", async || gateway.is_ready()).await;
-        front
+        let (gateway, client_address) =
+            start_gateway(&runtime, self.peer_address, name, "north", self.gateway_config.clone()).await;
+        eventually("the additional gateway is ready", async || gateway.is_ready()).await;
+        client_address
     }
 
     /// Commits a routing document and waits until the gateway uses it.
     pub async fn configure(&self, document: &RoutingDocument) {
-        let body = serde_json::to_vec(document).expect("JSON");
+        let body = serde_json::to_vec(document).expect("failed to serialize JSON");
         let response = call(self.control, Method::PUT, "/admin/v1/routing", &[], body).await;
         assert_eq!(response.status, StatusCode::OK);
         eventually("the document is in force", async || {
@@ -277,7 +282,7 @@
 
     async fn send_report(&self, report: &InstanceReport) {
         let path = format!("/v1/instances/{}", report.id.name);
-        let body = serde_json::to_vec(report).expect("JSON");
+        let body = serde_json::to_vec(report).expect("failed to serialize JSON");
         let response = call(self.control, Method::PUT, &path, &[], body).await;
         assert_eq!(response.status, StatusCode::OK);
     }
@@ -289,27 +294,28 @@
 
     /// Sends a client's request to the gateway.
     pub async fn request(&self, method: Method, path: &str, headers: &[(&str, &str)], body: &str) -> WholeResponse {
-        call(self.front, method, path, &[headers, &[("host", HOST)]].concat(), body.to_string()).await
+        call(self.client_address, method, path, &[headers, &[("host", HOST)]].concat(), body.to_string()).await
     }
 
     /// Submits a job.
     pub async fn submit(&self, job: &JobSubmission) -> StatusCode {
-        let body = serde_json::to_vec(job).expect("JSON");
+        let body = serde_json::to_vec(job).expect("failed to serialize JSON");
         let path = format!("/rollouts/{}", job.id.0);
         let headers = [("host", HOST), ("saddlerelay-request", job.id.0.as_str())];
-        call(self.front, Method::POST, &path, &headers, body).await.status
+        call(self.client_address, Method::POST, &path, &headers, body).await.status
     }
 
     /// Reads a job's results from the start.
     pub async fn results(&self, job: &str) -> Option<ResultPage> {
-        self.results_at(self.front, job).await
+        self.results_at(self.client_address, job).await
     }
 
     /// Reads a job's results from the start at a given gateway.
-    pub async fn results_at(&self, front: SocketAddr, job: &str) -> Option<ResultPage> {
+    pub async fn results_at(&self, client_address: SocketAddr, job: &str) -> Option<ResultPage> {
         let path = format!("/v1/jobs/{job}/results?after=0&wait_ms=50");
-        let response = call(front, Method::GET, &path, &[], "").await;
-        (response.status == StatusCode::OK).then(|| serde_json::from_slice(&response.body).expect("a page"))
+        let response = call(client_address, Method::GET, &path, &[], "").await;
+        (response.status == StatusCode::OK)
+            .then(|| serde_json::from_slice(&response.body).expect("the response is not a result page"))
     }
 
     /// Waits until a job has `count` results, and returns them.
@@ -320,7 +326,7 @@
             page.as_ref().is_some_and(|page| page.results.len() >= count)
         })
         .await;
-        page.expect("a page was read")
+        page.expect("no result page was read")
     }
 }
 
@@ -346,10 +352,10 @@
     headers: &[(&str, &str)],
     body: impl Into<bytes::Bytes>,
 ) -> WholeResponse {
-    let mut connection = Connection::open(address).await.expect("the server listens");
-    let response = connection.send(method, path, headers, body).await.expect("a response");
+    let mut connection = Connection::open(address).await.expect("failed to connect to the server");
+    let response = connection.send(method, path, headers, body).await.expect("the server sent no response");
     let (head, body) = response.into_parts();
-    let body = saddlerelay_http::body::read_whole(body).await.expect("a whole body");
+    let body = saddlerelay_http::body::read_whole(body).await.expect("failed to read the entire body");
     WholeResponse { status: head.status, headers: head.headers, body }
 }
 
--- a/crates/gateway-api/tests/crashing_work.rs
+++ b/crates/gateway-api/tests/crashing_work.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::crashing::{CRASHES, CRASHES_LATER, CrashingEngine, RequestLog};
-use common::engine::{Conduct, StandInEngine};
+use common::crashing::{CRASH_MARKER, CRASH_MID_STREAM_MARKER, CrashingEngine, RequestLog};
+use common::engine::{EngineBehavior, StandInEngine};
 use common::{Deployment, HOST, block_on, call, document, eventually, job, rollouts, route};
 use hyper::{Method, StatusCode};
 use saddlerelay_control::state::ControlState;
@@ -22,14 +22,14 @@
 const ROUNDS: usize = 8;
 
 /// Two gateways and three engines.
-struct Setting {
+struct Fixture {
     deployment: Deployment,
     south: (Gateway, SocketAddr),
     engines: Vec<CrashingEngine>,
     log: RequestLog,
 }
 
-impl Setting {
+impl Fixture {
     /// Starts with no pause before the last trial, the one whose crash would quarantine the work.
     async fn start(name: &str, route: Route) -> Self {
         Self::start_with_pause(name, route, Duration::ZERO).await
@@ -39,12 +39,12 @@
         let config = GatewayConfig { last_trial_pause, ..GatewayConfig::default() };
         let deployment = Deployment::start_with(name, config).await;
         deployment.configure(&document(1, vec![route])).await;
-        let (_, gateway, front) = deployment.start_south_zone().await;
+        let (_, gateway, client_address) = deployment.start_south_zone().await;
         let log = RequestLog::default();
         let engines = start_engines(&deployment, "web", &log).await;
-        let setting = Self { deployment, south: (gateway, front), engines, log };
-        setting.await_engines().await;
-        setting
+        let fixture = Self { deployment, south: (gateway, client_address), engines, log };
+        fixture.await_engines().await;
+        fixture
     }
 
     /// Waits until the group has recorded all crashes. A gateway also waits for that before it responds, but only for a
@@ -74,8 +74,8 @@
         .await;
     }
 
-    fn fronts(&self) -> [SocketAddr; 2] {
-        [self.deployment.front, self.south.1]
+    fn client_addresses(&self) -> [SocketAddr; 2] {
+        [self.deployment.client_address, self.south.1]
     }
 
     fn crashes(&self) -> usize {
@@ -97,32 +97,32 @@
     engines
 }
 
-async fn post_plan(front: SocketAddr, id: &str, body: &str) -> StatusCode {
+async fn post_plan(client_address: SocketAddr, id: &str, body: &str) -> StatusCode {
     let headers = [("saddlerelay-request", id), ("host", HOST), ("events", "1")];
-    call(front, Method::POST, "/plans/7", &headers, body.to_string()).await.status
+    call(client_address, Method::POST, "/plans/7", &headers, body.to_string()).await.status
 }
 
 /// Sends work that crashes its engines until all three have crashed and the group has recorded it. The number of crashes per
-/// try varies, because a gateway rejects the work if the group does not respond in time.
-async fn crash_three_engines(setting: &Setting, body: &str) {
-    let mut tries = 0;
+/// attempt varies, because a gateway rejects the work if the group does not respond in time.
+async fn crash_three_engines(fixture: &Fixture, body: &str) {
+    let mut attempts = 0;
     eventually("the work has crashed three engines", async || {
-        post_plan(setting.fronts()[tries % 2], &format!("try-{tries}"), body).await;
-        tries += 1;
-        setting.crashes() == QUARANTINE_CRASHES
+        post_plan(fixture.client_addresses()[attempts % 2], &format!("try-{attempts}"), body).await;
+        attempts += 1;
+        fixture.crashes() == QUARANTINE_CRASHES
     })
     .await;
-    setting.await_evidence().await;
+    fixture.await_evidence().await;
 }
 
 /// Sends the same work to alternating gateways, and restarts the engines after each round.
-async fn send_in_rounds(setting: &Setting, body: &str) -> Vec<StatusCode> {
+async fn send_in_rounds(fixture: &Fixture, body: &str) -> Vec<StatusCode> {
     let mut statuses = Vec::new();
     for round in 0..ROUNDS {
-        let front = setting.fronts()[round % 2];
-        statuses.push(post_plan(front, &format!("try-{round}"), body).await);
-        setting.await_evidence().await;
-        setting.restart().await;
+        let client_address = fixture.client_addresses()[round % 2];
+        statuses.push(post_plan(client_address, &format!("try-{round}"), body).await);
+        fixture.await_evidence().await;
+        fixture.restart().await;
     }
     statuses
 }
@@ -135,12 +135,12 @@
         ("crash-stream", RouteKind::Streaming),
     ] {
         block_on(async {
-            let setting = Setting::start(name, route("/plans/", kind, "web")).await;
-            let statuses = send_in_rounds(&setting, &format!("a plan that {CRASHES}")).await;
-            assert_eq!(setting.crashes(), QUARANTINE_CRASHES, "{name}: {statuses:?}");
+            let fixture = Fixture::start(name, route("/plans/", kind, "web")).await;
+            let statuses = send_in_rounds(&fixture, &format!("a plan that {CRASH_MARKER}")).await;
+            assert_eq!(fixture.crashes(), QUARANTINE_CRASHES, "{name}: {statuses:?}");
             assert!(statuses.iter().all(|status| *status == StatusCode::BAD_GATEWAY), "{name}: {statuses:?}");
-            for front in setting.fronts() {
-                assert_eq!(post_plan(front, "another", "a plan").await, StatusCode::OK, "{name}");
+            for client_address in fixture.client_addresses() {
+                assert_eq!(post_plan(client_address, "another", "a plan").await, StatusCode::OK, "{name}");
             }
         });
     }
@@ -151,20 +151,25 @@
 fn a_stream_that_crashes_its_engines_midway_is_quarantined() {
     block_on(async {
         let route = Route { resumable: true, max_attempts: 3, ..route("/plans/", RouteKind::Streaming, "web") };
-        let setting = Setting::start("crash-midway", route).await;
+        let fixture = Fixture::start("crash-midway", route).await;
         let mut statuses = Vec::new();
         for round in 0..ROUNDS {
             let id = format!("try-{round}");
             let headers = [("saddlerelay-request", id.as_str()), ("host", HOST), ("events", "2")];
-            let mut connection = Connection::open(setting.fronts()[round % 2]).await.expect("a connection");
-            let answer = connection.send(Method::POST, "/plans/7", &headers, CRASHES_LATER).await.expect("a response");
+            let mut connection = Connection::open(fixture.client_addresses()[round % 2])
+                .await
+                .expect("failed to connect to the gateway");
+            let answer = connection
+                .send(Method::POST, "/plans/7", &headers, CRASH_MID_STREAM_MARKER)
+                .await
+                .expect("the server sent no response");
             statuses.push(answer.status());
             // The stream ends early.
             let _ = saddlerelay_http::body::read_whole(answer.into_body()).await;
-            setting.await_evidence().await;
-            setting.restart().await;
+            fixture.await_evidence().await;
+            fixture.restart().await;
         }
-        assert_eq!(setting.crashes(), QUARANTINE_CRASHES, "{statuses:?}");
+        assert_eq!(fixture.crashes(), QUARANTINE_CRASHES, "{statuses:?}");
         assert_eq!(statuses.last(), Some(&StatusCode::BAD_GATEWAY));
     });
 }
@@ -175,62 +180,62 @@
     block_on(async {
         let pause = Duration::from_secs(600);
         let route = route("/plans/", RouteKind::Idempotent, "web");
-        let setting = Setting::start_with_pause("crash-pause", route, pause).await;
-        let body = format!("a plan that {CRASHES}");
-        assert_eq!(post_plan(setting.fronts()[0], "try-0", &body).await, StatusCode::BAD_GATEWAY);
-        assert_eq!(setting.crashes(), 2);
-        for (index, front) in setting.fronts().into_iter().enumerate() {
+        let fixture = Fixture::start_with_pause("crash-pause", route, pause).await;
+        let body = format!("a plan that {CRASH_MARKER}");
+        assert_eq!(post_plan(fixture.client_addresses()[0], "try-0", &body).await, StatusCode::BAD_GATEWAY);
+        assert_eq!(fixture.crashes(), 2);
+        for (index, client_address) in fixture.client_addresses().into_iter().enumerate() {
             let headers = [("saddlerelay-request", "again"), ("host", HOST)];
-            let refused = call(front, Method::POST, "/plans/7", &headers, body.clone()).await;
-            assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE, "gateway {index}: not executed");
-            let seconds = refused.headers["retry-after"].to_str().ok().and_then(|value| value.parse::<f64>().ok());
+            let rejected = call(client_address, Method::POST, "/plans/7", &headers, body.clone()).await;
+            assert_eq!(rejected.status, StatusCode::SERVICE_UNAVAILABLE, "gateway {index}: not executed");
+            let seconds = rejected.headers["retry-after"].to_str().ok().and_then(|value| value.parse::<f64>().ok());
             assert!(seconds.is_some_and(|seconds| seconds > 500.0 && seconds <= 600.0), "{seconds:?}");
-            assert_eq!(post_plan(front, &format!("other-{index}"), "a plan").await, StatusCode::OK);
+            assert_eq!(post_plan(client_address, &format!("other-{index}"), "a plan").await, StatusCode::OK);
         }
-        assert_eq!(setting.crashes(), 2);
+        assert_eq!(fixture.crashes(), 2);
     });
 }
 
 #[test]
 fn crashes_are_visible_to_other_gateways_before_the_client_gets_a_response() {
     block_on(async {
-        let setting = Setting::start("crash-next", route("/plans/", RouteKind::Idempotent, "web")).await;
-        let body = format!("a plan that {CRASHES}");
-        let [north, south] = setting.fronts();
+        let fixture = Fixture::start("crash-next", route("/plans/", RouteKind::Idempotent, "web")).await;
+        let body = format!("a plan that {CRASH_MARKER}");
+        let [north, south] = fixture.client_addresses();
         assert_eq!(post_plan(north, "try-0", &body).await, StatusCode::BAD_GATEWAY);
-        assert_eq!(setting.crashes(), 2, "two attempts");
+        assert_eq!(fixture.crashes(), 2, "two attempts");
         // The work is sent once to the third engine, by whichever gateway receives it.
         assert_eq!(post_plan(south, "try-1", &body).await, StatusCode::BAD_GATEWAY);
-        assert_eq!(setting.crashes(), 3);
-        for engine in &setting.engines {
+        assert_eq!(fixture.crashes(), 3);
+        for engine in &fixture.engines {
             engine.restart();
         }
-        for (index, front) in [north, south, north, south].into_iter().enumerate() {
-            assert_eq!(post_plan(front, &format!("again-{index}"), &body).await, StatusCode::BAD_GATEWAY);
+        for (index, client_address) in [north, south, north, south].into_iter().enumerate() {
+            assert_eq!(post_plan(client_address, &format!("again-{index}"), &body).await, StatusCode::BAD_GATEWAY);
         }
-        assert_eq!(setting.crashes(), 3);
+        assert_eq!(fixture.crashes(), 3);
     });
 }
 
 #[test]
 fn successful_work_is_not_quarantined_for_unrelated_crashes() {
     block_on(async {
-        let setting = Setting::start("crash-chance", route("/plans/", RouteKind::Idempotent, "web")).await;
+        let fixture = Fixture::start("crash-chance", route("/plans/", RouteKind::Idempotent, "web")).await;
         for round in 0..6 {
             // Crashes the engine that runs the harmless request.
             let crash_runner = async {
                 let started =
-                    || setting.log.borrow().iter().rfind(|started| started.request == format!("r-{round}")).cloned();
-                eventually("it has started", async || started().is_some()).await;
-                let instance = started().expect("it has started").instance;
-                let engine = setting.engines.iter().find(|engine| engine.instance() == instance);
-                engine.expect("an engine of the setting").crash();
+                    || fixture.log.borrow().iter().rfind(|started| started.request == format!("r-{round}")).cloned();
+                eventually("the request has started", async || started().is_some()).await;
+                let instance = started().expect("the request has not started").instance;
+                let engine = fixture.engines.iter().find(|engine| engine.instance() == instance);
+                engine.expect("the request ran on an unknown engine").crash();
             };
-            let front = setting.fronts()[round % 2];
+            let client_address = fixture.client_addresses()[round % 2];
             let id = format!("r-{round}");
-            let (status, ()) = futures::join!(post_plan(front, &id, "an innocent plan"), crash_runner);
+            let (status, ()) = futures::join!(post_plan(client_address, &id, "an innocent plan"), crash_runner);
             assert_eq!(status, StatusCode::OK, "round {round}: another engine serves it");
-            setting.restart().await;
+            fixture.restart().await;
         }
     });
 }
@@ -242,15 +247,15 @@
         deployment.configure(&document(1, vec![route("/plans/", RouteKind::NonIdempotent, "web")])).await;
         let engines = [StandInEngine::start("engine-0").await, StandInEngine::start("engine-1").await];
         for engine in &engines {
-            engine.set_conduct(Conduct::BreakOff);
+            engine.set_behavior(EngineBehavior::Truncate);
             deployment.register(engine, "web").await;
         }
         deployment.await_engines("web", 2).await;
         for round in 0..12 {
-            let _ = post_plan(deployment.front, &format!("r-{round}"), "a plan").await;
+            let _ = post_plan(deployment.client_address, &format!("r-{round}"), "a plan").await;
         }
-        engines.iter().for_each(|engine| engine.set_conduct(Conduct::Answer));
-        assert_eq!(post_plan(deployment.front, "last", "a plan").await, StatusCode::OK);
+        engines.iter().for_each(|engine| engine.set_behavior(EngineBehavior::Respond));
+        assert_eq!(post_plan(deployment.client_address, "last", "a plan").await, StatusCode::OK);
         assert_eq!(deployment.node.read(|state| state.suspicions.is_empty()), Some(true));
     });
 }
@@ -258,36 +263,36 @@
 #[test]
 fn a_new_gateway_does_not_send_quarantined_work() {
     block_on(async {
-        let setting = Setting::start("crash-later", route("/plans/", RouteKind::Idempotent, "web")).await;
-        let body = format!("a plan that {CRASHES}");
-        crash_three_engines(&setting, &body).await;
-        assert_eq!(setting.crashes(), QUARANTINE_CRASHES);
-        setting.restart().await;
-        let later = setting.deployment.start_north_gateway("later").await;
+        let fixture = Fixture::start("crash-later", route("/plans/", RouteKind::Idempotent, "web")).await;
+        let body = format!("a plan that {CRASH_MARKER}");
+        crash_three_engines(&fixture, &body).await;
+        assert_eq!(fixture.crashes(), QUARANTINE_CRASHES);
+        fixture.restart().await;
+        let later = fixture.deployment.start_north_gateway("later").await;
         assert_eq!(post_plan(later, "try-later", &body).await, StatusCode::BAD_GATEWAY);
         assert_eq!(post_plan(later, "another", "a plan").await, StatusCode::OK);
-        assert_eq!(setting.crashes(), QUARANTINE_CRASHES);
+        assert_eq!(fixture.crashes(), QUARANTINE_CRASHES);
     });
 }
 
 #[test]
 fn work_released_by_an_operator_is_sent_again() {
     block_on(async {
-        let setting = Setting::start("crash-release", route("/plans/", RouteKind::Idempotent, "web")).await;
-        let body = format!("a plan that {CRASHES}");
-        crash_three_engines(&setting, &body).await;
-        setting.restart().await;
-        let control = setting.deployment.control;
+        let fixture = Fixture::start("crash-release", route("/plans/", RouteKind::Idempotent, "web")).await;
+        let body = format!("a plan that {CRASH_MARKER}");
+        crash_three_engines(&fixture, &body).await;
+        fixture.restart().await;
+        let control = fixture.deployment.control;
         let listed = call(control, Method::GET, "/admin/v1/suspicions", &[], "").await;
-        let list: SuspicionList = serde_json::from_slice(&listed.body).expect("a list");
+        let list: SuspicionList = serde_json::from_slice(&listed.body).expect("the response is not a suspicion list");
         assert!(list.suspicions[0].is_quarantined(), "{list:?}");
         let path = format!("/admin/v1/suspicions/{}", list.suspicions[0].work.to_hexadecimal());
         assert_eq!(call(control, Method::DELETE, &path, &[], "").await.status, StatusCode::OK);
         assert_eq!(call(control, Method::DELETE, &path, &[], "").await.status, StatusCode::NOT_FOUND);
-        eventually("the gateway has the release", async || setting.deployment.gateway.suspected_work_count() == 0)
+        eventually("the gateway has the release", async || fixture.deployment.gateway.suspected_work_count() == 0)
             .await;
-        post_plan(setting.deployment.front, "try-released", &body).await;
-        assert_eq!(setting.crashes(), QUARANTINE_CRASHES + 2);
+        post_plan(fixture.deployment.client_address, "try-released", &body).await;
+        assert_eq!(fixture.crashes(), QUARANTINE_CRASHES + 2);
     });
 }
 
@@ -306,7 +311,7 @@
         let scored = |id: &str, first: u32, crashing: Option<usize>| {
             let mut submission = job(id, 0, first, 3, 1);
             for (index, item) in submission.items.iter_mut().enumerate() {
-                let body = if crashing == Some(index) { CRASHES } else { "a text" };
+                let body = if crashing == Some(index) { CRASH_MARKER } else { "a text" };
                 item.scorer = Some(ScoringRequest {
                     id: format!("{id}-score-{index}"),
                     host: HOST.to_string(),
@@ -343,7 +348,7 @@
         let log = RequestLog::default();
         let engines = start_engines(&deployment, "llm", &log).await;
         let mut submission = job("job", 0, 0, 6, 1);
-        submission.items[2].body = format!("a prompt that {CRASHES}").into_bytes();
+        submission.items[2].body = format!("a prompt that {CRASH_MARKER}").into_bytes();
         assert_eq!(deployment.submit(&submission).await, StatusCode::ACCEPTED);
         let crashes = || crashes(&log);
         let restart = async || deployment.restart(&engines, "llm").await;
@@ -365,7 +370,7 @@
         })
         .await;
         assert_eq!(crashes(), QUARANTINE_CRASHES);
-        let page = deployment.results("job").await.expect("a page");
+        let page = deployment.results("job").await.expect("the response is not a result page");
         assert!(page.results.iter().all(|(id, _)| id.0 != "item-2"), "the item has no result");
     });
 }
--- a/crates/gateway-api/tests/duties.rs
+++ b/crates/gateway-api/tests/duties.rs
@@ -37,9 +37,13 @@
         let (head, body) = request.into_parts();
         assert_eq!((&head.method, head.uri.path()), (&Method::POST, USAGE_PATH));
         assert_eq!(head.headers[HOLDER_HEADER], "coordinator");
-        let fence = head.headers[FENCE_HEADER].to_str().expect("text").parse().expect("a number");
-        let body = read_whole(body).await.expect("a whole body");
-        self.reports.borrow_mut().push((fence, serde_json::from_slice(&body).expect("a report")));
+        let fence = head.headers[FENCE_HEADER]
+            .to_str()
+            .expect("the fencing token is not text")
+            .parse()
+            .expect("the fencing token is not a number");
+        let body = read_whole(body).await.expect("failed to read the entire body");
+        self.reports.borrow_mut().push((fence, serde_json::from_slice(&body).expect("the body is not a usage report")));
         let left = self.rejections_left.get();
         self.rejections_left.set(left.saturating_sub(1));
         whole(if left > 0 { StatusCode::TOO_MANY_REQUESTS } else { StatusCode::OK }, "text/plain", "")
@@ -47,8 +51,8 @@
 }
 
 async fn start_platform() -> (Rc<StandInPlatform>, SocketAddr) {
-    let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let listener = compio::net::TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a loopback port");
+    let address = listener.local_addr().expect("listener has no local address");
     let platform = Rc::new(StandInPlatform { rejections_left: Cell::new(2), ..StandInPlatform::default() });
     compio::runtime::spawn(serve_until(listener, platform.clone(), Shutdown::default())).detach();
     (platform, address)
@@ -65,8 +69,8 @@
         name: "coordinator".to_string(),
         metrics: metrics.clone(),
     });
-    let terms = UsageReportConfig { window: USAGE_WINDOW, due_after: 4 * USAGE_WINDOW };
-    runtime.spawn(saddlerelay_duties::usage_reports::run(duties, terms));
+    let config = UsageReportConfig { window: USAGE_WINDOW, due_after: 4 * USAGE_WINDOW };
+    runtime.spawn(saddlerelay_duties::usage_reports::run(duties, config));
     metrics
 }
 
@@ -106,7 +110,7 @@
         assert!(reports.iter().all(|(_, report)| report.counts.keys().all(|tenant| tenant.as_str() == "clinic")));
         assert!(metrics.reports_failed.get() >= 2, "the first calls were rejected");
         let answer = call(deployment.control, Method::GET, "/admin/v1/duties", &[], "").await;
-        let overview: DutyOverview = serde_json::from_slice(&answer.body).expect("an overview");
+        let overview: DutyOverview = serde_json::from_slice(&answer.body).expect("the response is not a duty overview");
         assert_eq!(overview.holder, Some(overview.leader));
         assert!(overview.newest_reported.is_some());
         assert_eq!((overview.uncounted, overview.engines.len()), (0, 0));
--- a/crates/gateway-api/tests/jobs.rs
+++ b/crates/gateway-api/tests/jobs.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::engine::{Conduct, StandInEngine};
+use common::engine::{EngineBehavior, StandInEngine};
 use common::{Deployment, block_on, call, document, eventually, job, notes, rollouts};
 use hyper::{Method, StatusCode};
 use saddlerelay_types::job::{ItemEnd, ItemId};
@@ -26,7 +26,7 @@
     lines.join("\n").into_bytes()
 }
 
-fn runs_of(engines: &[StandInEngine], item: u32) -> usize {
+fn run_count(engines: &[StandInEngine], item: u32) -> usize {
     let path = format!("/rollouts/{item}");
     engines.iter().flat_map(StandInEngine::received_requests).filter(|seen| seen.path == path).count()
 }
@@ -60,7 +60,7 @@
 fn a_text_resumes_at_another_engine_after_its_last_event() {
     block_on(async {
         let (deployment, engines) = with_engines("resumed", 2).await;
-        engines[0].set_conduct(Conduct::BreakOffAfter(2));
+        engines[0].set_behavior(EngineBehavior::TruncateAfter(2));
         deployment.submit(&job("j-1", 1, 0, 8, 6)).await;
         let page = deployment.await_results("j-1", 8).await;
         for (_, result) in &page.results {
@@ -78,7 +78,7 @@
 fn items_leave_an_engine_that_stops_responding() {
     block_on(async {
         let (deployment, engines) = with_engines("silent", 2).await;
-        engines[0].set_conduct(Conduct::Hang);
+        engines[0].set_behavior(EngineBehavior::Hang);
         deployment.submit(&job("j-1", 1, 0, 8, 3)).await;
         let page = deployment.await_results("j-1", 8).await;
         assert!(page.results.iter().all(|(_, result)| result.text == text(result.item, 3)));
@@ -89,14 +89,14 @@
 fn an_item_that_is_impossible_or_always_fails_is_aborted() {
     block_on(async {
         let (deployment, engines) = with_engines("given-up", 1).await;
-        engines[0].set_conduct(Conduct::Impossible);
+        engines[0].set_behavior(EngineBehavior::FailUnprocessable);
         deployment.submit(&job("j-1", 1, 0, 1, 3)).await;
         assert_eq!(deployment.await_results("j-1", 1).await.results[0].1.end, ItemEnd::Aborted);
-        assert_eq!(runs_of(&engines, 0), 1);
-        engines[0].set_conduct(Conduct::Fail);
+        assert_eq!(run_count(&engines, 0), 1);
+        engines[0].set_behavior(EngineBehavior::Fail);
         deployment.submit(&job("j-2", 1, 5, 1, 3)).await;
         assert_eq!(deployment.await_results("j-2", 1).await.results[0].1.end, ItemEnd::Aborted);
-        assert_eq!(runs_of(&engines, 5), 3, "the route's maximum number of attempts");
+        assert_eq!(run_count(&engines, 5), 3, "the route's maximum number of attempts");
     });
 }
 
@@ -108,15 +108,18 @@
         deployment.submit(&job("j-1", 1, 0, 12, 40)).await;
         eventually("items run", async || !engines[0].received_requests().is_empty()).await;
         for _ in 0..2 {
-            assert_eq!(call(deployment.front, Method::DELETE, "/v1/jobs/j-1", &[], "").await.status, StatusCode::OK);
+            assert_eq!(
+                call(deployment.client_address, Method::DELETE, "/v1/jobs/j-1", &[], "").await.status,
+                StatusCode::OK
+            );
         }
         let started = engines[0].received_requests().len();
         eventually("running requests are cancelled", async || engines[0].cancelled() as usize >= started).await;
         compio::time::sleep(Duration::from_millis(300)).await;
         assert_eq!(engines[0].received_requests().len(), started);
-        let page = deployment.results("j-1").await.expect("results of an ended job");
+        let page = deployment.results("j-1").await.expect("the results of the ended job are not readable");
         assert_eq!(page.results.len(), 0);
-        let body = call(deployment.front, Method::GET, "/v1/jobs/j-1/items/item-3/body", &[], "").await;
+        let body = call(deployment.client_address, Method::GET, "/v1/jobs/j-1/items/item-3/body", &[], "").await;
         assert_eq!(body.status, StatusCode::NOT_FOUND);
     });
 }
@@ -126,9 +129,9 @@
     block_on(async {
         let (deployment, _) = with_engines("bodies", 0).await;
         deployment.submit(&job("j-1", 1, 0, 2, 3)).await;
-        let body = call(deployment.front, Method::GET, "/v1/jobs/j-1/items/item-1/body", &[], "").await;
+        let body = call(deployment.client_address, Method::GET, "/v1/jobs/j-1/items/item-1/body", &[], "").await;
         assert_eq!((body.status, &body.body[..]), (StatusCode::OK, &b"prompt 1"[..]));
-        let unknown = call(deployment.front, Method::GET, "/v1/jobs/none/results", &[], "").await;
+        let unknown = call(deployment.client_address, Method::GET, "/v1/jobs/none/results", &[], "").await;
         assert_eq!(unknown.status, StatusCode::NOT_FOUND);
     });
 }
@@ -172,7 +175,7 @@
         deployment.submit(&job("j-1", 1, 0, 1, 3)).await;
         eventually("the engine received the request", async || engines[0].received_requests().len() > before).await;
         compio::time::sleep(Duration::from_millis(200)).await;
-        assert_eq!(deployment.results("j-1").await.expect("a page").results.len(), 0);
+        assert_eq!(deployment.results("j-1").await.expect("the response is not a result page").results.len(), 0);
         engines[0].set_version(1);
         deployment.report(&engines[0], "llm", false, 3).await;
         let page = deployment.await_results("j-1", 1).await;
@@ -186,15 +189,15 @@
         let (deployment, engines) = with_engines("carried", 1).await;
         deployment.submit(&job("j-1", 1, 0, 4, 3)).await;
         deployment.await_results("j-1", 4).await;
-        call(deployment.front, Method::DELETE, "/v1/jobs/j-1", &[], "").await;
+        call(deployment.client_address, Method::DELETE, "/v1/jobs/j-1", &[], "").await;
         // Two items of the first job and two new ones.
         deployment.submit(&job("j-2", 1, 2, 4, 3)).await;
         let page = deployment.await_results("j-2", 4).await;
         assert!(page.results.iter().all(|(id, result)| {
-            let number: u32 = id.0.trim_start_matches("item-").parse().expect("a number");
+            let number: u32 = id.0.trim_start_matches("item-").parse().expect("the item ID has no number");
             result.text == text(number, 3)
         }));
-        assert_eq!((runs_of(&engines, 2), runs_of(&engines, 3), runs_of(&engines, 4)), (1, 1, 1));
+        assert_eq!((run_count(&engines, 2), run_count(&engines, 3), run_count(&engines, 4)), (1, 1, 1));
     });
 }
 
@@ -205,7 +208,7 @@
         // All engines have a version below the job's minimum.
         deployment.submit(&job("j-1", 2, 0, 4, 3)).await;
         compio::time::sleep(Duration::from_millis(200)).await;
-        let body = serde_json::to_vec(&notes(2)).expect("JSON");
+        let body = serde_json::to_vec(&notes(2)).expect("failed to serialize JSON");
         let answer = call(deployment.control, Method::POST, "/v1/versions", &[], body).await;
         assert_eq!(answer.status, StatusCode::OK);
         let page = deployment.await_results("j-1", 4).await;
@@ -218,7 +221,7 @@
     block_on(async {
         let (deployment, engines) = with_engines("named", 3).await;
         for version in [2, 3] {
-            let body = serde_json::to_vec(&notes(version)).expect("JSON");
+            let body = serde_json::to_vec(&notes(version)).expect("failed to serialize JSON");
             let answer = call(deployment.control, Method::POST, "/v1/versions", &[], body).await;
             assert_eq!(answer.status, StatusCode::OK);
             let everywhere = async || engines.iter().all(|engine| engine.models() == [notes(version)]);
@@ -243,7 +246,7 @@
         let (deployment, engines) = with_engines("order-unknown", 2).await;
         for version in [2, 3] {
             engines.iter().for_each(|engine| engine.lose_order_responses(1));
-            let body = serde_json::to_vec(&notes(version)).expect("JSON");
+            let body = serde_json::to_vec(&notes(version)).expect("failed to serialize JSON");
             let answer = call(deployment.control, Method::POST, "/v1/versions", &[], body).await;
             assert_eq!(answer.status, StatusCode::OK);
             let since = Instant::now();
@@ -263,13 +266,13 @@
         let (deployment, _) = with_engines("invalid", 0).await;
         let mut invalid = document(9, vec![rollouts()]);
         invalid.routes[0].timeout_ms = 0;
-        let body = serde_json::to_vec(&invalid).expect("JSON");
-        let refused = call(deployment.control, Method::PUT, "/admin/v1/routing", &[], body.clone()).await;
-        assert_eq!(refused.status, StatusCode::BAD_REQUEST);
-        assert_eq!(refused.body, "the timeout of route `/rollouts/` is 0");
-        let cut =
+        let body = serde_json::to_vec(&invalid).expect("failed to serialize JSON");
+        let rejected = call(deployment.control, Method::PUT, "/admin/v1/routing", &[], body.clone()).await;
+        assert_eq!(rejected.status, StatusCode::BAD_REQUEST);
+        assert_eq!(rejected.body, "the timeout of route `/rollouts/` is 0");
+        let truncated =
             call(deployment.control, Method::PUT, "/admin/v1/routing", &[], body[..body.len() / 2].to_vec()).await;
-        assert_eq!(cut.status, StatusCode::BAD_REQUEST);
+        assert_eq!(truncated.status, StatusCode::BAD_REQUEST);
         let stored = call(deployment.control, Method::GET, "/admin/v1/routing", &[], "").await;
         assert!(stored.body.starts_with(b"{\"version\":1,"), "{:?}", stored.body);
     });
@@ -288,7 +291,7 @@
             zone: "north".to_string(),
         };
         let command = saddlerelay_types::gateway::GatewayCommand::RegisterStore(record);
-        deployment.node.commit_gateway(command).await.expect("the leader commits");
+        deployment.node.commit_gateway(command).await.expect("the command was not committed");
         assert_eq!(call(deployment.control, Method::POST, path, &[], "").await.status, StatusCode::CONFLICT);
     });
 }
--- a/crates/gateway-api/tests/moves.rs
+++ b/crates/gateway-api/tests/moves.rs
@@ -46,9 +46,10 @@
 
     /// Paths of the items of `job` that were resumed at the fast engine.
     fn resumed(&self, job: &JobSubmission) -> Vec<String> {
-        let of_job = |path: &String| job.items.iter().any(|item| item.path == *path);
-        let seen = self.fast.received_requests().into_iter().filter(|seen| seen.header("last-event-id").is_some());
-        seen.map(|seen| seen.path).filter(of_job).collect()
+        let belongs_to_job = |path: &String| job.items.iter().any(|item| item.path == *path);
+        let request =
+            self.fast.received_requests().into_iter().filter(|request| request.header("last-event-id").is_some());
+        request.map(|request| request.path).filter(belongs_to_job).collect()
     }
 }
 
--- a/crates/gateway-api/tests/results.rs
+++ b/crates/gateway-api/tests/results.rs
@@ -24,9 +24,9 @@
 fn a_gateway_reads_results_at_the_replica_in_its_zone() {
     block_on(async {
         let deployment = with_results("near", 6).await;
-        let (_replica, gateway, front) = deployment.start_south_zone().await;
+        let (_replica, gateway, client_address) = deployment.start_south_zone().await;
         eventually("the gateway reads at the replica in its zone", async || {
-            deployment.results_at(front, "j-1").await;
+            deployment.results_at(client_address, "j-1").await;
             gateway.metrics().results_read_in_zone.get() > 0
         })
         .await;
@@ -35,7 +35,7 @@
             let id = format!("j-{number}");
             deployment.submit(&job(&id, 1, number * 10, 4, 2)).await;
             let listed = deployment.await_results(&id, 4).await;
-            assert_eq!(deployment.results_at(front, &id).await, Some(listed));
+            assert_eq!(deployment.results_at(client_address, &id).await, Some(listed));
         }
         assert!(gateway.metrics().results_read_in_zone.get() >= 6);
         assert_eq!(
@@ -50,11 +50,11 @@
 fn a_follower_without_the_job_or_the_position_responds_unavailable() {
     block_on(async {
         let deployment = with_results("behind", 2).await;
-        let (replica, gateway, front) = deployment.start_south_zone().await;
+        let (replica, gateway, client_address) = deployment.start_south_zone().await;
         let address = deployment.node.replica().member_addresses();
         let address = address.into_iter().find(|address| Some(*address) != gateway.control().current_address());
-        let address = address.expect("two members");
-        let position = deployment.node.replica().read_position().expect("the leader has a read position");
+        let address = address.expect("the group has no second member");
+        let position = deployment.node.replica().read_position().expect("the leader has no read position");
         let read = async |position, id: &str| {
             let job = JobId(id.to_string());
             let request = GatewayRequest::ReadResultsAt { position, job, after: 0, wait_ms: 0, caller: Caller::Anyone };
@@ -68,7 +68,10 @@
             "a follower must not respond that the job does not exist"
         );
         assert_eq!(read(position + 1_000_000, "j-1").await, Some(GatewayReply::Unavailable));
-        assert!(deployment.results_at(front, "unknown").await.is_none(), "the gateway falls back to the leader");
+        assert!(
+            deployment.results_at(client_address, "unknown").await.is_none(),
+            "the gateway falls back to the leader"
+        );
         let leader_position =
             gateway.control().gateway(GatewayRequest::ReadPosition, Duration::from_secs(2), Duration::from_secs(1));
         assert!(
--- a/crates/gateway-api/tests/held_connections.rs
+++ b/crates/gateway-api/tests/stalled_engines.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::engine::{Conduct, StandInEngine};
+use common::engine::{EngineBehavior, StandInEngine};
 use common::{Deployment, block_on, call, document, eventually, report, route};
 use compio::BufResult;
 use compio::io::{AsyncRead, AsyncWriteExt};
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const ID: (&str, &str) = ("saddlerelay-request", "r-1");
+const REQUEST_ID: (&str, &str) = ("saddlerelay-request", "r-1");
 
 /// Larger than the socket buffers of a connection.
 const LONG_BODY_BYTES: usize = 16 * 1024 * 1024;
@@ -30,8 +30,8 @@
 /// Starts an engine that responds after its first read and reads the rest of the request slowly; returns the number of bytes
 /// read.
 async fn start_early_engine() -> (SocketAddr, Rc<Cell<usize>>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a loopback port");
+    let address = listener.local_addr().expect("listener has no local address");
     let read = Rc::new(Cell::new(0));
     let read_counter = read.clone();
     compio::runtime::spawn(async move {
@@ -68,10 +68,11 @@
         document.limits.max_body_bytes = LONG_BODY_BYTES as u64;
         deployment.configure(&document).await;
         let (address, read) = start_early_engine().await;
-        let body = serde_json::to_vec(&report(InstanceId::named("early"), "web", address)).expect("JSON");
+        let body =
+            serde_json::to_vec(&report(InstanceId::named("early"), "web", address)).expect("failed to serialize JSON");
         call(deployment.control, Method::PUT, "/v1/instances/early", &[], body).await;
         deployment.await_engines("web", 1).await;
-        let answer = deployment.request(Method::POST, "/plans/1", &[ID], &"x".repeat(LONG_BODY_BYTES)).await;
+        let answer = deployment.request(Method::POST, "/plans/1", &[REQUEST_ID], &"x".repeat(LONG_BODY_BYTES)).await;
         assert_eq!((answer.status, &answer.body[..]), (StatusCode::OK, &b"early"[..]));
         assert!(read.get() < LONG_BODY_BYTES, "the engine had read the entire request");
     });
@@ -89,12 +90,12 @@
         }
         deployment.await_engines("web", 2).await;
         for (stalled, other) in [(0, 1), (1, 0)] {
-            engines[stalled].set_conduct(Conduct::Hang);
-            engines[other].set_conduct(Conduct::Answer);
+            engines[stalled].set_behavior(EngineBehavior::Hang);
+            engines[other].set_behavior(EngineBehavior::Respond);
             let before = engines[stalled].received_requests().len();
             // A stalled engine is avoided for a while.
             eventually("a request reaches the stalled engine", async || {
-                let answer = deployment.request(Method::GET, "/plans/1", &[ID], "").await;
+                let answer = deployment.request(Method::GET, "/plans/1", &[REQUEST_ID], "").await;
                 let expected = ["first answers /plans/1", "second answers /plans/1"][other];
                 assert_eq!((answer.status, &answer.body[..]), (StatusCode::OK, expected.as_bytes()));
                 engines[stalled].received_requests().len() > before
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -43,14 +43,14 @@
 struct ShutdownState {
     closing: Signal,
     /// Number of listeners that still accept.
-    listening: Cell<usize>,
+    active_listeners: Cell<usize>,
     /// Number of open connections.
     open: Cell<usize>,
 }
 
 impl ShutdownState {
     fn is_closed(&self) -> bool {
-        self.listening.get() == 0 && self.open.get() == 0
+        self.active_listeners.get() == 0 && self.open.get() == 0
     }
 }
 
@@ -59,8 +59,8 @@
     /// connections are closed. Returns whether all were closed in time.
     pub async fn close(&self, limit: Duration) -> bool {
         self.inner.closing.notify();
-        let until = Instant::now() + limit;
-        while !self.inner.is_closed() && Instant::now() < until {
+        let deadline = Instant::now() + limit;
+        while !self.inner.is_closed() && Instant::now() < deadline {
             compio::time::sleep(CLOSE_POLL_INTERVAL).await;
         }
         self.inner.is_closed()
@@ -70,7 +70,7 @@
         self.inner.closing.changed(0).await;
     }
 
-    fn begin(&self) -> OpenConnection {
+    fn track_connection(&self) -> OpenConnection {
         self.inner.open.set(self.inner.open.get() + 1);
         OpenConnection(self.inner.clone())
     }
@@ -92,36 +92,36 @@
 
 /// Accepts connections until `shutdown` is closed, and still serves those that are in the backlog at that time.
 pub async fn serve_until<H: HttpHandler>(listener: TcpListener, handler: Rc<H>, shutdown: Shutdown) {
-    shutdown.inner.listening.set(shutdown.inner.listening.get() + 1);
-    let start = |stream| {
-        let connection = serve_connection(stream, handler.clone(), shutdown.clone(), shutdown.begin());
+    shutdown.inner.active_listeners.set(shutdown.inner.active_listeners.get() + 1);
+    let spawn_connection = |stream| {
+        let connection = serve_connection(stream, handler.clone(), shutdown.clone(), shutdown.track_connection());
         compio::runtime::spawn(connection).detach();
     };
     // The accept future is reused across polls: dropping one that has already accepted a connection would reset it.
     let mut accepting = Box::pin(listener.accept());
     loop {
         match future::select(accepting.as_mut(), pin!(shutdown.closing())).await {
-            Either::Left((Ok((stream, _)), _)) => start(stream),
+            Either::Left((Ok((stream, _)), _)) => spawn_connection(stream),
             Either::Left((Err(_), _)) => compio::time::sleep(ACCEPT_RETRY_DELAY).await,
             Either::Right(_) => break,
         }
         accepting = Box::pin(listener.accept());
     }
     loop {
-        let began_at = Instant::now();
+        let wait_started_at = Instant::now();
         match future::select(accepting.as_mut(), pin!(compio::time::sleep(BACKLOG_WAIT))).await {
             Either::Left((Ok((stream, _)), _)) => {
-                start(stream);
+                spawn_connection(stream);
                 accepting = Box::pin(listener.accept());
             }
             // The process was not scheduled in time: connections may have arrived meanwhile.
-            Either::Right(_) if began_at.elapsed() > 2 * BACKLOG_WAIT => {}
+            Either::Right(_) if wait_started_at.elapsed() > 2 * BACKLOG_WAIT => {}
             Either::Left((Err(_), _)) | Either::Right(_) => break,
         }
     }
     drop(accepting);
     drop(listener);
-    shutdown.inner.listening.set(shutdown.inner.listening.get() - 1);
+    shutdown.inner.active_listeners.set(shutdown.inner.active_listeners.get() - 1);
 }
 
 async fn serve_connection<H: HttpHandler>(
@@ -147,8 +147,8 @@
     if let Either::Left(_) = future::select(connection.as_mut(), pin!(shutdown.closing())).await {
         return;
     }
-    let left = FIRST_REQUEST_WAIT.saturating_sub(accepted_at.elapsed());
-    let first_request = pin!(compio::time::timeout(left, first_request_received.changed(0)));
+    let remaining = FIRST_REQUEST_WAIT.saturating_sub(accepted_at.elapsed());
+    let first_request = pin!(compio::time::timeout(remaining, first_request_received.changed(0)));
     if let Either::Left(_) = future::select(connection.as_mut(), first_request).await {
         return;
     }
--- a/crates/http/src/sse.rs
+++ b/crates/http/src/sse.rs
@@ -27,31 +27,31 @@
 /// Reads events from a response body.
 pub struct EventReader {
     body: Incoming,
-    received: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl EventReader {
     /// Reads from `body`.
     pub fn new(body: Incoming) -> Self {
-        Self { body, received: Vec::new() }
+        Self { body, buffer: Vec::new() }
     }
 
     /// The data of the next event; `None` when the body has ended or failed.
     pub async fn next(&mut self) -> Option<String> {
         loop {
-            if let Some(data) = self.take_event() {
+            if let Some(data) = self.next_buffered_event() {
                 return Some(data);
             }
             let frame = self.body.frame().await?.ok()?;
             if let Some(bytes) = frame.data_ref() {
-                self.received.extend_from_slice(bytes);
+                self.buffer.extend_from_slice(bytes);
             }
         }
     }
 
-    fn take_event(&mut self) -> Option<String> {
-        let end = self.received.windows(2).position(|pair| pair == b"\n\n")?;
-        let event: Vec<u8> = self.received.drain(..end + 2).collect();
+    fn next_buffered_event(&mut self) -> Option<String> {
+        let end = self.buffer.windows(2).position(|pair| pair == b"\n\n")?;
+        let event: Vec<u8> = self.buffer.drain(..end + 2).collect();
         let text = String::from_utf8_lossy(&event[..end]).into_owned();
         Some(text.strip_prefix(DATA_PREFIX).unwrap_or(&text).to_string())
     }
--- a/crates/http/tests/closing.rs
+++ b/crates/http/tests/shutdown.rs
@@ -48,21 +48,22 @@
             Err(_) => compio::time::sleep(Duration::from_millis(5)).await,
         }
     };
-    let text = read.expect("a response");
+    let text = read.expect("the client received no response");
     assert!(text.starts_with("HTTP/1.1 200") && text.contains("hello"), "{text}");
 }
 
 async fn start() -> (SocketAddr, Shutdown) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a loopback port");
+    let address = listener.local_addr().expect("listener has no local address");
     let shutdown = Shutdown::default();
     compio::runtime::spawn(serve_until(listener, Rc::new(Hello), shutdown.clone())).detach();
     (address, shutdown)
 }
 
 fn block_on(test: impl Future<Output = ()>) {
-    let outcome =
-        compio::runtime::Runtime::new().expect("a runtime").block_on(compio::time::timeout(TEST_TIMEOUT, test));
+    let outcome = compio::runtime::Runtime::new()
+        .expect("failed to create a runtime")
+        .block_on(compio::time::timeout(TEST_TIMEOUT, test));
     outcome.expect("test timed out");
 }
 
@@ -91,7 +92,7 @@
             let result = client(address, Duration::ZERO);
             std::thread::sleep(Duration::from_millis(60));
             assert_answered(result).await;
-            assert!(closed.await.expect("the shutdown ends"), "a connection stayed open");
+            assert!(closed.await.expect("the shutdown task panicked"), "a connection stayed open");
         });
     }
 }
--- a/crates/settings/src/member.rs
+++ b/crates/settings/src/member.rs
@@ -25,7 +25,7 @@
 /// Added to the retention that the settings require for a job.
 const RETENTION_MARGIN: Duration = Duration::from_secs(30);
 
-/// Added to the order lease before a new holder may send orders.
+/// Added to the order lease before another process may send orders to the same engine or platform.
 const ORDER_MARGIN: Duration = Duration::from_millis(400);
 
 /// Log bytes between two snapshots. Replay at startup holds them in memory twice, encoded and decoded.
@@ -126,7 +126,7 @@
 pub struct Bounds {
     /// Interval of an engine's reports.
     pub report_interval: Duration,
-    /// Time from the acknowledgement of an engine's departure until no new work is sent to it.
+    /// Time from the acknowledgement that an engine is leaving until no new work is sent to it.
     pub drain: Duration,
     /// Time from the acknowledgement of a configuration until it is in force on every relay.
     pub configuration: Duration,
@@ -156,7 +156,7 @@
             job_status: section.seconds("job_status_s", milliseconds(120_000), 1..=86_400),
             tolerated_losses: section.number("tolerated_losses", 1, 0..=4),
         };
-        section.end();
+        section.reject_unknown_keys();
         bounds
     }
 
@@ -226,7 +226,7 @@
         window: section.seconds("window_s", Duration::from_secs(60), 1..=86_400),
         due_after: section.seconds("due_after_s", Duration::from_secs(60), 1..=86_400),
     };
-    section.end();
+    section.reject_unknown_keys();
     Some(usage)
 }
 
@@ -237,9 +237,9 @@
     let mut section = Section::new("platform", table, errors);
     let address = section.address("address");
     let duties = section.texts("duties", &[USAGE_REPORT, AUTOSCALE]);
-    section.end();
-    let has = |duty: &str| duties.iter().any(|named| named == duty);
-    Some(PlatformSettings { address, reports_usage: has(USAGE_REPORT), orders_engines: has(AUTOSCALE) })
+    section.reject_unknown_keys();
+    let is_enabled = |duty: &str| duties.iter().any(|enabled| enabled == duty);
+    Some(PlatformSettings { address, reports_usage: is_enabled(USAGE_REPORT), orders_engines: is_enabled(AUTOSCALE) })
 }
 
 fn parse_interface(root: &mut Section) -> Interface {
@@ -281,7 +281,7 @@
     if !matches!(role_name.as_str(), "" | "gateway" | "coordinator") {
         root.reject("role", Some(format!("\"{role_name}\"")), "is not `gateway` or `coordinator`");
     }
-    root.end();
+    root.reject_unknown_keys();
     let bounds = Bounds::parse(bounds, &mut errors);
     let usage = parse_usage(usage, &mut errors);
     let platform = parse_platform(platform, &mut errors);
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -32,7 +32,7 @@
     if !matches!(role.as_str(), "" | "relay" | "control") {
         root.reject("role", Some(format!("\"{role}\"")), "is not `relay` or `control`");
     }
-    root.end();
+    root.reject_unknown_keys();
     let role = parse_role(&role, tables, &control, &mut errors);
     let settings = Settings { name, zone, data_folder, http_address, control, shared_secret, scorer, platform, role };
     if errors.is_empty() { Ok(settings) } else { Err(errors) }
@@ -91,7 +91,7 @@
         drain_limit: section.milliseconds("drain_limit_ms", default.drain_limit, 1_000..=3_600_000),
         last_trial_pause: section.milliseconds("last_trial_pause_ms", default.last_trial_pause, 0..=600_000),
     };
-    section.end();
+    section.reject_unknown_keys();
     RelaySettings { policy, config }
 }
 
@@ -130,7 +130,7 @@
     if config.relay_loss_timeout <= config.relay_lease {
         section.reject("relay_loss_ms", None, "must be longer than `relay_lease_ms`");
     }
-    section.end();
+    section.reject_unknown_keys();
     let replication = parse_replication(replication, errors);
     ControlSettings { peer_address, operator_token, config, replication }
 }
@@ -151,6 +151,6 @@
     if let Some(reason) = config.error() {
         section.reject("lease_ms", None, reason);
     }
-    section.end();
+    section.reject_unknown_keys();
     config
 }
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -43,7 +43,7 @@
         if self.name.is_empty() { key.to_string() } else { format!("{}.{key}", self.name) }
     }
 
-    /// Records an error.
+    /// Records an error about the value of `key`, which may be missing.
     pub fn reject(&mut self, key: &str, value: Option<String>, reason: impl Into<String>) {
         let error = SettingError { key: self.full_key(key), value, reason: reason.into() };
         self.errors.push(error);
@@ -205,7 +205,7 @@
     }
 
     /// Records an error for every key that was not read.
-    pub fn end(mut self) {
+    pub fn reject_unknown_keys(mut self) {
         for (key, value) in std::mem::take(&mut self.table) {
             self.reject(&key, Some(value.to_string()), "is not a known key");
         }
--- a/crates/settings/tests/member.rs
+++ b/crates/settings/tests/member.rs
@@ -85,15 +85,15 @@
 
 #[test]
 fn all_errors_are_reported() {
-    let wrong = GATEWAY
+    let invalid = GATEWAY
         .replace("readiness_address = \"10.0.0.2:8167\"", "readiness_address = \"front\"")
         .replace("interface = \"platform\"", "interface = \"soap\"")
         .replace("peer_port = 7720", "peer_port = 0")
         .replace("name = \"front-1\"", "");
-    let messages = errors(&format!("{wrong}surplus = 1\n\n[bounds]\ndrain_ms = 3\ngrace_s = \"long\"\n"));
-    let about = |key: &str| messages.iter().any(|line| line.starts_with(&format!("`{key}`")));
+    let messages = errors(&format!("{invalid}surplus = 1\n\n[bounds]\ndrain_ms = 3\ngrace_s = \"long\"\n"));
+    let has_error_for = |key: &str| messages.iter().any(|line| line.starts_with(&format!("`{key}`")));
     for key in ["readiness_address", "interface", "peer_port", "name", "surplus", "bounds.drain_ms", "bounds.grace_s"] {
-        assert!(about(key), "no error about {key}: {messages:#?}");
+        assert!(has_error_for(key), "no error about {key}: {messages:#?}");
     }
     assert_eq!(messages.len(), 7);
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -10,7 +10,7 @@
 }
 
 fn error_keys(text: &str) -> Vec<String> {
-    let errors = parse(text).expect_err("the file is wrong");
+    let errors = parse(text).expect_err("invalid settings were accepted");
     let mut keys: Vec<String> = errors.into_iter().map(|error| error.key).collect();
     keys.sort();
     keys
@@ -19,9 +19,10 @@
 #[test]
 fn example_settings_files_are_accepted() {
     for deployment in ["andino", "fund"] {
-        let control = parse(&example(&format!("{deployment}/control.toml"))).expect("an example is accepted");
+        let control =
+            parse(&example(&format!("{deployment}/control.toml"))).expect("the example settings were rejected");
         assert!(matches!(control.role, Role::Control(_)));
-        let relay = parse(&example(&format!("{deployment}/relay.toml"))).expect("an example is accepted");
+        let relay = parse(&example(&format!("{deployment}/relay.toml"))).expect("the example settings were rejected");
         let Role::Relay(settings) = relay.role else {
             panic!("relay.toml has a role other than relay");
         };
@@ -46,7 +47,7 @@
 #[test]
 fn an_error_names_the_value_and_the_allowed_range() {
     let text = example("fund/relay.toml").replace("drain_limit_ms = 600000", "drain_limit_ms = 5");
-    let errors = parse(&text).expect_err("the file is wrong");
+    let errors = parse(&text).expect_err("invalid settings were accepted");
     assert_eq!(errors[0].to_string(), "`relay.drain_limit_ms` = 5: is not a whole number from 1000 to 3600000");
 }
 
--- a/crates/telemetry/src/line.rs
+++ b/crates/telemetry/src/line.rs
@@ -20,7 +20,7 @@
     /// complete log line.
     pub fn parse(line: &str) -> Option<Self> {
         let start = line.find("time=")?;
-        let mut pairs = Pairs { rest: &line[start..] };
+        let mut pairs = Pairs { remaining: &line[start..] };
         let mut parsed = Self {
             time: f64::NAN,
             node: String::new(),
@@ -52,14 +52,14 @@
 }
 
 struct Pairs<'a> {
-    rest: &'a str,
+    remaining: &'a str,
 }
 
 impl<'a> Pairs<'a> {
     fn next_pair(&mut self) -> Option<(&'a str, String)> {
-        let (key, rest) = self.rest.trim_start().split_once('=')?;
-        let (value, rest) = if rest.starts_with('"') { quoted(rest)? } else { unquoted(rest) };
-        self.rest = rest;
+        let (key, remaining) = self.remaining.trim_start().split_once('=')?;
+        let (value, remaining) = if remaining.starts_with('"') { quoted(remaining)? } else { unquoted(remaining) };
+        self.remaining = remaining;
         Some((key, value))
     }
 }
--- a/crates/telemetry/src/stdout.rs
+++ b/crates/telemetry/src/stdout.rs
@@ -24,7 +24,7 @@
     text: String,
     max_bytes: usize,
     lines_per_second: u32,
-    second: Option<Instant>,
+    second_started_at: Option<Instant>,
     lines_in_second: u32,
     dropped: u64,
     dropped_unreported: u64,
@@ -39,7 +39,7 @@
 #[derive(Default)]
 struct Shared {
     buffer: Mutex<Buffer>,
-    filled: Condvar,
+    line_added: Condvar,
 }
 
 /// A sink for standard output.
@@ -54,7 +54,7 @@
     pub fn new(node: &str) -> Self {
         let shared = Arc::<Shared>::default();
         let writer = shared.clone();
-        std::thread::spawn(move || write_out(&writer));
+        std::thread::spawn(move || run_writer(&writer));
         Self { properties: SinkProp::default(), node: node.to_string(), shared }
     }
 
@@ -68,11 +68,11 @@
     shared.buffer.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-fn write_out(shared: &Shared) {
+fn run_writer(shared: &Shared) {
     loop {
         let mut buffer = lock(shared);
         while buffer.text.is_empty() {
-            buffer = shared.filled.wait(buffer).unwrap_or_else(|poisoned| poisoned.into_inner());
+            buffer = shared.line_added.wait(buffer).unwrap_or_else(|poisoned| poisoned.into_inner());
         }
         drop(buffer);
         std::thread::sleep(FLUSH_DELAY);
@@ -86,7 +86,15 @@
     /// An empty buffer with a capacity in bytes and a rate limit.
     pub fn new(max_bytes: usize, lines_per_second: u32) -> Self {
         let text = String::new();
-        Self { text, max_bytes, lines_per_second, second: None, lines_in_second: 0, dropped: 0, dropped_unreported: 0 }
+        Self {
+            text,
+            max_bytes,
+            lines_per_second,
+            second_started_at: None,
+            lines_in_second: 0,
+            dropped: 0,
+            dropped_unreported: 0,
+        }
     }
 
     /// Lines dropped so far.
@@ -101,13 +109,13 @@
 
     /// Starts the next interval of the rate limit, which lasts a second.
     pub fn next_second(&mut self) {
-        self.second = Some(Instant::now());
+        self.second_started_at = Some(Instant::now());
         self.lines_in_second = 0;
     }
 
     /// Buffers a line; drops and counts it if the buffer or the rate limit is exhausted.
     pub fn add_line(&mut self, node: &str, line: &str) {
-        if self.second.is_none_or(|second| second.elapsed() >= Duration::from_secs(1)) {
+        if self.second_started_at.is_none_or(|started_at| started_at.elapsed() >= Duration::from_secs(1)) {
             self.next_second();
         }
         self.lines_in_second += 1;
@@ -158,7 +166,7 @@
     fn log(&self, record: &Record) -> spdlog::Result<()> {
         let line = format_line(&self.node, record);
         lock(&self.shared).add_line(&self.node, &line);
-        self.shared.filled.notify_one();
+        self.shared.line_added.notify_one();
         Ok(())
     }
 
--- a/crates/telemetry/tests/stdout.rs
+++ b/crates/telemetry/tests/stdout.rs
@@ -19,7 +19,7 @@
 
 impl Sink for Lines {
     fn log(&self, record: &spdlog::Record) -> spdlog::Result<()> {
-        self.lines.lock().expect("no panic").push(format_line("node-1", record));
+        self.lines.lock().expect("the lines mutex is poisoned").push(format_line("node-1", record));
         Ok(())
     }
 
@@ -31,12 +31,12 @@
 #[test]
 fn a_line_has_time_level_node_event_and_fields() {
     let sink = Arc::new(Lines::default());
-    let logger = spdlog::Logger::builder().sink(sink.clone()).build().expect("a logger");
+    let logger = spdlog::Logger::builder().sink(sink.clone()).build().expect("failed to build the logger");
     spdlog::warn!(logger: logger, "request refused", kv: { request = "r-1", reason = "no \"lease\" now", held_ms = 4_u64 });
-    let lines = sink.lines.lock().expect("no panic");
+    let lines = sink.lines.lock().expect("the lines mutex is poisoned");
     let line = lines[0].trim_end();
     assert!(line.starts_with("time="), "{line}");
-    let rest = line.split_once(' ').expect("more than the time").1;
+    let rest = line.split_once(' ').expect("the line has no fields after the time").1;
     assert_eq!(
         rest,
         r#"level=warn node=node-1 event="request refused" request=r-1 reason="no \"lease\" now" held_ms=4"#
