--- a/bin/saddlerelay-fleet/tests/callers.rs
+++ b/bin/saddlerelay-fleet/tests/callers.rs
@@ -15,11 +15,11 @@
 const TEN_MINUTES: Duration = Duration::from_secs(600);
 
 async fn send_raw(address: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address).await.expect("failed to connect to the server");
     let BufResult(sent, _) = stream.write_all(bytes.to_vec()).await;
-    sent.expect("the bytes were sent");
+    sent.expect("failed to send the bytes");
     let BufResult(read, answer) = stream.read_to_end(Vec::new()).await;
-    read.expect("the peer closed the connection");
+    read.expect("failed to read until the connection closed");
     String::from_utf8_lossy(&answer).into_owned()
 }
 
@@ -42,7 +42,9 @@
         assert_eq!(body["object"], "text_completion");
         assert!(body["choices"][0]["text"].is_string());
 
-        let models = call(deployment.relay(0), Method::GET, "/v1/models", &[], Vec::new()).await.expect("an answer");
+        let models = call(deployment.relay(0), Method::GET, "/v1/models", &[], Vec::new())
+            .await
+            .expect("the server sent no response");
         assert_eq!(json_of(&models)["data"][0]["id"], MODEL);
     });
 }
@@ -55,15 +57,18 @@
         let request = json!({"model": MODEL, "max_tokens": 24, "stream": true, "seed": 5, "messages": message});
         let answer = deployment.post(0, "/v1/chat/completions", &[], request).await;
         assert_eq!(answer.headers["content-type"], "text/event-stream");
-        let text = String::from_utf8(answer.body.to_vec()).expect("a text");
+        let text = String::from_utf8(answer.body.to_vec()).expect("the value is not UTF-8 text");
         let events: Vec<&str> = text.split("\n\n").filter(|event| !event.is_empty()).collect();
         assert_eq!(events.last(), Some(&"data: [DONE]"));
         let parts: Vec<serde_json::Value> = events[..events.len() - 1]
             .iter()
-            .map(|event| serde_json::from_str(event.strip_prefix("data: ").expect("an event")).expect("JSON"))
+            .map(|event| {
+                serde_json::from_str(event.strip_prefix("data: ").expect("the event has no data field"))
+                    .expect("the event is not JSON")
+            })
             .collect();
         assert!(parts.iter().all(|part| part["object"] == "chat.completion.chunk"));
-        assert!(parts.last().expect("a part")["choices"][0]["finish_reason"].is_string());
+        assert!(parts.last().expect("the stream has no parts")["choices"][0]["finish_reason"].is_string());
     });
 }
 
@@ -132,7 +137,9 @@
             assert!(error["message"].as_str().is_some_and(|message| !message.is_empty()), "{error}");
             assert!(error["execution"].is_null() || error["execution"] == "not_executed", "{error}");
         }
-        let missing = call(deployment.relay(0), Method::GET, "/v2/models", &[], Vec::new()).await.expect("an answer");
+        let missing = call(deployment.relay(0), Method::GET, "/v2/models", &[], Vec::new())
+            .await
+            .expect("the server sent no response");
         assert_eq!(missing.status, StatusCode::NOT_FOUND);
         assert_eq!(deployment.executions("bad input"), 0);
     });
@@ -169,7 +176,7 @@
             deployment.chat(0, "guess", &wrong).await.status == StatusCode::UNAUTHORIZED
         })
         .await
-        .expect("the relay applied the secret");
+        .expect("the relay did not apply the secret");
         let right = [("authorization", "Bearer prices:tellers:teller-secret")];
         assert_eq!(deployment.chat(0, "price of fund 9", &right).await.status, StatusCode::OK);
         assert_eq!(deployment.chat(0, "price of fund 9", &[]).await.status, StatusCode::UNAUTHORIZED);
@@ -200,10 +207,12 @@
     block_on(async {
         let deployment = Deployment::start().await;
         for address in [deployment.relay(0), deployment.control()] {
-            let health = call(address, Method::GET, "/healthz", &[], Vec::new()).await.expect("an answer");
+            let health =
+                call(address, Method::GET, "/healthz", &[], Vec::new()).await.expect("the server sent no response");
             assert_eq!(health.status, StatusCode::OK);
-            let metrics = call(address, Method::GET, "/metrics", &[], Vec::new()).await.expect("an answer");
-            let text = String::from_utf8(metrics.body.to_vec()).expect("a text");
+            let metrics =
+                call(address, Method::GET, "/metrics", &[], Vec::new()).await.expect("the server sent no response");
+            let text = String::from_utf8(metrics.body.to_vec()).expect("the value is not UTF-8 text");
             assert!(text.contains("# TYPE saddlerelay_") && text.ends_with("# EOF\n"), "{text}");
         }
     });
--- a/bin/saddlerelay-fleet/tests/common/mod.rs
+++ b/bin/saddlerelay-fleet/tests/common/mod.rs
@@ -27,7 +27,7 @@
 
 /// Runs a future on a new runtime.
 pub fn block_on<T>(future: impl Future<Output = T>) -> T {
-    compio::runtime::Runtime::new().expect("a runtime").block_on(future)
+    compio::runtime::Runtime::new().expect("failed to create a runtime").block_on(future)
 }
 
 /// A running deployment; its files are removed on drop.
@@ -48,8 +48,8 @@
     /// Starts one control replica, two relays and two engines, and configures one tenant.
     pub async fn start() -> Self {
         let folder = run_folder();
-        let plan = Plan::new(smallest(), &executable(), &folder, "").expect("a plan");
-        let fleet = Fleet::start(plan).await.expect("the deployment started");
+        let plan = Plan::new(smallest(), &executable(), &folder, "").expect("failed to create the deployment plan");
+        let fleet = Fleet::start(plan).await.expect("failed to start the deployment");
         let deployment = Self { fleet, folder };
         let template = deployment.admin(Method::PUT, "templates/team", &[], json!({"parameters": {}})).await;
         assert_eq!(template.status, StatusCode::OK);
@@ -60,7 +60,7 @@
                 response.status == StatusCode::OK
             })
             .await
-            .expect("the relay applied the tenant");
+            .expect("the relay did not apply the tenant");
         }
         deployment
     }
@@ -84,7 +84,7 @@
         let mut all = vec![("authorization", authorization.as_str())];
         all.extend_from_slice(headers);
         let path = format!("/admin/v1/{path}");
-        call(self.control(), method, &path, &all, body.to_string()).await.expect("an answer")
+        call(self.control(), method, &path, &all, body.to_string()).await.expect("the server sent no response")
     }
 
     /// Sends a chat request as a caller.
@@ -99,7 +99,7 @@
         if !headers.iter().any(|(name, _)| *name == "authorization") {
             all.push(("authorization", CALLER));
         }
-        call(self.relay(relay), Method::POST, path, &all, body.to_string()).await.expect("an answer")
+        call(self.relay(relay), Method::POST, path, &all, body.to_string()).await.expect("the server sent no response")
     }
 
     /// Waits until the readiness of the process at `address` is `expected`.
@@ -109,7 +109,7 @@
             response.is_ok_and(|response| response.status.is_success() == expected)
         })
         .await
-        .expect("the expected readiness");
+        .expect("the readiness did not change in time");
     }
 
     /// Number of executions of `content` in the engines' records.
@@ -127,11 +127,11 @@
 
 /// A response's body as JSON.
 pub fn json_of(response: &WholeResponse) -> Value {
-    serde_json::from_slice(&response.body).expect("a JSON body")
+    serde_json::from_slice(&response.body).expect("the body is not JSON")
 }
 
 /// The expiry of an idempotency key, `ahead` from now, in Unix milliseconds.
 pub fn expiry(ahead: Duration) -> String {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock after 1970");
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is set before 1970");
     (now + ahead).as_millis().to_string()
 }
--- a/bin/saddlerelay-fleet/tests/faults.rs
+++ b/bin/saddlerelay-fleet/tests/faults.rs
@@ -10,25 +10,24 @@
 use saddlerelay_scenarios::deployment::demo;
 use std::time::Duration;
 
-const HANG_LIMIT_MILLISECONDS: u64 = 60_000;
-const LOAD: Duration = Duration::from_secs(6);
+const HANG_LIMIT_MS: u64 = 60_000;
+const LOAD_DURATION: Duration = Duration::from_secs(6);
 
 fn run_scenario(name: &str) -> RunResult {
-    let scenario = scenario(name).expect("the scenario exists");
-    let limits =
-        Limits { leaving: HANG_LIMIT_MILLISECONDS, configuration: HANG_LIMIT_MILLISECONDS, ..scenario.limits() };
+    let scenario = scenario(name).expect("the scenario is not defined");
+    let limits = Limits { leaving: HANG_LIMIT_MS, configuration: HANG_LIMIT_MS, ..scenario.limits() };
     let options = RunOptions {
         scenario,
         executable: executable(),
         limits,
         deployment: Some(demo()),
-        duration: Some(LOAD),
+        duration: Some(LOAD_DURATION),
         relay_settings: String::new(),
         progress: false,
         keep: false,
         record: None,
     };
-    let result = block_on(run(options)).expect("the run completed");
+    let result = block_on(run(options)).expect("the run failed");
     assert_eq!(result.report.violations, [], "{name}");
     result
 }
--- a/bin/saddlerelay-fleet/tests/operators.rs
+++ b/bin/saddlerelay-fleet/tests/operators.rs
@@ -19,7 +19,11 @@
                 let headers = [("authorization", token)];
                 let path = format!("/admin/v1/{path}");
                 let answer = call(deployment.control(), Method::GET, &path, &headers, Vec::new()).await;
-                assert_eq!(answer.expect("an answer").status, StatusCode::UNAUTHORIZED, "{path} `{token}`");
+                assert_eq!(
+                    answer.expect("the server sent no response").status,
+                    StatusCode::UNAUTHORIZED,
+                    "{path} `{token}`"
+                );
             }
         }
     });
@@ -31,7 +35,7 @@
         let deployment = Deployment::start().await;
         let path = format!("tenants/{TENANT}");
         let current = deployment.admin(Method::GET, &path, &[], json!(null)).await;
-        let tag = current.headers["etag"].to_str().expect("a text").to_string();
+        let tag = current.headers["etag"].to_str().expect("the value is not UTF-8 text").to_string();
         let change = |bound: u64| json!({"template": "team", "values": {"model": MODEL, "staleness_bound": bound}});
         let first = deployment.admin(Method::PUT, &path, &[("if-match", &tag)], change(3)).await;
         assert_eq!(first.status, StatusCode::OK);
@@ -74,7 +78,8 @@
 }
 
 fn run(arguments: &[&str]) -> (i32, String, String) {
-    let output = Command::new(executable()).arg("run-product").args(arguments).output().expect("the program ran");
+    let output =
+        Command::new(executable()).arg("run-product").args(arguments).output().expect("failed to run the program");
     let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
     (output.status.code().unwrap_or(-1), text(output.stdout), text(output.stderr))
 }
--- a/bin/saddlerelay-soak/tests/processes.rs
+++ b/bin/saddlerelay-soak/tests/processes.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Only to fail a test that hangs.
+/// Time limit that only fails a test that hangs.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 struct Fixture {
@@ -43,8 +43,8 @@
     }
 
     async fn accept_change(&self) -> Result<()> {
-        let until = Instant::now() + TEST_TIMEOUT;
-        ensure!(self.operator.change(|| Instant::now() < until).await, "no document was accepted");
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        ensure!(self.operator.change(|| Instant::now() < deadline).await, "no document was accepted");
         Ok(())
     }
 
@@ -56,7 +56,7 @@
 impl Drop for Fixture {
     fn drop(&mut self) {
         if std::thread::panicking() || !self.violations().is_empty() {
-            println!("its files are in {}", self.folder.display());
+            println!("files of the failed test: {}", self.folder.display());
             return;
         }
         // A leftover folder is harmless: it is in the system's temporary folder.
@@ -74,10 +74,10 @@
         let fixture = Fixture::start("refused-writes").await?;
         for number in 0..3 {
             let fault = Fault::RefuseWrites { number, time: Duration::from_millis(300) };
-            let refused = fixture.faults.inject(fault);
+            let injected = fixture.faults.inject(fault);
             let changed = fixture.accept_change();
-            let (refused, changed) = futures::future::join(refused, changed).await;
-            refused?;
+            let (injected, changed) = futures::future::join(injected, changed).await;
+            injected?;
             changed?;
             fixture.deployment.watch()?;
         }
@@ -131,7 +131,7 @@
     })
 }
 
-/// A voter that is partitioned until it is removed must, once it learns of its removal from the leader (`group
+/// A voter that is partitioned until it is removed must, once it receives its removal from the leader (`group
 /// announced`), start no more pre-votes (`votes would not be given`).
 #[test]
 fn a_voter_removed_while_partitioned_requests_no_votes() -> Result<()> {
@@ -141,7 +141,7 @@
         let case = Case { seed: 0, kind: PlanKind::Single, size: Size { coordinators: 7, gateways: 1 } };
         let fixture = Fixture::start_case("removed-voter", case).await?;
         let deployment = &fixture.deployment;
-        let until = Instant::now() + TEST_TIMEOUT;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         let is_follower = |number: &u8| {
             deployment.membership_of(*number) == MemberKind::Voter && deployment.leader() != Some(*number)
         };
@@ -149,25 +149,25 @@
             if let Some(voter) = (0..7).find(is_follower) {
                 break voter;
             }
-            ensure!(Instant::now() < until, "there is no follower");
+            ensure!(Instant::now() < deadline, "there is no follower");
             compio::time::sleep(Duration::from_millis(50)).await;
         };
         let party = Party::Coordinator(voter);
-        let cut = Fault::Cut {
+        let partition = Fault::Cut {
             party,
             condition: Condition::Silent,
             direction: Direction::Both,
             time: Duration::from_secs(5),
             coordinators_only: true,
         };
-        fixture.faults.inject(cut).await?;
-        ensure!(deployment.membership_of(voter) == MemberKind::None, "it was not removed");
+        fixture.faults.inject(partition).await?;
+        ensure!(deployment.membership_of(voter) == MemberKind::None, "the voter was not removed");
         let removal_index = loop {
             let lines = deployment.log_lines(party);
             if let Some(index) = lines.iter().rposition(|line| line.contains(REMOVAL_RECEIVED)) {
                 break index;
             }
-            ensure!(Instant::now() < until, "it did not learn of its removal");
+            ensure!(Instant::now() < deadline, "the voter did not receive its removal");
             compio::time::sleep(Duration::from_millis(50)).await;
         };
         compio::time::sleep(Duration::from_secs(4)).await;
@@ -186,9 +186,9 @@
         let fixture = Fixture::start("ends").await?;
         let stopped = fixture.deployment.with_process(Party::Gateway(0), |child| child.signal_stop());
         ensure!(stopped.is_some(), "the gateway is not running");
-        let until = Instant::now() + TEST_TIMEOUT;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while fixture.violations().is_empty() {
-            ensure!(Instant::now() < until, "its exit was not recorded");
+            ensure!(Instant::now() < deadline, "the exit of the gateway was not recorded");
             compio::time::sleep(Duration::from_millis(50)).await;
             fixture.deployment.watch()?;
         }
--- a/crates/command-line/src/account/mod.rs
+++ b/crates/command-line/src/account/mod.rs
@@ -1,7 +1,7 @@
 //! `account`: progress of training steps and use of engines, from the logs of coordinators.
 
-mod picture;
 mod steps;
+mod svg;
 
 use crate::{CommandError, Exit};
 use lexopt::prelude::*;
@@ -12,7 +12,7 @@
 
 struct Options {
     files: Vec<PathBuf>,
-    picture: Option<PathBuf>,
+    svg_file: Option<PathBuf>,
 }
 
 /// Runs the command.
@@ -23,8 +23,8 @@
     for line in account.table() {
         println!("{line}");
     }
-    if let Some(file) = options.picture {
-        picture::write(&account, &file).map_err(|reason| CommandError::new(Exit::Failed, reason))?;
+    if let Some(file) = options.svg_file {
+        svg::write(&account, &file).map_err(|reason| CommandError::new(Exit::Failed, reason))?;
     }
     Ok(())
 }
@@ -40,10 +40,10 @@
 }
 
 fn parse(parser: &mut lexopt::Parser) -> Result<Options, CommandError> {
-    let mut options = Options { files: Vec::new(), picture: None };
+    let mut options = Options { files: Vec::new(), svg_file: None };
     while let Some(argument) = parser.next()? {
         match argument {
-            Long("svg") => options.picture = Some(PathBuf::from(parser.value()?)),
+            Long("svg") => options.svg_file = Some(PathBuf::from(parser.value()?)),
             Value(value) => options.files.push(PathBuf::from(value)),
             other => return Err(other.unexpected().into()),
         }
--- a/crates/command-line/src/account/steps.rs
+++ b/crates/command-line/src/account/steps.rs
@@ -32,9 +32,9 @@
     /// When the last attempt started; `None` if there was none.
     pub last_start: Option<f64>,
     /// When the last text was completed; `None` if there was none.
-    pub last_whole: Option<f64>,
+    pub last_completed: Option<f64>,
     /// Number of completed texts.
-    pub whole: u64,
+    pub completed: u64,
     /// Number of attempts that did not complete a text.
     pub failed_attempts: u64,
     /// Number of items moved to another engine.
@@ -79,7 +79,8 @@
 /// Accumulated state while lines are read.
 #[derive(Default)]
 struct Collector {
-    began_at: f64,
+    /// Start of the first job, in seconds since the Unix epoch.
+    first_job_at: f64,
     steps: BTreeMap<String, StepAccount>,
     /// The newest ordered version of each model.
     newest: BTreeMap<String, u64>,
@@ -100,7 +101,7 @@
 impl Collector {
     /// The span that ends at the line's time and has the length of its field `lasted_ms`.
     fn span(&self, line: &LogLine) -> Span {
-        let to = line.time - self.began_at;
+        let to = line.time - self.first_job_at;
         Span { from: to - number(line, "lasted_ms") as f64 / 1_000.0, to }
     }
 
@@ -123,7 +124,7 @@
         let (Some(job), Some(model)) = (line.field("job"), line.field("model")) else {
             return;
         };
-        let at = line.time - self.began_at;
+        let at = line.time - self.first_job_at;
         let new = || StepAccount {
             job: job.to_string(),
             model: model.to_string(),
@@ -133,8 +134,8 @@
             leaders: 0,
             first_start: None,
             last_start: None,
-            last_whole: None,
-            whole: 0,
+            last_completed: None,
+            completed: 0,
             failed_attempts: 0,
             moves: 0,
             versions_behind: 0,
@@ -143,7 +144,7 @@
     }
 
     fn drop_job(&mut self, line: &LogLine) {
-        let at = line.time - self.began_at;
+        let at = line.time - self.first_job_at;
         if let Some(step) = line.field("job").and_then(|job| self.steps.get_mut(job)) {
             step.open.to = at;
         }
@@ -161,8 +162,8 @@
             step.failed_attempts += 1;
             return;
         }
-        step.whole += 1;
-        step.last_whole = Some(span.to);
+        step.completed += 1;
+        step.last_completed = Some(span.to);
         let newest = self.newest.get(&step.model).copied();
         let oldest = line.field("versions").and_then(oldest_version);
         if let (Some(newest), Some(oldest)) = (newest, oldest) {
@@ -184,10 +185,10 @@
     /// Builds the account of `lines`, which must be sorted by time.
     pub fn of(lines: &[LogLine]) -> Self {
         let first_job = lines.iter().find(|line| line.event == "job taken up");
-        let began_at = first_job.map_or(0.0, |line| line.time);
-        let mut collector = Collector { began_at, ..Collector::default() };
+        let first_job_at = first_job.map_or(0.0, |line| line.time);
+        let mut collector = Collector { first_job_at, ..Collector::default() };
         lines.iter().for_each(|line| collector.add_line(line));
-        let length = lines.last().map_or(0.0, |line| line.time - began_at);
+        let length = lines.last().map_or(0.0, |line| line.time - first_job_at);
         let mut steps: Vec<StepAccount> = collector.steps.into_values().collect();
         for step in &mut steps {
             step.open.to = step.open.to.min(length);
@@ -222,9 +223,9 @@
 
     fn trainer_line(&self, model: &str) -> String {
         let steps: Vec<&StepAccount> = self.steps.iter().filter(|step| step.model == model).collect();
-        let whole: u64 = steps.iter().map(|step| step.whole).sum();
+        let completed: u64 = steps.iter().map(|step| step.completed).sum();
         let behind: u64 = steps.iter().map(|step| step.versions_behind).sum();
-        let staleness = behind as f64 / whole.max(1) as f64;
+        let staleness = behind as f64 / completed.max(1) as f64;
         format!("{model:12} {:5} {:9.1} {staleness:16.2}", steps.len(), waiting_seconds(&steps))
     }
 }
@@ -253,11 +254,11 @@
         step.open.from,
         since(step.first_start),
         since(step.last_start),
-        since(step.last_whole),
+        since(step.last_completed),
         step.open.to - step.open.from,
-        step.whole,
+        step.completed,
         step.failed_attempts,
         step.moves,
-        step.versions_behind as f64 / step.whole.max(1) as f64
+        step.versions_behind as f64 / step.completed.max(1) as f64
     )
 }
--- a/crates/command-line/src/account/picture.rs
+++ b/crates/command-line/src/account/svg.rs
@@ -23,12 +23,12 @@
 
 fn draw<'a>(area: &Area<'a>, account: &Account) -> Result<(), DrawError<'a>> {
     area.fill(&WHITE)?;
-    let (steps, uses) = area.split_vertically(STEPS_HEIGHT);
+    let (steps, usage) = area.split_vertically(STEPS_HEIGHT);
     draw_steps(&steps, account)?;
     let seconds = account.length.ceil().max(1.0) as usize;
-    let (items, loads) = uses.split_vertically((SIZE.1 - STEPS_HEIGHT) / 2);
-    draw_use(&items, "items at engines", &account.attempts.by_second(seconds))?;
-    draw_use(&loads, "weight loads in progress", &account.loads.by_second(seconds))
+    let (items, loads) = usage.split_vertically((SIZE.1 - STEPS_HEIGHT) / 2);
+    draw_usage(&items, "items at engines", &account.attempts.by_second(seconds))?;
+    draw_usage(&loads, "weight loads in progress", &account.loads.by_second(seconds))
 }
 
 /// Draws a bar for each step, with one row per model; odd and even steps are offset vertically.
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-fn draw_use<'a>(area: &Area<'a>, title: &str, by_second: &[f64]) -> Result<(), DrawError<'a>> {
+fn draw_usage<'a>(area: &Area<'a>, title: &str, by_second: &[f64]) -> Result<(), DrawError<'a>> {
     let top = by_second.iter().copied().fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 15))
--- a/crates/command-line/src/admin.rs
+++ b/crates/command-line/src/admin.rs
@@ -18,7 +18,8 @@
     if_match: Option<u64>,
     if_absent: bool,
     key: Option<String>,
-    words: Vec<String>,
+    /// The command and its positional arguments.
+    command: Vec<String>,
 }
 
 /// A call to the administration API, and how its response is displayed.
@@ -82,7 +83,7 @@
     runtime.block_on(async {
         for api_call in api_calls(&arguments)? {
             let response = send(address, &arguments, &api_call).await?;
-            show(&arguments, &api_call, &response)?;
+            print_response(&arguments, &api_call, &response)?;
         }
         Ok(())
     })
@@ -99,7 +100,7 @@
             Long("if-match") => arguments.if_match = Some(parser.value()?.parse()?),
             Long("if-absent") => arguments.if_absent = true,
             Long("key") => arguments.key = Some(parser.value()?.string()?),
-            Value(word) => arguments.words.push(word.string()?),
+            Value(value) => arguments.command.push(value.string()?),
             other => return Err(other.unexpected().into()),
         }
     }
@@ -121,11 +122,11 @@
 }
 
 fn api_calls(arguments: &AdminArguments) -> Result<Vec<ApiCall>, CommandError> {
-    let words: Vec<&str> = arguments.words.iter().map(String::as_str).collect();
+    let command: Vec<&str> = arguments.command.iter().map(String::as_str).collect();
     let group = || get("group", MEMBER_COLUMNS, "replicas");
     let relays = || get("relays", RELAY_COLUMNS, "relays");
     let engines = || get("engines", ENGINE_COLUMNS, "");
-    let calls = match words.as_slice() {
+    let calls = match command.as_slice() {
         ["initialize"] => vec![post("initialize".to_string())],
         ["dump-log"] => vec![post("dump-log".to_string())],
         ["status"] => vec![group(), relays(), engines()],
@@ -155,13 +156,13 @@
 
 /// Reads a template or tenant from a TOML or JSON file and returns it as JSON.
 fn read_object(file: &Path) -> Result<Vec<u8>, CommandError> {
-    let refuse = |reason: String| CommandError::new(Exit::Usage, format!("{}: {reason}", file.display()));
-    let text = std::fs::read_to_string(file).map_err(|error| refuse(error.to_string()))?;
+    let usage_error = |reason: String| CommandError::new(Exit::Usage, format!("{}: {reason}", file.display()));
+    let text = std::fs::read_to_string(file).map_err(|error| usage_error(error.to_string()))?;
     if file.extension().is_some_and(|extension| extension == "json") {
         return Ok(text.into_bytes());
     }
-    let value: toml::Table = text.parse().map_err(|error: toml::de::Error| refuse(error.to_string()))?;
-    serde_json::to_vec(&value).map_err(|error| refuse(error.to_string()))
+    let value: toml::Table = text.parse().map_err(|error: toml::de::Error| usage_error(error.to_string()))?;
+    serde_json::to_vec(&value).map_err(|error| usage_error(error.to_string()))
 }
 
 async fn send(
@@ -186,23 +187,27 @@
     response.map_err(|error| CommandError::new(Exit::TryAgain, format!("{address}: {error}")))
 }
 
-fn show(arguments: &AdminArguments, api_call: &ApiCall, response: &WholeResponse) -> Result<(), CommandError> {
+fn print_response(
+    arguments: &AdminArguments,
+    api_call: &ApiCall,
+    response: &WholeResponse,
+) -> Result<(), CommandError> {
     let text = String::from_utf8_lossy(&response.body).into_owned();
     if !response.status.is_success() {
         let is_unavailable = response.status == StatusCode::SERVICE_UNAVAILABLE;
         let exit = if is_unavailable { Exit::TryAgain } else { Exit::Refused };
         return Err(CommandError::new(exit, format!("{}: {text}", response.status)));
     }
-    let answer: Json = serde_json::from_slice(&response.body).unwrap_or(Json::String(text));
+    let value: Json = serde_json::from_slice(&response.body).unwrap_or(Json::String(text));
     if arguments.json || api_call.columns.is_empty() {
-        println!("{}", serde_json::to_string_pretty(&answer).unwrap_or_default());
+        println!("{}", serde_json::to_string_pretty(&value).unwrap_or_default());
         return Ok(());
     }
-    let rows = if api_call.rows.is_empty() { &answer } else { &answer[api_call.rows] };
+    let rows = if api_call.rows.is_empty() { &value } else { &value[api_call.rows] };
     let empty = Vec::new();
     print!("{}", table(rows_of_kind(arguments, rows.as_array().unwrap_or(&empty)).as_slice(), api_call.columns));
     for name in SUMMARY_FIELDS {
-        if let Some(value) = answer.get(name) {
+        if let Some(value) = value.get(name) {
             println!("{name}: {value}");
         }
     }
@@ -212,7 +217,7 @@
 
 /// Filters the configuration objects by kind for `templates` and `tenants`.
 fn rows_of_kind(arguments: &AdminArguments, rows: &[Json]) -> Vec<Json> {
-    let kind = match arguments.words.first().map(String::as_str) {
+    let kind = match arguments.command.first().map(String::as_str) {
         Some("templates") => "template",
         Some("tenants") => "tenant",
         _ => return rows.to_vec(),
--- a/crates/command-line/src/duties.rs
+++ b/crates/command-line/src/duties.rs
@@ -29,13 +29,13 @@
         metrics: metrics.clone(),
     });
     if let Some(usage) = settings.usage.filter(|_| platform.reports_usage) {
-        let terms = UsageReportConfig { window: usage.window, due_after: usage.due_after };
-        runtime.spawn(saddlerelay_duties::usage_reports::run(duties.clone(), terms));
+        let config = UsageReportConfig { window: usage.window, due_after: usage.due_after };
+        runtime.spawn(saddlerelay_duties::usage_reports::run(duties.clone(), config));
     }
     if platform.orders_engines {
         let silence = settings.bounds.control().instance_silence_timeout;
-        let terms = EngineCountConfig { discovery_time: silence, replacement_delay: silence };
-        runtime.spawn(saddlerelay_duties::engine_counts::run(duties, terms, KeepInitial));
+        let config = EngineCountConfig { discovery_time: silence, replacement_delay: silence };
+        runtime.spawn(saddlerelay_duties::engine_counts::run(duties, config, KeepInitial));
     }
     metrics
 }
--- a/crates/command-line/src/explain.rs
+++ b/crates/command-line/src/explain.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-/// Fields whose values identify related objects.
+/// Log fields whose values identify objects related to the line's subject.
 const RELATING_FIELDS: [&str; 3] = ["job", "instance", "item"];
 
 /// Maximum time between a line about the identifier and a line about a related object, in seconds.
@@ -84,20 +84,20 @@
 }
 
 fn related_lines(lines: &[LogLine], matching: &[usize], id: &str) -> BTreeSet<usize> {
-    let names = |line: &LogLine| {
-        let named = RELATING_FIELDS.iter().filter_map(|key| line.field(key)).filter(|value| *value != id);
-        named.map(str::to_string).collect::<BTreeSet<_>>()
+    let related_values = |line: &LogLine| {
+        let values = RELATING_FIELDS.iter().filter_map(|key| line.field(key)).filter(|value| *value != id);
+        values.map(str::to_string).collect::<BTreeSet<_>>()
     };
     let mut found = BTreeSet::new();
     for index in matching {
-        let wanted = names(&lines[*index]);
-        let close = |other: &usize| {
+        let related_ids = related_values(&lines[*index]);
+        let is_related = |other: &usize| {
             let other = &lines[*other];
-            let near = (other.time - lines[*index].time).abs() <= RELATED_WINDOW;
-            near && !other.mentions(id) && wanted.iter().any(|name| other.mentions(name))
+            let is_within_window = (other.time - lines[*index].time).abs() <= RELATED_WINDOW;
+            is_within_window && !other.mentions(id) && related_ids.iter().any(|related_id| other.mentions(related_id))
         };
         let mut events: Vec<&str> = Vec::new();
-        for other in (0..lines.len()).filter(close) {
+        for other in (0..lines.len()).filter(is_related) {
             let event = lines[other].event.as_str();
             if events.iter().filter(|shown| **shown == event).count() < MAX_RELATED_OF_EVENT {
                 events.push(event);
--- a/crates/command-line/src/lib.rs
+++ b/crates/command-line/src/lib.rs
@@ -165,7 +165,7 @@
     CommandError::new(Exit::Settings, lines.join("\n"))
 }
 
-/// Whether a settings file is for the `member` command, recognised by its key `seeds`.
+/// Whether a settings file is for the `member` command, recognized by its key `seeds`.
 fn is_member(file: &Path) -> Result<bool, CommandError> {
     let table: Result<toml::Table, _> = read_file(file)?.parse();
     Ok(table.is_ok_and(|table| table.contains_key("seeds")))
--- a/crates/command-line/src/member.rs
+++ b/crates/command-line/src/member.rs
@@ -34,7 +34,7 @@
 const SIGXFSZ: i32 = 25;
 
 /// How long a gateway still accepts connections after SIGTERM, until load balancers have seen the readiness probe fail.
-const READINESS_NOTICE: Duration = Duration::from_millis(2_600);
+const READINESS_PROPAGATION_TIME: Duration = Duration::from_millis(2_600);
 
 /// Part of the grace period left after connections are closed, for the exit of the process.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
@@ -75,13 +75,13 @@
         newest_level = FeatureLevel::NEWEST.number(), protocol = FeatureLevel::NEWEST.protocol(),
         files = FeatureLevel::NEWEST.file_format()
     });
-    let ended = runtime.block_on(run_role(settings, file.to_path_buf(), signals));
-    match &ended {
+    let result = runtime.block_on(run_role(settings, file.to_path_buf(), signals));
+    match &result {
         Ok(()) => spdlog::info!("stopped", kv: { dropped_log_lines = log.dropped() }),
         Err(error) => spdlog::error!("stopped", kv: { reason = error.to_string().as_str() }),
     }
     spdlog::default_logger().flush();
-    ended
+    result
 }
 
 fn role_name(role: &MemberRole) -> &'static str {
@@ -196,9 +196,9 @@
     signals.stop.received().await.map_err(failed)?;
     spdlog::info!("planned stop", kv: { grace_ms = settings.bounds.grace.as_millis() as u64 });
     gateway.drain();
-    let notice_period = READINESS_NOTICE.min(settings.bounds.grace / 2);
-    runtime.sleep(notice_period).await;
-    let closed = shutdown.close(settings.bounds.grace.saturating_sub(notice_period + GRACE_MARGIN)).await;
+    let propagation_time = READINESS_PROPAGATION_TIME.min(settings.bounds.grace / 2);
+    runtime.sleep(propagation_time).await;
+    let closed = shutdown.close(settings.bounds.grace.saturating_sub(propagation_time + GRACE_MARGIN)).await;
     spdlog::info!("connections closed", kv: { all = closed });
     Ok(())
 }
@@ -247,7 +247,7 @@
     let shutdown = Shutdown::default();
     let control_port = addresses.control_address.port();
     let report_node = node.clone();
-    // All coordinators serve control at the same port.
+    // All coordinators serve control calls at the same port.
     let report_target = move |report: &InstanceReport| {
         report_node.report_target(report).map(|peer| SocketAddr::new(peer.ip(), control_port))
     };
@@ -269,8 +269,8 @@
         replica.add_known_addresses(seeds.iter().copied())
     }));
     signals.stop.received().await.map_err(failed)?;
-    let handed_over = node.transfer_leadership().await;
-    spdlog::info!("planned stop", kv: { handed_over = handed_over });
+    let transferred = node.transfer_leadership().await;
+    spdlog::info!("planned stop", kv: { handed_over = transferred });
     shutdown.close(settings.bounds.grace / 4).await;
     Ok(())
 }
--- a/crates/command-line/src/serve.rs
+++ b/crates/command-line/src/serve.rs
@@ -39,21 +39,21 @@
     // Stays installed until shutdown has completed.
     let mut terminate = SignalListener::listen(SIGTERM).map_err(failed)?;
     let runtime = compio::runtime::Runtime::new().map_err(failed)?;
-    let ended = runtime.block_on(run(settings, log.clone(), &mut terminate));
-    if let Err(error) = &ended {
+    let result = runtime.block_on(run(settings, log.clone(), &mut terminate));
+    if let Err(error) = &result {
         spdlog::error!("process failed: {}", error);
     }
-    ended
+    result
 }
 
 async fn run(settings: Settings, log: Arc<RingSink>, terminate: &mut SignalListener) -> Result<(), CommandError> {
-    let platform = CompioRuntime::new(settings.data_folder.clone());
+    let runtime = CompioRuntime::new(settings.data_folder.clone());
     let addresses = BackendAddresses { scorer: settings.scorer, platform: settings.platform };
     let backends = HttpBackends::new(addresses).map_err(failed)?;
     spdlog::info!("start", kv: { name = settings.name.as_str(), zone = settings.zone.as_str() });
     match settings.role.clone() {
-        Role::Relay(relay) => run_relay(settings, relay, platform, backends, terminate).await,
-        Role::Control(control) => run_control(settings, *control, platform, backends, log, terminate).await,
+        Role::Relay(relay) => run_relay(settings, relay, runtime, backends, terminate).await,
+        Role::Control(control) => run_control(settings, *control, runtime, backends, log, terminate).await,
     }
 }
 
@@ -64,7 +64,7 @@
 async fn run_relay(
     settings: Settings,
     relay: RelaySettings,
-    platform: CompioRuntime,
+    runtime: CompioRuntime,
     backends: HttpBackends,
     terminate: &mut SignalListener,
 ) -> Result<(), CommandError> {
@@ -78,10 +78,10 @@
         config: relay.config,
     };
     let listener = listen(settings.http_address).await?;
-    let relay = Relay::start(platform.clone(), backends, options).await.map_err(failed)?;
-    let api = RelayApi { relay: relay.clone(), platform: platform.clone() };
+    let relay = Relay::start(runtime.clone(), backends, options).await.map_err(failed)?;
+    let api = RelayApi { relay: relay.clone(), platform: runtime.clone() };
     let shutdown = Shutdown::default();
-    platform.spawn(serve_until(listener, Rc::new(api), shutdown.clone()));
+    runtime.spawn(serve_until(listener, Rc::new(api), shutdown.clone()));
     wait_for_stop(terminate).await?;
     spdlog::info!("planned stop", kv: { in_progress = relay.in_progress() });
     // The server stays up during the drain and rejects new requests.
@@ -93,7 +93,7 @@
 async fn run_control(
     settings: Settings,
     control: ControlSettings,
-    platform: CompioRuntime,
+    runtime: CompioRuntime,
     backends: HttpBackends,
     log: Arc<RingSink>,
     terminate: &mut SignalListener,
@@ -106,26 +106,26 @@
         config: control.replication,
     };
     let http_listener = listen(settings.http_address).await?;
-    let peer_listener = platform.listen(control.peer_address).await;
+    let peer_listener = runtime.listen(control.peer_address).await;
     let peer_listener =
         peer_listener.map_err(|error| failed(format!("cannot listen on {}: {error}", control.peer_address)))?;
-    let node = ControlNode::start(platform.clone(), backends, control.config, options).await.map_err(failed)?;
+    let node = ControlNode::start(runtime.clone(), backends, control.config, options).await.map_err(failed)?;
     let handler = Rc::new(node.clone());
     let secret = settings.shared_secret.clone();
-    platform.spawn(saddlerelay_rpc::server::serve(platform.clone(), peer_listener, secret, handler));
+    runtime.spawn(saddlerelay_rpc::server::serve(runtime.clone(), peer_listener, secret, handler));
     let api = ControlApi {
         node: node.clone(),
-        client: ControlClient::new(platform.clone(), &settings.control, &settings.shared_secret),
+        client: ControlClient::new(runtime.clone(), &settings.control, &settings.shared_secret),
         peer_address: control.peer_address,
         operator_token: control.operator_token,
-        platform: platform.clone(),
+        platform: runtime.clone(),
         log: Some(log),
     };
     let shutdown = Shutdown::default();
-    platform.spawn(serve_until(http_listener, Rc::new(api), shutdown.clone()));
+    runtime.spawn(serve_until(http_listener, Rc::new(api), shutdown.clone()));
     wait_for_stop(terminate).await?;
-    let handed_over = node.transfer_leadership().await;
-    spdlog::info!("planned stop", kv: { handed_over = handed_over });
+    let transferred = node.transfer_leadership().await;
+    spdlog::info!("planned stop", kv: { handed_over = transferred });
     shutdown.close(CLOSE_TIMEOUT).await;
     Ok(())
 }
--- a/crates/command-line/src/table.rs
+++ b/crates/command-line/src/table.rs
@@ -19,8 +19,8 @@
 
 fn cell(row: &Value, path: &str) -> String {
     let mut value = row;
-    for step in path.split('.') {
-        value = &value[step];
+    for key in path.split('.') {
+        value = &value[key];
     }
     match value {
         Value::String(text) => text.clone(),
--- a/crates/command-line/tests/account.rs
+++ b/crates/command-line/tests/account.rs
@@ -23,14 +23,14 @@
 
 #[test]
 fn a_step_is_accounted_for_across_leader_changes() {
-    let account = of_lines(&lines(LOG)).expect("there are steps");
+    let account = of_lines(&lines(LOG)).expect("the log contains no steps");
     assert_eq!(account.models(), ["m"]);
     let [first, second] = &account.steps[..] else {
         panic!("two steps: {:?}", account.steps);
     };
-    assert_eq!((first.leaders, first.whole, first.failed_attempts, first.moves), (2, 1, 1, 1));
+    assert_eq!((first.leaders, first.completed, first.failed_attempts, first.moves), (2, 1, 1, 1));
     assert_eq!((first.open.from, first.open.to), (0.0, 4.0));
-    assert_eq!((first.first_start, first.last_start, first.last_whole), (Some(0.0), Some(2.0), Some(2.0)));
+    assert_eq!((first.first_start, first.last_start, first.last_completed), (Some(0.0), Some(2.0), Some(2.0)));
     assert_eq!(first.versions_behind, 1);
     // The second step is still open at the last line; the line of its attempt lacks duration and outcome.
     assert_eq!((second.open.from, second.open.to, second.failed_attempts), (3.0, 6.0, 1));
@@ -40,12 +40,13 @@
 
 #[test]
 fn overlapping_steps_count_once_in_a_trainers_waiting_time() {
-    let table = of_lines(&lines(LOG)).expect("there are steps").table();
+    let table = of_lines(&lines(LOG)).expect("the log contains no steps").table();
     assert!(table.contains(&"m                2       6.0             1.00".to_string()), "{table:#?}");
 }
 
 #[test]
 fn logs_without_steps_are_rejected_with_a_hint() {
-    let error = of_lines(&lines("time=1.0 level=info node=n event=start\nno line")).expect_err("there is no step");
+    let error = of_lines(&lines("time=1.0 level=info node=n event=start\nno line"))
+        .expect_err("a log without steps was accepted");
     assert!(error.message.contains("name those of the coordinators"), "{}", error.message);
 }
