--- a/bin/saddlerelay-fleet/tests/callers.rs
+++ b/bin/saddlerelay-fleet/tests/callers.rs
@@ -97,15 +97,16 @@
 fn a_key_with_a_missing_or_invalid_expiry_is_rejected() {
     block_on(async {
         let deployment = Deployment::start().await;
-        let once = ("saddlerelay-not-repeatable", "true");
+        let not_repeatable = ("saddlerelay-not-repeatable", "true");
         let keyed = ("idempotency-key", "redemption-18");
-        let missing = deployment.chat(0, "no expiry", &[once, keyed]).await;
+        let missing = deployment.chat(0, "no expiry", &[not_repeatable, keyed]).await;
         assert_eq!(missing.status, StatusCode::BAD_REQUEST);
-        let past = deployment.chat(0, "past", &[once, keyed, ("idempotency-key-expires", "1000")]).await;
+        let past = deployment.chat(0, "past", &[not_repeatable, keyed, ("idempotency-key-expires", "1000")]).await;
         assert_eq!(past.status, StatusCode::CONFLICT);
         assert_eq!(json_of(&past)["error"]["code"], "key_expired");
-        let far = expiry(TEN_MINUTES * 100);
-        let far = deployment.chat(0, "far", &[once, keyed, ("idempotency-key-expires", far.as_str())]).await;
+        let far_expiry = expiry(TEN_MINUTES * 100);
+        let far =
+            deployment.chat(0, "far", &[not_repeatable, keyed, ("idempotency-key-expires", far_expiry.as_str())]).await;
         assert_eq!(json_of(&far)["error"]["code"], "key_expired");
     });
 }
@@ -171,14 +172,14 @@
         // SHA-256 of `teller-secret`.
         let digest = "8f38314f94189b65c42c223dd838cb2bd44f47385d378f5986577328de184ac7";
         deployment.put_tenant(json!({"model": MODEL, "caller_secret_digest": digest})).await;
-        let wrong = [("authorization", "Bearer prices:tellers:guess")];
+        let invalid_credentials = [("authorization", "Bearer prices:tellers:guess")];
         saddlerelay_fleet_runner::launch::wait_for("the secret", || async {
-            deployment.chat(0, "guess", &wrong).await.status == StatusCode::UNAUTHORIZED
+            deployment.chat(0, "guess", &invalid_credentials).await.status == StatusCode::UNAUTHORIZED
         })
         .await
         .expect("the relay did not apply the secret");
-        let right = [("authorization", "Bearer prices:tellers:teller-secret")];
-        assert_eq!(deployment.chat(0, "price of fund 9", &right).await.status, StatusCode::OK);
+        let valid_credentials = [("authorization", "Bearer prices:tellers:teller-secret")];
+        assert_eq!(deployment.chat(0, "price of fund 9", &valid_credentials).await.status, StatusCode::OK);
         assert_eq!(deployment.chat(0, "price of fund 9", &[]).await.status, StatusCode::UNAUTHORIZED);
     });
 }
--- a/bin/saddlerelay-fleet/tests/operators.rs
+++ b/bin/saddlerelay-fleet/tests/operators.rs
@@ -115,8 +115,8 @@
         assert_eq!(code, 4);
         let (code, text, _) = admin(&["dump-log"]);
         assert!(code == 0 && text.contains("log-ring.txt"), "{text}");
-        let wrong = run(&["admin", "--address", &address, "--token", "wrong", "status"]);
-        assert_eq!(wrong.0, 4);
+        let unauthorized = run(&["admin", "--address", &address, "--token", "wrong", "status"]);
+        assert_eq!(unauthorized.0, 4);
         let unreachable = run(&["admin", "--address", "127.0.0.1:1", "--token", OPERATOR_TOKEN, "status"]);
         assert_eq!(unreachable.0, 5);
     });
--- a/crates/api/src/commands/trainers.rs
+++ b/crates/api/src/commands/trainers.rs
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Retry delay after a call whose outcome is unknown.
+/// Retry delay, in milliseconds, after a call whose outcome is unknown.
 const RETRY_MILLISECONDS: u64 = 200;
 
 /// Maximum number of samples in a response if the request sets none.
--- a/crates/api/src/queries/control.rs
+++ b/crates/api/src/queries/control.rs
@@ -19,7 +19,7 @@
 /// Timeout of a read.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Retry delay while the control group is unavailable.
+/// Retry delay, in milliseconds, while the control group is unavailable.
 pub const RETRY_MILLISECONDS: u64 = 300;
 
 /// All configuration objects, with the configuration's revision.
--- a/crates/api/src/queries/mod.rs
+++ b/crates/api/src/queries/mod.rs
@@ -7,7 +7,7 @@
 use hyper::StatusCode;
 use saddlerelay_http::body::{Reply, whole};
 
-/// Retry delay after a negative readiness response.
+/// Retry delay, in milliseconds, after a negative readiness response.
 const READINESS_RETRY_MILLISECONDS: u64 = 500;
 
 /// `GET /healthz`: always succeeds.
--- a/crates/api/src/wire.rs
+++ b/crates/api/src/wire.rs
@@ -64,10 +64,10 @@
     pub max_completion_tokens: Option<u32>,
     /// Sampling seed.
     pub seed: Option<u64>,
-    /// Whether to stream.
+    /// Whether to stream the response as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Choices; only one is supported.
+    /// Number of choices; only 1 is supported.
     pub n: Option<u32>,
 }
 
@@ -82,10 +82,10 @@
     pub max_tokens: Option<u32>,
     /// Sampling seed.
     pub seed: Option<u64>,
-    /// Whether to stream.
+    /// Whether to stream the response as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Choices; only one is supported.
+    /// Number of choices; only 1 is supported.
     pub n: Option<u32>,
 }
 
@@ -196,7 +196,7 @@
     pub id: String,
     /// Always `model`.
     pub object: &'static str,
-    /// Always zero.
+    /// Always zero; the creation time is unknown.
     pub created: u64,
     /// Always `saddlerelay`.
     pub owned_by: &'static str,
@@ -207,7 +207,7 @@
 pub struct ModelList {
     /// Always `list`.
     pub object: &'static str,
-    /// The models.
+    /// The models of all tenants, sorted by name.
     pub data: Vec<ModelEntry>,
 }
 
--- a/crates/command-line/tests/account.rs
+++ b/crates/command-line/tests/account.rs
@@ -26,7 +26,7 @@
     let account = of_lines(&lines(LOG)).expect("the log contains no steps");
     assert_eq!(account.models(), ["m"]);
     let [first, second] = &account.steps[..] else {
-        panic!("two steps: {:?}", account.steps);
+        panic!("expected two steps: {:?}", account.steps);
     };
     assert_eq!((first.leaders, first.completed, first.failed_attempts, first.moves), (2, 1, 1, 1));
     assert_eq!((first.open.from, first.open.to), (0.0, 4.0));
--- a/crates/gateway-api/src/formats.rs
+++ b/crates/gateway-api/src/formats.rs
@@ -21,18 +21,18 @@
 pub enum JobCall {
     /// Long-polls a job's results.
     ReadResults {
-        /// The job.
+        /// The job whose results are read.
         job: JobId,
         /// The position to read from.
         after: u64,
         /// How long to wait for a result, in milliseconds.
         wait_ms: u64,
     },
-    /// Reads the body of an item that is not listed yet.
+    /// Reads the body of an item that has no result yet.
     ReadBody {
-        /// The job.
+        /// The job that contains the item.
         job: JobId,
-        /// The item.
+        /// The item whose body is read.
         item: ItemId,
     },
     /// Cancels a job.
--- a/crates/gateway-api/tests/restarts.rs
+++ b/crates/gateway-api/tests/restarts.rs
@@ -217,7 +217,7 @@
             deployment.request(Method::POST, "/plans/1", &headers, &format!("a plan that {CRASH_MARKER}")).await;
             deployment.restart(&engines, "web").await;
         }
-        assert_eq!(log.borrow().iter().filter(|begun| begun.crashed).count(), 3);
+        assert_eq!(log.borrow().iter().filter(|request| request.crashed).count(), 3);
     });
 }
 
--- a/crates/gateway-api/tests/routed.rs
+++ b/crates/gateway-api/tests/routed.rs
@@ -180,10 +180,10 @@
         engine.set_behavior(EngineBehavior::Hang);
         deployment.register(&engine, "web").await;
         deployment.await_engines("web", 1).await;
-        let began = Instant::now();
+        let started_at = Instant::now();
         let answer = deployment.request(Method::POST, "/plans/1", &[REQUEST_ID], "").await;
         assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
-        assert!(began.elapsed() >= Duration::from_millis(290));
+        assert!(started_at.elapsed() >= Duration::from_millis(290));
         eventually("the engine's request is cancelled", async || engine.cancelled() == 1).await;
     });
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -51,16 +51,16 @@
 /// Sends a follow request to the replica assigned to this relay, or to the leader.
 async fn send_follow_request(gateway: &Gateway) -> Option<FollowReply> {
     let inner = &gateway.inner;
-    let limit = inner.options.config.follow_timeout;
-    let Some(follower) = inner.follower.address(inner.runtime.monotonic()) else {
+    let timeout = inner.options.config.follow_timeout;
+    let Some(replica) = inner.assigned_replica.address(inner.runtime.monotonic()) else {
         let request = GatewayRequest::Follow(follow_request(gateway, false));
-        return match inner.control.gateway(request, limit, limit).await {
+        return match inner.control.gateway(request, timeout, timeout).await {
             Ok(GatewayReply::Followed(reply)) => Some(reply),
             _ => None,
         };
     };
     let request = GatewayRequest::Follow(follow_request(gateway, true));
-    match inner.control.call_replica(follower, request, limit).await {
+    match inner.control.call_replica(replica, request, timeout).await {
         Some(GatewayReply::Followed(reply)) => Some(reply),
         // The replica could not confirm its state: the leader is overloaded or absent. Waiting prevents all relays from
         // sending their requests to the leader at once.
@@ -71,10 +71,10 @@
         other => {
             let pause = if other.is_some() { UNCONFIRMED_SKIP_TIME } else { UNRESPONSIVE_SKIP_TIME };
             spdlog::info!("control replica skipped", kv: {
-                replica = follower.to_string().as_str(), answered = other.is_some(),
+                replica = replica.to_string().as_str(), answered = other.is_some(),
                 pause_ms = pause.as_millis() as u64
             });
-            inner.follower.skip_until(follower, inner.runtime.monotonic() + pause);
+            inner.assigned_replica.skip_until(replica, inner.runtime.monotonic() + pause);
             None
         }
     }
@@ -106,7 +106,7 @@
         inner.control.set_replicas(reply.replicas.iter().chain(seeds.iter()).copied());
     }
     inner.nearest_replica.set(reply.nearest_replica);
-    inner.follower.assign(reply.follower);
+    inner.assigned_replica.assign(reply.follower);
     inner.control.set_retry_pause(Duration::from_millis(reply.retry_pause_ms.into()));
     if let Some(unix_ms) = reply.group_unix_ms {
         inner.clock.borrow_mut().add_sample(unix_ms, inner.runtime.monotonic());
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -61,7 +61,7 @@
     pub offset: f64,
     pub draining: Cell<bool>,
     /// The control replica that serves this relay's follow requests in place of the leader.
-    pub follower: AssignedReplica,
+    pub assigned_replica: AssignedReplica,
     /// A control replica in the relay's zone, if there is one.
     pub nearest_replica: Cell<Option<SocketAddr>>,
     /// Time until which `nearest_replica` is skipped after a request to it failed.
@@ -110,7 +110,7 @@
             metrics: GatewayMetrics::default(),
             offset,
             draining: Cell::new(false),
-            follower: AssignedReplica::default(),
+            assigned_replica: AssignedReplica::default(),
             nearest_replica: Cell::new(None),
             nearest_skipped_until: Cell::new(Duration::ZERO),
         };
--- a/crates/gateway/src/lost_connections.rs
+++ b/crates/gateway/src/lost_connections.rs
@@ -48,10 +48,10 @@
         work: &RequestedWork,
         target: &EngineTarget,
     ) {
-        let ended = self.inner.termination_checks.has_terminated(target.address).await;
+        let has_terminated = self.inner.termination_checks.has_terminated(target.address).await;
         // An engine that was not ready is assumed to have been shut down.
-        let is_reported = ended && self.is_engine_ready(&target.instance);
-        if ended {
+        let is_reported = has_terminated && self.is_engine_ready(&target.instance);
+        if has_terminated {
             self.inner.metrics.engines_ended.inc();
         }
         if is_reported {
@@ -61,7 +61,7 @@
             request = request.id.as_str(),
             work = work.digest(request).log_prefix().as_str(),
             instance = target.instance.name.as_str(),
-            engine_ended = ended,
+            engine_ended = has_terminated,
             counts = is_reported,
             engines_ended = self.engines_ended(request, work)
         });
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -55,11 +55,11 @@
 }
 
 impl Shutdown {
-    /// Stops accepting connections and waits, for at most `limit`, until requests in progress have completed and all
+    /// Stops accepting connections and waits, for at most `timeout`, until requests in progress have completed and all
     /// connections are closed. Returns whether all were closed in time.
-    pub async fn close(&self, limit: Duration) -> bool {
+    pub async fn close(&self, timeout: Duration) -> bool {
         self.inner.closing.notify();
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         while !self.inner.is_closed() && Instant::now() < deadline {
             compio::time::sleep(CLOSE_POLL_INTERVAL).await;
         }
--- a/crates/relay/src/commands/callers.rs
+++ b/crates/relay/src/commands/callers.rs
@@ -167,9 +167,9 @@
     async fn acquire_claim(&self, claim: &Claim, deadline: Duration) -> Option<ClaimOutcome> {
         loop {
             let remaining = deadline.saturating_sub(self.inner.runtime.monotonic());
-            let limit = remaining.min(self.inner.options.config.claim_limit);
+            let timeout = remaining.min(self.inner.options.config.claim_limit);
             let command = ClaimCommand::Acquire(claim.request.clone());
-            let outcome = self.commit_claim(command, limit).await?;
+            let outcome = self.commit_claim(command, timeout).await?;
             if outcome != ClaimOutcome::Running || remaining <= CLAIM_POLL_INTERVAL {
                 return Some(outcome);
             }
@@ -241,8 +241,8 @@
         }
     }
 
-    async fn commit_claim(&self, command: ClaimCommand, limit: Duration) -> Option<ClaimOutcome> {
-        match self.inner.control.execute(Command::Claim(command), limit).await {
+    async fn commit_claim(&self, command: ClaimCommand, timeout: Duration) -> Option<ClaimOutcome> {
+        match self.inner.control.execute(Command::Claim(command), timeout).await {
             Ok(CommandOutcome::Claim(outcome)) => Some(outcome),
             _ => None,
         }
--- a/crates/relay/src/commands/samples.rs
+++ b/crates/relay/src/commands/samples.rs
@@ -99,12 +99,12 @@
     let relay = &running.0;
     let Some((generation, reward_milli)) = generate_and_score(relay, &assignment, incarnation).await else {
         let command = RolloutCommand::Abandon { sample: assignment.sample, attempt: assignment.attempt };
-        commit(relay, command, incarnation).await;
+        commit_sample_end(relay, command, incarnation).await;
         return;
     };
     let payload = SamplePayload { generation, reward_milli };
     let command = RolloutCommand::Complete { sample: assignment.sample, attempt: assignment.attempt, payload };
-    commit(relay, command, incarnation).await;
+    commit_sample_end(relay, command, incarnation).await;
     relay.count(|counters| counters.samples += 1);
 }
 
@@ -153,7 +153,7 @@
     outcome.ok()
 }
 
-/// Calls the scorer until it succeeds. `None` if it is unreachable or the relay has lost its incarnation.
+/// Calls the scorer until it succeeds. `None` if it is unreachable or the relay was fenced.
 async fn score<P: Runtime, B: Backends>(
     relay: &Relay<P, B>,
     prompt: &str,
@@ -179,8 +179,12 @@
     None
 }
 
-/// Commits a sample's end; stops if the relay loses its incarnation, and with it the sample.
-async fn commit<P: Runtime, B: Backends>(relay: &Relay<P, B>, command: RolloutCommand, incarnation: Incarnation) {
+/// Commits a sample's completion or return; stops if the relay is fenced, because it then no longer holds the sample.
+async fn commit_sample_end<P: Runtime, B: Backends>(
+    relay: &Relay<P, B>,
+    command: RolloutCommand,
+    incarnation: Incarnation,
+) {
     let is_current = || relay.inner.incarnation.get() == incarnation;
     relay.commit_until_decided(Command::Rollout(command), is_current).await;
 }
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -85,7 +85,7 @@
 }
 
 /// A generation in progress.
-struct Progress<'a, P: Runtime> {
+struct GenerationProgress<'a, P: Runtime> {
     work: &'a GenerationWork,
     generation: Generation,
     parts: Option<&'a mpsc::UnboundedSender<AnswerPart>>,
@@ -96,7 +96,7 @@
     trial: Option<RelayTrial<P>>,
 }
 
-impl<P: Runtime> Progress<'_, P> {
+impl<P: Runtime> GenerationProgress<'_, P> {
     /// The digest of the generation's work. Excludes the seed: a crash is attributed to the prompt.
     fn work_digest(&self) -> WorkDigest {
         let work = self.work;
@@ -114,7 +114,7 @@
         work: &GenerationWork,
         parts: Option<&mpsc::UnboundedSender<AnswerPart>>,
     ) -> Result<Generation, DispatchFailure> {
-        let mut progress = Progress {
+        let mut progress = GenerationProgress {
             work,
             generation: Generation::empty(),
             parts,
@@ -130,7 +130,7 @@
         outcome.map(|()| progress.generation)
     }
 
-    async fn try_engines(&self, progress: &mut Progress<'_, P>) -> Result<(), DispatchFailure> {
+    async fn try_engines(&self, progress: &mut GenerationProgress<'_, P>) -> Result<(), DispatchFailure> {
         let work = progress.work;
         self.inner.retries.borrow_mut().record_request();
         let mut last_message = String::from("no engine was tried");
@@ -161,7 +161,7 @@
     }
 
     /// Checks the work for suspicion and acquires a trial lease if needed. Fails if the work must not run now.
-    async fn check_suspicion(&self, progress: &mut Progress<'_, P>) -> Result<(), DispatchFailure> {
+    async fn check_suspicion(&self, progress: &mut GenerationProgress<'_, P>) -> Result<(), DispatchFailure> {
         let suspicions = &self.inner.suspicions;
         let is_suspected = suspicions.engines_ended(|| progress.work_digest()) > 0;
         let retry_after = match suspicions.verdict(|| progress.work_digest()) {
@@ -177,13 +177,13 @@
             Verdict::Pause(remaining) => remaining,
             Verdict::Quarantine => Duration::ZERO,
         };
-        self.count(|counters| counters.kept_from_engines += 1);
+        self.count(|counters| counters.suspected_work_rejected += 1);
         let message = "engines have ended under this work".to_string();
         Err(DispatchFailure { retry_after, ..progress.failure(FailureCode::EnginesEnded, message) })
     }
 
     /// Checks whether the engine process terminated during the generation, and reports the loss to the control group.
-    async fn check_engine_ended(&self, progress: &Progress<'_, P>, engine: &EngineDescription) {
+    async fn check_engine_ended(&self, progress: &GenerationProgress<'_, P>, engine: &EngineDescription) {
         let Some(incarnation) = self.inner.view.borrow().ready_incarnation(&engine.id) else {
             // An engine that is not available is assumed to have been shut down.
             return;
@@ -212,7 +212,7 @@
     }
 
     /// Picks the engine for the next attempt; waits a limited time for one to become available.
-    async fn wait_for_engine(&self, progress: &Progress<'_, P>) -> Option<EngineDescription> {
+    async fn wait_for_engine(&self, progress: &GenerationProgress<'_, P>) -> Option<EngineDescription> {
         let config = &self.inner.options.config;
         let is_rollout = progress.work.priority == Priority::Rollout;
         let max_wait = if is_rollout { config.engine_wait + config.newer_weights_wait } else { config.engine_wait };
@@ -229,7 +229,7 @@
         }
     }
 
-    fn choose_engine(&self, progress: &Progress<'_, P>) -> Option<EngineDescription> {
+    fn choose_engine(&self, progress: &GenerationProgress<'_, P>) -> Option<EngineDescription> {
         let work = progress.work;
         let candidates = self.candidates(work);
         let untried: Vec<_> = candidates.iter().filter(|(engine, _)| !progress.tried.contains(&engine.id)).collect();
@@ -294,7 +294,11 @@
         if bound > 0 && useful > WeightVersion(0) && may_wait { useful.next() } else { useful }
     }
 
-    async fn attempt(&self, progress: &mut Progress<'_, P>, engine: &EngineDescription) -> Result<(), AttemptFailure> {
+    async fn attempt(
+        &self,
+        progress: &mut GenerationProgress<'_, P>,
+        engine: &EngineDescription,
+    ) -> Result<(), AttemptFailure> {
         let work = progress.work;
         let rollout = work.priority == Priority::Rollout;
         let _in_flight = self.inner.registry.begin(&engine.id, rollout);
@@ -313,8 +317,8 @@
         let request = self.engine_request(progress);
         let attempt_id = request.attempt_id;
         let remaining = work.deadline.saturating_sub(self.inner.runtime.monotonic());
-        let limit = remaining.min(self.inner.options.config.chunk_limit);
-        let stream = match timeout(&self.inner.runtime, limit, connection.generate(request)).await {
+        let response_timeout = remaining.min(self.inner.options.config.chunk_limit);
+        let stream = match timeout(&self.inner.runtime, response_timeout, connection.generate(request)).await {
             Some(Ok(stream)) => stream,
             Some(Err(error)) => return Err(self.record_error(engine, error)),
             None => return Err(self.record_error(engine, BackendError::Unknown("no answer in time".to_string()))),
@@ -324,8 +328,8 @@
     }
 
     async fn connect(&self, engine: &EngineDescription) -> Result<B::Connection, AttemptFailure> {
-        let limit = self.inner.options.config.connect_timeout;
-        match timeout(&self.inner.runtime, limit, self.inner.backends.connect(engine)).await {
+        let connect_timeout = self.inner.options.config.connect_timeout;
+        match timeout(&self.inner.runtime, connect_timeout, self.inner.backends.connect(engine)).await {
             Some(Ok(connection)) => Ok(connection),
             Some(Err(error)) => Err(self.record_error(engine, error)),
             None => Err(self.record_error(engine, BackendError::NotSent("no connection in time".to_string()))),
@@ -340,7 +344,7 @@
         }
     }
 
-    fn engine_request(&self, progress: &Progress<'_, P>) -> EngineRequest {
+    fn engine_request(&self, progress: &GenerationProgress<'_, P>) -> EngineRequest {
         EngineRequest {
             attempt_id: self.inner.runtime.random(),
             prompt: progress.work.prompt.clone(),
@@ -355,7 +359,7 @@
     /// gap fails the attempt.
     async fn read_stream(
         &self,
-        progress: &mut Progress<'_, P>,
+        progress: &mut GenerationProgress<'_, P>,
         engine: &EngineDescription,
         attempt_id: u64,
         mut stream: mpsc::UnboundedReceiver<StreamEvent>,
@@ -387,8 +391,8 @@
         stream: &mut mpsc::UnboundedReceiver<StreamEvent>,
     ) -> Result<EngineChunk, AttemptFailure> {
         let remaining = work.deadline.saturating_sub(self.inner.runtime.monotonic());
-        let limit = remaining.min(self.inner.options.config.chunk_limit);
-        let event = timeout(&self.inner.runtime, limit, stream.next()).await;
+        let chunk_timeout = remaining.min(self.inner.options.config.chunk_limit);
+        let event = timeout(&self.inner.runtime, chunk_timeout, stream.next()).await;
         match event {
             Some(Some(Ok(chunk))) => Ok(chunk),
             Some(Some(Err(error))) => Err(self.record_error(engine, error)),
@@ -396,7 +400,7 @@
                 let error = BackendError::Unknown("the stream broke off".to_string());
                 Err(self.record_error(engine, error))
             }
-            None if limit == remaining => {
+            None if chunk_timeout == remaining => {
                 let message = "the deadline passed while the request ran".to_string();
                 Err(AttemptFailure::Aborted(FailureCode::DeadlineExceeded, message))
             }
@@ -409,7 +413,7 @@
 
     fn apply_chunk(
         &self,
-        progress: &mut Progress<'_, P>,
+        progress: &mut GenerationProgress<'_, P>,
         engine: &EngineDescription,
         chunk: &EngineChunk,
     ) -> Result<(), AttemptFailure> {
@@ -429,7 +433,7 @@
         Ok(())
     }
 
-    fn is_stale(&self, progress: &Progress<'_, P>) -> bool {
+    fn is_stale(&self, progress: &GenerationProgress<'_, P>) -> bool {
         let oldest_useful = self.inner.view.borrow().oldest_useful_version(&progress.work.tenant);
         let oldest = progress.generation.versions.iter().map(|span| span.version).min();
         oldest.is_some_and(|oldest| oldest < oldest_useful)
@@ -455,7 +459,7 @@
     (slots * share_percent).div_ceil(100 * relay_count)
 }
 
-impl<P: Runtime> Progress<'_, P> {
+impl<P: Runtime> GenerationProgress<'_, P> {
     fn failure(&self, code: FailureCode, message: String) -> DispatchFailure {
         let outcome = if !self.may_have_run {
             ExecutionOutcome::NotExecuted
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -4,13 +4,13 @@
 //! - `lease` renews the configuration lease and `view` holds the leased configuration and engine list.
 //! - `admission` limits and queues requests by tenant; `dispatch` runs generations on engines.
 //! - `registry` tracks each engine's load and failures; `retry` is the retry budget.
-//! - `grants` commits the end of granted claims and samples; `scorer_health` tracks whether the scorer is reachable.
+//! - `commit_retry` commits the end of granted claims and samples; `scorer_health` tracks whether the scorer is reachable.
 
 pub mod admission;
 pub mod commands;
+mod commit_retry;
 pub mod config;
 pub mod dispatch;
-mod grants;
 pub mod lease;
 pub mod queries;
 pub mod registry;
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -42,7 +42,7 @@
     pub config: RelayConfig,
 }
 
-/// Event counters, exported as metrics.
+/// Event counters since the relay started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RelayCounters {
     /// Requests received.
@@ -60,7 +60,7 @@
     /// Engines that terminated during a request or sample.
     pub engines_ended: u64,
     /// Requests and samples rejected because their work is suspected of crashing engines.
-    pub kept_from_engines: u64,
+    pub suspected_work_rejected: u64,
     /// Times that the relay was fenced and continued under a new incarnation.
     pub fenced: u64,
 }
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -30,9 +30,9 @@
 }
 
 impl Connection {
-    /// Connects within `limit`. A failure means that nothing was sent.
-    pub async fn open(address: SocketAddr, limit: Duration) -> Result<Self, Failure> {
-        let connecting = compio::time::timeout(limit, TcpStream::connect(address)).await;
+    /// Connects within `timeout`. A failure means that nothing was sent.
+    pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Self, Failure> {
+        let connecting = compio::time::timeout(timeout, TcpStream::connect(address)).await;
         let stream = match connecting {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(Failure::NotSent(error.to_string())),
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -80,8 +80,8 @@
 
 /// The index after the first empty line, which ends an event.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
-    let lf_end = bytes.windows(2).position(|pair| pair == b"\n\n").map(|at| at + 2);
-    let crlf_end = bytes.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4);
+    let lf_end = bytes.windows(2).position(|window| window == b"\n\n").map(|index| index + 2);
+    let crlf_end = bytes.windows(4).position(|window| window == b"\r\n\r\n").map(|index| index + 4);
     match (lf_end, crlf_end) {
         (Some(lf_end), Some(crlf_end)) => Some(lf_end.min(crlf_end)),
         (lf_end, crlf_end) => lf_end.or(crlf_end),
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -141,17 +141,17 @@
         }
     }
 
-    /// Makes a control call, which is not forwarded for a client, and returns the complete response within `limit`.
+    /// Makes a control call, which is not forwarded for a client, and returns the complete response within `timeout`.
     pub async fn call(
         &self,
         target: &EngineTarget,
         request: &Outgoing,
-        limit: Duration,
+        timeout: Duration,
         may_send: impl Fn() -> bool,
     ) -> Result<(Parts, Bytes), Failure> {
         let exchange = async {
             let mut connection = self.connect(target, Reuse::Recent).await?;
-            let message = self.build_request(target, request, limit)?;
+            let message = self.build_request(target, request, timeout)?;
             if !may_send() {
                 return Err(Failure::NotSent("permission to send expired".to_string()));
             }
@@ -160,7 +160,7 @@
             let body = body.map_err(|error| Failure::PossiblyExecuted(format!("response interrupted: {error}")))?;
             Ok((head, body.to_bytes()))
         };
-        let result = compio::time::timeout(limit, exchange).await;
+        let result = compio::time::timeout(timeout, exchange).await;
         result.unwrap_or_else(|_| Err(Failure::PossiblyExecuted("response timed out".to_string())))
     }
 
