--- a/crates/settings/src/member.rs
+++ b/crates/settings/src/member.rs
@@ -25,7 +25,7 @@
 /// Added to the retention that the settings require for a job.
 const RETENTION_MARGIN: Duration = Duration::from_secs(30);
 
-/// Added to the order lease before another process may send orders to the same engine or platform.
+/// Added to the order lease before a different holder may send orders about the same subject.
 const ORDER_MARGIN: Duration = Duration::from_millis(400);
 
 /// Log bytes between two snapshots. Replay at startup holds them in memory twice, encoded and decoded.
