--- a/bin/saddlerelay-fleet/tests/common/mod.rs
+++ b/bin/saddlerelay-fleet/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use saddlerelay_fleet_runner::deploy::{OPERATOR_TOKEN, Plan};
 use saddlerelay_fleet_runner::launch::{Fleet, wait_for};
 use saddlerelay_fleet_runner::run::run_folder;
-use saddlerelay_http::client::{WholeResponse, call};
+use saddlerelay_http::client::{BufferedResponse, call};
 use saddlerelay_scenarios::deployment::smallest;
 use serde_json::{Value, json};
 use std::future::Future;
@@ -73,13 +73,13 @@
         self.fleet.plan.control_http[0]
     }
 
-    pub async fn put_tenant(&self, values: Value) -> WholeResponse {
+    pub async fn put_tenant(&self, values: Value) -> BufferedResponse {
         let body = json!({"template": "team", "values": values});
         self.admin(Method::PUT, &format!("tenants/{TENANT}"), &[], body).await
     }
 
     /// Sends a request to the administration API.
-    pub async fn admin(&self, method: Method, path: &str, headers: &[(&str, &str)], body: Value) -> WholeResponse {
+    pub async fn admin(&self, method: Method, path: &str, headers: &[(&str, &str)], body: Value) -> BufferedResponse {
         let authorization = format!("Bearer {OPERATOR_TOKEN}");
         let mut all = vec![("authorization", authorization.as_str())];
         all.extend_from_slice(headers);
@@ -88,13 +88,13 @@
     }
 
     /// Sends a chat request as a caller.
-    pub async fn chat(&self, relay: usize, content: &str, headers: &[(&str, &str)]) -> WholeResponse {
+    pub async fn chat(&self, relay: usize, content: &str, headers: &[(&str, &str)]) -> BufferedResponse {
         let body = json!({"model": MODEL, "max_tokens": 8, "messages": [{"role": "user", "content": content}]});
         self.post(relay, "/v1/chat/completions", headers, body).await
     }
 
     /// Sends a request with any body as a caller.
-    pub async fn post(&self, relay: usize, path: &str, headers: &[(&str, &str)], body: Value) -> WholeResponse {
+    pub async fn post(&self, relay: usize, path: &str, headers: &[(&str, &str)], body: Value) -> BufferedResponse {
         let mut all = headers.to_vec();
         if !headers.iter().any(|(name, _)| *name == "authorization") {
             all.push(("authorization", CALLER));
@@ -126,7 +126,7 @@
 }
 
 /// A response's body as JSON.
-pub fn json_of(response: &WholeResponse) -> Value {
+pub fn json_of(response: &BufferedResponse) -> Value {
     serde_json::from_slice(&response.body).expect("a JSON body")
 }
 
--- a/crates/api/src/commands/callers.rs
+++ b/crates/api/src/commands/callers.rs
@@ -11,7 +11,7 @@
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, StatusCode};
-use saddlerelay_http::body::{Reply, json, parse_json, parts, read_whole};
+use saddlerelay_http::body::{Reply, json, parse_json, parts, read_body};
 use saddlerelay_http::sse;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
@@ -44,7 +44,7 @@
 
 /// `POST /v1/chat/completions`.
 pub async fn chat<P: Runtime, B: Backends>(api: &RelayApi<P, B>, head: &Parts, body: Incoming) -> Reply {
-    let bytes = match read_whole(body).await {
+    let bytes = match read_body(body).await {
         Ok(bytes) => bytes,
         Err(error) => return body_error_reply(&error),
     };
@@ -67,7 +67,7 @@
 
 /// `POST /v1/completions`.
 pub async fn completion<P: Runtime, B: Backends>(api: &RelayApi<P, B>, head: &Parts, body: Incoming) -> Reply {
-    let bytes = match read_whole(body).await {
+    let bytes = match read_body(body).await {
         Ok(bytes) => bytes,
         Err(error) => return body_error_reply(&error),
     };
--- a/crates/api/src/commands/control.rs
+++ b/crates/api/src/commands/control.rs
@@ -8,7 +8,7 @@
 use hyper::header::{ETAG, HeaderValue, IF_MATCH, IF_NONE_MATCH};
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, StatusCode};
-use saddlerelay_http::body::{Reply, json, parse_json, read_whole};
+use saddlerelay_http::body::{Reply, json, parse_json, read_body};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_types::configuration::{
@@ -42,7 +42,7 @@
     name: ObjectName,
     body: Incoming,
 ) -> Reply {
-    let bytes = match read_whole(body).await {
+    let bytes = match read_body(body).await {
         Ok(bytes) => bytes,
         Err(error) => return body_error_reply(&error),
     };
--- a/crates/api/src/commands/trainers.rs
+++ b/crates/api/src/commands/trainers.rs
@@ -7,7 +7,7 @@
 use hyper::StatusCode;
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
-use saddlerelay_http::body::{Reply, json, parse_json, read_whole};
+use saddlerelay_http::body::{Reply, json, parse_json, read_body};
 use saddlerelay_relay::commands::trainers::TrainerError;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
@@ -32,7 +32,7 @@
 }
 
 async fn read<T: DeserializeOwned>(body: Incoming) -> Result<T, Rejection> {
-    let bytes = read_whole(body).await.map_err(|error| Box::new(body_error_reply(&error)))?;
+    let bytes = read_body(body).await.map_err(|error| Box::new(body_error_reply(&error)))?;
     parse_json(&bytes).map_err(|error| Box::new(body_error_reply(&error)))
 }
 
--- a/crates/command-line/src/admin.rs
+++ b/crates/command-line/src/admin.rs
@@ -4,7 +4,7 @@
 use crate::{CommandError, Exit};
 use hyper::{Method, StatusCode};
 use lexopt::prelude::*;
-use saddlerelay_http::client::{WholeResponse, call};
+use saddlerelay_http::client::{BufferedResponse, call};
 use serde_json::Value as Json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -168,7 +168,7 @@
     address: SocketAddr,
     arguments: &AdminArguments,
     api_call: &ApiCall,
-) -> Result<WholeResponse, CommandError> {
+) -> Result<BufferedResponse, CommandError> {
     let authorization = format!("Bearer {}", arguments.token);
     let if_match = arguments.if_match.map(|revision| format!("\"{revision}\""));
     let mut headers = vec![("authorization", authorization.as_str())];
@@ -186,7 +186,7 @@
     response.map_err(|error| CommandError::new(Exit::TryAgain, format!("{address}: {error}")))
 }
 
-fn show(arguments: &AdminArguments, api_call: &ApiCall, response: &WholeResponse) -> Result<(), CommandError> {
+fn show(arguments: &AdminArguments, api_call: &ApiCall, response: &BufferedResponse) -> Result<(), CommandError> {
     let text = String::from_utf8_lossy(&response.body).into_owned();
     if !response.status.is_success() {
         let is_unavailable = response.status == StatusCode::SERVICE_UNAVAILABLE;
--- a/crates/command-line/src/duties.rs
+++ b/crates/command-line/src/duties.rs
@@ -14,7 +14,7 @@
     runtime: &CompioRuntime,
     node: &ControlNode<CompioRuntime, HttpBackends>,
     settings: &MemberSettings,
-    dialect: Box<dyn PlatformFormat>,
+    platform_format: Box<dyn PlatformFormat>,
 ) -> Rc<PlatformMetrics> {
     let metrics = Rc::new(PlatformMetrics::default());
     let Some(platform) = &settings.platform else {
@@ -24,7 +24,7 @@
         runtime: runtime.clone(),
         node: node.clone(),
         client: HttpPlatform { address: platform.address },
-        dialect,
+        platform_format,
         name: settings.name.clone(),
         metrics: metrics.clone(),
     });
--- a/crates/control-client/src/trials.rs
+++ b/crates/control-client/src/trials.rs
@@ -65,7 +65,7 @@
 impl<P: Runtime, G: TrialLeaseService> TrialLeases<P, G> {
     /// Starts without leases, and renews those granted by `group` until the process ends.
     pub fn start(platform: P, group: G) -> Rc<Self> {
-        let keeper = Rc::new(Self {
+        let trial_leases = Rc::new(Self {
             platform: platform.clone(),
             group,
             holder: Incarnation(platform.random()),
@@ -74,8 +74,8 @@
             granted: Signal::default(),
             lost: Signal::default(),
         });
-        platform.spawn(renew(keeper.clone()));
-        keeper
+        platform.spawn(renew(trial_leases.clone()));
+        trial_leases
     }
 
     /// Requests the lease to run `work` for at most `limit`; `None` while another trial of it runs, or while no leader
@@ -96,7 +96,7 @@
             return None;
         }
         // A request without a reply may have been granted; dropping the guard releases the lease.
-        let guard = TrialLeaseGuard { keeper: self.clone(), trial: HeldTrial { work, id } };
+        let guard = TrialLeaseGuard { trial_leases: self.clone(), trial: HeldTrial { work, id } };
         if !granted {
             return None;
         }
@@ -157,36 +157,36 @@
 
 /// A trial lease, released when it is dropped.
 pub struct TrialLeaseGuard<P: Runtime, G: TrialLeaseService> {
-    keeper: Rc<TrialLeases<P, G>>,
+    trial_leases: Rc<TrialLeases<P, G>>,
     trial: HeldTrial,
 }
 
 impl<P: Runtime, G: TrialLeaseService> TrialLeaseGuard<P, G> {
     /// Whether a run may still be started, by this process's monotonic clock.
-    pub fn holds(&self) -> bool {
-        let now = self.keeper.platform.monotonic();
-        let leases = self.keeper.leases.borrow();
+    pub fn is_held(&self) -> bool {
+        let now = self.trial_leases.platform.monotonic();
+        let leases = self.trial_leases.leases.borrow();
         leases.get(&self.trial.id.number).is_some_and(|lease| now + RUN_START_MARGIN < lease.renewed_at + TRIAL_LEASE)
     }
 
     /// Waits until the group reports the lease as lost, or the work has reached its deadline.
     pub async fn lost(&self) {
         loop {
-            let notified_count = self.keeper.lost.count();
-            if !self.keeper.leases.borrow().contains_key(&self.trial.id.number) {
+            let notified_count = self.trial_leases.lost.count();
+            if !self.trial_leases.leases.borrow().contains_key(&self.trial.id.number) {
                 return;
             }
-            self.keeper.lost.changed(notified_count).await;
+            self.trial_leases.lost.changed(notified_count).await;
         }
     }
 }
 
 impl<P: Runtime, G: TrialLeaseService> Drop for TrialLeaseGuard<P, G> {
     fn drop(&mut self) {
-        let (keeper, trial) = (self.keeper.clone(), self.trial);
-        keeper.leases.borrow_mut().remove(&trial.id.number);
-        self.keeper.platform.spawn(async move {
-            if let Err(reason) = keeper.group.end(trial).await {
+        let (trial_leases, trial) = (self.trial_leases.clone(), self.trial);
+        trial_leases.leases.borrow_mut().remove(&trial.id.number);
+        self.trial_leases.platform.spawn(async move {
+            if let Err(reason) = trial_leases.group.end(trial).await {
                 // The lease expires without a release too.
                 spdlog::warn!("trial lease not released, will expire", kv: {
                     work = trial.work.log_prefix().as_str(), reason = reason.as_str()
@@ -197,26 +197,26 @@
 }
 
 /// Renews leases until the process ends.
-async fn renew<P: Runtime, G: TrialLeaseService>(keeper: Rc<TrialLeases<P, G>>) {
+async fn renew<P: Runtime, G: TrialLeaseService>(trial_leases: Rc<TrialLeases<P, G>>) {
     loop {
-        let notified_count = keeper.granted.count();
-        let now = keeper.platform.monotonic();
-        keeper.drop_past_deadline(now);
-        match keeper.next_renewal() {
-            None => keeper.granted.changed(notified_count).await,
-            Some(at) if now < at => keeper.platform.sleep(at.saturating_sub(now)).await,
-            Some(_) => renew_due(&keeper, now).await,
+        let notified_count = trial_leases.granted.count();
+        let now = trial_leases.platform.monotonic();
+        trial_leases.drop_past_deadline(now);
+        match trial_leases.next_renewal() {
+            None => trial_leases.granted.changed(notified_count).await,
+            Some(at) if now < at => trial_leases.platform.sleep(at.saturating_sub(now)).await,
+            Some(_) => renew_due(&trial_leases, now).await,
         }
     }
 }
 
-async fn renew_due<P: Runtime, G: TrialLeaseService>(keeper: &Rc<TrialLeases<P, G>>, now: Duration) {
-    let due = keeper.due(now);
-    match keeper.group.renew(due.clone()).await {
-        Ok(lost) => keeper.apply_renewal(&due, &lost, now),
+async fn renew_due<P: Runtime, G: TrialLeaseService>(trial_leases: &Rc<TrialLeases<P, G>>, now: Duration) {
+    let due = trial_leases.due(now);
+    match trial_leases.group.renew(due.clone()).await {
+        Ok(lost) => trial_leases.apply_renewal(&due, &lost, now),
         Err(reason) => {
             spdlog::warn!("trial leases not renewed, will retry", kv: { leases = due.len(), reason = reason.as_str() });
-            keeper.platform.sleep(RETRY_PAUSE).await;
+            trial_leases.platform.sleep(RETRY_PAUSE).await;
         }
     }
 }
--- a/crates/control-client/tests/search_order.rs
+++ b/crates/control-client/tests/search_order.rs
@@ -69,16 +69,17 @@
     contacts.all(|(_, answer)| answer == LastAnswer::NotContacted)
 }
 
-/// Guards against preferring newly discovered peers, which may be gone, over replicas that the client already knows.
+/// Guards against preferring newly discovered peers, which may be unreachable, over replicas that the client
+/// already knows.
 #[test]
 fn known_replicas_are_tried_before_newly_discovered_peers() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
-        let gone = start_silent(&runtime, 4).await;
-        let follower = start(&runtime, Behavior::ReturnsPeers(gone.clone())).await;
+        let unreachable = start_silent(&runtime, 4).await;
+        let follower = start(&runtime, Behavior::ReturnsPeers(unreachable.clone())).await;
         let leader = start(&runtime, Behavior::Leads).await;
         let client = ControlClient::new(runtime.clone(), &[follower, leader], SECRET);
-        assert!(reaches_leader(&client).await && none_contacted(&client, &gone), "{}", client.search());
+        assert!(reaches_leader(&client).await && none_contacted(&client, &unreachable), "{}", client.search());
     });
 }
 
@@ -87,12 +88,12 @@
 fn a_returned_peer_that_is_already_known_is_tried_next() {
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
-        let gone = start_silent(&runtime, 8).await;
+        let unreachable = start_silent(&runtime, 8).await;
         let leader = start(&runtime, Behavior::Leads).await;
         let inner = start(&runtime, Behavior::ReturnsPeers(vec![leader])).await;
-        let addresses: Vec<SocketAddr> = [inner].into_iter().chain(gone.clone()).chain([leader]).collect();
+        let addresses: Vec<SocketAddr> = [inner].into_iter().chain(unreachable.clone()).chain([leader]).collect();
         let client = ControlClient::new(runtime.clone(), &addresses, SECRET);
-        assert!(reaches_leader(&client).await && none_contacted(&client, &gone), "{}", client.search());
+        assert!(reaches_leader(&client).await && none_contacted(&client, &unreachable), "{}", client.search());
     });
 }
 
@@ -102,10 +103,10 @@
     compio::runtime::Runtime::new().expect("a runtime").block_on(async {
         let runtime = CompioRuntime::without_files();
         // No listener: connections are refused at once.
-        let gone: Vec<SocketAddr> = (1..=64).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
+        let unreachable: Vec<SocketAddr> = (1..=64).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
         let leader = start(&runtime, Behavior::Leads).await;
         let inner = start(&runtime, Behavior::ReturnsPeers(vec![leader])).await;
-        let outer = start(&runtime, Behavior::ReturnsPeers(gone)).await;
+        let outer = start(&runtime, Behavior::ReturnsPeers(unreachable)).await;
         let client = ControlClient::new(runtime.clone(), &[outer, inner], SECRET);
         assert!(reaches_leader(&client).await, "{}", client.search());
     });
--- a/crates/control/src/commands/gateway.rs
+++ b/crates/control/src/commands/gateway.rs
@@ -22,8 +22,8 @@
             state.remove_instance(&id);
             GatewayOutcome::Done
         }
-        GatewayCommand::PublishVersion(named) => {
-            state.weights.record(named);
+        GatewayCommand::PublishVersion(published) => {
+            state.weights.record(published);
             GatewayOutcome::Done
         }
         GatewayCommand::SubmitJob { job, keep_ms } => {
@@ -43,9 +43,9 @@
         }
         GatewayCommand::RetireStore(name) => done_or_not_found(state.stores.retire(&name)),
         GatewayCommand::StoreRetired(name) => done_or_not_found(state.stores.complete(&name)),
-        GatewayCommand::NoteOrders { holder, subjects } => {
-            let taken_over = state.orders.record(holder, subjects);
-            GatewayOutcome::Orders { fence: state.members.issue_fence(), taken_over }
+        GatewayCommand::RecordOrderIntents { holder, subjects } => {
+            let holder_changed = state.orders.record(holder, subjects);
+            GatewayOutcome::Orders { fence: state.members.issue_fence(), holder_changed }
         }
         GatewayCommand::AddUsage(usage) => {
             usage.into_iter().for_each(|usage| state.usage.add(usage, state.time));
@@ -67,8 +67,8 @@
             GatewayOutcome::Trial(state.suspicions.begin_trial(trial.work, trial.id, state.time, trial.limit_ms))
         }
         GatewayCommand::RenewTrials(leases) => GatewayOutcome::TrialsLost(state.suspicions.renew_trials(leases)),
-        GatewayCommand::ExpireTrials(standings) => {
-            state.suspicions.expire_trials(&standings);
+        GatewayCommand::ExpireTrials(leases) => {
+            state.suspicions.expire_trials(&leases);
             GatewayOutcome::Done
         }
         GatewayCommand::EndTrial { work, id } => {
--- a/crates/control/src/commands/level_one.rs
+++ b/crates/control/src/commands/level_one.rs
@@ -37,14 +37,14 @@
             GatewayOutcome::Done
         }
         One::TakeOrders(holder) => {
-            let taken_over = state.orders.set_holder_level_one(holder);
-            GatewayOutcome::Orders { fence: state.members.issue_fence(), taken_over }
+            let holder_changed = state.orders.set_holder_level_one(holder);
+            GatewayOutcome::Orders { fence: state.members.issue_fence(), holder_changed }
         }
-        One::NoteOrders { holder, instances } => {
+        One::RecordOrderIntents { holder, instances } => {
             state.orders.record_level_one(holder, instances);
             GatewayOutcome::Done
         }
-        One::PublishVersion(named) => gateway::apply(state, GatewayCommand::PublishVersion(named)),
+        One::PublishVersion(published) => gateway::apply(state, GatewayCommand::PublishVersion(published)),
         One::SubmitJob { job, keep_ms } => {
             gateway::apply(state, GatewayCommand::SubmitJob { job: job.into(), keep_ms })
         }
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -41,7 +41,7 @@
     pub job_retention: Duration,
     /// Minimum time between orders of two holders about the same subject.
     pub order_separation: Duration,
-    /// Maximum time between recording a note and sending its order.
+    /// Maximum time between recording an order intent and sending its order.
     pub order_validity: Duration,
 }
 
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -65,9 +65,9 @@
     fn record_poll(&mut self, follow: &mut FollowRequest, now: Duration) {
         self.polled_at = Some(now);
         self.clocks.insert(follow.relay.clone(), (follow.unix_ms, now));
-        if let Some(difference) = follow.usage.take() {
-            // A relay repeats the same difference until it is committed.
-            let usage = RelayUsage { relay: follow.incarnation, difference };
+        if let Some(delta) = follow.usage.take() {
+            // A relay repeats the same delta until it is committed.
+            let usage = RelayUsage { relay: follow.incarnation, delta };
             if !self.usage.contains(&usage) {
                 self.usage.push(usage);
             }
@@ -110,8 +110,8 @@
     async fn serve_as_leader(&self, mut follow: FollowRequest) -> ControlReply {
         let platform = &self.inner.platform;
         self.inner.group_clock.borrow_mut().record_sample(&follow.relay, follow.unix_ms, platform.monotonic());
-        if let Some(difference) = follow.usage.take() {
-            self.queue_usage(RelayUsage { relay: follow.incarnation, difference });
+        if let Some(delta) = follow.usage.take() {
+            self.queue_usage(RelayUsage { relay: follow.incarnation, delta });
         }
         let deadline = platform.monotonic() + self.inner.config.long_poll_timeout;
         let lease = self.inner.config.follow_lease;
@@ -214,7 +214,7 @@
             // The relay sends the counts again once the level has been raised.
             return;
         }
-        let committed = self.read(|state| state.usage.last_sequence(usage.relay) >= usage.difference.sequence);
+        let committed = self.read(|state| state.usage.last_sequence(usage.relay) >= usage.delta.sequence);
         let mut inbox = self.inner.usage_inbox.borrow_mut();
         if committed == Some(false) && !inbox.contains(&usage) {
             inbox.push(usage);
@@ -253,7 +253,7 @@
             replicas,
             nearest_replica,
             group_unix_ms: None,
-            usage_taken: state.usage.last_sequence(follow.incarnation),
+            committed_usage_sequence: state.usage.last_sequence(follow.incarnation),
             suspicions: state.suspicions.newer_than(follow.suspicion_revision),
         }
     }
--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -2,7 +2,7 @@
 //! handled in `follow`, requests about batch jobs in `job_calls`.
 
 use crate::node::ControlNode;
-use crate::older_level::{named_in, outcome_without_log, without_starts};
+use crate::older_level::{filter_by_name, outcome_without_log, without_starts};
 use crate::state::ControlState;
 use crate::state::stores::Retirement;
 use saddlerelay_replication::ProposeError;
@@ -90,7 +90,7 @@
             GatewayRequest::RemoveInstance(id) => self.remove_instance(id).await,
             GatewayRequest::PutRouting(document) => self.put_routing(document).await,
             GatewayRequest::ReadRouting => self.read_routing(),
-            GatewayRequest::PublishVersion(named) => self.name_version(named).await,
+            GatewayRequest::PublishVersion(published) => self.publish_version(published).await,
             GatewayRequest::SubmitJob(job) => self.submit_job(job).await,
             GatewayRequest::ReadResults { job, after, wait_ms, caller } => {
                 self.read_results(&job, after, wait_ms, &caller).await
@@ -182,7 +182,7 @@
         };
         match self.take_reports(reports).await {
             ControlReply::Gateway(GatewayReply::ReportsMissing(missing)) => {
-                ControlReply::Gateway(GatewayReply::ReportsMissing(named_in(&missing, heartbeat_ids.into_iter())))
+                ControlReply::Gateway(GatewayReply::ReportsMissing(filter_by_name(&missing, heartbeat_ids.into_iter())))
             }
             other => other,
         }
@@ -241,13 +241,14 @@
         self.reply(source.map(GatewayReply::Routing))
     }
 
-    async fn name_version(&self, named: LoadedModel) -> ControlReply {
-        let is_superseded =
-            self.read(|state| state.weights.named().get(&named.model).is_some_and(|current| *current >= named.version));
+    async fn publish_version(&self, published: LoadedModel) -> ControlReply {
+        let is_superseded = self.read(|state| {
+            state.weights.published().get(&published.model).is_some_and(|current| *current >= published.version)
+        });
         match is_superseded {
             None => self.not_leader(),
             Some(true) => ControlReply::Gateway(GatewayReply::Done),
-            Some(false) => self.execute_gateway(GatewayCommand::PublishVersion(named)).await,
+            Some(false) => self.execute_gateway(GatewayCommand::PublishVersion(published)).await,
         }
     }
 
@@ -288,10 +289,10 @@
 
     fn read_duties(&self) -> ControlReply {
         let overview = self.read(|state| {
-            let engine_standing = |(place, wanted): (&EnginePlace, &u32)| EngineCountStatus {
+            let engine_count_status = |(place, wanted): (&EnginePlace, &u32)| EngineCountStatus {
                 place: place.clone(),
                 wanted: *wanted,
-                present: state.instances.present(place),
+                present: state.instances.available(place),
             };
             DutyOverview {
                 leader: self.inner.replica.id(),
@@ -299,7 +300,7 @@
                 newest_reported: state.usage.newest_reported(),
                 unreported: state.usage.unreported().map(|report| report.window).collect(),
                 uncounted: state.usage.late_requests(),
-                engines: state.engine_counts.wanted().iter().map(engine_standing).collect(),
+                engines: state.engine_counts.wanted().iter().map(engine_count_status).collect(),
             }
         });
         self.reply(overview.map(GatewayReply::Duties))
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -70,7 +70,7 @@
     pub instance_watch: RefCell<InstanceWatch>,
     /// Encoded routing updates for relays.
     pub routing_updates: RefCell<RoutingUpdates>,
-    /// When the notes of orders of other replicas were first observed.
+    /// When the order intents of other replicas were first observed.
     pub order_watch: RefCell<OrderWatch>,
     /// When the trial leases for suspected work were last renewed.
     pub trial_watch: RefCell<TrialWatch>,
--- a/crates/control/src/older_level.rs
+++ b/crates/control/src/older_level.rs
@@ -5,7 +5,7 @@
 //!
 //! | Feature | At level one |
 //! |---|---|
-//! | orders to engines | the note and the fencing token take two log entries |
+//! | orders to engines | the intent and the fencing token take two log entries |
 //! | start times of engines | not recorded: an engine is identified by its name |
 //! | silence of engines | in the leader's memory; only the leader sends it to relays |
 //! | trial leases for suspected work | always granted; evidence is discarded |
@@ -51,7 +51,7 @@
 }
 
 /// The `ids` whose names occur in `missing`.
-pub(crate) fn named_in(missing: &[InstanceId], ids: impl Iterator<Item = InstanceId>) -> Vec<InstanceId> {
+pub(crate) fn filter_by_name(missing: &[InstanceId], ids: impl Iterator<Item = InstanceId>) -> Vec<InstanceId> {
     ids.filter(|id| missing.iter().any(|missing| missing.name == id.name)).collect()
 }
 
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,8 +1,9 @@
 //! Authorization of orders to engines and to the platform.
 //!
-//! Before each order the leader commits a note of the order's subject, and receives a fencing token higher than that of
-//! every earlier order. It sends the order within a short validity period or not at all. A new leader waits until that
-//! period and the configured distance between holders have passed; a delayed order carries a lower fencing token.
+//! Before each order the leader commits an intent for the order's subject, and receives a fencing token higher than
+//! that of every earlier order. It sends the order within a short validity period or not at all. A new leader waits
+//! until that period and the configured distance between holders have passed; a delayed order carries a lower fencing
+//! token.
 
 use crate::node::ControlNode;
 use saddlerelay_runtime::Runtime;
@@ -11,20 +12,20 @@
 use saddlerelay_types::identity::Fence;
 use std::time::Duration;
 
-/// Permission to send the orders of one note.
+/// Permission to send the orders of one intent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderGrant {
     /// Fencing token of the orders.
     pub fence: Fence,
     /// The orders must be sent before this time of the monotonic clock.
     pub valid_until: Duration,
-    /// The term in which the note was committed.
+    /// The term in which the intent was committed.
     pub term: u64,
 }
 
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
-    /// Observes new notes. Called on followers too, so that a new leader knows the age of each note.
-    pub fn observe_order_notes(&self) {
+    /// Observes new intents. Called on followers too, so that a new leader knows the age of each intent.
+    pub fn observe_order_intents(&self) {
         let now = self.inner.platform.monotonic();
         self.read_applied(|state| self.inner.order_watch.borrow_mut().observe(&state.orders, now));
     }
@@ -38,14 +39,14 @@
         self.inner.platform.monotonic() >= earliest_order_time
     }
 
-    /// Commits a note of orders about `subjects` in `term`; `None` if the commit failed.
-    pub async fn commit_order_note(&self, term: u64, subjects: Vec<OrderSubject>) -> Option<OrderGrant> {
+    /// Commits an intent to send orders about `subjects` in `term`; `None` if the commit failed.
+    pub async fn commit_order_intent(&self, term: u64, subjects: Vec<OrderSubject>) -> Option<OrderGrant> {
         let valid_until = self.inner.platform.monotonic() + self.inner.config.order_validity;
-        let command = GatewayCommand::NoteOrders { holder: self.inner.replica.id(), subjects };
-        let Ok(GatewayOutcome::Orders { fence, taken_over }) = self.commit_gateway(command).await else {
+        let command = GatewayCommand::RecordOrderIntents { holder: self.inner.replica.id(), subjects };
+        let Ok(GatewayOutcome::Orders { fence, holder_changed }) = self.commit_gateway(command).await else {
             return None;
         };
-        if taken_over {
+        if holder_changed {
             spdlog::info!("orders taken over from another replica", kv: { term = term, fence = fence.0 });
         }
         Some(OrderGrant { fence, valid_until, term })
--- a/crates/control/src/state/instances.rs
+++ b/crates/control/src/state/instances.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 /// Maximum number of tombstones of removed instances. A tombstone rejects delayed reports of a removed instance.
-const MAX_GONE_INSTANCES: usize = 8192;
+const MAX_TOMBSTONES: usize = 8192;
 
 /// The engines of one place that are not [`InstanceState::Gone`].
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
@@ -18,7 +18,7 @@
     /// Ordered by hash position.
     engines: BTreeSet<(u64, InstanceId)>,
     /// Number of engines that are ready and not silent.
-    present: u32,
+    available: u32,
     subset_prefixes: SubsetPrefixes,
 }
 
@@ -36,8 +36,8 @@
     pub(super) silent: BTreeSet<InstanceId>,
     /// Tombstones of removed instances, including instances that never reported. A tombstone also covers earlier starts
     /// under the same name.
-    pub(super) gone: BTreeSet<InstanceId>,
-    pub(super) gone_order: VecDeque<InstanceId>,
+    pub(super) tombstones: BTreeSet<InstanceId>,
+    pub(super) tombstone_order: VecDeque<InstanceId>,
     pub(super) revision: u64,
     /// The revision of the newest change to any place's subset sizes. Relays with an older revision need a full update.
     pub(super) subset_revision: u64,
@@ -86,8 +86,8 @@
     }
 
     /// Number of engines of a place that are ready and not silent.
-    pub fn present(&self, place: &EnginePlace) -> u32 {
-        self.places.get(place).map_or(0, |place| place.present)
+    pub fn available(&self, place: &EnginePlace) -> u32 {
+        self.places.get(place).map_or(0, |place| place.available)
     }
 
     /// Ready instances that have stopped reporting, ordered by id.
@@ -143,8 +143,8 @@
 
     /// Whether an instance was removed or replaced by a later start under its name. Its further reports are ignored.
     pub fn has_ended(&self, id: &InstanceId) -> bool {
-        let is_gone = self.gone.range(id.starts_from_here()).next().is_some();
-        is_gone || self.newest_start(&id.name).is_some_and(|newest| newest > id)
+        let has_tombstone = self.tombstones.range(id.starts_from_here()).next().is_some();
+        has_tombstone || self.newest_start(&id.name).is_some_and(|newest| newest > id)
     }
 
     /// Whether `report` comes from the recorded instance with its id. One start of an engine has one service and one
@@ -212,7 +212,7 @@
 
     /// Marks an instance and all earlier starts under its name as gone permanently.
     pub fn remove(&mut self, id: &InstanceId) {
-        if !self.gone.insert(id.clone()) {
+        if !self.tombstones.insert(id.clone()) {
             return;
         }
         let up_to_here = self.records.range(InstanceId::named(&*id.name)..=id.clone());
@@ -220,17 +220,17 @@
         if let Some(record) = newest.filter(|record| record.state != InstanceState::Gone).cloned() {
             self.write(InstanceRecord { state: InstanceState::Gone, silent: false, ..record });
         }
-        self.gone_order.push_back(id.clone());
-        while self.gone_order.len() > MAX_GONE_INSTANCES {
-            self.evict_oldest_gone();
+        self.tombstone_order.push_back(id.clone());
+        while self.tombstone_order.len() > MAX_TOMBSTONES {
+            self.evict_oldest_tombstone();
         }
     }
 
-    fn evict_oldest_gone(&mut self) {
-        let Some(oldest) = self.gone_order.pop_front() else {
+    fn evict_oldest_tombstone(&mut self) {
+        let Some(oldest) = self.tombstone_order.pop_front() else {
             return;
         };
-        self.gone.remove(&oldest);
+        self.tombstones.remove(&oldest);
         if let Some(record) = self.records.remove(&oldest) {
             self.by_revision.remove(&record.revision);
         }
@@ -267,7 +267,7 @@
         }
         let place = self.places.entry(place_of(&record.report)).or_default();
         place.engines.insert((engine_position(&id), id));
-        place.present += u32::from(is_available(record));
+        place.available += u32::from(is_available(record));
     }
 
     pub(super) fn remove_from_indexes(&mut self, record: &InstanceRecord) {
@@ -288,7 +288,7 @@
         }
         if let Some(place) = self.places.get_mut(&place_of(&record.report)) {
             place.engines.remove(&(engine_position(id), id.clone()));
-            place.present -= u32::from(is_available(record));
+            place.available -= u32::from(is_available(record));
         }
     }
 
--- a/crates/control/src/state/jobs.rs
+++ b/crates/control/src/state/jobs.rs
@@ -228,12 +228,12 @@
         let job = self.jobs.get_mut(id).filter(|job| !job.ended)?;
         let mut missing = Vec::new();
         for outcome in outcomes {
-            let item = outcome.rest.item;
+            let item = outcome.remaining_text.item;
             if job.is_listed(item) {
                 continue;
             }
             let mut text = job.partial.remove(&item).unwrap_or_default();
-            if !text.add(&outcome.rest) {
+            if !text.add(&outcome.remaining_text) {
                 missing.push(item);
                 continue;
             }
--- a/crates/control/src/state/level_one.rs
+++ b/crates/control/src/state/level_one.rs
@@ -9,7 +9,7 @@
 use super::instances::{InstanceTable, place_of};
 use super::jobs::{Job, JobTable, ListedItem};
 use super::members::MemberTable;
-use super::orders::{OrderNote, OrderState};
+use super::orders::{OrderIntent, OrderState};
 use super::rollouts::RolloutLedger;
 use super::routing::RoutingState;
 use super::stores::StoreTable;
@@ -48,17 +48,17 @@
 struct InstancesOne {
     records: BTreeMap<one::InstanceId, one::InstanceRecord>,
     by_revision: BTreeMap<u64, one::InstanceId>,
-    gone: BTreeSet<one::InstanceId>,
-    gone_order: VecDeque<one::InstanceId>,
+    tombstones: BTreeSet<one::InstanceId>,
+    tombstone_order: VecDeque<one::InstanceId>,
     revision: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 struct WeightsOne {
-    named: BTreeMap<String, u64>,
+    published: BTreeMap<String, u64>,
     holder: Option<ReplicaId>,
-    order_notes: BTreeMap<one::InstanceId, OrderNote>,
-    notes_recorded: u64,
+    order_intents: BTreeMap<one::InstanceId, OrderIntent>,
+    intents_recorded: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -144,8 +144,8 @@
         Self {
             records: table.records.iter().map(|(id, current)| (id.into(), record(current))).collect(),
             by_revision: table.by_revision.iter().map(|(revision, id)| (*revision, id.into())).collect(),
-            gone: table.gone.iter().map(Into::into).collect(),
-            gone_order: table.gone_order.iter().map(Into::into).collect(),
+            tombstones: table.tombstones.iter().map(Into::into).collect(),
+            tombstone_order: table.tombstone_order.iter().map(Into::into).collect(),
             revision: table.revision,
         }
     }
@@ -153,8 +153,8 @@
     fn into_current(self) -> InstanceTable {
         let mut table = InstanceTable::default();
         table.by_revision = self.by_revision.into_iter().map(|(revision, id)| (revision, id.into())).collect();
-        table.gone = self.gone.into_iter().map(Into::into).collect();
-        table.gone_order = self.gone_order.into_iter().map(Into::into).collect();
+        table.tombstones = self.tombstones.into_iter().map(Into::into).collect();
+        table.tombstone_order = self.tombstone_order.into_iter().map(Into::into).collect();
         table.revision = self.revision;
         for record in self.records.into_values() {
             let record = record.with_silence(false);
@@ -168,22 +168,22 @@
 
 impl WeightsOne {
     fn of(weights: &WeightState, orders: &OrderState) -> Self {
-        let note = |(subject, note): (&OrderSubject, &OrderNote)| match subject {
-            OrderSubject::Engine(name) => (one::InstanceId(name.clone()), *note),
+        let intent = |(subject, intent): (&OrderSubject, &OrderIntent)| match subject {
+            OrderSubject::Engine(name) => (one::InstanceId(name.clone()), *intent),
             OrderSubject::UsageReports | OrderSubject::EngineCount(_) => panic!("{NOT_REPRESENTABLE}"),
         };
         Self {
-            named: weights.named().clone(),
+            published: weights.published().clone(),
             holder: orders.holder,
-            order_notes: orders.notes.iter().map(note).collect(),
-            notes_recorded: orders.notes_recorded,
+            order_intents: orders.intents.iter().map(intent).collect(),
+            intents_recorded: orders.intents_recorded,
         }
     }
 
     fn into_current(self) -> (WeightState, OrderState) {
-        let notes = self.order_notes.into_iter().map(|(id, note)| (OrderSubject::Engine(id.0), note)).collect();
-        let orders = OrderState { holder: self.holder, notes, notes_recorded: self.notes_recorded };
-        (WeightState { named: self.named }, orders)
+        let intents = self.order_intents.into_iter().map(|(id, intent)| (OrderSubject::Engine(id.0), intent)).collect();
+        let orders = OrderState { holder: self.holder, intents, intents_recorded: self.intents_recorded };
+        (WeightState { published: self.published }, orders)
     }
 }
 
@@ -235,7 +235,7 @@
     /// of the recorded instance.
     pub fn apply_report_level_one(&mut self, report: InstanceReport) {
         let would_change = match self.records.get(&report.id) {
-            None => !self.gone.contains(&report.id),
+            None => !self.tombstones.contains(&report.id),
             Some(record) => record.state == InstanceState::Ready && report.leaving,
         };
         if !would_change {
@@ -277,8 +277,9 @@
     /// Records orders that `holder` is about to send.
     pub fn record_level_one(&mut self, holder: ReplicaId, instances: Vec<one::InstanceId>) {
         for instance in instances {
-            self.notes_recorded += 1;
-            self.notes.insert(OrderSubject::Engine(instance.0), OrderNote { holder, number: self.notes_recorded });
+            self.intents_recorded += 1;
+            self.intents
+                .insert(OrderSubject::Engine(instance.0), OrderIntent { holder, number: self.intents_recorded });
         }
     }
 
--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -57,7 +57,7 @@
     pub pending_instances: PendingInstances,
     /// Weight versions announced by trainers.
     pub weights: WeightState,
-    /// The holder of orders to engines and to the platform, and its order notes.
+    /// The holder of orders to engines and to the platform, and its order intents.
     pub orders: OrderState,
     /// Desired number of engines by service and zone.
     pub engine_counts: EngineCountState,
--- a/crates/control/src/state/registration.rs
+++ b/crates/control/src/state/registration.rs
@@ -83,7 +83,7 @@
         self.pending_instances.remove(&ended);
         self.instances.remove(&ended);
         // With start times, the engine's next start has the same name and an earlier order may still reach it, so the
-        // order note is kept. Without them, the name is not used again.
+        // order intent is kept. Without them, the name is not used again.
         if ended.started_at_ms.is_none() {
             self.orders.remove_engine(&ended);
         }
--- a/crates/control/src/state/suspicions.rs
+++ b/crates/control/src/state/suspicions.rs
@@ -164,11 +164,11 @@
     }
 
     /// Ends leases that have not been renewed since they were observed with these renewal counts.
-    pub fn expire_trials(&mut self, standings: &[TrialLease]) {
-        for standing in standings {
-            let is_unchanged = |trial: &Trial| trial.id == standing.held.id && trial.renewals == standing.renewals;
-            if self.trials.get(&standing.held.work).is_some_and(is_unchanged) {
-                self.trials.remove(&standing.held.work);
+    pub fn expire_trials(&mut self, leases: &[TrialLease]) {
+        for lease in leases {
+            let is_unchanged = |trial: &Trial| trial.id == lease.held.id && trial.renewals == lease.renewals;
+            if self.trials.get(&lease.held.work).is_some_and(is_unchanged) {
+                self.trials.remove(&lease.held.work);
             }
         }
     }
--- a/crates/control/src/state/usage.rs
+++ b/crates/control/src/state/usage.rs
@@ -44,12 +44,12 @@
 
     /// Adds a relay's delta, unless it was already applied. `now` is in Unix milliseconds.
     pub fn add(&mut self, usage: RelayUsage, now: u64) {
-        if usage.difference.sequence <= self.last_sequence(usage.relay) {
+        if usage.delta.sequence <= self.last_sequence(usage.relay) {
             return;
         }
-        self.relays.insert(usage.relay, LastDelta { sequence: usage.difference.sequence, at: now });
+        self.relays.insert(usage.relay, LastDelta { sequence: usage.delta.sequence, at: now });
         self.evict_oldest_relay();
-        for (window, counts) in usage.difference.counts {
+        for (window, counts) in usage.delta.counts {
             if self.first_open.is_some_and(|first| window < first) {
                 self.late_requests += counts.values().sum::<u64>();
                 continue;
--- a/crates/control/src/state/weights.rs
+++ b/crates/control/src/state/weights.rs
@@ -1,24 +1,24 @@
-//! Weight versions announced by trainers.
+//! Weight versions published by trainers.
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::instance::LoadedModel;
 use std::collections::BTreeMap;
 
-/// The newest announced weight version of each model.
+/// The newest published weight version of each model.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct WeightState {
-    pub(super) named: BTreeMap<String, u64>,
+    pub(super) published: BTreeMap<String, u64>,
 }
 
 impl WeightState {
-    /// The newest announced version, by model.
-    pub fn named(&self) -> &BTreeMap<String, u64> {
-        &self.named
+    /// The newest published version, by model.
+    pub fn published(&self) -> &BTreeMap<String, u64> {
+        &self.published
     }
 
-    /// Records an announced version; a version older than the recorded one is ignored.
-    pub fn record(&mut self, announced: LoadedModel) {
-        let newest = self.named.entry(announced.model).or_default();
-        *newest = (*newest).max(announced.version);
+    /// Records a published version; a version older than the recorded one is ignored.
+    pub fn record(&mut self, published: LoadedModel) {
+        let newest = self.published.entry(published.model).or_default();
+        *newest = (*newest).max(published.version);
     }
 }
--- a/crates/control/src/tasks/levels.rs
+++ b/crates/control/src/tasks/levels.rs
@@ -15,15 +15,15 @@
 
 /// Checks periodically whether the level can be raised, until the process ends.
 pub async fn raise<P: Runtime, B: Backends>(node: ControlNode<P, B>) {
-    let mut quiet_since = None;
+    let mut raisable_since = None;
     loop {
         node.inner.platform.sleep(CHECK_INTERVAL).await;
         let now = node.inner.platform.monotonic();
-        if !can_raise(&node, quiet_since) {
-            quiet_since = None;
+        if !can_raise(&node, raisable_since) {
+            raisable_since = None;
             continue;
         }
-        let since = *quiet_since.get_or_insert(now);
+        let since = *raisable_since.get_or_insert(now);
         if now < since + OLDER_BUILD_ABSENCE {
             continue;
         }
--- a/crates/control/src/tasks/trials.rs
+++ b/crates/control/src/tasks/trials.rs
@@ -38,12 +38,12 @@
 }
 
 fn log_expired(expired: &[TrialLease]) {
-    for standing in expired.iter().take(MAX_LOG_LINES) {
+    for lease in expired.iter().take(MAX_LOG_LINES) {
         spdlog::warn!("trial lease expired, holder stopped renewing", kv: {
-            work = standing.held.work.log_prefix().as_str(),
-            holder = standing.held.id.holder.0,
-            number = standing.held.id.number,
-            renewals = standing.renewals,
+            work = lease.held.work.log_prefix().as_str(),
+            holder = lease.held.id.holder.0,
+            number = lease.held.id.number,
+            renewals = lease.renewals,
             leases_expired = expired.len()
         });
     }
--- a/crates/control/src/trial_watch.rs
+++ b/crates/control/src/trial_watch.rs
@@ -15,7 +15,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ObservedTrial {
-    standing: TrialLease,
+    lease: TrialLease,
     observed_at: Duration,
 }
 
@@ -31,10 +31,10 @@
     /// Observes the leases in the locally applied state at `now`.
     pub fn observe(&mut self, table: &SuspicionTable, now: Duration) {
         let mut previous = std::mem::take(&mut self.trials);
-        for standing in table.trials() {
-            let work = standing.held.work;
-            let unchanged = previous.remove(&work).filter(|observed| observed.standing == standing);
-            self.trials.insert(work, unchanged.unwrap_or(ObservedTrial { standing, observed_at: now }));
+        for lease in table.trials() {
+            let work = lease.held.work;
+            let unchanged = previous.remove(&work).filter(|observed| observed.lease == lease);
+            self.trials.insert(work, unchanged.unwrap_or(ObservedTrial { lease, observed_at: now }));
         }
     }
 
@@ -47,6 +47,6 @@
             return Vec::new();
         }
         let has_expired = |observed: &&ObservedTrial| now >= observed.observed_at + TRIAL_LEASE;
-        self.trials.values().filter(has_expired).map(|observed| observed.standing).collect()
+        self.trials.values().filter(has_expired).map(|observed| observed.lease).collect()
     }
 }
--- a/crates/control/tests/fleet_steps.rs
+++ b/crates/control/tests/fleet_steps.rs
@@ -221,7 +221,7 @@
             assert_eq!(table.engines_in(place).count(), expected);
             let present = table.iter().filter(is_in_place);
             let present = present.filter(|record| record.state == InstanceState::Ready && !record.silent).count();
-            assert_eq!(table.present(place) as usize, present);
+            assert_eq!(table.available(place) as usize, present);
         }
     }
 }
--- a/crates/control/tests/gateway.rs
+++ b/crates/control/tests/gateway.rs
@@ -82,7 +82,7 @@
     assert_eq!(error(vec![route("a", "/x/", "web")]), None);
     assert_eq!(error(vec![route("a", "/x/", "none")]), Some(RoutingError::UnknownService("none".to_string())));
     let twice = vec![route("a", "/x/", "web"), route("a", "/x/", "web")];
-    assert_eq!(error(twice), Some(RoutingError::SamePlace("a/x/".to_string())));
+    assert_eq!(error(twice), Some(RoutingError::DuplicateHostAndPrefix("a/x/".to_string())));
     let mut zero_weight = route("a", "/x/", "web");
     zero_weight.targets[0].weight = 0;
     assert_eq!(error(vec![zero_weight]), Some(RoutingError::NoWeight("a/x/".to_string())));
@@ -163,22 +163,22 @@
     let model = |version| LoadedModel { model: "m".to_string(), version };
     commit(&mut state, GatewayCommand::PublishVersion(model(3)));
     commit(&mut state, GatewayCommand::PublishVersion(model(2)));
-    assert_eq!(state.weights.named().get("m"), Some(&3));
+    assert_eq!(state.weights.published().get("m"), Some(&3));
 }
 
 #[test]
-fn fencing_token_increases_with_each_order_note() {
+fn fencing_token_increases_with_each_order_intent() {
     let mut state = ControlState::default();
     let subjects = || vec![OrderSubject::UsageReports];
-    let note = |id| GatewayCommand::NoteOrders { holder: ReplicaId(id), subjects: subjects() };
-    let mut record_note = |id| match commit(&mut state, note(id)) {
-        GatewayOutcome::Orders { fence, taken_over } => (fence.0, taken_over),
+    let intent = |id| GatewayCommand::RecordOrderIntents { holder: ReplicaId(id), subjects: subjects() };
+    let mut record_intent = |id| match commit(&mut state, intent(id)) {
+        GatewayOutcome::Orders { fence, holder_changed } => (fence.0, holder_changed),
         other => panic!("{other:?}"),
     };
-    assert_eq!(record_note(1), (1, false));
-    assert_eq!(record_note(1), (2, false));
-    assert_eq!(record_note(2), (3, true));
-    assert_eq!(record_note(1), (4, true));
+    assert_eq!(record_intent(1), (1, false));
+    assert_eq!(record_intent(1), (2, false));
+    assert_eq!(record_intent(2), (3, true));
+    assert_eq!(record_intent(1), (4, true));
 }
 
 fn job(id: &str, items: u32) -> JobSubmission {
@@ -221,8 +221,8 @@
     }
 }
 
-fn list(state: &mut ControlState, id: &str, rest: TextPart) -> GatewayOutcome {
-    let outcomes = vec![ItemOutcome { end: ItemEnd::Completed, rest, score: None }];
+fn list(state: &mut ControlState, id: &str, remaining_text: TextPart) -> GatewayOutcome {
+    let outcomes = vec![ItemOutcome { end: ItemEnd::Completed, remaining_text, score: None }];
     commit(state, GatewayCommand::ListResults { job: JobId(id.to_string()), outcomes })
 }
 
--- a/crates/control/tests/level_one.rs
+++ b/crates/control/tests/level_one.rs
@@ -195,17 +195,17 @@
 fn order_note_and_fencing_token_take_two_entries_at_level_one() {
     let holder = ReplicaId(5);
     let subjects = vec![OrderSubject::Engine("engine-1".to_string())];
-    let note = Command::Gateway(GatewayCommand::NoteOrders { holder, subjects });
+    let intent = Command::Gateway(GatewayCommand::RecordOrderIntents { holder, subjects });
     let mut machine = new_machine();
-    let entries = encode(1, note.clone(), FeatureLevel::One).expect("the command is representable at level one");
+    let entries = encode(1, intent.clone(), FeatureLevel::One).expect("the command is representable at level one");
     let outcomes: Vec<CommandOutcome> = entries.iter().map(|entry| machine.apply(entry)).collect();
-    let Some(CommandOutcome::Gateway(GatewayOutcome::Orders { taken_over: false, .. })) = outcomes.last() else {
+    let Some(CommandOutcome::Gateway(GatewayOutcome::Orders { holder_changed: false, .. })) = outcomes.last() else {
         panic!("{outcomes:?}");
     };
     assert_eq!(machine.state().orders.holder(), Some(holder));
-    assert_eq!(machine.state().orders.notes().len(), 1);
+    assert_eq!(machine.state().orders.intents().len(), 1);
     let mut level_two = ControlMachine::default();
-    let entry = &encode(1, note, FeatureLevel::Two).expect("the command is representable at level two")[0];
+    let entry = &encode(1, intent, FeatureLevel::Two).expect("the command is representable at level two")[0];
     assert_eq!(Some(level_two.apply(entry)), outcomes.last().cloned());
 }
 
@@ -213,7 +213,7 @@
 fn commands_not_representable_at_level_one_are_not_encoded() {
     let not_representable = [
         GatewayCommand::CloseUsageWindows(saddlerelay_types::usage::UsageWindow(3)),
-        GatewayCommand::NoteOrders { holder: ReplicaId(1), subjects: vec![OrderSubject::UsageReports] },
+        GatewayCommand::RecordOrderIntents { holder: ReplicaId(1), subjects: vec![OrderSubject::UsageReports] },
         GatewayCommand::ExpireSuspicions,
     ];
     for command in not_representable {
@@ -241,8 +241,8 @@
     watch.record_report(&report(50), seconds(1));
     assert!(watch.note_start(&InstanceId::started("engine", 200)));
     watch.record_report(&report(1), seconds(2));
-    let (heard_at, models) = watch.models(&InstanceId::named("engine")).expect("a report was received");
-    assert_eq!((heard_at, models[0].version), (seconds(2), 1));
+    let (reported_at, models) = watch.models(&InstanceId::named("engine")).expect("a report was received");
+    assert_eq!((reported_at, models[0].version), (seconds(2), 1));
     assert!(!watch.note_start(&InstanceId::started("engine", 100)), "a delayed report of the earlier start");
     assert!(watch.note_start(&InstanceId::named("other")), "an engine without a start time");
 }
--- a/crates/control/tests/level_two.rs
+++ b/crates/control/tests/level_two.rs
@@ -156,7 +156,7 @@
 
 fn outcome(random: &mut fastrand::Rng) -> ItemOutcome {
     let end = if random.u8(..5) == 0 { ItemEnd::Aborted } else { ItemEnd::Completed };
-    ItemOutcome { end, rest: part(random), score: random.bool().then(|| "0.5".to_string()) }
+    ItemOutcome { end, remaining_text: part(random), score: random.bool().then(|| "0.5".to_string()) }
 }
 
 fn place() -> EnginePlace {
@@ -170,8 +170,8 @@
 
 fn usage(random: &mut fastrand::Rng, number: u64) -> RelayUsage {
     let counts = BTreeMap::from([(TenantId::new("clinic"), random.u64(..9))]);
-    let difference = UsageDelta { sequence: number, counts: BTreeMap::from([(UsageWindow(number / 10), counts)]) };
-    RelayUsage { relay: Incarnation(number % 3), difference }
+    let delta = UsageDelta { sequence: number, counts: BTreeMap::from([(UsageWindow(number / 10), counts)]) };
+    RelayUsage { relay: Incarnation(number % 3), delta }
 }
 
 fn work(random: &mut fastrand::Rng) -> WorkDigest {
@@ -214,7 +214,7 @@
         }
         17 if random.bool() => GatewayCommand::RetireStore(store(random)),
         17 => GatewayCommand::StoreRetired(store(random)),
-        18..20 => GatewayCommand::NoteOrders { holder, subjects: subjects(random) },
+        18..20 => GatewayCommand::RecordOrderIntents { holder, subjects: subjects(random) },
         20..22 => GatewayCommand::RecordSilence { silent: vec![report(random).id], resumed: vec![report(random).id] },
         22..24 => GatewayCommand::AddUsage(vec![usage(random, number)]),
         24 => GatewayCommand::CloseUsageWindows(UsageWindow(number / 20)),
@@ -293,7 +293,7 @@
             at_follower: true,
             incarnation: Incarnation(9),
             unix_ms: 88,
-            usage: Some(usage(random, 5).difference),
+            usage: Some(usage(random, 5).delta),
             suspicion_revision: 6,
         })),
         gateway(GatewayRequest::ReportInstance(report(random))),
@@ -336,7 +336,7 @@
             replicas: vec![address(1)],
             nearest_replica: Some(address(1)),
             group_unix_ms: Some(99),
-            usage_taken: 5,
+            committed_usage_sequence: 5,
             suspicions: Some(SuspicionList { revision: 3, suspicions: Vec::new() }),
         })),
         reply(GatewayReply::Done),
--- a/crates/control/tests/restarts.rs
+++ b/crates/control/tests/restarts.rs
@@ -90,7 +90,7 @@
             assert_eq!(state_of(&state, &start(FIRST)), Some(InstanceState::Gone));
             assert_eq!(state_of(&state, &start(SECOND)), Some(InstanceState::Ready));
             assert_eq!(state.instances.instance_at(([10, 0, 0, 1], port).into()), Some(&start(SECOND)));
-            assert_eq!(state.instances.places().map(|place| state.instances.present(place)).sum::<u32>(), 1);
+            assert_eq!(state.instances.places().map(|place| state.instances.available(place)).sum::<u32>(), 1);
         }
     }
 }
@@ -153,9 +153,9 @@
     let mut state = state_with_web_service();
     apply_report(&mut state, report(start(FIRST), 1));
     let subjects = vec![OrderSubject::engine(&start(FIRST))];
-    commit(&mut state, GatewayCommand::NoteOrders { holder: ReplicaId(1), subjects });
+    commit(&mut state, GatewayCommand::RecordOrderIntents { holder: ReplicaId(1), subjects });
     apply_report(&mut state, report(start(SECOND), 1));
-    assert!(state.orders.notes().contains_key(&OrderSubject::engine(&start(SECOND))));
+    assert!(state.orders.intents().contains_key(&OrderSubject::engine(&start(SECOND))));
 }
 
 /// A new holder must wait before it sends an order to the next start, because an earlier order to the same name and
@@ -167,7 +167,10 @@
         for deregisters_before_next_start in [true, false] {
             let mut state = state_with_web_service();
             apply_report(&mut state, report(start(FIRST), 1));
-            commit(&mut state, GatewayCommand::NoteOrders { holder: ReplicaId(1), subjects: vec![subject.clone()] });
+            commit(
+                &mut state,
+                GatewayCommand::RecordOrderIntents { holder: ReplicaId(1), subjects: vec![subject.clone()] },
+            );
             let deregistered = GatewayCommand::RemoveInstance(deregistered.clone());
             if deregisters_before_next_start {
                 commit(&mut state, deregistered);
--- a/crates/control/tests/trial_watch.rs
+++ b/crates/control/tests/trial_watch.rs
@@ -61,7 +61,7 @@
     watch.observe(&table, last_moment);
     assert_eq!(watch.expired(TERM, last_moment), []);
     let expired = watch.expired(TERM, seen_at + TRIAL_LEASE);
-    assert_eq!(expired.iter().map(|standing| standing.held).collect::<Vec<_>>(), [held_by(1)]);
+    assert_eq!(expired.iter().map(|lease| lease.held).collect::<Vec<_>>(), [held_by(1)]);
     table.expire_trials(&expired);
     assert_eq!(table.begin_trial(work(), id(2), LOG_TIME, LIMIT_MS), TrialAnswer::Granted);
     assert_eq!(table.renew_trials(vec![held_by(1)]), [held_by(1)], "the first holder is notified of the loss");
--- a/crates/control/tests/usage.rs
+++ b/crates/control/tests/usage.rs
@@ -17,7 +17,7 @@
     for (window, name, count) in counts {
         *by_window.entry(UsageWindow(*window)).or_default().entry(tenant(name)).or_default() += count;
     }
-    RelayUsage { relay: Incarnation(relay), difference: UsageDelta { sequence, counts: by_window } }
+    RelayUsage { relay: Incarnation(relay), delta: UsageDelta { sequence, counts: by_window } }
 }
 
 fn report(window: u64, counts: &[(&str, u64)]) -> UsageReport {
--- a/crates/coordinator/src/coordinator.rs
+++ b/crates/coordinator/src/coordinator.rs
@@ -33,7 +33,7 @@
     pub node: LeaderNode<B>,
     pub name: String,
     pub config: CoordinatorConfig,
-    pub dialect: Box<dyn EngineFormat>,
+    pub engine_format: Box<dyn EngineFormat>,
     pub pool: Pool,
     pub fleet: Fleet,
     pub scorers: Scorers,
@@ -92,7 +92,7 @@
         node: LeaderNode<B>,
         identity: CoordinatorIdentity,
         names: HeaderNames,
-        dialect: Box<dyn EngineFormat>,
+        engine_format: Box<dyn EngineFormat>,
         config: CoordinatorConfig,
     ) -> Self {
         let pool = Pool::new(Rc::new(names), config.connect_timeout);
@@ -103,7 +103,7 @@
             trials,
             name: identity.name,
             config,
-            dialect,
+            engine_format,
             pool,
             fleet: Fleet::default(),
             scorers: Scorers::new(identity.zone),
--- a/crates/coordinator/src/fleet.rs
+++ b/crates/coordinator/src/fleet.rs
@@ -18,7 +18,7 @@
     in_flight: u32,
     back_off_until: Duration,
     pace: PaceEstimate,
-    orders_taken: Option<u64>,
+    orders_accepted: Option<u64>,
 }
 
 /// Observed state of all engines; clones share it.
@@ -120,13 +120,13 @@
     }
 
     /// Number of orders that the engine has accepted; `None` if unknown.
-    pub fn orders_taken(&self, instance: &InstanceId) -> Option<u64> {
-        self.read(instance, |engine| engine.orders_taken).flatten()
+    pub fn orders_accepted(&self, instance: &InstanceId) -> Option<u64> {
+        self.read(instance, |engine| engine.orders_accepted).flatten()
     }
 
     /// Sets the number of accepted orders; `None` if it is no longer known.
-    pub fn set_orders_taken(&self, instance: &InstanceId, count: Option<u64>) {
-        self.update(instance, |engine| engine.orders_taken = count);
+    pub fn set_orders_accepted(&self, instance: &InstanceId, count: Option<u64>) {
+        self.update(instance, |engine| engine.orders_accepted = count);
     }
 
     /// Counts an item as in flight until the result is dropped.
--- a/crates/coordinator/src/format.rs
+++ b/crates/coordinator/src/format.rs
@@ -32,7 +32,7 @@
 
 /// An HTTP request to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Call {
+pub struct EngineCall {
     /// The method.
     pub method: Method,
     /// The path.
@@ -86,7 +86,7 @@
 /// The deployment's formats for calls to engines.
 pub trait EngineFormat: 'static {
     /// Builds a weight order.
-    fn order(&self, order: &WeightOrder) -> Call;
+    fn order(&self, order: &WeightOrder) -> EngineCall;
     /// Interprets the response status of a weight order.
     fn order_answer(&self, status: StatusCode) -> OrderResponse {
         match status {
@@ -99,7 +99,7 @@
         }
     }
     /// Builds a report request.
-    fn report(&self) -> Call;
+    fn report(&self) -> EngineCall;
     /// Parses a report; `None` if it is malformed.
     fn read_report(&self, body: &[u8]) -> Option<EngineReport>;
 }
--- a/crates/coordinator/src/item.rs
+++ b/crates/coordinator/src/item.rs
@@ -13,7 +13,7 @@
 use saddlerelay_types::instance::LoadedModel;
 use saddlerelay_types::suspicion::TRIAL_RETRY_AFTER;
 use saddlerelay_upstream::events::{Event, EventParser};
-use saddlerelay_upstream::{Answer, Failure, HeaderNames, Outgoing, Reuse};
+use saddlerelay_upstream::{Failure, HeaderNames, Outgoing, Reuse, UpstreamResponse};
 use std::time::Duration;
 
 /// Result of an attempt.
@@ -95,18 +95,18 @@
     let time_left = || start.item_deadline.saturating_sub(coordinator.now());
     let may_send = || {
         let is_pending = inner.node.read(|state| is_still_pending(state, start));
-        let exclusive = trial.is_some_and(ItemTrial::holds) || !coordinator.is_suspected(start);
+        let exclusive = trial.is_some_and(ItemTrial::is_held) || !coordinator.is_suspected(start);
         coordinator.leads(start.term) && is_pending == Some(true) && exclusive
     };
     let pending_response = inner.pool.send(&start.target, &outgoing, Reuse::Any, time_left, may_send);
-    let answer = match compio::time::timeout(inner.config.response_header_timeout, pending_response).await {
-        Ok(Ok(answer)) => answer,
+    let response = match compio::time::timeout(inner.config.response_header_timeout, pending_response).await {
+        Ok(Ok(response)) => response,
         Ok(Err(Failure::NotSent(reason))) => return AttemptEnd::NotRun(reason),
         Ok(Err(Failure::PossiblyExecuted(reason))) => return AttemptEnd::BrokeOff(reason),
         Ok(Err(Failure::ConnectionLost(reason))) => return AttemptEnd::ConnectionLost(reason),
         Err(_) => return AttemptEnd::BrokeOff("no response headers within the timeout".to_string()),
     };
-    read_response(coordinator, start, answer).await
+    read_response(coordinator, start, response).await
 }
 
 fn build_request<B: Backends>(coordinator: &Coordinator<B>, start: &PlannedAttempt) -> Result<Outgoing, String> {
@@ -149,15 +149,15 @@
 async fn read_response<B: Backends>(
     coordinator: &Coordinator<B>,
     start: &PlannedAttempt,
-    answer: Answer,
+    response: UpstreamResponse,
 ) -> AttemptEnd {
     let names = coordinator.names();
-    let status = answer.head.status;
-    let version = answer.head.headers.get(&names.weight_version).and_then(|value| value.to_str().ok()?.parse().ok());
+    let status = response.head.status;
+    let version = response.head.headers.get(&names.weight_version).and_then(|value| value.to_str().ok()?.parse().ok());
     if status == StatusCode::MISDIRECTED_REQUEST {
         return AttemptEnd::OtherVersion(version);
     }
-    if answer.is_not_executed(names) {
+    if response.is_not_executed(names) {
         return AttemptEnd::NotRun(format!("engine responded with status {}", status.as_u16()));
     }
     match status {
@@ -165,7 +165,7 @@
         StatusCode::INTERNAL_SERVER_ERROR => AttemptEnd::Failed,
         status if status.is_success() => {
             coordinator.record_response_start(start);
-            read_events(coordinator, start, answer, version).await
+            read_events(coordinator, start, response, version).await
         }
         status => AttemptEnd::BrokeOff(format!("engine responded with status {}", status.as_u16())),
     }
@@ -174,13 +174,13 @@
 async fn read_events<B: Backends>(
     coordinator: &Coordinator<B>,
     start: &PlannedAttempt,
-    answer: Answer,
+    response: UpstreamResponse,
     version: Option<u64>,
 ) -> AttemptEnd {
     let inner = &coordinator.inner;
     let mut version = version.or(start.expected_version).unwrap_or_default();
     let mut parser = EventParser::new(coordinator.names().weight_version.as_str());
-    let (_, mut stream) = answer.into_stream();
+    let (_, mut stream) = response.into_stream();
     let mut last_event_at = None;
     loop {
         let bytes = match compio::time::timeout(inner.config.event_timeout, stream.next()).await {
--- a/crates/coordinator/src/listing.rs
+++ b/crates/coordinator/src/listing.rs
@@ -70,7 +70,7 @@
         inner.runtime.sleep(BATCH_DELAY).await;
         let waiting = std::mem::take(&mut *inner.outcomes.borrow_mut());
         let parts = waiting.into_iter().flat_map(|(job, outcomes)| {
-            let parts = split_into_commands(outcomes, |outcome| outcome.rest.data.len());
+            let parts = split_into_commands(outcomes, |outcome| outcome.remaining_text.data.len());
             parts.into_iter().map(move |part| (job.clone(), part))
         });
         // Proposed concurrently, so that the log can batch them.
@@ -148,7 +148,7 @@
             return;
         };
         for outcome in outcomes {
-            if let Some(item) = run.items.get(outcome.rest.item as usize) {
+            if let Some(item) = run.items.get(outcome.remaining_text.item as usize) {
                 item.text.replace(ItemText::default());
             }
         }
@@ -161,7 +161,7 @@
             let run = jobs.get(job);
             let items = items.iter().filter_map(|index| Some((*index, run?.items.get(*index as usize)?)));
             let full = items.map(|(index, item)| {
-                let score = outcomes.iter().find(|outcome| outcome.rest.item == index)?.score.clone();
+                let score = outcomes.iter().find(|outcome| outcome.remaining_text.item == index)?.score.clone();
                 let mut text = item.text.borrow_mut();
                 text.reset_saved();
                 Some(text.outcome(index, score))
--- a/crates/coordinator/src/orders.rs
+++ b/crates/coordinator/src/orders.rs
@@ -6,7 +6,7 @@
 
 use crate::coordinator::Coordinator;
 use crate::fleet::Fleet;
-use crate::format::{Call, EngineReport, OrderResponse, RunningStreams, WeightOrder};
+use crate::format::{EngineCall, EngineReport, OrderResponse, RunningStreams, WeightOrder};
 use crate::load_order::{DueLoad, ModelBacklog, choose_loads};
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
 use saddlerelay_control::orders::OrderGrant;
@@ -51,7 +51,7 @@
     let inner = &coordinator.inner;
     loop {
         inner.runtime.sleep(CHECK_INTERVAL).await;
-        inner.node.observe_order_notes();
+        inner.node.observe_order_intents();
         let Some(term) = inner.node.replica().leading_term() else {
             continue;
         };
@@ -60,7 +60,7 @@
             continue;
         }
         let subjects = due.iter().map(|order| OrderSubject::engine(&order.target.instance)).collect();
-        let Some(grant) = inner.node.commit_order_note(term, subjects).await else {
+        let Some(grant) = inner.node.commit_order_intent(term, subjects).await else {
             continue;
         };
         for order in due {
@@ -84,19 +84,19 @@
         let engines = reporting_engines(coordinator, state, &service.name);
         let config = &inner.config;
         let places = state.instances.places().filter(|place| place.service == service.name);
-        let present: u32 = places.map(|place| state.instances.present(place)).sum();
-        let max_loads = present.div_ceil(config.engines_per_load).max(config.min_concurrent_loads) as usize;
+        let available: u32 = places.map(|place| state.instances.available(place)).sum();
+        let max_loads = available.div_ceil(config.engines_per_load).max(config.min_concurrent_loads) as usize;
         let loading = engines.iter().filter(|engine| inner.fleet.is_loading_any(&engine.instance)).count();
         let any_single_version =
             document.routes.iter().any(|route| route.kind == RouteKind::Rollout && route.batch.single_version);
         let running = if any_single_version { RunningStreams::Wait } else { RunningStreams::Keep };
-        coordinator.rebalance_models(&engines, &hosting.models, state.weights.named());
-        let published = hosting.models.iter().filter_map(|model| Some((model, *state.weights.named().get(model)?)));
+        coordinator.rebalance_models(&engines, &hosting.models, state.weights.published());
+        let published = hosting.models.iter().filter_map(|model| Some((model, *state.weights.published().get(model)?)));
         let outdated =
             published.flat_map(|(model, newest)| outdated_engines(coordinator, &engines, model, newest, running));
         let outdated: Vec<DueOrder> = outdated.collect();
         let loads: Vec<DueLoad> = outdated.iter().map(|order| order.load(&inner.fleet)).collect();
-        let backlogs = model_backlogs(coordinator, &engines, &hosting.models, state.weights.named());
+        let backlogs = model_backlogs(coordinator, &engines, &hosting.models, state.weights.published());
         let chosen = choose_loads(&loads, &backlogs, max_loads.saturating_sub(loading));
         let mut outdated: Vec<Option<DueOrder>> = outdated.into_iter().map(Some).collect();
         due.extend(chosen.into_iter().filter_map(|index| outdated[index].take()));
@@ -226,7 +226,7 @@
     async fn call(
         &self,
         target: &EngineTarget,
-        call: Call,
+        call: EngineCall,
         may_send: impl Fn() -> bool,
     ) -> Result<(u16, bytes::Bytes), Failure> {
         let uri = call.path.parse().map_err(|error| Failure::NotSent(format!("{error}")))?;
@@ -241,8 +241,8 @@
     }
 
     async fn request_report(&self, target: &EngineTarget, term: u64) -> Option<EngineReport> {
-        let (status, body) = self.call(target, self.inner.dialect.report(), || self.leads(term)).await.ok()?;
-        let report = self.inner.dialect.read_report(&body).filter(|_| status == 200)?;
+        let (status, body) = self.call(target, self.inner.engine_format.report(), || self.leads(term)).await.ok()?;
+        let report = self.inner.engine_format.read_report(&body).filter(|_| status == 200)?;
         if !report.may_be_of(&target.instance) {
             spdlog::warn!("engine report from another incarnation ignored", kv: {
                 instance = target.instance.name.as_str(),
@@ -252,7 +252,7 @@
             return None;
         }
         self.inner.fleet.record_versions(&target.instance, &report.models, self.now());
-        self.inner.fleet.set_orders_taken(&target.instance, Some(report.orders_taken));
+        self.inner.fleet.set_orders_accepted(&target.instance, Some(report.orders_taken));
         Some(report)
     }
 }
@@ -280,7 +280,7 @@
 async fn send_order<B: Backends>(coordinator: &Coordinator<B>, due: &DueOrder, grant: OrderGrant) -> bool {
     let inner = &coordinator.inner;
     let instance = &due.target.instance;
-    let orders_taken = match inner.fleet.orders_taken(instance) {
+    let orders_taken = match inner.fleet.orders_accepted(instance) {
         Some(count) => count,
         None => match coordinator.request_report(&due.target, grant.term).await {
             Some(report) if report.busy => return false,
@@ -297,31 +297,31 @@
     };
     inner.metrics.orders.inc();
     let may_send = || inner.node.grant_is_valid(&grant);
-    let answer = coordinator.call(&due.target, inner.dialect.order(&order), may_send).await;
+    let answer = coordinator.call(&due.target, inner.engine_format.order(&order), may_send).await;
     let result = answer.as_ref().ok().and_then(|(status, _)| {
-        hyper::StatusCode::from_u16(*status).ok().map(|status| inner.dialect.order_answer(status))
+        hyper::StatusCode::from_u16(*status).ok().map(|status| inner.engine_format.order_answer(status))
     });
     match result {
         Some(OrderResponse::Accepted) => {
-            inner.fleet.set_orders_taken(instance, Some(orders_taken + 1));
+            inner.fleet.set_orders_accepted(instance, Some(orders_taken + 1));
             wait_until_loaded(coordinator, due, grant.term).await
         }
         Some(OrderResponse::AlreadyLoaded) => {
             inner.fleet.record_versions(instance, std::slice::from_ref(&due.model), coordinator.now());
-            inner.fleet.set_orders_taken(instance, None);
+            inner.fleet.set_orders_accepted(instance, None);
             true
         }
         Some(other) => {
             spdlog::warn!("weight order rejected by engine", kv: {
                 instance = instance.name.as_str(), answer = format!("{other:?}").as_str(), fence = grant.fence.0
             });
-            inner.fleet.set_orders_taken(instance, None);
+            inner.fleet.set_orders_accepted(instance, None);
             false
         }
         None => {
             // The order may still be executed; the engine's next report shows the result.
             inner.metrics.orders_unknown.inc();
-            inner.fleet.set_orders_taken(instance, None);
+            inner.fleet.set_orders_accepted(instance, None);
             false
         }
     }
--- a/crates/coordinator/src/placement.rs
+++ b/crates/coordinator/src/placement.rs
@@ -69,7 +69,7 @@
     context
         .eligible
         .iter()
-        .filter(move |candidate| candidate.engine.has_room() && candidate.may_continue(run, single_version))
+        .filter(move |candidate| candidate.engine.has_free_slots() && candidate.may_continue(run, single_version))
 }
 
 /// The engine for an item: the fastest for a long or partly generated one, the least loaded for others.
--- a/crates/coordinator/src/plan.rs
+++ b/crates/coordinator/src/plan.rs
@@ -49,7 +49,7 @@
 
 impl Engine {
     /// Whether a slot is free.
-    pub fn has_room(&self) -> bool {
+    pub fn has_free_slots(&self) -> bool {
         self.load.get() < self.slots
     }
 
@@ -357,7 +357,7 @@
         reason,
         engines: context.round.engines.len(),
         eligible: context.eligible.len(),
-        with_room: context.eligible.iter().filter(|candidate| candidate.engine.has_room()).count(),
+        with_free_slots: context.eligible.iter().filter(|candidate| candidate.engine.has_free_slots()).count(),
         suspicion_revision: context.suspicions.revision(),
     };
     let wait = &mut context.run.items[index as usize].wait;
--- a/crates/coordinator/src/runner.rs
+++ b/crates/coordinator/src/runner.rs
@@ -132,11 +132,11 @@
         }
         let working_set = inner.working_set.borrow();
         inner.fleet.retain(|instance| working_set.contains(instance));
-        let is_gone = |instance: &InstanceId| {
+        let is_deregistered = |instance: &InstanceId| {
             state.instances.get(instance).is_none_or(|record| record.state == InstanceState::Gone)
         };
-        inner.scorers.retain(|instance| !is_gone(instance));
-        inner.pool.retain(|instance| !is_gone(instance));
+        inner.scorers.retain(|instance| !is_deregistered(instance));
+        inner.pool.retain(|instance| !is_deregistered(instance));
     }
 
     fn apply_plan(&self, plan: Plan) {
--- a/crates/coordinator/src/scorers.rs
+++ b/crates/coordinator/src/scorers.rs
@@ -134,17 +134,17 @@
         if round.full_services.contains(service) {
             return None;
         }
-        let with_room: Vec<ReadyEngine> =
-            round.engines(service).into_iter().filter(|engine| self.has_room(round, engine)).collect();
-        if with_room.is_empty() {
+        let with_free_capacity: Vec<ReadyEngine> =
+            round.engines(service).into_iter().filter(|engine| self.has_free_capacity(round, engine)).collect();
+        if with_free_capacity.is_empty() {
             round.full_services.insert(service.to_string());
             return None;
         }
         let tried: Vec<InstanceId> = avoid.into_iter().cloned().collect();
-        self.balance.choose(with_room.into_iter(), &self.zone, &tried, round.now)
+        self.balance.choose(with_free_capacity.into_iter(), &self.zone, &tried, round.now)
     }
 
-    fn has_room(&self, round: &ScoringRound, engine: &ReadyEngine) -> bool {
+    fn has_free_capacity(&self, round: &ScoringRound, engine: &ReadyEngine) -> bool {
         let instance = &engine.target.instance;
         if self.backed_off.borrow().get(instance).is_some_and(|until| round.now < *until) {
             return false;
--- a/crates/coordinator/src/scoring.rs
+++ b/crates/coordinator/src/scoring.rs
@@ -144,16 +144,16 @@
     let time_left = || deadline.saturating_sub(coordinator.now());
     let may_send = || {
         let is_pending = inner.node.read(|state| is_still_pending(state, call));
-        let exclusive = trial.is_some_and(ItemTrial::holds) || !coordinator.is_suspected(call);
+        let exclusive = trial.is_some_and(ItemTrial::is_held) || !coordinator.is_suspected(call);
         coordinator.leads(call.term) && is_pending == Some(true) && exclusive
     };
-    let answer = inner.pool.send(&call.engine.target, &outgoing, Reuse::Any, time_left, may_send).await;
-    let answer = match answer {
-        Ok(answer) => answer,
+    let response = inner.pool.send(&call.engine.target, &outgoing, Reuse::Any, time_left, may_send).await;
+    let response = match response {
+        Ok(response) => response,
         Err(failure) => return failure_end(&failure),
     };
-    let not_executed = answer.is_not_executed(coordinator.names());
-    match answer.read_whole(MAX_RESPONSE_BYTES).await {
+    let not_executed = response.is_not_executed(coordinator.names());
+    match response.read_body(MAX_RESPONSE_BYTES).await {
         Ok((head, _, connection)) => {
             if let Some(connection) = connection {
                 inner.pool.release(&call.engine.target, connection);
--- a/crates/coordinator/src/text.rs
+++ b/crates/coordinator/src/text.rs
@@ -127,13 +127,13 @@
 
     /// The outcome of the completed item at `index`, with the score if it names a scorer.
     pub fn outcome(&self, index: u32, score: Option<String>) -> ItemOutcome {
-        ItemOutcome { end: ItemEnd::Completed, rest: self.unsaved_part(index), score }
+        ItemOutcome { end: ItemEnd::Completed, remaining_text: self.unsaved_part(index), score }
     }
 }
 
 /// The outcome of an aborted item.
 pub fn aborted(index: u32) -> ItemOutcome {
-    let rest = TextPart {
+    let remaining_text = TextPart {
         item: index,
         offset: 0,
         data: Vec::new(),
@@ -142,5 +142,5 @@
         versions: Vec::new(),
         whole: false,
     };
-    ItemOutcome { end: ItemEnd::Aborted, rest, score: None }
+    ItemOutcome { end: ItemEnd::Aborted, remaining_text, score: None }
 }
--- a/crates/coordinator/src/waits.rs
+++ b/crates/coordinator/src/waits.rs
@@ -92,7 +92,7 @@
     /// Number of ready engines, of eligible ones among them, and of eligible ones with a free slot.
     pub engines: usize,
     pub eligible: usize,
-    pub with_room: usize,
+    pub with_free_slots: usize,
     /// Revision of the suspicion table that the plan used.
     pub suspicion_revision: u64,
 }
@@ -152,7 +152,7 @@
             waited_ms = waited.as_millis() as u64,
             engines = waiting.engines,
             eligible = waiting.eligible,
-            with_room = waiting.with_room,
+            with_room = waiting.with_free_slots,
             suspicion_revision = waiting.suspicion_revision,
             items_suppressed = suppressed
         });
--- a/crates/coordinator/src/working_set.rs
+++ b/crates/coordinator/src/working_set.rs
@@ -81,7 +81,7 @@
         for service in batch_services(document) {
             let set = self.services.entry(service.to_string()).or_default();
             let places: Vec<&EnginePlace> = table.places().filter(|place| place.service == service).collect();
-            let ready = places.iter().map(|place| table.present(place) as usize).sum();
+            let ready = places.iter().map(|place| table.available(place) as usize).sum();
             let hosting = document.service(service).and_then(|service| service.hosting.as_ref());
             let models = hosting.map(|hosting| hosting.models.as_slice()).unwrap_or_default();
             let slots = hosting.map(|hosting| hosting.slots).or_else(|| reported_slots(table, &places)).unwrap_or(1);
@@ -122,7 +122,7 @@
 
     /// Adds the engines that earlier leaders sent orders to, as they have recent weights.
     fn adopt_ordered_engines(&mut self, state: &ControlState, service: &str, added: &mut Added) {
-        for subject in state.orders.notes().keys() {
+        for subject in state.orders.intents().keys() {
             let OrderSubject::Engine(name) = subject else {
                 continue;
             };
--- a/crates/coordinator/tests/text.rs
+++ b/crates/coordinator/tests/text.rs
@@ -15,15 +15,18 @@
     text.push(&event(1, "one"), 6);
     text.push(&event(2, "two"), 7);
     let outcome = text.outcome(3, None);
-    assert_eq!((outcome.end, outcome.rest.item, &outcome.rest.data[..]), (ItemEnd::Completed, 3, &b"one\ntwo"[..]));
-    assert_eq!((outcome.rest.versions, text.last_event), (vec![6, 7], Some(2)));
+    assert_eq!(
+        (outcome.end, outcome.remaining_text.item, &outcome.remaining_text.data[..]),
+        (ItemEnd::Completed, 3, &b"one\ntwo"[..])
+    );
+    assert_eq!((outcome.remaining_text.versions, text.last_event), (vec![6, 7], Some(2)));
     assert!(text.satisfies(6, false) && !text.satisfies(7, false) && !text.satisfies(6, true));
 }
 
 #[test]
 fn an_aborted_item_has_no_text() {
     let outcome = aborted(4);
-    assert_eq!((outcome.end, outcome.rest.item, outcome.rest.data.len()), (ItemEnd::Aborted, 4, 0));
+    assert_eq!((outcome.end, outcome.remaining_text.item, outcome.remaining_text.data.len()), (ItemEnd::Aborted, 4, 0));
 }
 
 /// Whenever parts are saved and whichever acknowledgements are lost, the group reassembles the full text.
@@ -49,7 +52,8 @@
         for (index, (data, ..)) in steps.iter().enumerate() {
             whole.push(&event(index as u64 + 1, &"x".repeat(usize::from(data % 5))), 1);
         }
-        group_text.add(&text.outcome(0, None).rest) && group_text.data == whole.outcome(0, None).rest.data
+        group_text.add(&text.outcome(0, None).remaining_text)
+            && group_text.data == whole.outcome(0, None).remaining_text.data
     }
     QuickCheck::new().tests(500).quickcheck(check as fn(Vec<(u8, bool, bool)>) -> bool);
 }
@@ -101,5 +105,5 @@
     assert!(restored.is_complete() && !restored.is_completion_unsaved());
     assert!(ItemText::unsaved(&group_text).is_completion_unsaved(), "nothing is saved yet for the item of another job");
     let outcome = restored.outcome(0, Some("stamp".to_string()));
-    assert_eq!((outcome.rest.data.len(), outcome.score.as_deref()), (0, Some("stamp")));
+    assert_eq!((outcome.remaining_text.data.len(), outcome.score.as_deref()), (0, Some("stamp")));
 }
--- a/crates/duties/src/engine_counts.rs
+++ b/crates/duties/src/engine_counts.rs
@@ -50,7 +50,7 @@
     let mut place_states: BTreeMap<EnginePlace, PlaceState> = BTreeMap::new();
     loop {
         duties.runtime.sleep(CHECK_INTERVAL).await;
-        duties.node.observe_order_notes();
+        duties.node.observe_order_intents();
         let now = duties.runtime.monotonic();
         let Some(term) = duties.node.replica().leading_term() else {
             last_term = None;
@@ -87,11 +87,11 @@
         let wanted = state.engine_counts.wanted();
         let recorded = wanted.keys().filter(|place| place.service == service.name).cloned();
         let of_service = state.instances.places().filter(|place| place.service == service.name);
-        let with_engines = of_service.filter(|place| state.instances.present(place) > 0).cloned();
+        let with_engines = of_service.filter(|place| state.instances.available(place) > 0).cloned();
         let places: BTreeSet<EnginePlace> = recorded.chain(with_engines).collect();
         views.extend(places.into_iter().map(|place| PlaceView {
             wanted: wanted.get(&place).copied(),
-            present: state.instances.present(&place),
+            available: state.instances.available(&place),
             limits: limits.clone(),
             place,
         }));
@@ -125,7 +125,7 @@
         let Some(wanted) = view.wanted else {
             return;
         };
-        if view.present >= wanted {
+        if view.available >= wanted {
             place_state.missing_since = None;
             return;
         }
@@ -147,24 +147,25 @@
     /// Sends an order; returns whether the platform accepted it.
     async fn send_order(&self, term: u64, view: &PlaceView, count: u32) -> bool {
         let subject = OrderSubject::EngineCount(view.place.clone());
-        let Some(grant) = self.node.commit_order_note(term, vec![subject]).await else {
+        let Some(grant) = self.node.commit_order_intent(term, vec![subject]).await else {
             return false;
         };
         let right = CallGrant { holder: self.name.clone(), fence: grant.fence };
         let order = EngineCountOrder { place: view.place.clone(), count, withdrawable: false };
-        let call = self.dialect.engine_count(&right, &order);
+        let call = self.platform_format.engine_count(&right, &order);
         let answered = self.client.call(call, CALL_TIMEOUT, || self.node.grant_is_valid(&grant)).await;
         let outcome = match &answered {
-            Ok(status) => format!("{:?}", self.dialect.answer(*status, Some(&order))),
+            Ok(status) => format!("{:?}", self.platform_format.answer(*status, Some(&order))),
             Err(failure) => failure.to_string(),
         };
-        let taken = answered.is_ok_and(|status| self.dialect.answer(status, Some(&order)) == PlatformResponse::Taken);
+        let accepted =
+            answered.is_ok_and(|status| self.platform_format.answer(status, Some(&order)) == PlatformResponse::Taken);
         spdlog::info!("engine order sent", kv: {
             service = view.place.service.as_str(), zone = view.place.zone.as_str(), count = count,
-            present = view.present, fence = grant.fence.0, taken = taken, outcome = outcome.as_str()
+            present = view.available, fence = grant.fence.0, taken = accepted, outcome = outcome.as_str()
         });
-        let counter = if taken { &self.metrics.engine_orders_taken } else { &self.metrics.engine_orders_failed };
+        let counter = if accepted { &self.metrics.engine_orders_accepted } else { &self.metrics.engine_orders_failed };
         counter.inc();
-        taken
+        accepted
     }
 }
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -33,7 +33,7 @@
     /// The transport to the platform.
     pub client: C,
     /// The platform's request and response formats.
-    pub dialect: Box<dyn PlatformFormat>,
+    pub platform_format: Box<dyn PlatformFormat>,
     /// This process's name, sent in calls as the grant holder.
     pub name: String,
     /// Counters.
--- a/crates/duties/src/metrics.rs
+++ b/crates/duties/src/metrics.rs
@@ -8,13 +8,13 @@
     /// Usage windows whose counts were committed.
     pub windows_fixed: Counter,
     /// Usage reports that the platform accepted.
-    pub reports_taken: Counter,
+    pub reports_accepted: Counter,
     /// Usage reports that the platform rejected or that got no response.
     pub reports_failed: Counter,
     /// Usage reports accepted after their due time.
     pub reports_late: Counter,
     /// Engine orders that the platform accepted.
-    pub engine_orders_taken: Counter,
+    pub engine_orders_accepted: Counter,
     /// Engine orders that the platform rejected or that got no response.
     pub engine_orders_failed: Counter,
 }
@@ -24,18 +24,18 @@
         let mut registry = MetricRegistry::new("saddlerelay_duties");
         let mut counter = |name: &str, help: &str| registry.counter(name, help);
         let windows_fixed = counter("windows_fixed", "Windows whose counts were fixed");
-        let reports_taken = counter("reports_taken", "Usage reports that the platform has taken");
+        let reports_accepted = counter("reports_taken", "Usage reports that the platform has taken");
         let reports_failed = counter("reports_failed", "Usage reports that failed or went unanswered");
         let reports_late = counter("reports_late", "Usage reports taken after they were due");
-        let engine_orders_taken = counter("engine_orders_taken", "Orders of engines that the platform has taken");
+        let engine_orders_accepted = counter("engine_orders_taken", "Orders of engines that the platform has taken");
         let engine_orders_failed = counter("engine_orders_failed", "Orders of engines that failed or went unanswered");
         Self {
             registry,
             windows_fixed,
-            reports_taken,
+            reports_accepted,
             reports_failed,
             reports_late,
-            engine_orders_taken,
+            engine_orders_accepted,
             engine_orders_failed,
         }
     }
--- a/crates/duties/src/policies/keep_initial.rs
+++ b/crates/duties/src/policies/keep_initial.rs
@@ -8,6 +8,6 @@
 
 impl EngineCountPolicy for KeepInitial {
     fn wanted(&self, view: &PlaceView) -> u32 {
-        view.wanted.unwrap_or(view.present).clamp(view.limits.fewest, view.limits.most.max(view.limits.fewest))
+        view.wanted.unwrap_or(view.available).clamp(view.limits.fewest, view.limits.most.max(view.limits.fewest))
     }
 }
--- a/crates/duties/src/policies/mod.rs
+++ b/crates/duties/src/policies/mod.rs
@@ -13,7 +13,7 @@
     /// The service and zone.
     pub place: EnginePlace,
     /// Engines that are ready and reporting.
-    pub present: u32,
+    pub available: u32,
     /// The committed number of wanted engines; `None` before the first decision.
     pub wanted: Option<u32>,
     /// The service's scaling limits and costs.
--- a/crates/duties/src/usage_reports.rs
+++ b/crates/duties/src/usage_reports.rs
@@ -27,7 +27,7 @@
     let mut backoff = Backoff::default();
     loop {
         duties.runtime.sleep(CHECK_INTERVAL).await;
-        duties.node.observe_order_notes();
+        duties.node.observe_order_intents();
         let Some(term) = duties.node.replica().leading_term() else {
             backoff.reset();
             continue;
@@ -97,34 +97,35 @@
 
     /// Sends a report; returns whether the platform accepted it and that acceptance was committed.
     async fn send_report(&self, term: u64, report: &UsageReport, terms: UsageReportConfig) -> bool {
-        let Some(grant) = self.node.commit_order_note(term, vec![OrderSubject::UsageReports]).await else {
+        let Some(grant) = self.node.commit_order_intent(term, vec![OrderSubject::UsageReports]).await else {
             return false;
         };
         let right = CallGrant { holder: self.name.clone(), fence: grant.fence };
-        let call = self.dialect.usage_report(&right, report);
+        let call = self.platform_format.usage_report(&right, report);
         let began_at = self.runtime.monotonic();
         let answered = self.client.call(call, CALL_TIMEOUT, || self.node.grant_is_valid(&grant)).await;
         let outcome = match &answered {
-            Ok(status) => format!("{:?}", self.dialect.answer(*status, None)),
+            Ok(status) => format!("{:?}", self.platform_format.answer(*status, None)),
             Err(failure) => failure.to_string(),
         };
-        let taken = answered.is_ok_and(|status| self.dialect.answer(status, None) == PlatformResponse::Taken);
+        let accepted =
+            answered.is_ok_and(|status| self.platform_format.answer(status, None) == PlatformResponse::Taken);
         let late = self.node.group_unix_ms().is_some_and(|now| now > due_at_ms(report.window, terms));
         spdlog::info!("usage report sent", kv: {
             window = report.window.0,
             tenants = report.counts.len(),
             requests = report.counts.values().sum::<u64>(),
             fence = grant.fence.0,
-            taken = taken,
+            taken = accepted,
             late = late,
             outcome = outcome.as_str(),
             lasted_ms = self.runtime.monotonic().saturating_sub(began_at).as_millis() as u64
         });
-        if !taken {
+        if !accepted {
             self.metrics.reports_failed.inc();
             return false;
         }
-        self.metrics.reports_taken.inc();
+        self.metrics.reports_accepted.inc();
         if late {
             self.metrics.reports_late.inc();
         }
--- a/crates/engine-client/src/lib.rs
+++ b/crates/engine-client/src/lib.rs
@@ -8,7 +8,7 @@
 use cyper::Client;
 use futures::channel::mpsc;
 use hyper::{Method, StatusCode};
-use saddlerelay_http::body::{parse_json, read_whole};
+use saddlerelay_http::body::{parse_json, read_body};
 use saddlerelay_http::client::{Connection, HttpError};
 use saddlerelay_http::sse::{DONE, EventReader};
 use saddlerelay_runtime::backend::{BackendError, Backends, EngineConnection, StreamEvent};
@@ -144,7 +144,7 @@
 
 /// Maps an error response: `Refused` only if the engine reported that it did not admit the request, else `Unknown`.
 async fn engine_error(status: StatusCode, response: hyper::Response<hyper::body::Incoming>) -> BackendError {
-    let body = read_whole(response.into_body()).await.unwrap_or_default();
+    let body = read_body(response.into_body()).await.unwrap_or_default();
     let text = format!("{status}: {}", String::from_utf8_lossy(&body));
     let refused = parse_json::<wire::ErrorReply>(&body).is_ok_and(|reply| reply.error.admitted == Some(false));
     if refused { BackendError::Refused(text) } else { BackendError::Unknown(text) }
--- a/crates/fleet/src/bench.rs
+++ b/crates/fleet/src/bench.rs
@@ -164,7 +164,7 @@
 
 async fn time_relay_request(access: &HttpAccess, request: CallerRequest) -> Result<Duration> {
     let started_at = Instant::now();
-    let answer = access.ask(0, &request).await;
+    let answer = access.send_request(0, &request).await;
     ensure!(matches!(answer, CallerResponse::Whole { .. }), "the relay returned {answer:?}");
     Ok(started_at.elapsed())
 }
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -139,7 +139,7 @@
         std::fs::write(file, trace.write()?)?;
     }
     let mut report = check(&records, &options.limits);
-    scenario.judge(&mut report);
+    scenario.check_outcome(&mut report);
     Ok(RunResult { report, usage, seconds: duration.as_secs_f64() })
 }
 
--- a/crates/gateway-api/src/own.rs
+++ b/crates/gateway-api/src/own.rs
@@ -5,7 +5,7 @@
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method, Uri};
 use saddlerelay_coordinator::EngineFormat;
-use saddlerelay_coordinator::format::{Call, EngineReport, WeightOrder};
+use saddlerelay_coordinator::format::{EngineCall, EngineReport, WeightOrder};
 use saddlerelay_duties::PlatformFormat;
 use saddlerelay_duties::format::{CallGrant, EngineCountOrder, PlatformCall};
 use saddlerelay_types::gateway::GatewayRequest;
@@ -148,13 +148,13 @@
 pub struct NativeEngines;
 
 impl EngineFormat for NativeEngines {
-    fn order(&self, order: &WeightOrder) -> Call {
+    fn order(&self, order: &WeightOrder) -> EngineCall {
         let body = serde_json::to_vec(order).unwrap_or_default();
-        Call { method: Method::PUT, path: ORDER_PATH.to_string(), body: body.into() }
+        EngineCall { method: Method::PUT, path: ORDER_PATH.to_string(), body: body.into() }
     }
 
-    fn report(&self) -> Call {
-        Call { method: Method::GET, path: REPORT_PATH.to_string(), body: Bytes::new() }
+    fn report(&self) -> EngineCall {
+        EngineCall { method: Method::GET, path: REPORT_PATH.to_string(), body: Bytes::new() }
     }
 
     fn read_report(&self, body: &[u8]) -> Option<EngineReport> {
--- a/crates/gateway-api/tests/common/engine.rs
+++ b/crates/gateway-api/tests/common/engine.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, StatusCode};
 use saddlerelay_coordinator::format::{EngineReport, WeightOrder};
 use saddlerelay_gateway_api::own::{ORDER_PATH, REPORT_PATH};
-use saddlerelay_http::body::{BrokenOff, LocalBody, Reply, json, read_whole, whole};
+use saddlerelay_http::body::{BrokenOff, LocalBody, Reply, json, read_body, whole};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_types::instance::{InstanceId, LoadedModel};
 use std::cell::{Cell, RefCell};
@@ -330,7 +330,7 @@
 impl HttpHandler for StandInEngine {
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         let (head, body) = request.into_parts();
-        let body = read_whole(body).await.unwrap_or_default();
+        let body = read_body(body).await.unwrap_or_default();
         let expected = head.headers.get("saddlerelay-for-instance").and_then(|value| value.to_str().ok());
         if expected.is_some_and(|expected| expected != self.state.name) {
             let mut reply = whole(StatusCode::MISDIRECTED_REQUEST, "text/plain", "");
--- a/crates/gateway-api/tests/common/mod.rs
+++ b/crates/gateway-api/tests/common/mod.rs
@@ -14,7 +14,7 @@
 use saddlerelay_engine_client::{BackendAddresses, HttpBackends};
 use saddlerelay_gateway::{Gateway, GatewayConfig, GatewayOptions};
 use saddlerelay_gateway_api::{ClientApi, ControlApi, NativeEngines, NativeFormats};
-use saddlerelay_http::client::{Connection, WholeResponse};
+use saddlerelay_http::client::{BufferedResponse, Connection};
 use saddlerelay_http::server::{Shutdown, serve_until};
 use saddlerelay_replication::ReplicaOptions;
 use saddlerelay_replication::config::ReplicationConfig;
@@ -288,7 +288,7 @@
     }
 
     /// Sends a client's request to the gateway.
-    pub async fn request(&self, method: Method, path: &str, headers: &[(&str, &str)], body: &str) -> WholeResponse {
+    pub async fn request(&self, method: Method, path: &str, headers: &[(&str, &str)], body: &str) -> BufferedResponse {
         call(self.front, method, path, &[headers, &[("host", HOST)]].concat(), body.to_string()).await
     }
 
@@ -345,12 +345,12 @@
     path: &str,
     headers: &[(&str, &str)],
     body: impl Into<bytes::Bytes>,
-) -> WholeResponse {
+) -> BufferedResponse {
     let mut connection = Connection::open(address).await.expect("the server listens");
     let response = connection.send(method, path, headers, body).await.expect("a response");
     let (head, body) = response.into_parts();
-    let body = saddlerelay_http::body::read_whole(body).await.expect("a whole body");
-    WholeResponse { status: head.status, headers: head.headers, body }
+    let body = saddlerelay_http::body::read_body(body).await.expect("a whole body");
+    BufferedResponse { status: head.status, headers: head.headers, body }
 }
 
 /// A route of `kind` to `service`.
--- a/crates/gateway-api/tests/crashing_work.rs
+++ b/crates/gateway-api/tests/crashing_work.rs
@@ -160,7 +160,7 @@
             let answer = connection.send(Method::POST, "/plans/7", &headers, CRASHES_LATER).await.expect("a response");
             statuses.push(answer.status());
             // The stream ends early.
-            let _ = saddlerelay_http::body::read_whole(answer.into_body()).await;
+            let _ = saddlerelay_http::body::read_body(answer.into_body()).await;
             setting.await_evidence().await;
             setting.restart().await;
         }
--- a/crates/gateway-api/tests/duties.rs
+++ b/crates/gateway-api/tests/duties.rs
@@ -9,7 +9,7 @@
 use saddlerelay_duties::{Duties, HttpPlatform, PlatformMetrics, UsageReportConfig};
 use saddlerelay_gateway_api::NativePlatform;
 use saddlerelay_gateway_api::own::{FENCE_HEADER, HOLDER_HEADER, USAGE_PATH};
-use saddlerelay_http::body::{Reply, read_whole, whole};
+use saddlerelay_http::body::{Reply, read_body, whole};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime_compio::CompioRuntime;
@@ -38,7 +38,7 @@
         assert_eq!((&head.method, head.uri.path()), (&Method::POST, USAGE_PATH));
         assert_eq!(head.headers[HOLDER_HEADER], "coordinator");
         let fence = head.headers[FENCE_HEADER].to_str().expect("text").parse().expect("a number");
-        let body = read_whole(body).await.expect("a whole body");
+        let body = read_body(body).await.expect("a whole body");
         self.reports.borrow_mut().push((fence, serde_json::from_slice(&body).expect("a report")));
         let left = self.rejections_left.get();
         self.rejections_left.set(left.saturating_sub(1));
@@ -61,7 +61,7 @@
         runtime: runtime.clone(),
         node: deployment.node.clone(),
         client: HttpPlatform { address },
-        dialect: Box::new(NativePlatform),
+        platform_format: Box::new(NativePlatform),
         name: "coordinator".to_string(),
         metrics: metrics.clone(),
     });
--- a/crates/gateway-api/tests/jobs.rs
+++ b/crates/gateway-api/tests/jobs.rs
@@ -231,7 +231,7 @@
             assert_eq!((orders[0].orders_taken, orders[1].orders_taken), (0, 1));
             assert!(orders.iter().all(|order| order.holder == "coordinator"));
         }
-        let recorded = deployment.node.read_applied(|state| state.orders.notes().len());
+        let recorded = deployment.node.read_applied(|state| state.orders.intents().len());
         assert_eq!(recorded, 3, "each order is committed to the log before it is sent");
     });
 }
--- a/crates/gateway-api/tests/restarts.rs
+++ b/crates/gateway-api/tests/restarts.rs
@@ -131,7 +131,7 @@
     });
 }
 
-async fn name_version(deployment: &Deployment, version: u64) {
+async fn publish_version(deployment: &Deployment, version: u64) {
     let body = serde_json::to_vec(&notes(version)).expect("JSON");
     assert_eq!(call(deployment.control, Method::POST, "/v1/versions", &[], body).await.status, StatusCode::OK);
 }
@@ -146,14 +146,14 @@
         deployment.register(&before, "llm").await;
         deployment.await_engines("llm", 1).await;
         for version in [2, 3] {
-            name_version(&deployment, version).await;
+            publish_version(&deployment, version).await;
             eventually("the first instance has the version", async || before.models() == [notes(version)]).await;
         }
         // The restarted engine has loaded its weights again but lost its order count.
         after.set_started_at(SECOND);
         after.set_version(3);
         deployment.register(&after, "llm").await;
-        name_version(&deployment, 4).await;
+        publish_version(&deployment, 4).await;
         eventually("the second instance has the version", async || after.models() == [notes(4)]).await;
         assert_eq!(after.orders().iter().map(|order| order.orders_taken).collect::<Vec<_>>(), [0]);
         assert_eq!(after.orders_rejected(), 0, "an order used the count of the earlier instance");
@@ -172,7 +172,7 @@
         // The group only has the report of the earlier instance.
         assert_eq!(put(&deployment, "engine", &report_with_start(&engine, "llm", FIRST, 1)).await, StatusCode::OK);
         deployment.await_engines("llm", 1).await;
-        name_version(&deployment, 2).await;
+        publish_version(&deployment, 2).await;
         eventually("the engine was polled", async || engine.polls_answered() >= 2).await;
         assert!(engine.orders().is_empty());
         deployment.register(&engine, "llm").await;
--- a/crates/gateway-api/tests/tenants.rs
+++ b/crates/gateway-api/tests/tenants.rs
@@ -6,7 +6,7 @@
 use common::{Deployment, HOST, block_on, call, document, eventually, job, rollouts, route};
 use hyper::{Method, StatusCode};
 use saddlerelay_control::state::ControlState;
-use saddlerelay_http::client::{Connection, WholeResponse};
+use saddlerelay_http::client::{BufferedResponse, Connection};
 use saddlerelay_types::credentials::SecretDigest;
 use saddlerelay_types::identity::TenantId;
 use saddlerelay_types::job::JobSubmission;
@@ -87,7 +87,7 @@
     let headers = [ID, (KEY, key), ("host", HOST)];
     let response = connection.send(Method::GET, "/plans/1", &headers, "").await.expect("a response");
     let (head, body) = response.into_parts();
-    saddlerelay_http::body::read_whole(body).await.expect("a whole body");
+    saddlerelay_http::body::read_body(body).await.expect("a whole body");
     head.status
 }
 
@@ -130,7 +130,7 @@
     call(deployment.front, Method::POST, &path, &headers, body).await.status
 }
 
-async fn call_as(deployment: &Deployment, method: Method, path: &str, key: &str) -> WholeResponse {
+async fn call_as(deployment: &Deployment, method: Method, path: &str, key: &str) -> BufferedResponse {
     call(deployment.front, method, path, &[("host", HOST), (KEY, key)], "").await
 }
 
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -20,12 +20,12 @@
 }
 
 /// A buffered response: whether it reports that the request was not executed, its head and its body.
-pub(crate) type WholeAnswer = (bool, Parts, Bytes);
+pub(crate) type CompleteResponse = (bool, Parts, Bytes);
 
 impl AttemptOutcome {
     /// Classifies a response or a failure.
-    pub fn of(answer: Result<WholeAnswer, Failure>, names: &HeaderNames) -> Self {
-        match answer {
+    pub fn of(response: Result<CompleteResponse, Failure>, names: &HeaderNames) -> Self {
+        match response {
             Ok((true, head, _)) => Self::NotExecuted(status_reason(head.status)),
             Ok((false, head, body)) if is_engine_failure(head.status) => {
                 let reason = status_reason(head.status);
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -15,7 +15,7 @@
     /// `Retry-After` while the relay has no lease: about the duration of a leader election.
     pub lease_retry_after: Duration,
     /// Maximum size of a buffered response, in bytes.
-    pub whole_answer_bytes: usize,
+    pub max_response_bytes: usize,
     /// Maximum request body size until the first routing document arrives, in bytes.
     pub default_body_bytes: u64,
     /// Timeout of a follow request to the control group.
@@ -31,7 +31,7 @@
             hedge_percent: 45,
             retry_after: Duration::from_millis(200),
             lease_retry_after: Duration::from_millis(600),
-            whole_answer_bytes: 32 * 1024 * 1024,
+            max_response_bytes: 32 * 1024 * 1024,
             default_body_bytes: 8 * 1024 * 1024,
             follow_timeout: Duration::from_millis(650),
             last_trial_pause: DEFAULT_LAST_TRIAL_PAUSE,
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -111,7 +111,7 @@
     if let Some(unix_ms) = reply.group_unix_ms {
         inner.clock.borrow_mut().add_sample(unix_ms, inner.runtime.monotonic());
     }
-    inner.usage.borrow_mut().acknowledge(reply.usage_taken);
+    inner.usage.borrow_mut().acknowledge(reply.committed_usage_sequence);
     let changed = reply.instances.whole || !reply.instances.records.is_empty();
     let update_bytes = reply.routing.as_ref().map_or(0, EncodedRoutingUpdate::len);
     let before = inner.view.borrow().routing_version();
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,6 +1,6 @@
 //! Forwards requests with buffered responses, so that a failed or truncated response can be retried on another engine.
 
-use crate::attempt::{AttemptOutcome, PossibleRuns, WholeAnswer};
+use crate::attempt::{AttemptOutcome, CompleteResponse, PossibleRuns};
 use crate::gateway::{ChosenRoute, Gateway};
 use crate::lost_connections::RequestedWork;
 use crate::refusal::Refusal;
@@ -196,9 +196,9 @@
         let run = context.possible_runs.attempt();
         let may_send = || run.record_send(self.may_send_work(&context.suspect(), instance), self.now());
         let result = match self.inner.pool.send(&engine.target, outgoing, reuse, time_left, may_send).await {
-            Ok(answer) => {
-                let not_executed = answer.is_not_executed(self.names());
-                let read = answer.read_whole(self.inner.options.config.whole_answer_bytes).await;
+            Ok(response) => {
+                let not_executed = response.is_not_executed(self.names());
+                let read = response.read_body(self.inner.options.config.max_response_bytes).await;
                 read.map(|(head, body, connection)| {
                     if let Some(connection) = connection {
                         self.inner.pool.release(&engine.target, connection);
@@ -224,7 +224,7 @@
         context: &ForwardContext,
         instance: &InstanceId,
         started_at: Duration,
-        result: Result<WholeAnswer, Failure>,
+        result: Result<CompleteResponse, Failure>,
     ) -> AttemptOutcome {
         let now = self.now();
         let lasted = now.saturating_sub(started_at);
--- a/crates/gateway/src/lost_connections.rs
+++ b/crates/gateway/src/lost_connections.rs
@@ -25,7 +25,7 @@
 
     /// Whether this request holds the trial of its suspected work.
     pub fn has_trial(&self) -> bool {
-        self.trial.borrow().as_ref().is_some_and(RelayTrial::holds)
+        self.trial.borrow().as_ref().is_some_and(RelayTrial::is_held)
     }
 
     /// Stores the trial that this request acquired.
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -15,9 +15,9 @@
 use saddlerelay_http::body::{BrokenOff, LocalBody, Reply};
 use saddlerelay_runtime::timeout::timeout;
 use saddlerelay_types::instance::InstanceId;
-use saddlerelay_upstream::answer::AnswerStream;
 use saddlerelay_upstream::events::EventParser;
-use saddlerelay_upstream::{Answer, EngineTarget, Failure, Outgoing, Reuse};
+use saddlerelay_upstream::response::ResponseStream;
+use saddlerelay_upstream::{EngineTarget, Failure, Outgoing, Reuse, UpstreamResponse};
 use std::time::Duration;
 
 /// A stream that is being forwarded to a client.
@@ -33,7 +33,7 @@
     tried: Vec<EngineTarget>,
     parser: EventParser,
     last_event: Option<u64>,
-    body: AnswerStream,
+    body: ResponseStream,
     ended: bool,
 }
 
@@ -56,7 +56,7 @@
 /// The result of starting a stream.
 enum StreamStart {
     /// An engine responded with an event stream.
-    Answer(Box<Answer>),
+    Response(Box<UpstreamResponse>),
     /// An engine responded with something else, which was read to its end.
     Whole(Parts, Bytes),
     /// No engine accepted the request.
@@ -76,11 +76,11 @@
         let remaining = deadline.saturating_sub(self.now());
         let context = StreamContext { request: &request, work: &work, chosen, service: &service, deadline };
         let starting = self.start_stream(&context, &outgoing, &mut tried, &possible_runs);
-        let answer = match timeout(&self.inner.runtime, remaining, starting).await {
-            Some(StreamStart::Answer(answer)) => {
+        let response = match timeout(&self.inner.runtime, remaining, starting).await {
+            Some(StreamStart::Response(response)) => {
                 // Engines send the response head together with the first event.
                 counted.began_at(self.now());
-                answer
+                response
             }
             Some(StreamStart::Whole(head, body)) => return self.answer(&request, chosen, head, body),
             Some(StreamStart::Refused(refusal)) => return self.refuse(&request, refusal),
@@ -88,7 +88,7 @@
             None => return self.refuse(&request, Refusal::SendTimeout),
         };
         drop(counted);
-        let (mut head, stream) = answer.into_stream();
+        let (mut head, stream) = response.into_stream();
         remove_hop_by_hop(&mut head.headers);
         head.headers.remove(CONTENT_LENGTH);
         self.log_stream_started(&request, chosen, &head);
@@ -159,8 +159,8 @@
                     run.mark_not_executed();
                     reason
                 }
-                Err(AttemptOutcome::Failed(reason, answer)) => {
-                    last_failure = answer.or(last_failure);
+                Err(AttemptOutcome::Failed(reason, response)) => {
+                    last_failure = response.or(last_failure);
                     reason
                 }
                 Err(AttemptOutcome::ConnectionLost(reason)) => {
@@ -185,15 +185,15 @@
     }
 
     /// Returns a stream whose head has arrived; reads any other response to its end and classifies it.
-    async fn read_stream_start(&self, sent: Result<Answer, Failure>) -> Result<StreamStart, AttemptOutcome> {
+    async fn read_stream_start(&self, sent: Result<UpstreamResponse, Failure>) -> Result<StreamStart, AttemptOutcome> {
         let names = self.names();
         let whole = match sent {
-            Ok(answer) if answer.head.status.is_success() && answer.head.headers.contains_key(&names.stamp) => {
-                return Ok(StreamStart::Answer(Box::new(answer)));
+            Ok(response) if response.head.status.is_success() && response.head.headers.contains_key(&names.stamp) => {
+                return Ok(StreamStart::Response(Box::new(response)));
             }
-            Ok(answer) => {
-                let not_executed = answer.is_not_executed(names);
-                let read = answer.read_whole(self.inner.options.config.whole_answer_bytes).await;
+            Ok(response) => {
+                let not_executed = response.is_not_executed(names);
+                let read = response.read_body(self.inner.options.config.max_response_bytes).await;
                 read.map(|(head, body, _)| (not_executed, head, body))
             }
             Err(failure) => Err(failure),
@@ -275,8 +275,8 @@
             deadline: self.deadline,
         };
         match gateway.start_stream(&context, &self.outgoing, &mut self.tried, &possible_runs).await {
-            StreamStart::Answer(answer) => {
-                self.body = answer.into_stream().1;
+            StreamStart::Response(response) => {
+                self.body = response.into_stream().1;
                 self.parser = EventParser::new(gateway.names().weight_version.as_str());
                 true
             }
--- a/crates/gateway/src/usage.rs
+++ b/crates/gateway/src/usage.rs
@@ -1,6 +1,6 @@
 //! Counts started requests by tenant and time window, and reports the counts to the control group.
 //!
-//! Counts are reported as numbered differences, at most one in flight. A difference is resent unchanged until the
+//! Counts are reported as numbered deltas, at most one in flight. A delta is resent unchanged until the
 //! control group acknowledges its commit, so that it counts exactly once across leader changes.
 
 use crate::attempt::PossibleRuns;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The difference to send with the next follow request; the unacknowledged one if there is one.
+    /// The delta to send with the next follow request; the unacknowledged one if there is one.
     pub fn next_delta(&mut self) -> Option<UsageDelta> {
         if self.in_flight.is_none() && !self.counted.is_empty() {
             self.sequence += 1;
@@ -75,9 +75,9 @@
         self.in_flight.clone()
     }
 
-    /// Acknowledges all differences up to `sequence` as committed.
+    /// Acknowledges all deltas up to `sequence` as committed.
     pub fn acknowledge(&mut self, sequence: u64) {
-        if self.in_flight.as_ref().is_some_and(|difference| difference.sequence <= sequence) {
+        if self.in_flight.as_ref().is_some_and(|delta| delta.sequence <= sequence) {
             self.in_flight = None;
         }
     }
--- a/crates/gateway/tests/choice.rs
+++ b/crates/gateway/tests/choice.rs
@@ -95,7 +95,7 @@
     FollowReply {
         group_unix_ms: None,
         suspicions: None,
-        usage_taken: 0,
+        committed_usage_sequence: 0,
         lease_ms,
         routing: version.map(|version| update(None, version)),
         instances: InstanceUpdate::default(),
--- a/crates/gateway/tests/usage.rs
+++ b/crates/gateway/tests/usage.rs
@@ -17,7 +17,7 @@
     ledger.count(&tenant, window);
     let first = ledger.next_delta().expect("something was counted");
     ledger.count(&tenant, window);
-    assert_eq!(ledger.next_delta().as_ref(), Some(&first), "the first difference is not acknowledged yet");
+    assert_eq!(ledger.next_delta().as_ref(), Some(&first), "the first delta is not acknowledged yet");
     ledger.acknowledge(0);
     assert_eq!(ledger.next_delta().as_ref(), Some(&first));
     ledger.acknowledge(first.sequence);
@@ -27,7 +27,7 @@
     assert_eq!(ledger.next_delta(), None);
 }
 
-/// Each request is in exactly one difference, whichever replies are lost.
+/// Each request is in exactly one delta, whichever replies are lost.
 #[test]
 fn every_request_is_reported_exactly_once() {
     fn holds(steps: Vec<(u8, bool)>) -> bool {
@@ -39,12 +39,12 @@
                 ledger.count(&tenant, UsageWindow(u64::from(requests)));
                 counted += 1;
             }
-            let Some(difference) = ledger.next_delta() else {
+            let Some(delta) = ledger.next_delta() else {
                 continue;
             };
-            if difference.sequence > newest {
-                newest = difference.sequence;
-                reported += difference.counts.values().flat_map(|counts| counts.values()).sum::<u64>();
+            if delta.sequence > newest {
+                newest = delta.sequence;
+                reported += delta.counts.values().flat_map(|counts| counts.values()).sum::<u64>();
             }
             if answered {
                 ledger.acknowledge(newest);
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -13,7 +13,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Default maximum size of a body read by [`read_whole`].
+/// Default maximum size of a body read by [`read_body`].
 pub const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 /// A response body.
@@ -102,7 +102,7 @@
 }
 
 /// Reads a whole body, up to [`MAX_BODY_BYTES`].
-pub async fn read_whole<B>(body: B) -> Result<Bytes, BodyError>
+pub async fn read_body<B>(body: B) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,6 +1,6 @@
 //! HTTP client with one connection per call, so that errors before and after the request was sent are distinguishable.
 
-use crate::body::{BodyError, read_whole};
+use crate::body::{BodyError, read_body};
 use bytes::Bytes;
 use compio::net::TcpStream;
 use cyper_core::HyperStream;
@@ -39,7 +39,7 @@
 }
 
 /// A response with its body buffered.
-pub struct WholeResponse {
+pub struct BufferedResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -98,10 +98,10 @@
     path: &str,
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
-) -> Result<WholeResponse, HttpError> {
+) -> Result<BufferedResponse, HttpError> {
     let mut connection = Connection::open(address).await?;
     let response = connection.send(method, path, headers, body).await?;
     let (head, body) = response.into_parts();
-    let body = read_whole(body).await.map_err(|error: BodyError| HttpError::Lost(format!("{error:?}")))?;
-    Ok(WholeResponse { status: head.status, headers: head.headers, body })
+    let body = read_body(body).await.map_err(|error: BodyError| HttpError::Lost(format!("{error:?}")))?;
+    Ok(BufferedResponse { status: head.status, headers: head.headers, body })
 }
--- a/crates/layouts/src/level_one/convert/commands.rs
+++ b/crates/layouts/src/level_one/convert/commands.rs
@@ -15,7 +15,7 @@
             reports.into_iter().map(|report| One::ReportInstance(report.into())).collect()
         }
         GatewayCommand::RemoveInstance(id) => vec![One::RemoveInstance((&id).into())],
-        GatewayCommand::PublishVersion(named) => vec![One::PublishVersion(named)],
+        GatewayCommand::PublishVersion(published) => vec![One::PublishVersion(published)],
         GatewayCommand::SubmitJob { job, keep_ms } => {
             vec![One::SubmitJob { job: one::JobSubmission::of(job)?, keep_ms }]
         }
@@ -25,13 +25,13 @@
         GatewayCommand::RegisterStore(record) => vec![One::RegisterStore(record)],
         GatewayCommand::RetireStore(name) => vec![One::RetireStore(name)],
         GatewayCommand::StoreRetired(name) => vec![One::StoreRetired(name)],
-        GatewayCommand::NoteOrders { holder, subjects } => {
+        GatewayCommand::RecordOrderIntents { holder, subjects } => {
             let engine = |subject| match subject {
                 OrderSubject::Engine(name) => Some(one::InstanceId(name)),
                 OrderSubject::UsageReports | OrderSubject::EngineCount(_) => None,
             };
             let instances = subjects.into_iter().map(engine).collect::<Option<_>>()?;
-            vec![One::NoteOrders { holder, instances }, One::TakeOrders(holder)]
+            vec![One::RecordOrderIntents { holder, instances }, One::TakeOrders(holder)]
         }
         GatewayCommand::RecordSilence { .. }
         | GatewayCommand::AddUsage(_)
--- a/crates/layouts/src/level_one/convert/control.rs
+++ b/crates/layouts/src/level_one/convert/control.rs
@@ -46,7 +46,7 @@
         one::GatewayOutcome::Done => GatewayOutcome::Done,
         one::GatewayOutcome::NotFound => GatewayOutcome::NotFound,
         one::GatewayOutcome::TextMissing(missing) => GatewayOutcome::TextMissing(missing),
-        one::GatewayOutcome::Orders { fence, taken_over } => GatewayOutcome::Orders { fence, taken_over },
+        one::GatewayOutcome::Orders { fence, holder_changed } => GatewayOutcome::Orders { fence, holder_changed },
     }
 }
 
--- a/crates/layouts/src/level_one/convert/messages.rs
+++ b/crates/layouts/src/level_one/convert/messages.rs
@@ -20,7 +20,7 @@
         One::RemoveInstance(id) => GatewayRequest::RemoveInstance(id.into()),
         One::PutRouting(document) => GatewayRequest::PutRouting(document.into()),
         One::ReadRouting => GatewayRequest::ReadRouting,
-        One::PublishVersion(named) => GatewayRequest::PublishVersion(named),
+        One::PublishVersion(published) => GatewayRequest::PublishVersion(published),
         One::SubmitJob(job) => GatewayRequest::SubmitJob(job.into()),
         One::ReadResults { job, after, wait_ms } => GatewayRequest::ReadResults { job, after, wait_ms, caller },
         One::ReadPosition => GatewayRequest::ReadPosition,
@@ -44,7 +44,7 @@
         GatewayRequest::RemoveInstance(id) => One::RemoveInstance((&id).into()),
         GatewayRequest::PutRouting(document) => One::PutRouting(one_routing::RoutingDocument::of(document)?),
         GatewayRequest::ReadRouting => One::ReadRouting,
-        GatewayRequest::PublishVersion(named) => One::PublishVersion(named),
+        GatewayRequest::PublishVersion(published) => One::PublishVersion(published),
         GatewayRequest::SubmitJob(job) => One::SubmitJob(one::JobSubmission::of(job)?),
         GatewayRequest::ReadResults { job, after, wait_ms, caller } if is_anyone(&caller) => {
             One::ReadResults { job, after, wait_ms }
--- a/crates/layouts/src/level_one/convert/routing.rs
+++ b/crates/layouts/src/level_one/convert/routing.rs
@@ -100,7 +100,7 @@
     fn from(error: one_routing::RoutingError) -> Self {
         match error {
             one_routing::RoutingError::UnknownService(service) => Self::UnknownService(service),
-            one_routing::RoutingError::SamePlace(route) => Self::SamePlace(route),
+            one_routing::RoutingError::DuplicateHostAndPrefix(route) => Self::DuplicateHostAndPrefix(route),
             one_routing::RoutingError::NoWeight(route) => Self::NoWeight(route),
             one_routing::RoutingError::NoTimeout(route) => Self::NoTimeout(route),
             one_routing::RoutingError::BadPrefix(route) => Self::BadPrefix(route),
@@ -113,7 +113,7 @@
     pub fn of(error: RoutingError) -> Option<Self> {
         match error {
             RoutingError::UnknownService(service) => Some(Self::UnknownService(service)),
-            RoutingError::SamePlace(route) => Some(Self::SamePlace(route)),
+            RoutingError::DuplicateHostAndPrefix(route) => Some(Self::DuplicateHostAndPrefix(route)),
             RoutingError::NoWeight(route) => Some(Self::NoWeight(route)),
             RoutingError::NoTimeout(route) => Some(Self::NoTimeout(route)),
             RoutingError::BadPrefix(route) => Some(Self::BadPrefix(route)),
--- a/crates/layouts/src/level_one/follow.rs
+++ b/crates/layouts/src/level_one/follow.rs
@@ -68,7 +68,7 @@
             replicas: reply.replicas,
             nearest_replica: reply.nearest_replica,
             group_unix_ms: None,
-            usage_taken: 0,
+            committed_usage_sequence: 0,
             suspicions: None,
         })
     }
--- a/crates/layouts/src/level_one/gateway.rs
+++ b/crates/layouts/src/level_one/gateway.rs
@@ -165,7 +165,7 @@
     /// Makes a replica the holder of the right to issue orders and issues a fencing token.
     TakeOrders(ReplicaId),
     /// Records that the holder is about to issue orders to these instances.
-    NoteOrders {
+    RecordOrderIntents {
         holder: ReplicaId,
         instances: Vec<InstanceId>,
     },
@@ -178,5 +178,5 @@
     Done,
     NotFound,
     TextMissing(Vec<u32>),
-    Orders { fence: Fence, taken_over: bool },
+    Orders { fence: Fence, holder_changed: bool },
 }
--- a/crates/layouts/src/level_one/routing.rs
+++ b/crates/layouts/src/level_one/routing.rs
@@ -65,7 +65,7 @@
     /// A route names a service that is not listed.
     UnknownService(String),
     /// Two routes have the same host and path prefix.
-    SamePlace(String),
+    DuplicateHostAndPrefix(String),
     /// The weights of a route add up to 0.
     NoWeight(String),
     /// The timeout of a route is 0.
--- a/crates/relay/src/commands/callers.rs
+++ b/crates/relay/src/commands/callers.rs
@@ -110,7 +110,7 @@
             incarnation,
             started_at: self.inner.platform.monotonic(),
             deadline,
-            attempts: self.inner.options.config.attempts,
+            attempts: self.inner.options.config.max_attempts,
             oldest_useful_version: WeightVersion(0),
         }
     }
@@ -169,7 +169,7 @@
     async fn acquire(&self, claim: &Claim, deadline: Duration) -> Option<ClaimOutcome> {
         loop {
             let remaining = deadline.saturating_sub(self.inner.platform.monotonic());
-            let limit = remaining.min(self.inner.options.config.claim_limit);
+            let limit = remaining.min(self.inner.options.config.claim_timeout);
             let command = ClaimCommand::Acquire(claim.request.clone());
             let outcome = self.commit_claim(command, limit).await?;
             if outcome != ClaimOutcome::Running || remaining <= CLAIM_POLL_INTERVAL {
@@ -208,7 +208,7 @@
     /// the key.
     async fn prove_not_executed(&self, claim: &Claim, failure: &DispatchFailure) -> RequestFailure {
         let command = ClaimCommand::Seal(claim.request.clone());
-        let sealed = self.commit_claim(command, self.inner.options.config.claim_limit).await;
+        let sealed = self.commit_claim(command, self.inner.options.config.claim_timeout).await;
         if sealed == Some(ClaimOutcome::Sealed) {
             let message = format!("{}; use a new key to ask again", failure.message);
             let retry = SHORT_RETRY_MILLISECONDS;
@@ -224,7 +224,7 @@
     async fn commit_result(&self, claim: &Claim, result: ClaimResult) {
         let (key, arrival) = (claim.request.key.clone(), claim.request.arrival);
         let command = ClaimCommand::Finish { key, arrival, result };
-        if self.commit_claim(command.clone(), self.inner.options.config.claim_limit).await.is_none() {
+        if self.commit_claim(command.clone(), self.inner.options.config.claim_timeout).await.is_none() {
             self.inner.platform.spawn(self.clone().end_claim_in_background(command, claim.request.holder));
         }
     }
@@ -238,7 +238,7 @@
                 ClaimCommand::Finish { key, arrival, result: ClaimResult::Failed(answer.clone()) }
             }
         };
-        if self.commit_claim(command.clone(), self.inner.options.config.claim_limit).await.is_none() {
+        if self.commit_claim(command.clone(), self.inner.options.config.claim_timeout).await.is_none() {
             self.inner.platform.spawn(self.clone().end_claim_in_background(command, claim.request.holder));
         }
     }
--- a/crates/relay/src/commands/samples.rs
+++ b/crates/relay/src/commands/samples.rs
@@ -45,7 +45,7 @@
 pub(crate) async fn run_samples<P: Runtime, B: Backends>(relay: Relay<P, B>) {
     let mut sequence = 0;
     loop {
-        relay.inner.platform.sleep(relay.inner.options.config.rollout_interval).await;
+        relay.inner.platform.sleep(relay.inner.options.config.assignment_interval).await;
         let free_slots = free_sample_slots(&relay).min(max_assignments(&relay));
         if !relay.is_ready() || free_slots == 0 {
             continue;
@@ -88,7 +88,7 @@
         }
     }
     let total: u32 = free_slots.iter().map(|(_, free)| free).sum();
-    total.min(relay.inner.options.config.rollout_batch)
+    total.min(relay.inner.options.config.max_assignment_batch)
 }
 
 async fn run_sample<P: Runtime, B: Backends>(
--- a/crates/relay/src/commands/trainers.rs
+++ b/crates/relay/src/commands/trainers.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Fetches samples after `cursor`; long-polls for up to `fetch_wait` if there are none.
+    /// Fetches samples after `cursor`; long-polls for up to `max_fetch_wait` if there are none.
     pub async fn fetch(
         &self,
         tenant: TenantId,
@@ -70,7 +70,7 @@
         cursor: Position,
         limit: u32,
     ) -> Result<DeliveryBatch, TrainerError> {
-        let wait_until = self.inner.platform.monotonic() + self.inner.options.config.fetch_wait;
+        let wait_until = self.inner.platform.monotonic() + self.inner.options.config.max_fetch_wait;
         loop {
             let command = RolloutCommand::Fetch { tenant: tenant.clone(), incarnation, cursor, limit };
             let outcome = self.inner.control.execute(Command::Rollout(command), CALL_TIMEOUT).await?;
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -7,32 +7,32 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayConfig {
     /// Pause after a failed lease renewal. Successful ones are long polls, paced by the control group.
-    pub renew_interval: Duration,
+    pub renewal_retry_delay: Duration,
     /// Timeout of a lease renewal.
-    pub renew_limit: Duration,
+    pub renewal_timeout: Duration,
     /// Pause between assignment requests for samples.
-    pub rollout_interval: Duration,
+    pub assignment_interval: Duration,
     /// Maximum number of samples per assignment request.
-    pub rollout_batch: u32,
+    pub max_assignment_batch: u32,
     /// Timeout for connecting to an engine.
     pub connect_timeout: Duration,
     /// Timeout for an engine's response to a request, and for each chunk of its stream.
-    pub chunk_limit: Duration,
+    pub chunk_timeout: Duration,
     /// Maximum wait for an engine that can accept a request.
-    pub engine_wait: Duration,
+    pub max_engine_wait: Duration,
     /// How long after its start a sample waits for an engine with newer weights than the oldest version that its
     /// trainer can use.
-    pub newer_weights_wait: Duration,
+    pub max_newer_weights_wait: Duration,
     /// Timeout for committing a claim.
-    pub claim_limit: Duration,
+    pub claim_timeout: Duration,
     /// Maximum number of attempts for a caller's request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Limit of this relay's concurrent requests to an engine, in percent of the engine's slots.
     pub engine_in_flight_percent: u32,
     /// Maximum long-poll time of a trainer's fetch.
-    pub fetch_wait: Duration,
+    pub max_fetch_wait: Duration,
     /// Maximum time that a drain waits for requests and samples in progress.
-    pub drain_limit: Duration,
+    pub drain_timeout: Duration,
     /// Delay before the last trial of suspected work, whose failure quarantines it.
     pub last_trial_pause: Duration,
 }
@@ -40,19 +40,19 @@
 impl Default for RelayConfig {
     fn default() -> Self {
         Self {
-            renew_interval: Duration::from_millis(400),
-            renew_limit: Duration::from_millis(1500),
-            rollout_interval: Duration::from_millis(50),
-            rollout_batch: 64,
+            renewal_retry_delay: Duration::from_millis(400),
+            renewal_timeout: Duration::from_millis(1500),
+            assignment_interval: Duration::from_millis(50),
+            max_assignment_batch: 64,
             connect_timeout: Duration::from_millis(150),
-            chunk_limit: Duration::from_secs(5),
-            engine_wait: Duration::from_millis(1500),
-            newer_weights_wait: Duration::from_millis(1500),
-            claim_limit: Duration::from_secs(4),
-            attempts: 5,
+            chunk_timeout: Duration::from_secs(5),
+            max_engine_wait: Duration::from_millis(1500),
+            max_newer_weights_wait: Duration::from_millis(1500),
+            claim_timeout: Duration::from_secs(4),
+            max_attempts: 5,
             engine_in_flight_percent: 300,
-            fetch_wait: Duration::from_secs(2),
-            drain_limit: Duration::from_secs(120),
+            max_fetch_wait: Duration::from_secs(2),
+            drain_timeout: Duration::from_secs(120),
             last_trial_pause: DEFAULT_LAST_TRIAL_PAUSE,
         }
     }
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -164,7 +164,7 @@
         let suspicions = &self.inner.suspicions;
         let is_suspected = suspicions.engines_ended(|| progress.work_digest()) > 0;
         let retry_after = match suspicions.verdict(|| progress.work_digest()) {
-            Verdict::Send if !is_suspected || progress.trial.as_ref().is_some_and(RelayTrial::holds) => return Ok(()),
+            Verdict::Send if !is_suspected || progress.trial.as_ref().is_some_and(RelayTrial::is_held) => return Ok(()),
             Verdict::Send => {
                 let remaining = progress.work.deadline.saturating_sub(self.inner.platform.monotonic());
                 progress.trial = suspicions.begin_trial(progress.work_digest(), remaining).await;
@@ -214,7 +214,8 @@
     async fn wait_for_engine(&self, progress: &Progress<'_, P>) -> Option<EngineDescription> {
         let config = &self.inner.options.config;
         let is_rollout = progress.work.priority == Priority::Rollout;
-        let max_wait = if is_rollout { config.engine_wait + config.newer_weights_wait } else { config.engine_wait };
+        let max_wait =
+            if is_rollout { config.max_engine_wait + config.max_newer_weights_wait } else { config.max_engine_wait };
         let wait_until = (self.inner.platform.monotonic() + max_wait).min(progress.work.deadline);
         loop {
             if let Some(engine) = self.choose_engine(progress) {
@@ -284,12 +285,12 @@
     }
 
     /// The oldest weight version that a sample may start on. A sample on the oldest version that its trainer can use is
-    /// discarded at the next publication. For `newer_weights_wait` after its start, a sample therefore waits for an
+    /// discarded at the next publication. For `max_newer_weights_wait` after its start, a sample therefore waits for an
     /// engine with newer weights.
     fn oldest_start_version(&self, view: &View, work: &GenerationWork, now: Duration) -> WeightVersion {
         let useful = view.oldest_useful_version(&work.tenant).max(work.oldest_useful_version);
         let bound = view.tenant(&work.tenant).map_or(0, |tenant| tenant.staleness_bound);
-        let may_wait = now < work.started_at + self.inner.options.config.newer_weights_wait;
+        let may_wait = now < work.started_at + self.inner.options.config.max_newer_weights_wait;
         if bound > 0 && useful > WeightVersion(0) && may_wait { useful.next() } else { useful }
     }
 
@@ -306,13 +307,13 @@
         if !self.inner.view.borrow().is_ready(&engine.id) {
             return Err(AttemptFailure::NotExecuted("the engine is leaving".to_string()));
         }
-        if progress.trial.as_ref().is_some_and(|trial| !trial.holds()) {
+        if progress.trial.as_ref().is_some_and(|trial| !trial.is_held()) {
             return Err(AttemptFailure::NotExecuted("the right to run suspected work is over".to_string()));
         }
         let request = self.engine_request(progress);
         let attempt_id = request.attempt_id;
         let remaining = work.deadline.saturating_sub(self.inner.platform.monotonic());
-        let limit = remaining.min(self.inner.options.config.chunk_limit);
+        let limit = remaining.min(self.inner.options.config.chunk_timeout);
         let stream = match timeout(&self.inner.platform, limit, connection.generate(request)).await {
             Some(Ok(stream)) => stream,
             Some(Err(error)) => return Err(self.engine_failed(engine, error)),
@@ -386,7 +387,7 @@
         stream: &mut mpsc::UnboundedReceiver<StreamEvent>,
     ) -> Result<EngineChunk, AttemptFailure> {
         let remaining = work.deadline.saturating_sub(self.inner.platform.monotonic());
-        let limit = remaining.min(self.inner.options.config.chunk_limit);
+        let limit = remaining.min(self.inner.options.config.chunk_timeout);
         let event = timeout(&self.inner.platform, limit, stream.next()).await;
         match event {
             Some(Some(Ok(chunk))) => Ok(chunk),
--- a/crates/relay/src/lease.rs
+++ b/crates/relay/src/lease.rs
@@ -42,12 +42,12 @@
             let sent_at = self.inner.platform.monotonic();
             let renewal = self.renewal_request();
             let incarnation = renewal.relay.incarnation;
-            let renewed = match self.inner.control.renew(renewal, config.renew_limit).await {
+            let renewed = match self.inner.control.renew(renewal, config.renewal_timeout).await {
                 Ok(reply) => self.apply_renewal(reply, sent_at, incarnation).await,
                 Err(_) => false,
             };
             // Renewals are long polls: the control group replies immediately if there are changes, and later otherwise.
-            let pause = if renewed { RENEWED_PAUSE } else { config.renew_interval };
+            let pause = if renewed { RENEWED_PAUSE } else { config.renewal_retry_delay };
             self.inner.platform.sleep(pause).await;
         }
     }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -171,11 +171,11 @@
         self.count(|counters| counters.fenced += 1);
     }
 
-    /// Drains the relay: rejects new requests and waits, up to `drain_limit`, for requests and samples in progress.
+    /// Drains the relay: rejects new requests and waits, up to `drain_timeout`, for requests and samples in progress.
     /// Returns whether all of them ended in time.
     pub async fn drain(&self) -> bool {
         self.inner.stopping.set(true);
-        let deadline = self.inner.platform.monotonic() + self.inner.options.config.drain_limit;
+        let deadline = self.inner.platform.monotonic() + self.inner.options.config.drain_timeout;
         while self.inner.platform.monotonic() < deadline {
             if self.in_progress() == 0 && !self.inner.assignment_in_flight.get() {
                 return true;
--- a/crates/scenarios/src/trace.rs
+++ b/crates/scenarios/src/trace.rs
@@ -224,7 +224,7 @@
     }
 
     /// Adds a violation for each part of the expected outcome that was not reached.
-    pub fn judge(&self, report: &mut Report) {
+    pub fn check_outcome(&self, report: &mut Report) {
         let counts = &report.counts;
         let answered = counts.answered * 100;
         let mut failures = Vec::new();
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -72,23 +72,28 @@
         PolicyName::PrefixAffinity
     });
     let config = RelayConfig {
-        renew_interval: section.milliseconds("renew_interval_ms", default.renew_interval, 50..=1_000),
-        renew_limit: section.milliseconds("renew_limit_ms", default.renew_limit, 100..=5_000),
-        rollout_interval: section.milliseconds("rollout_interval_ms", default.rollout_interval, 10..=5_000),
-        rollout_batch: section.number("rollout_batch", u64::from(default.rollout_batch), 1..=1_024) as u32,
+        renewal_retry_delay: section.milliseconds("renew_interval_ms", default.renewal_retry_delay, 50..=1_000),
+        renewal_timeout: section.milliseconds("renew_limit_ms", default.renewal_timeout, 100..=5_000),
+        assignment_interval: section.milliseconds("rollout_interval_ms", default.assignment_interval, 10..=5_000),
+        max_assignment_batch: section.number("rollout_batch", u64::from(default.max_assignment_batch), 1..=1_024)
+            as u32,
         connect_timeout: section.milliseconds("connect_limit_ms", default.connect_timeout, 10..=10_000),
-        chunk_limit: section.milliseconds("chunk_limit_ms", default.chunk_limit, 100..=120_000),
-        engine_wait: section.milliseconds("engine_wait_ms", default.engine_wait, 0..=60_000),
-        newer_weights_wait: section.milliseconds("newer_weights_wait_ms", default.newer_weights_wait, 0..=600_000),
-        claim_limit: section.milliseconds("claim_limit_ms", default.claim_limit, 100..=30_000),
-        attempts: section.number("attempts", u64::from(default.attempts), 1..=20) as u32,
+        chunk_timeout: section.milliseconds("chunk_limit_ms", default.chunk_timeout, 100..=120_000),
+        max_engine_wait: section.milliseconds("engine_wait_ms", default.max_engine_wait, 0..=60_000),
+        max_newer_weights_wait: section.milliseconds(
+            "newer_weights_wait_ms",
+            default.max_newer_weights_wait,
+            0..=600_000,
+        ),
+        claim_timeout: section.milliseconds("claim_limit_ms", default.claim_timeout, 100..=30_000),
+        max_attempts: section.number("attempts", u64::from(default.max_attempts), 1..=20) as u32,
         engine_in_flight_percent: section.number(
             "engine_in_flight_percent",
             u64::from(default.engine_in_flight_percent),
             10..=1_000,
         ) as u32,
-        fetch_wait: section.milliseconds("fetch_wait_ms", default.fetch_wait, 0..=30_000),
-        drain_limit: section.milliseconds("drain_limit_ms", default.drain_limit, 1_000..=3_600_000),
+        max_fetch_wait: section.milliseconds("fetch_wait_ms", default.max_fetch_wait, 0..=30_000),
+        drain_timeout: section.milliseconds("drain_limit_ms", default.drain_timeout, 1_000..=3_600_000),
         last_trial_pause: section.milliseconds("last_trial_pause_ms", default.last_trial_pause, 0..=600_000),
     };
     section.end();
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -25,7 +25,7 @@
         let Role::Relay(settings) = relay.role else {
             panic!("relay.toml has a role other than relay");
         };
-        assert_eq!(settings.config.drain_limit, Duration::from_secs(600));
+        assert_eq!(settings.config.drain_timeout, Duration::from_secs(600));
         assert_eq!(control.control, relay.control, "both examples name the same control replicas");
     }
 }
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -81,7 +81,7 @@
     let ended = faults_ended && world.run(&mut pool, limit, all_ended);
     let records = cluster.records.borrow().clone();
     let mut report = check(&records, &scenario.limits());
-    scenario.judge(&mut report);
+    scenario.check_outcome(&mut report);
     if let Some(at) = cluster.two_leaders_at.get() {
         let detail = format!("two control replicas could both serve reads at {at:?}");
         report.violations.push(Violation { promise: Promise::Configuration, detail });
--- a/crates/simulator/src/service.rs
+++ b/crates/simulator/src/service.rs
@@ -198,7 +198,7 @@
         self.relays.len()
     }
 
-    async fn ask(&self, relay: usize, request: &CallerRequest) -> CallerResponse {
+    async fn send_request(&self, relay: usize, request: &CallerRequest) -> CallerResponse {
         let started_at = self.platform.monotonic();
         let Ok((mut sender, mut receiver)) = self.platform.connect(self.relays[relay]).await else {
             return CallerResponse::NotSent;
@@ -277,7 +277,7 @@
         self.trainer_call(relay, &RelayCall::Publish(tenant.clone(), incarnation, version, cursor)).await
     }
 
-    async fn change(&self, change: &ConfigurationChange) -> Option<ConfigurationOutcome> {
+    async fn change_configuration(&self, change: &ConfigurationChange) -> Option<ConfigurationOutcome> {
         let place = self.next_control.replace(self.next_control.get() + 1) % self.control.len();
         let (mut sender, mut receiver) = self.platform.connect(self.control[place]).await.ok()?;
         sender.send(bitcode::encode(change)).await.ok()?;
--- a/crates/simulator/tests/crashing_work.rs
+++ b/crates/simulator/tests/crashing_work.rs
@@ -124,7 +124,7 @@
     let request = request(&cluster, &format!("a prompt that {CRASHES}"));
     let mut answers = Vec::new();
     for round in 0..ROUNDS {
-        let requests = (0..concurrency).map(|place| access.ask((round + place) % access.relays(), &request));
+        let requests = (0..concurrency).map(|place| access.send_request((round + place) % access.relays(), &request));
         answers.extend(join_all(requests).await);
         platform.sleep(ROUND_PAUSE).await;
     }
@@ -135,7 +135,7 @@
     let platform = cluster.client_platform();
     let access = cluster.access(platform.clone());
     let request = request(&cluster, "an innocent prompt");
-    join_all((0..access.relays()).map(|relay| access.ask(relay, &request))).await
+    join_all((0..access.relays()).map(|relay| access.send_request(relay, &request))).await
 }
 
 fn is_quarantined(answer: &CallerResponse) -> bool {
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -158,9 +158,9 @@
 }
 
 /// Stores calls and refers to them by index in place of encoding them.
-struct IndexedDialect(Rc<RefCell<Vec<(u64, Received)>>>);
+struct IndexedPlatformFormat(Rc<RefCell<Vec<(u64, Received)>>>);
 
-impl IndexedDialect {
+impl IndexedPlatformFormat {
     fn keep(&self, right: &CallGrant, call: Received) -> PlatformCall {
         let mut calls = self.0.borrow_mut();
         calls.push((right.fence.0, call));
@@ -173,7 +173,7 @@
     }
 }
 
-impl PlatformFormat for IndexedDialect {
+impl PlatformFormat for IndexedPlatformFormat {
     fn usage_report(&self, right: &CallGrant, report: &UsageReport) -> PlatformCall {
         self.keep(right, Received::Usage(report.clone()))
     }
@@ -421,7 +421,7 @@
         runtime: runtime.clone(),
         node: node.clone(),
         client,
-        dialect: Box::new(IndexedDialect(calls)),
+        platform_format: Box::new(IndexedPlatformFormat(calls)),
         name,
         metrics: Rc::new(PlatformMetrics::default()),
     });
@@ -463,7 +463,7 @@
                 if let Some(unix_ms) = reply.group_unix_ms {
                     clock.borrow_mut().add_sample(unix_ms, runtime.monotonic());
                 }
-                ledger.borrow_mut().acknowledge(reply.usage_taken);
+                ledger.borrow_mut().acknowledge(reply.committed_usage_sequence);
                 // The leader responds immediately to a request with instance revision 0.
                 runtime.sleep(Duration::from_millis(200)).await;
             }
--- a/crates/simulator/tests/granted_rights.rs
+++ b/crates/simulator/tests/granted_rights.rs
@@ -196,7 +196,7 @@
 async fn send_until_running(cluster: &Rc<Cluster>, request: &CallerRequest) -> Slot<CallerResponse> {
     let platform = cluster.client_platform();
     let (access, first) = (cluster.access(platform.clone()), request.clone());
-    let answer = spawn_task(cluster, async move { access.ask(0, &first).await });
+    let answer = spawn_task(cluster, async move { access.send_request(0, &first).await });
     while executions(cluster, request) == 0 {
         platform.sleep(Duration::from_millis(1)).await;
     }
@@ -207,7 +207,7 @@
 async fn send_again(cluster: &Rc<Cluster>, request: &CallerRequest) -> (CallerResponse, Duration) {
     let platform = cluster.client_platform();
     let sent_at = platform.monotonic();
-    let answer = cluster.access(platform.clone()).ask(1, request).await;
+    let answer = cluster.access(platform.clone()).send_request(1, request).await;
     let took = match &answer {
         CallerResponse::Whole { first_token_after: Some(after), .. } => *after,
         _ => platform.monotonic() - sent_at,
@@ -317,7 +317,7 @@
             platform.sleep(ENGINE_LOSS_DETECTION_LIMIT).await;
             let request = request(&cluster, Repeatability::NotRepeatable);
             let (access, sent_request) = (cluster.access(platform.clone()), request.clone());
-            let first = spawn_task(&cluster, async move { access.ask(0, &sent_request).await });
+            let first = spawn_task(&cluster, async move { access.send_request(0, &sent_request).await });
             platform.sleep(CLAIM_TIME).await;
             restart_group(&cluster, LONG_OUTAGE).await;
             engines.for_each(|place| cluster.start_engine(place));
--- a/crates/simulator/tests/reports.rs
+++ b/crates/simulator/tests/reports.rs
@@ -157,7 +157,9 @@
         }
         self.run_for(Duration::from_secs(1));
         let in_time = |(at, answer): &&(Duration, Rc<Cell<ReportResult>>)| {
-            answer.get().is_some_and(|(acknowledged, told_at)| acknowledged && told_at < *at + Duration::from_secs(1))
+            answer
+                .get()
+                .is_some_and(|(acknowledged, replied_at)| acknowledged && replied_at < *at + Duration::from_secs(1))
         };
         ENGINES - answers.iter().filter(in_time).count()
     }
--- a/crates/simulator/tests/trial_leases.rs
+++ b/crates/simulator/tests/trial_leases.rs
@@ -80,13 +80,13 @@
 /// Requests the lease repeatedly and runs the work while holding it.
 async fn run_work(runtime: SimRuntime, state: Rc<HolderState>) {
     let control = ControlClient::new(runtime.clone(), &(1..=REPLICAS).map(address).collect::<Vec<_>>(), SECRET);
-    let keeper = TrialLeases::start(runtime.clone(), control);
+    let trial_leases = TrialLeases::start(runtime.clone(), control);
     while !state.stops.get() {
-        if let Some(guard) = keeper.begin(work(), LIMIT).await {
+        if let Some(guard) = trial_leases.begin(work(), LIMIT).await {
             state.running_since.set(Some(runtime.monotonic()));
             let stops = async {
                 while !state.stops.get() {
-                    state.may_start_attempt.set(guard.holds());
+                    state.may_start_attempt.set(guard.is_held());
                     runtime.sleep(Duration::from_millis(10)).await;
                 }
             };
--- a/crates/simulator/tests/trial_renewals.rs
+++ b/crates/simulator/tests/trial_renewals.rs
@@ -74,11 +74,11 @@
     renewals.loses.set(loses);
     let group = Group { runtime: runtime.clone(), renewals: renewals.clone() };
     world.spawn(&process, async move {
-        let keeper = TrialLeases::start(runtime.clone(), group);
+        let trial_leases = TrialLeases::start(runtime.clone(), group);
         let limit = Duration::from_secs(40);
-        let _first = keeper.begin(WorkDigest::of_post_request(None, "host", "/", b"first"), limit).await;
+        let _first = trial_leases.begin(WorkDigest::of_post_request(None, "host", "/", b"first"), limit).await;
         runtime.sleep(later).await;
-        let _second = keeper.begin(WorkDigest::of_post_request(None, "host", "/", b"second"), limit).await;
+        let _second = trial_leases.begin(WorkDigest::of_post_request(None, "host", "/", b"second"), limit).await;
         runtime.sleep(Duration::from_secs(10)).await;
     });
     world.run(&mut pool, Duration::from_secs(8), || false);
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -8,7 +8,7 @@
     UNKNOWN_KEY_REQUEST,
 };
 use hyper::{Method, StatusCode};
-use saddlerelay_http::client::WholeResponse;
+use saddlerelay_http::client::BufferedResponse;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -142,7 +142,7 @@
 }
 
 /// Classifies a response; records a violation if a successful one does not match the request.
-pub fn classify(request: &Request, response: Option<WholeResponse>, journal: &Journal) -> Outcome {
+pub fn classify(request: &Request, response: Option<BufferedResponse>, journal: &Journal) -> Outcome {
     let Some(response) = response else {
         return Outcome::Broken;
     };
@@ -162,7 +162,7 @@
 }
 
 /// Describes a mismatch between a request and its successful response; `None` if they match.
-fn mismatch_of(request: &Request, response: &WholeResponse) -> Option<String> {
+fn mismatch_of(request: &Request, response: &BufferedResponse) -> Option<String> {
     let text = String::from_utf8_lossy(&response.body).into_owned();
     let Some(events) = request.events else {
         let expected = workload::expected_response(&request.path, &request.id, request.body.as_bytes());
--- a/crates/soak/src/calls.rs
+++ b/crates/soak/src/calls.rs
@@ -4,7 +4,7 @@
 use crate::workload::{HOST, KEY};
 use bytes::Bytes;
 use hyper::Method;
-use saddlerelay_http::client::{HttpError, WholeResponse, call};
+use saddlerelay_http::client::{BufferedResponse, HttpError, call};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
     response_timeout: Duration,
-) -> Option<WholeResponse> {
+) -> Option<BufferedResponse> {
     let result = compio::time::timeout(response_timeout, call(address, method, path, headers, body)).await;
     match result {
         Ok(Ok(response)) => Some(response),
@@ -39,7 +39,7 @@
     method: Method,
     path: &str,
     body: Vec<u8>,
-) -> Option<WholeResponse> {
+) -> Option<BufferedResponse> {
     let address = addresses.control(fastrand::u8(..addresses.size.coordinators));
     send_request(address, method, path, &[], body, CONTROL_TIMEOUT).await
 }
@@ -71,7 +71,7 @@
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
     response_timeout: Duration,
-) -> Option<WholeResponse> {
+) -> Option<BufferedResponse> {
     let headers = [headers, &[("host", HOST), (KEY_HEADER, KEY)]].concat();
     send_request(addresses.front(gateway), method, path, &headers, body, response_timeout).await
 }
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -12,7 +12,7 @@
 use hyper::{HeaderMap, Request, StatusCode};
 use saddlerelay_coordinator::format::{EngineReport, RunningStreams, WeightOrder};
 use saddlerelay_gateway_api::own::{ORDER_PATH, REPORT_PATH};
-use saddlerelay_http::body::{BrokenOff, LocalBody, Reply, json, read_whole, whole};
+use saddlerelay_http::body::{BrokenOff, LocalBody, Reply, json, read_body, whole};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_runtime::signal::Signal;
 use saddlerelay_types::instance::{InstanceId, InstanceReport, LoadedModel};
@@ -493,7 +493,7 @@
 impl HttpHandler for Engine {
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         let (head, body) = request.into_parts();
-        let body = read_whole(body).await.unwrap_or_default();
+        let body = read_body(body).await.unwrap_or_default();
         let expected = header(&head.headers, "saddlerelay-for-instance");
         if expected.is_some_and(|expected| expected != self.instance().name) {
             let id = header(&head.headers, "saddlerelay-request").unwrap_or_default().to_string();
--- a/crates/soak/src/keep_alive.rs
+++ b/crates/soak/src/keep_alive.rs
@@ -7,8 +7,8 @@
 use crate::links::Party;
 use crate::workload::{HOST, KEY};
 use hyper::Method;
-use saddlerelay_http::body::read_whole;
-use saddlerelay_http::client::{Connection, HttpError, WholeResponse};
+use saddlerelay_http::body::read_body;
+use saddlerelay_http::client::{BufferedResponse, Connection, HttpError};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -135,12 +135,12 @@
 }
 
 /// Sends a request on an open connection and reads the complete response.
-async fn exchange(connection: &mut Connection, request: &Request) -> Result<WholeResponse, HttpError> {
+async fn exchange(connection: &mut Connection, request: &Request) -> Result<BufferedResponse, HttpError> {
     let request_headers = request.headers();
     let mut headers: Vec<(&str, &str)> = request_headers.iter().map(|(name, value)| (*name, value.as_str())).collect();
     headers.extend([("host", HOST), (KEY_HEADER, KEY)]);
     let response = connection.send(Method::POST, &request.path, &headers, request.body.clone()).await?;
     let (head, body) = response.into_parts();
-    let body = read_whole(body).await.map_err(|error| HttpError::Lost(format!("{error:?}")))?;
-    Ok(WholeResponse { status: head.status, headers: head.headers, body })
+    let body = read_body(body).await.map_err(|error| HttpError::Lost(format!("{error:?}")))?;
+    Ok(BufferedResponse { status: head.status, headers: head.headers, body })
 }
--- a/crates/soak/src/platform.rs
+++ b/crates/soak/src/platform.rs
@@ -4,7 +4,7 @@
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Request, StatusCode};
 use saddlerelay_gateway_api::own::{FENCE_HEADER, HOLDER_HEADER, USAGE_PATH};
-use saddlerelay_http::body::{Reply, read_whole, whole};
+use saddlerelay_http::body::{Reply, read_body, whole};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_types::usage::{TenantCounts, UsageReport, UsageWindow};
 use std::cell::RefCell;
@@ -76,7 +76,7 @@
 impl HttpHandler for Platform {
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         let (head, body) = request.into_parts();
-        let body = read_whole(body).await.unwrap_or_default();
+        let body = read_body(body).await.unwrap_or_default();
         let fence = text(&head.headers, FENCE_HEADER).parse();
         let report = serde_json::from_slice(&body);
         let (Ok(fence), Ok(report), USAGE_PATH) = (fence, report, head.uri.path()) else {
--- a/crates/soak/src/waits.rs
+++ b/crates/soak/src/waits.rs
@@ -70,11 +70,11 @@
     let mut waits = Vec::new();
     for (job, record) in &records.jobs {
         let open_samples: Vec<&Sample> = samples.iter().filter(|sample| is_open(record, sample.at)).collect();
-        let has_room_at: Vec<bool> =
-            open_samples.iter().map(|sample| sample.has_room(record.minimum_version)).collect();
+        let below_half_load_at: Vec<bool> =
+            open_samples.iter().map(|sample| sample.is_below_half_load(record.minimum_version)).collect();
         for item in record.items.keys() {
             let runs = runs.get(item).map(Vec::as_slice).unwrap_or_default();
-            waits.extend(longest_wait(job, item, runs, &open_samples, &has_room_at));
+            waits.extend(longest_wait(job, item, runs, &open_samples, &below_half_load_at));
         }
     }
     waits.sort_by_key(|wait| std::cmp::Reverse(wait.waited));
@@ -91,16 +91,16 @@
     item: &ItemId,
     runs: &[&ItemRun],
     samples: &[&Sample],
-    has_room_at: &[bool],
+    below_half_load_at: &[bool],
 ) -> Option<ItemWait> {
     let mut longest: Option<ItemWait> = None;
     let mut since: Option<Moment> = None;
-    for (sample, has_room) in samples.iter().zip(has_room_at) {
+    for (sample, is_below_half_load) in samples.iter().zip(below_half_load_at) {
         let state = ItemState::at(runs, sample.at);
         if state.is_excluded {
             break;
         }
-        if !has_room || !sample.is_steady || state.is_at_engine {
+        if !is_below_half_load || !sample.is_steady || state.is_at_engine {
             since = None;
             continue;
         }
@@ -156,7 +156,7 @@
     }
 
     /// Whether the engines eligible for an item with this minimum version are less than half full.
-    fn has_room(&self, version: u64) -> bool {
+    fn is_below_half_load(&self, version: u64) -> bool {
         let can_take =
             self.observed.engines.iter().filter(|engine| {
                 engine.takes_items && engine.version >= version && self.healthy.contains(&engine.number)
--- a/crates/standins/src/access.rs
+++ b/crates/standins/src/access.rs
@@ -40,7 +40,7 @@
     /// Number of relays.
     fn relays(&self) -> usize;
     /// Sends a caller's request.
-    async fn ask(&self, relay: usize, request: &CallerRequest) -> CallerResponse;
+    async fn send_request(&self, relay: usize, request: &CallerRequest) -> CallerResponse;
     /// The models that a relay serves; `None` if it is fenced or does not respond.
     async fn models(&self, relay: usize) -> Option<Vec<ModelName>>;
     /// Registers a new incarnation of a trainer.
@@ -77,5 +77,5 @@
         cursor: Position,
     ) -> Result<TrainerState, TrainerCallError>;
     /// Applies a configuration change; `None` if the outcome is unknown.
-    async fn change(&self, change: &ConfigurationChange) -> Option<ConfigurationOutcome>;
+    async fn change_configuration(&self, change: &ConfigurationChange) -> Option<ConfigurationOutcome>;
 }
--- a/crates/standins/src/callers.rs
+++ b/crates/standins/src/callers.rs
@@ -230,7 +230,7 @@
 async fn send<P: Runtime, A: Access>(platform: &P, access: &A, request: &CallerRequest) -> CallerResponse {
     let relay = platform.random() as usize % access.relays().max(1);
     let limit = Duration::from_millis(request.deadline_milliseconds) + RESPONSE_GRACE;
-    timeout(platform, limit, access.ask(relay, request)).await.unwrap_or(CallerResponse::Lost)
+    timeout(platform, limit, access.send_request(relay, request)).await.unwrap_or(CallerResponse::Lost)
 }
 
 fn next<P: Runtime>(platform: &P, state: &mut RequestState, answer: CallerResponse) -> Next {
--- a/crates/standins/src/http/access.rs
+++ b/crates/standins/src/http/access.rs
@@ -3,7 +3,7 @@
 use crate::access::{Access, CallerResponse, TrainerCallError};
 use hyper::{Method, StatusCode};
 use saddlerelay_http::body::parse_json;
-use saddlerelay_http::client::{Connection, HttpError, WholeResponse, call};
+use saddlerelay_http::client::{BufferedResponse, Connection, HttpError, call};
 use saddlerelay_http::sse::{DONE, EventReader};
 use saddlerelay_types::configuration::{
     ConfigurationChange, ConfigurationOutcome, ObjectName, ObjectState, ObjectValue,
@@ -144,7 +144,7 @@
     RequestFailure::new(outcome, code, error.message, error.retry_after_ms)
 }
 
-fn trainer_refusal(response: &WholeResponse) -> Option<TrainerRefusal> {
+fn trainer_refusal(response: &BufferedResponse) -> Option<TrainerRefusal> {
     let body: ErrorBody = parse_json(&response.body).ok()?;
     serde_json::from_value(json!(body.error.code)).ok()
 }
@@ -154,7 +154,7 @@
         self.relays.len()
     }
 
-    async fn ask(&self, relay: usize, request: &CallerRequest) -> CallerResponse {
+    async fn send_request(&self, relay: usize, request: &CallerRequest) -> CallerResponse {
         let from = Instant::now();
         let mut connection = match Connection::open(self.relays[relay]).await {
             Ok(connection) => connection,
@@ -178,7 +178,7 @@
         match connection.send(Method::POST, "/v1/completions", &headers, body.to_string()).await {
             Ok(response) if response.status().is_success() => self.read_stream(response, from).await,
             Ok(response) => {
-                let body = saddlerelay_http::body::read_whole(response.into_body()).await.unwrap_or_default();
+                let body = saddlerelay_http::body::read_body(response.into_body()).await.unwrap_or_default();
                 match parse_json::<ErrorBody>(&body) {
                     Ok(body) => CallerResponse::Failed(failure(body.error)),
                     Err(_) => CallerResponse::Lost,
@@ -246,7 +246,7 @@
         self.trainer_call(relay, tenant, Method::POST, "versions", body.to_string().into_bytes()).await
     }
 
-    async fn change(&self, change: &ConfigurationChange) -> Option<ConfigurationOutcome> {
+    async fn change_configuration(&self, change: &ConfigurationChange) -> Option<ConfigurationOutcome> {
         let index = self.next_control.replace(self.next_control.get() + 1) % self.control.len();
         let (path, body) = match (&change.name, &change.value) {
             (ObjectName::Template(id), Some(ObjectValue::Template(template))) => {
--- a/crates/standins/src/http/engine.rs
+++ b/crates/standins/src/http/engine.rs
@@ -8,7 +8,7 @@
 use saddlerelay_engine_client::wire::{
     COMPLETIONS_PATH, CompletionChunk, CompletionRequest, ErrorDetail, ErrorReply, ORDER_PATH, STATUS_PATH,
 };
-use saddlerelay_http::body::{Reply, json, parse_json, parts, read_whole, whole};
+use saddlerelay_http::body::{Reply, json, parse_json, parts, read_body, whole};
 use saddlerelay_http::server::HttpHandler;
 use saddlerelay_http::sse;
 use saddlerelay_runtime::Runtime;
@@ -64,7 +64,7 @@
         if head.method == Method::GET && head.uri.path() == STATUS_PATH {
             return json(StatusCode::OK, &self.engine.status());
         }
-        let bytes = match read_whole(body).await {
+        let bytes = match read_body(body).await {
             Ok(bytes) => bytes,
             Err(error) => return rejection(StatusCode::BAD_REQUEST, &Refusal(format!("{error:?}"))),
         };
--- a/crates/standins/src/http/services.rs
+++ b/crates/standins/src/http/services.rs
@@ -4,7 +4,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use saddlerelay_engine_client::wire::{MACHINES_PATH, SCORE_PATH, ScoreReply, ScoreRequest};
-use saddlerelay_http::body::{Reply, json, parse_json, read_whole, whole};
+use saddlerelay_http::body::{Reply, json, parse_json, read_body, whole};
 use saddlerelay_http::server::HttpHandler;
 use saddlerelay_types::membership::PlatformMachine;
 use std::cell::RefCell;
@@ -27,7 +27,7 @@
         if request.uri().path() != SCORE_PATH {
             return whole(StatusCode::NOT_FOUND, "text/plain", "no such path\n");
         }
-        let body = read_whole(request.into_body()).await.unwrap_or_default();
+        let body = read_body(request.into_body()).await.unwrap_or_default();
         let Ok(score_request) = parse_json::<ScoreRequest>(&body) else {
             return whole(StatusCode::BAD_REQUEST, "text/plain", "malformed\n");
         };
@@ -69,7 +69,7 @@
             return whole(StatusCode::NOT_FOUND, "text/plain", "no such path\n");
         }
         if request.method() == Method::PUT {
-            let body = read_whole(request.into_body()).await.unwrap_or_default();
+            let body = read_body(request.into_body()).await.unwrap_or_default();
             let Ok(machines) = parse_json(&body) else {
                 return whole(StatusCode::BAD_REQUEST, "text/plain", "malformed\n");
             };
--- a/crates/standins/src/operators.rs
+++ b/crates/standins/src/operators.rs
@@ -65,7 +65,8 @@
         let change = ConfigurationChange { name, value, expected, idempotency_key: Some(key.clone()) };
         let from = self.platform.unix_milliseconds();
         loop {
-            let answer = timeout(&self.platform, CHANGE_LIMIT, self.access.change(&change)).await.flatten();
+            let answer =
+                timeout(&self.platform, CHANGE_LIMIT, self.access.change_configuration(&change)).await.flatten();
             if let Some(outcome) = answer {
                 self.record(&change, &key, from, &outcome);
                 return outcome;
--- a/crates/types/src/configuration.rs
+++ b/crates/types/src/configuration.rs
@@ -85,7 +85,7 @@
     }
 
     /// The reason why `value` is not allowed, or `None` if it is.
-    pub fn refusal(&self, value: &ParameterValue) -> Option<String> {
+    pub fn validation_error(&self, value: &ParameterValue) -> Option<String> {
         match (self, value) {
             (Self::Integer { minimum, maximum, .. }, ParameterValue::Integer(number)) => {
                 let inside = (*minimum..=*maximum).contains(number);
@@ -184,7 +184,7 @@
     /// All validation errors of `tenant` under this template.
     pub fn tenant_errors(&self, tenant: &Tenant) -> Vec<ParameterError> {
         let value_error = |(name, value): (&ParameterName, &ParameterValue)| {
-            let reason = self.rule(*name).refusal(value)?;
+            let reason = self.rule(*name).validation_error(value)?;
             Some(ParameterError { tenant: None, parameter: *name, reason })
         };
         tenant.values.iter().filter_map(value_error).collect()
@@ -196,14 +196,16 @@
     let default_value = rule.default_value();
     let limits_error = match rule {
         ParameterRule::Integer { minimum, maximum, .. } => {
-            [minimum, maximum].into_iter().find_map(|limit| widest.refusal(&ParameterValue::Integer(*limit)))
+            [minimum, maximum].into_iter().find_map(|limit| widest.validation_error(&ParameterValue::Integer(*limit)))
         }
         ParameterRule::Text { allowed, .. } => {
             let mut values = allowed.iter();
-            values.find_map(|value| widest.refusal(&ParameterValue::Text(value.clone())))
+            values.find_map(|value| widest.validation_error(&ParameterValue::Text(value.clone())))
         }
     };
-    let reason = limits_error.or_else(|| widest.refusal(&default_value)).or_else(|| rule.refusal(&default_value))?;
+    let reason = limits_error
+        .or_else(|| widest.validation_error(&default_value))
+        .or_else(|| rule.validation_error(&default_value))?;
     Some(ParameterError { tenant: None, parameter, reason })
 }
 
--- a/crates/types/src/gateway.rs
+++ b/crates/types/src/gateway.rs
@@ -122,7 +122,7 @@
     pub incarnation: Incarnation,
     /// The relay's wall clock when it sent the request, in Unix milliseconds.
     pub unix_ms: u64,
-    /// Usage counted since the last difference that the relay sent; `None` if nothing was counted.
+    /// Usage counted since the last delta that the relay sent; `None` if nothing was counted.
     pub usage: Option<UsageDelta>,
     /// Revision of the list of suspected work in use.
     pub suspicion_revision: u64,
@@ -167,8 +167,8 @@
     /// Wall-clock time agreed on by most machines when the reply was created, in Unix milliseconds; `None` if the
     /// leader has not determined it yet.
     pub group_unix_ms: Option<u64>,
-    /// Sequence number of the newest committed usage difference of this relay incarnation; 0 if there is none.
-    pub usage_taken: u64,
+    /// Sequence number of the newest committed usage delta of this relay incarnation; 0 if there is none.
+    pub committed_usage_sequence: u64,
     /// The list of suspected work, if its revision differs from the relay's.
     pub suspicions: Option<SuspicionList>,
 }
@@ -300,7 +300,7 @@
     /// Records that a storage machine is drained.
     StoreRetired(String),
     /// Records the holder of the right to issue orders, before the orders are sent.
-    NoteOrders {
+    RecordOrderIntents {
         /// The replica that issues the orders.
         holder: ReplicaId,
         /// The subjects of the orders.
@@ -413,6 +413,6 @@
         /// The fencing token for the orders.
         fence: Fence,
         /// Whether another replica issued orders before.
-        taken_over: bool,
+        holder_changed: bool,
     },
 }
--- a/crates/types/src/job.rs
+++ b/crates/types/src/job.rs
@@ -181,7 +181,7 @@
     /// How it ended.
     pub end: ItemEnd,
     /// The rest of its text.
-    pub rest: TextPart,
+    pub remaining_text: TextPart,
     /// The stamp from the scorer's response, if the item has a scorer.
     pub score: Option<String>,
 }
--- a/crates/types/src/routing.rs
+++ b/crates/types/src/routing.rs
@@ -154,7 +154,7 @@
     /// A route refers to a service that the document does not list.
     UnknownService(String),
     /// Two routes have the same host and path prefix.
-    SamePlace(String),
+    DuplicateHostAndPrefix(String),
     /// A route's weights add up to zero.
     NoWeight(String),
     /// A route's timeout is zero.
@@ -180,7 +180,9 @@
             Self::UnknownService(service) => {
                 write!(formatter, "a route names service `{service}`, which is not listed")
             }
-            Self::SamePlace(route) => write!(formatter, "route `{route}` has the host and prefix of another route"),
+            Self::DuplicateHostAndPrefix(route) => {
+                write!(formatter, "route `{route}` has the host and prefix of another route")
+            }
             Self::NoWeight(route) => write!(formatter, "the weights of route `{route}` add up to 0"),
             Self::NoTimeout(route) => write!(formatter, "the timeout of route `{route}` is 0"),
             Self::BadPrefix(route) => {
@@ -228,7 +230,7 @@
                 return Some(RoutingError::BadPrefix(route.name.clone()));
             }
             if !host_prefix_pairs.insert((&route.host, &route.path_prefix)) {
-                return Some(RoutingError::SamePlace(route.name.clone()));
+                return Some(RoutingError::DuplicateHostAndPrefix(route.name.clone()));
             }
         }
         self.tenant_error()
--- a/crates/types/src/usage.rs
+++ b/crates/types/src/usage.rs
@@ -30,7 +30,7 @@
 /// Requests started by engines, by tenant.
 pub type TenantCounts = BTreeMap<TenantId, u64>;
 
-/// Usage counted by a relay since its previous difference.
+/// Usage counted by a relay since its previous delta.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct UsageDelta {
     /// Sequence number within a relay's incarnation, starting at 1.
@@ -39,13 +39,13 @@
     pub counts: BTreeMap<UsageWindow, TenantCounts>,
 }
 
-/// A usage difference with the incarnation of the relay that counted it.
+/// A usage delta with the incarnation of the relay that counted it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RelayUsage {
     /// Incarnation of the relay.
     pub relay: Incarnation,
     /// The counts.
-    pub difference: UsageDelta,
+    pub delta: UsageDelta,
 }
 
 /// Final counts of a closed window, as reported to the platform.
--- a/crates/upstream/src/connection.rs
+++ b/crates/upstream/src/connection.rs
@@ -1,6 +1,6 @@
 //! A connection to an engine.
 
-use crate::answer::Failure;
+use crate::response::Failure;
 use bytes::Bytes;
 use compio::net::TcpStream;
 use compio::runtime::JoinHandle;
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -6,15 +6,15 @@
 //!
 //! `turns` balances requests across the services of a route, `balance` across the engines of a service.
 
-pub mod answer;
 pub mod balance;
 pub mod connection;
 pub mod events;
 pub mod names;
 pub mod pool;
+pub mod response;
 pub mod round_robin;
 
-pub use answer::{Answer, Failure};
 pub use balance::{LoadBalancer, ReadyEngine};
 pub use names::HeaderNames;
 pub use pool::{EngineTarget, Outgoing, Pool, Reuse};
+pub use response::{Failure, UpstreamResponse};
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -1,8 +1,8 @@
 //! Connection pool to engine instances, and calls over it.
 
-use crate::answer::{Answer, Failure};
 use crate::connection::Connection;
 use crate::names::HeaderNames;
+use crate::response::{Failure, UpstreamResponse};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{HeaderMap, HeaderValue};
@@ -126,7 +126,7 @@
         mut reuse: Reuse,
         time_left: impl Fn() -> Duration,
         may_send: impl Fn() -> bool,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<UpstreamResponse, Failure> {
         loop {
             let mut connection = self.connect(target, reuse).await?;
             let message = self.message(target, request, time_left())?;
@@ -134,7 +134,7 @@
                 return Err(Failure::NotSent("permission to send expired".to_string()));
             }
             match connection.send(message).await {
-                Ok(response) => return Answer::check(response, connection, &self.names, &request.request_id),
+                Ok(response) => return UpstreamResponse::check(response, connection, &self.names, &request.request_id),
                 Err(Failure::NotSent(_)) if connection.is_used() => reuse = Reuse::None,
                 Err(failure) => return Err(failure),
             }
--- a/crates/upstream/src/answer.rs
+++ b/crates/upstream/src/response.rs
@@ -40,14 +40,14 @@
 }
 
 /// An engine's response whose body is not read yet.
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Status and headers.
     pub head: Parts,
     body: Incoming,
     connection: Connection,
 }
 
-impl Answer {
+impl UpstreamResponse {
     /// Verifies that a response belongs to the request with this ID.
     pub fn check(
         response: Response<Incoming>,
@@ -74,7 +74,7 @@
     }
 
     /// Reads the body, at most `limit` bytes. Also returns the connection if it can be reused.
-    pub async fn read_whole(self, limit: usize) -> Result<(Parts, Bytes, Option<Connection>), Failure> {
+    pub async fn read_body(self, limit: usize) -> Result<(Parts, Bytes, Option<Connection>), Failure> {
         let Self { head, body, connection } = self;
         let collected = Limited::new(body, limit).collect().await;
         let body = collected.map_err(|error| interrupted(error.as_ref()))?.to_bytes();
@@ -83,9 +83,9 @@
     }
 
     /// Returns the body as a stream. Dropping the stream closes the connection.
-    pub fn into_stream(self) -> (Parts, AnswerStream) {
+    pub fn into_stream(self) -> (Parts, ResponseStream) {
         let idle = idle_timeout(&self.head.headers);
-        (self.head, AnswerStream { body: self.body, connection: self.connection, idle })
+        (self.head, ResponseStream { body: self.body, connection: self.connection, idle })
     }
 }
 
@@ -128,13 +128,13 @@
 }
 
 /// A response body read as a stream.
-pub struct AnswerStream {
+pub struct ResponseStream {
     body: Incoming,
     connection: Connection,
     idle: Option<Duration>,
 }
 
-impl AnswerStream {
+impl ResponseStream {
     /// Returns the connection if it can be reused. Call only after `next` returned `None`.
     pub async fn finish(self) -> Option<Connection> {
         drop(self.body);
