--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -129,8 +129,8 @@
                 reply.retry_pause_ms = retry_pause_ms(self.relay_count());
                 if self.leads_at_level_one() {
                     // Marks of silence do not increase the revision at this level, so all instances are sent.
-                    let place = RelayLocation::new(&follow.relay, &follow.zone);
-                    reply.instances = self.read_applied(|state| state.instances.changes_for_relay(place, 0));
+                    let location = RelayLocation::new(&follow.relay, &follow.zone);
+                    reply.instances = self.read_applied(|state| state.instances.changes_for_relay(location, 0));
                 }
                 return ControlReply::Gateway(GatewayReply::Followed(reply));
             }
--- a/crates/control/src/state/text_archive.rs
+++ b/crates/control/src/state/text_archive.rs
@@ -19,11 +19,11 @@
 pub struct LoadedTexts(BTreeMap<TextLocation, Vec<u8>>);
 
 impl LoadedTexts {
-    /// Copies the texts at those of `places` that are in segment `number`, whose bytes are `segment`.
-    pub fn copy_from_segment(&mut self, number: u64, segment: &[u8], places: &[TextLocation]) {
-        for place in places.iter().filter(|place| place.segment == number) {
-            if let Some(text) = place.of(segment) {
-                self.0.insert(*place, text.to_vec());
+    /// Copies the texts at those of `locations` that are in segment `number`, whose bytes are `segment`.
+    pub fn copy_from_segment(&mut self, number: u64, segment: &[u8], locations: &[TextLocation]) {
+        for location in locations.iter().filter(|location| location.segment == number) {
+            if let Some(text) = location.of(segment) {
+                self.0.insert(*location, text.to_vec());
             }
         }
     }
@@ -94,14 +94,14 @@
 impl TextArchive {
     /// Appends a text.
     pub fn append(&mut self, text: &[u8]) -> TextLocation {
-        let place =
+        let location =
             TextLocation { segment: self.open_segment, offset: self.tail.len() as u32, length: text.len() as u32 };
         self.tail.extend_from_slice(text);
         self.tail_texts += 1;
         if self.tail.len() >= SEGMENT_BYTES {
             self.seal();
         }
-        place
+        location
     }
 
     fn seal(&mut self) {
@@ -116,28 +116,28 @@
     }
 
     /// Drops the reference to a text. A sealed segment is dropped with its last reference.
-    pub fn remove_reference(&mut self, place: &TextLocation) {
-        if place.segment == self.open_segment {
+    pub fn remove_reference(&mut self, location: &TextLocation) {
+        if location.segment == self.open_segment {
             self.tail_texts = self.tail_texts.saturating_sub(1);
             return;
         }
-        let Some(sealed) = self.sealed.get_mut(&place.segment) else {
+        let Some(sealed) = self.sealed.get_mut(&location.segment) else {
             return;
         };
         sealed.texts = sealed.texts.saturating_sub(1);
         if sealed.texts == 0 {
-            self.sealed.remove(&place.segment);
-            self.cache.remove(&place.segment);
+            self.sealed.remove(&location.segment);
+            self.cache.remove(&location.segment);
         }
     }
 
     /// Returns a text from memory or from `loaded`; `None` if its segment must first be read from disk.
-    pub fn text<'a>(&'a self, place: &TextLocation, loaded: &'a LoadedTexts) -> Option<&'a [u8]> {
-        if place.segment == self.open_segment {
-            return place.of(&self.tail);
+    pub fn text<'a>(&'a self, location: &TextLocation, loaded: &'a LoadedTexts) -> Option<&'a [u8]> {
+        if location.segment == self.open_segment {
+            return location.of(&self.tail);
         }
-        let cached = self.cache.get(&place.segment).and_then(|segment| place.of(&segment.bytes));
-        cached.or_else(|| loaded.0.get(place).map(Vec::as_slice))
+        let cached = self.cache.get(&location.segment).and_then(|segment| location.of(&segment.bytes));
+        cached.or_else(|| loaded.0.get(location).map(Vec::as_slice))
     }
 
     /// The sealed segments, in ascending order of number.
--- a/crates/control/tests/fleet_steps.rs
+++ b/crates/control/tests/fleet_steps.rs
@@ -48,7 +48,7 @@
     (0..count).map(|number| format!("relay-{number}")).collect()
 }
 
-fn place(name: &str) -> RelayLocation<'_> {
+fn relay_location(name: &str) -> RelayLocation<'_> {
     RelayLocation::new(name, ZONES[usize::from(name.as_bytes()[name.len() - 1]) % ZONES.len()])
 }
 
@@ -110,7 +110,7 @@
         let mut table = table(engines);
         let known = table.revision();
         for name in relays(RELAYS[2]) {
-            let (lookups, update) = lookups_of(|| table.changes_for_relay(place(&name), known));
+            let (lookups, update) = lookups_of(|| table.changes_for_relay(relay_location(&name), known));
             assert!(update.records.is_empty() && !update.whole);
             assert_eq!(lookups, 0, "an empty update takes {lookups} lookups among {engines} engines");
         }
@@ -119,7 +119,7 @@
             let (lookups, receivers) = lookups_of(|| {
                 let receivers = relays(count)
                     .into_iter()
-                    .filter(|name| !table.changes_for_relay(place(name), known).records.is_empty());
+                    .filter(|name| !table.changes_for_relay(relay_location(name), known).records.is_empty());
                 receivers.count()
             });
             assert_eq!(lookups, count as u64, "{lookups} lookups of {count} relays for one change");
@@ -137,7 +137,7 @@
         let table = table(engines);
         let mut received_by = std::collections::BTreeMap::<InstanceId, u32>::new();
         for name in relays(RELAYS[1]) {
-            let relay = place(&name);
+            let relay = relay_location(&name);
             let (lookups, update) = lookups_of(|| table.changes_for_relay(relay, 0));
             assert!(update.whole && lookups == update.records.len() as u64);
             assert!(update.records.len() <= MAX_SUBSET_ENGINES, "a subset of {} among {engines}", update.records.len());
@@ -169,7 +169,7 @@
 #[test]
 fn relay_gets_a_full_update_when_the_size_of_a_place_changes_much() {
     let mut table = table(150);
-    let relay = place("relay-1");
+    let relay = relay_location("relay-1");
     let known = table.revision();
     assert_eq!(table.changes_for_relay(relay, 0).records.len(), 150, "all engines of a small place");
     (150..3_000).for_each(|number| table.apply_report(report(number, 1)));
@@ -219,9 +219,9 @@
             let expected =
                 table.iter().filter(is_in_place).filter(|record| record.state != InstanceState::Gone).count();
             assert_eq!(table.engines_in(place).count(), expected);
-            let present = table.iter().filter(is_in_place);
-            let present = present.filter(|record| record.state == InstanceState::Ready && !record.silent).count();
-            assert_eq!(table.available(place) as usize, present);
+            let available = table.iter().filter(is_in_place);
+            let available = available.filter(|record| record.state == InstanceState::Ready && !record.silent).count();
+            assert_eq!(table.available(place) as usize, available);
         }
     }
 }
--- a/crates/control/tests/text_archive.rs
+++ b/crates/control/tests/text_archive.rs
@@ -61,14 +61,14 @@
         self.archive = copy;
     }
 
-    fn read(&self, place: &TextLocation) -> Vec<u8> {
+    fn read(&self, location: &TextLocation) -> Vec<u8> {
         let mut loaded = LoadedTexts::default();
-        if let Some(text) = self.archive.text(place, &loaded) {
+        if let Some(text) = self.archive.text(location, &loaded) {
             return text.to_vec();
         }
-        let segment = self.disk.get(&place.segment()).expect("a released segment is on disk");
-        loaded.copy_from_segment(place.segment(), segment, &[*place]);
-        self.archive.text(place, &loaded).expect("the text was loaded").to_vec()
+        let segment = self.disk.get(&location.segment()).expect("a released segment is on disk");
+        loaded.copy_from_segment(location.segment(), segment, &[*location]);
+        self.archive.text(location, &loaded).expect("the text was loaded").to_vec()
     }
 }
 
@@ -89,8 +89,8 @@
                     texts.push((store.archive.append(&text), text));
                 }
                 Step::RemoveReference { which } if !texts.is_empty() => {
-                    let (place, _) = texts.swap_remove(which % texts.len());
-                    store.archive.remove_reference(&place);
+                    let (location, _) = texts.swap_remove(which % texts.len());
+                    store.archive.remove_reference(&location);
                 }
                 Step::RemoveReference { .. } => {}
                 Step::Store => {
@@ -99,7 +99,7 @@
                 Step::Restore => store.restore(),
             }
         }
-        texts.iter().all(|(place, text)| store.read(place) == *text)
+        texts.iter().all(|(location, text)| store.read(location) == *text)
     }
     QuickCheck::new().rng(Gen::from_size_and_seed(40, 7)).tests(150).quickcheck(check as fn(Vec<Step>) -> bool);
 }
--- a/crates/duties/src/client.rs
+++ b/crates/duties/src/client.rs
@@ -46,7 +46,7 @@
         let exchange = async {
             let mut connection = Connection::open(self.address, CONNECT_TIMEOUT).await?;
             if !may_send() {
-                return Err(Failure::NotSent("the grant for this call is no longer valid".to_string()));
+                return Err(Failure::NotSent("permission to send expired".to_string()));
             }
             let (head, body) = connection.send(request).await?.into_parts();
             let read = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
--- a/crates/gateway-api/tests/common/engine.rs
+++ b/crates/gateway-api/tests/common/engine.rs
@@ -66,7 +66,7 @@
     started_at_ms: Cell<Option<u64>>,
     conduct: Cell<Conduct>,
     version: Cell<u64>,
-    orders_taken: Cell<u64>,
+    orders_accepted: Cell<u64>,
     orders: RefCell<Vec<WeightOrder>>,
     /// Number of orders rejected because their `orders_taken` did not match.
     orders_rejected: Cell<u32>,
@@ -119,7 +119,7 @@
             started_at_ms: Cell::new(None),
             conduct: Cell::new(Conduct::Answer),
             version: Cell::new(1),
-            orders_taken: Cell::new(0),
+            orders_accepted: Cell::new(0),
             orders: RefCell::default(),
             orders_rejected: Cell::new(0),
             order_responses_to_lose: Cell::new(0),
@@ -220,12 +220,12 @@
 
     async fn order(&self, body: Bytes) -> Reply {
         let order: WeightOrder = serde_json::from_slice(&body).expect("an order");
-        let executed = self.state.orders_taken.get();
+        let executed = self.state.orders_accepted.get();
         if order.orders_taken != executed {
             self.state.orders_rejected.set(self.state.orders_rejected.get() + 1);
             return whole(StatusCode::CONFLICT, "text/plain", "");
         }
-        self.state.orders_taken.set(executed + 1);
+        self.state.orders_accepted.set(executed + 1);
         self.state.version.set(order.target.version);
         self.state.orders.borrow_mut().push(order);
         let mut reply = whole(StatusCode::ACCEPTED, "text/plain", "");
@@ -341,7 +341,7 @@
         match path.as_str() {
             ORDER_PATH => self.order(body).await,
             REPORT_PATH => {
-                let orders_taken = self.state.orders_taken.get();
+                let orders_taken = self.state.orders_accepted.get();
                 self.state.polls_answered.set(self.state.polls_answered.get() + 1);
                 let started_at_ms = self.state.started_at_ms.get();
                 json(StatusCode::OK, &EngineReport { models: self.models(), busy: false, orders_taken, started_at_ms })
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -135,7 +135,7 @@
         let pause = |limit: Duration| Sleep::new(world.clock.clone(), world.clock.now() + world.jitter(limit));
         pause(platform.connect_time.get()).await;
         if !may_send() {
-            return Err(Failure::NotSent("the right to call has expired".to_string()));
+            return Err(Failure::NotSent("permission to send expired".to_string()));
         }
         let unanswered = world.random() % 100 < platform.unanswered_percent.get();
         if platform.is_down.get() || unanswered {
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -83,7 +83,7 @@
     order_conduct: Cell<OrderConduct>,
     version: Cell<u64>,
     loading: Cell<bool>,
-    orders_taken: Cell<u64>,
+    orders_accepted: Cell<u64>,
     highest_fence: Cell<u64>,
     running: Cell<u32>,
     leaving: Cell<bool>,
@@ -163,7 +163,7 @@
             order_conduct: Cell::new(OrderConduct::Normal),
             version: Cell::new(1),
             loading: Cell::new(false),
-            orders_taken: Cell::new(0),
+            orders_accepted: Cell::new(0),
             highest_fence: Cell::new(0),
             running: Cell::new(0),
             leaving: Cell::new(false),
@@ -249,7 +249,7 @@
         state.incarnation.set(state.incarnation.get() + 1);
         state.version.set(state.newest_version.get());
         state.loading.set(false);
-        state.orders_taken.set(0);
+        state.orders_accepted.set(0);
         state.highest_fence.set(0);
         state.leaving.set(false);
         state.sequence.set(0);
@@ -347,10 +347,10 @@
         if order.target.version == state.version.get() {
             return whole(StatusCode::OK, "text/plain", "");
         }
-        if state.loading.get() || order.orders_taken != state.orders_taken.get() {
+        if state.loading.get() || order.orders_taken != state.orders_accepted.get() {
             return whole(StatusCode::CONFLICT, "text/plain", "");
         }
-        state.orders_taken.set(state.orders_taken.get() + 1);
+        state.orders_accepted.set(state.orders_accepted.get() + 1);
         state.loading.set(true);
         compio::runtime::spawn(self.clone().load(order)).detach();
         whole(StatusCode::ACCEPTED, "text/plain", "")
@@ -504,7 +504,7 @@
             ORDER_PATH => self.order(body).await,
             REPORT_PATH => {
                 let busy = self.state.loading.get();
-                let orders_taken = self.state.orders_taken.get();
+                let orders_taken = self.state.orders_accepted.get();
                 json(StatusCode::OK, &EngineReport { models: self.models(), busy, orders_taken, started_at_ms: None })
             }
             _ => self.run(path, head.headers, body).await,
--- a/crates/types/tests/codec.rs
+++ b/crates/types/tests/codec.rs
@@ -113,10 +113,10 @@
 
 #[test]
 fn truncated_or_corrupted_messages_never_panic() {
-    fn holds(request: Request, cut: usize, place: usize, change: u8) -> bool {
+    fn holds(request: Request, cut: usize, position: usize, change: u8) -> bool {
         let mut bytes = bitcode::encode(&request.0);
-        let place = place % bytes.len();
-        bytes[place] ^= change;
+        let position = position % bytes.len();
+        bytes[position] ^= change;
         bytes.truncate(cut % (bytes.len() + 1));
         // Decoding may succeed or fail, but must not panic.
         let _ = bitcode::decode::<ControlRequest>(&bytes);
