--- a/crates/soak/src/pairs.rs
+++ b/crates/soak/src/pairs.rs
@@ -27,7 +27,7 @@
 const ENGINE_FAULT_MS: Range<u64> = 100..2_000;
 
 /// Time until a permanently ended engine is replaced, in milliseconds.
-const ENGINE_DOWN_MS: Range<u64> = 5_000..8_000;
+const ENGINE_REPLACEMENT_DELAY_MS: Range<u64> = 5_000..8_000;
 
 /// Downtime of a process, in milliseconds.
 const DOWN_MS: Range<u64> = 50..1_500;
@@ -64,7 +64,7 @@
     let kind = random.u8(..8);
     let draw_fault = |number| match kind {
         0..3 => Fault::CrashEngine { number, down: milliseconds(random, ENGINE_FAULT_MS) },
-        3..5 => Fault::EndEngine { number, down: milliseconds(random, ENGINE_DOWN_MS) },
+        3..5 => Fault::EndEngine { number, down: milliseconds(random, ENGINE_REPLACEMENT_DELAY_MS) },
         5 => misconduct(random, number, Conduct::Hanging),
         6 => misconduct(random, number, Conduct::BreakingOff),
         _ => cut_engine(random, number),
