--- a/crates/types/src/gateway.rs
+++ b/crates/types/src/gateway.rs
@@ -299,7 +299,7 @@
     RetireStore(String),
     /// Records that a storage machine is drained.
     StoreRetired(String),
-    /// Records the holder of the right to issue orders, before the orders are sent.
+    /// Records that the holder is about to issue orders about these subjects.
     RecordOrderIntents {
         /// The replica that issues the orders.
         holder: ReplicaId,
