--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -10,7 +10,7 @@
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_runtime::signal::Signal;
 use saddlerelay_types::gateway::{
-    DutyOverview, EngineCountStatus, EnginePlace, GatewayCommand, GatewayOutcome, GatewayReply, GatewayRequest,
+    DutyOverview, EngineCountStatus, EnginePool, GatewayCommand, GatewayOutcome, GatewayReply, GatewayRequest,
     StoreRecord,
 };
 use saddlerelay_types::instance::{
@@ -289,10 +289,10 @@
 
     fn read_duties(&self) -> ControlReply {
         let overview = self.read(|state| {
-            let engine_count_status = |(place, wanted): (&EnginePlace, &u32)| EngineCountStatus {
-                place: place.clone(),
+            let engine_count_status = |(pool, wanted): (&EnginePool, &u32)| EngineCountStatus {
+                place: pool.clone(),
                 wanted: *wanted,
-                present: state.instances.available(place),
+                present: state.instances.available(pool),
             };
             DutyOverview {
                 leader: self.inner.replica.id(),
--- a/crates/control/src/report_targets.rs
+++ b/crates/control/src/report_targets.rs
@@ -28,7 +28,7 @@
 }
 
 fn other_machine(state: &ControlState, members: &[SocketAddr], report: &InstanceReport) -> Option<SocketAddr> {
-    let engines: u32 = state.instances.places().map(|place| state.instances.available(place)).sum();
+    let engines: u32 = state.instances.engine_pools().map(|pool| state.instances.available(pool)).sum();
     if engines <= MAX_ENGINES_AT_MEMBERS {
         return None;
     }
--- a/crates/control/src/state/engine_subset.rs
+++ b/crates/control/src/state/engine_subset.rs
@@ -1,19 +1,19 @@
 //! Deterministic subsetting: which engines each relay receives.
 //!
 //! Engines and relays are hashed by name to 64-bit positions. A relay receives the engines whose positions share a
-//! prefix with its own. The prefix grows with the number of engines in the place, and is shorter for the relay's own
-//! zone than for other zones, whose engines serve as failover. In a small place every relay receives all engines. This
-//! bounds the size of full updates when many relays connect to the leader at once.
+//! prefix with its own. The prefix grows with the number of engines in the engine pool, and is shorter for the relay's
+//! own zone than for other zones, whose engines serve as failover. In a small engine pool every relay receives all
+//! engines. This bounds the size of full updates when many relays connect to the leader at once.
 
 use bitcode::{Decode, Encode};
-use saddlerelay_types::gateway::EnginePlace;
+use saddlerelay_types::gateway::EnginePool;
 use saddlerelay_types::instance::InstanceId;
 
 /// Average subset size in the relay's own zone above which the prefix grows.
 const MAX_LOCAL_ENGINES: usize = 128;
 
 /// Average subset size in the relay's own zone below which the prefix shrinks. Half of the size right after the prefix
-/// has grown, as hysteresis against small changes of a place's size.
+/// has grown, as hysteresis against small changes of a pool's size.
 const MIN_LOCAL_ENGINES: usize = 16;
 
 /// As [`MAX_LOCAL_ENGINES`], for each other zone.
@@ -51,7 +51,7 @@
     }
 }
 
-/// Lengths in bits of the position prefix that an engine of a place must share with a relay. With n bits a relay
+/// Lengths in bits of the position prefix that an engine of a pool must share with a relay. With n bits a relay
 /// receives about one engine in 2^n.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(super) struct SubsetPrefixes {
@@ -68,9 +68,9 @@
         *self != before
     }
 
-    /// First and last position, inclusive, of the engines at `place` in the subset of `relay`.
-    pub fn range(self, place: &EnginePlace, relay: RelayLocation<'_>) -> (u64, u64) {
-        let bits = if place.zone == relay.zone { self.local_bits } else { self.remote_bits };
+    /// First and last position, inclusive, of the engines of `pool` in the subset of `relay`.
+    pub fn range(self, pool: &EnginePool, relay: RelayLocation<'_>) -> (u64, u64) {
+        let bits = if pool.zone == relay.zone { self.local_bits } else { self.remote_bits };
         let suffix_mask = u64::MAX.checked_shr(u32::from(bits)).unwrap_or(0);
         (relay.position & !suffix_mask, relay.position | suffix_mask)
     }
--- a/crates/control/src/state/instances.rs
+++ b/crates/control/src/state/instances.rs
@@ -1,10 +1,10 @@
-//! Engine instances, with indexes by address, by place (service and zone) and by revision, so that common lookups do
-//! not scan the whole table.
+//! Engine instances, with indexes by address, by engine pool (service and zone) and by revision, so that common lookups
+//! do not scan the whole table.
 
 use super::engine_subset::{RelayLocation, SubsetPrefixes, engine_position};
 use bitcode::{Decode, Encode};
 use saddlerelay_runtime::steps;
-use saddlerelay_types::gateway::EnginePlace;
+use saddlerelay_types::gateway::EnginePool;
 use saddlerelay_types::instance::{InstanceId, InstanceRecord, InstanceReport, InstanceState, InstanceUpdate};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -12,9 +12,9 @@
 /// Maximum number of tombstones of removed instances. A tombstone rejects delayed reports of a removed instance.
 const MAX_TOMBSTONES: usize = 8192;
 
-/// The engines of one place that are not [`InstanceState::Gone`].
+/// The engines of one engine pool that are not [`InstanceState::Gone`].
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
-struct PlaceEngines {
+struct PoolEngines {
     /// Ordered by hash position.
     engines: BTreeSet<(u64, InstanceId)>,
     /// Number of engines that are ready and not silent.
@@ -29,7 +29,7 @@
     pub(super) by_revision: BTreeMap<u64, InstanceId>,
     /// The instance at each address, without those that are gone.
     by_address: BTreeMap<SocketAddr, InstanceId>,
-    places: BTreeMap<EnginePlace, PlaceEngines>,
+    engine_pools: BTreeMap<EnginePool, PoolEngines>,
     /// By service, the number of instances that report a start time and are not gone.
     start_time_counts: BTreeMap<String, u32>,
     /// Ready instances that have stopped reporting.
@@ -39,13 +39,13 @@
     pub(super) tombstones: BTreeSet<InstanceId>,
     pub(super) tombstone_order: VecDeque<InstanceId>,
     pub(super) revision: u64,
-    /// The revision of the newest change to any place's subset sizes. Relays with an older revision need a full update.
+    /// The revision of the newest change to any pool's subset sizes. Relays with an older revision need a full update.
     pub(super) subset_revision: u64,
 }
 
 /// The service and zone of a reported instance.
-pub fn place_of(report: &InstanceReport) -> EnginePlace {
-    EnginePlace { service: report.service.clone(), zone: report.zone.clone() }
+pub fn engine_pool_of(report: &InstanceReport) -> EnginePool {
+    EnginePool { service: report.service.clone(), zone: report.zone.clone() }
 }
 
 /// Whether `report` has the same service and address as the recorded instance.
@@ -74,20 +74,20 @@
         self.records.values().inspect(|_| steps::record_lookup())
     }
 
-    /// All places that have or had registered instances.
-    pub fn places(&self) -> impl Iterator<Item = &EnginePlace> {
-        self.places.keys()
+    /// All engine pools that have or had registered instances.
+    pub fn engine_pools(&self) -> impl Iterator<Item = &EnginePool> {
+        self.engine_pools.keys()
     }
 
-    /// The engines of a place that are not gone, ordered by hash position.
-    pub fn engines_in(&self, place: &EnginePlace) -> impl Iterator<Item = &InstanceRecord> {
-        let engines = self.places.get(place).into_iter().flat_map(|place| &place.engines);
+    /// The engines of a pool that are not gone, ordered by hash position.
+    pub fn engines_in(&self, pool: &EnginePool) -> impl Iterator<Item = &InstanceRecord> {
+        let engines = self.engine_pools.get(pool).into_iter().flat_map(|pool| &pool.engines);
         engines.filter_map(|(_, id)| self.get(id))
     }
 
-    /// Number of engines of a place that are ready and not silent.
-    pub fn available(&self, place: &EnginePlace) -> u32 {
-        self.places.get(place).map_or(0, |place| place.available)
+    /// Number of engines of a pool that are ready and not silent.
+    pub fn available(&self, pool: &EnginePool) -> u32 {
+        self.engine_pools.get(pool).map_or(0, |pool| pool.available)
     }
 
     /// Ready instances that have stopped reporting, ordered by id.
@@ -110,8 +110,8 @@
 
     fn subset_records(&self, relay: RelayLocation<'_>) -> Vec<InstanceRecord> {
         let mut records = Vec::new();
-        for (place, entry) in &self.places {
-            let (first, last) = entry.subset_prefixes.range(place, relay);
+        for (pool, entry) in &self.engine_pools {
+            let (first, last) = entry.subset_prefixes.range(pool, relay);
             let from = (first, InstanceId::named(""));
             let subset = entry.engines.range(from..).take_while(|(position, _)| *position <= last);
             records.extend(subset.filter_map(|(_, id)| self.get(id)).cloned());
@@ -124,9 +124,9 @@
     }
 
     fn is_in_subset(&self, relay: RelayLocation<'_>, record: &InstanceRecord) -> bool {
-        let place = place_of(&record.report);
-        let subset_prefixes = self.places.get(&place).map(|entry| entry.subset_prefixes).unwrap_or_default();
-        let (first, last) = subset_prefixes.range(&place, relay);
+        let pool = engine_pool_of(&record.report);
+        let subset_prefixes = self.engine_pools.get(&pool).map(|entry| entry.subset_prefixes).unwrap_or_default();
+        let (first, last) = subset_prefixes.range(&pool, relay);
         (first..=last).contains(&engine_position(&record.report.id))
     }
 
@@ -251,7 +251,7 @@
             self.remove_from_indexes(&before);
         }
         self.add_to_indexes(&record);
-        self.update_subset_prefixes(&place_of(&record.report));
+        self.update_subset_prefixes(&engine_pool_of(&record.report));
         self.by_revision.insert(self.revision, id.clone());
         self.records.insert(id, record);
     }
@@ -265,9 +265,9 @@
         if id.started_at_ms.is_some() {
             *self.start_time_counts.entry(record.report.service.clone()).or_default() += 1;
         }
-        let place = self.places.entry(place_of(&record.report)).or_default();
-        place.engines.insert((engine_position(&id), id));
-        place.available += u32::from(is_available(record));
+        let pool = self.engine_pools.entry(engine_pool_of(&record.report)).or_default();
+        pool.engines.insert((engine_position(&id), id));
+        pool.available += u32::from(is_available(record));
     }
 
     pub(super) fn remove_from_indexes(&mut self, record: &InstanceRecord) {
@@ -286,15 +286,15 @@
                 self.start_time_counts.remove(&record.report.service);
             }
         }
-        if let Some(place) = self.places.get_mut(&place_of(&record.report)) {
-            place.engines.remove(&(engine_position(id), id.clone()));
-            place.available -= u32::from(is_available(record));
+        if let Some(pool) = self.engine_pools.get_mut(&engine_pool_of(&record.report)) {
+            pool.engines.remove(&(engine_position(id), id.clone()));
+            pool.available -= u32::from(is_available(record));
         }
     }
 
-    /// Recomputes the subset sizes of a place. If one changes, relays get a full update.
-    pub(super) fn update_subset_prefixes(&mut self, place: &EnginePlace) {
-        if let Some(entry) = self.places.get_mut(place)
+    /// Recomputes the subset sizes of an engine pool. If one changes, relays get a full update.
+    pub(super) fn update_subset_prefixes(&mut self, pool: &EnginePool) {
+        if let Some(entry) = self.engine_pools.get_mut(pool)
             && entry.subset_prefixes.update(entry.engines.len())
         {
             self.subset_revision = self.revision;
--- a/crates/control/src/state/level_one.rs
+++ b/crates/control/src/state/level_one.rs
@@ -6,7 +6,7 @@
 use super::ControlState;
 use super::claims::ClaimTable;
 use super::configuration::ConfigurationStore;
-use super::instances::{InstanceTable, place_of};
+use super::instances::{InstanceTable, engine_pool_of};
 use super::jobs::{Job, JobTable, ListedItem};
 use super::members::MemberTable;
 use super::orders::{OrderIntent, OrderState};
@@ -159,7 +159,7 @@
         for record in self.records.into_values() {
             let record = record.with_silence(false);
             table.add_to_indexes(&record);
-            table.update_subset_prefixes(&place_of(&record.report));
+            table.update_subset_prefixes(&engine_pool_of(&record.report));
             table.records.insert(record.report.id.clone(), record);
         }
         table
--- a/crates/control/tests/fleet_steps.rs
+++ b/crates/control/tests/fleet_steps.rs
@@ -171,7 +171,7 @@
     let mut table = table(150);
     let relay = relay_location("relay-1");
     let known = table.revision();
-    assert_eq!(table.changes_for_relay(relay, 0).records.len(), 150, "all engines of a small place");
+    assert_eq!(table.changes_for_relay(relay, 0).records.len(), 150, "all engines of a small engine pool");
     (150..3_000).for_each(|number| table.apply_report(report(number, 1)));
     let grown = table.changes_for_relay(relay, known);
     assert!(grown.whole && grown.records.len() < 500, "{}", grown.records.len());
@@ -212,16 +212,15 @@
         for record in table.iter().filter(|record| record.state != InstanceState::Gone) {
             assert!(addresses.insert(record.report.address), "two instances at {}", record.report.address);
         }
-        for place in table.places() {
-            let is_in_place = |record: &&saddlerelay_types::instance::InstanceRecord| {
-                record.report.service == place.service && record.report.zone == place.zone
+        for pool in table.engine_pools() {
+            let is_in_pool = |record: &&saddlerelay_types::instance::InstanceRecord| {
+                record.report.service == pool.service && record.report.zone == pool.zone
             };
-            let expected =
-                table.iter().filter(is_in_place).filter(|record| record.state != InstanceState::Gone).count();
-            assert_eq!(table.engines_in(place).count(), expected);
-            let available = table.iter().filter(is_in_place);
+            let expected = table.iter().filter(is_in_pool).filter(|record| record.state != InstanceState::Gone).count();
+            assert_eq!(table.engines_in(pool).count(), expected);
+            let available = table.iter().filter(is_in_pool);
             let available = available.filter(|record| record.state == InstanceState::Ready && !record.silent).count();
-            assert_eq!(table.available(place) as usize, available);
+            assert_eq!(table.available(pool) as usize, available);
         }
     }
 }
--- a/crates/control/tests/level_two.rs
+++ b/crates/control/tests/level_two.rs
@@ -12,7 +12,7 @@
 use saddlerelay_replication::wal::{self, WalRecord};
 use saddlerelay_types::credentials::SecretDigest;
 use saddlerelay_types::gateway::{
-    EnginePlace, FollowReply, FollowRequest, GatewayCommand, GatewayReply, GatewayRequest, OrderSubject, RelayClock,
+    EnginePool, FollowReply, FollowRequest, GatewayCommand, GatewayReply, GatewayRequest, OrderSubject, RelayClock,
     RelayData, StoreRecord, TrialRequest, WantedEngines,
 };
 use saddlerelay_types::identity::{Incarnation, ReplicaId, TenantId, Zone};
@@ -159,13 +159,13 @@
     ItemOutcome { end, remaining_text: part(random), score: random.bool().then(|| "0.5".to_string()) }
 }
 
-fn place() -> EnginePlace {
-    EnginePlace { service: "web".to_string(), zone: "north".to_string() }
+fn engine_pool() -> EnginePool {
+    EnginePool { service: "web".to_string(), zone: "north".to_string() }
 }
 
 fn subjects(random: &mut fastrand::Rng) -> Vec<OrderSubject> {
     let engine = OrderSubject::engine(&report(random).id);
-    vec![engine, OrderSubject::UsageReports, OrderSubject::EngineCount(place())]
+    vec![engine, OrderSubject::UsageReports, OrderSubject::EngineCount(engine_pool())]
 }
 
 fn usage(random: &mut fastrand::Rng, number: u64) -> RelayUsage {
@@ -219,7 +219,7 @@
         22..24 => GatewayCommand::AddUsage(vec![usage(random, number)]),
         24 => GatewayCommand::CloseUsageWindows(UsageWindow(number / 20)),
         25 => GatewayCommand::UsageReported(UsageWindow(number / 40)),
-        26 => GatewayCommand::SetWantedEngines(vec![WantedEngines { place: place(), count: random.u32(..9) }]),
+        26 => GatewayCommand::SetWantedEngines(vec![WantedEngines { pool: engine_pool(), count: random.u32(..9) }]),
         27 => GatewayCommand::RecordEvidence(evidence(random)),
         28 => GatewayCommand::BeginTrial(TrialRequest { work: work(random), id: trial(random), limit_ms: 900 }),
         29 => GatewayCommand::RenewTrials(vec![held(random)]),
--- a/crates/control/tests/restarts.rs
+++ b/crates/control/tests/restarts.rs
@@ -90,7 +90,7 @@
             assert_eq!(state_of(&state, &start(FIRST)), Some(InstanceState::Gone));
             assert_eq!(state_of(&state, &start(SECOND)), Some(InstanceState::Ready));
             assert_eq!(state.instances.instance_at(([10, 0, 0, 1], port).into()), Some(&start(SECOND)));
-            assert_eq!(state.instances.places().map(|place| state.instances.available(place)).sum::<u32>(), 1);
+            assert_eq!(state.instances.engine_pools().map(|pool| state.instances.available(pool)).sum::<u32>(), 1);
         }
     }
 }
--- a/crates/coordinator/src/orders.rs
+++ b/crates/coordinator/src/orders.rs
@@ -83,8 +83,8 @@
         };
         let engines = reporting_engines(coordinator, state, &service.name);
         let config = &inner.config;
-        let places = state.instances.places().filter(|place| place.service == service.name);
-        let available: u32 = places.map(|place| state.instances.available(place)).sum();
+        let pools = state.instances.engine_pools().filter(|pool| pool.service == service.name);
+        let available: u32 = pools.map(|pool| state.instances.available(pool)).sum();
         let max_loads = available.div_ceil(config.engines_per_load).max(config.min_concurrent_loads) as usize;
         let loading = engines.iter().filter(|engine| inner.fleet.is_loading_any(&engine.instance)).count();
         let any_single_version =
--- a/crates/coordinator/src/scorers.rs
+++ b/crates/coordinator/src/scorers.rs
@@ -18,7 +18,7 @@
 const MAX_SLOT_SHARE: f64 = 0.5;
 
 /// Maximum number of engines considered per service and zone; bounds the cost of a choice in large fleets.
-const MAX_ENGINES_PER_PLACE: usize = 64;
+const MAX_ENGINES_PER_POOL: usize = 64;
 
 /// How long an engine that reported queued requests receives no score calls.
 const QUEUE_BACKOFF: Duration = Duration::from_millis(40);
@@ -40,9 +40,9 @@
 
     fn engines(&self, service: &str) -> Vec<ReadyEngine> {
         let instances = &self.state.instances;
-        let places = instances.places().filter(|place| place.service == service);
+        let pools = instances.engine_pools().filter(|pool| pool.service == service);
         let ready = |record: &&InstanceRecord| record.state == InstanceState::Ready;
-        let candidates = places.flat_map(|place| instances.engines_in(place).filter(ready).take(MAX_ENGINES_PER_PLACE));
+        let candidates = pools.flat_map(|pool| instances.engines_in(pool).filter(ready).take(MAX_ENGINES_PER_POOL));
         candidates
             .map(|record| ReadyEngine {
                 target: EngineTarget { instance: record.report.id.clone(), address: record.report.address },
--- a/crates/coordinator/src/working_set.rs
+++ b/crates/coordinator/src/working_set.rs
@@ -7,7 +7,7 @@
 use crate::working_set_policy::{ModelDemand, ServiceDemand, WorkingSetPolicy};
 use saddlerelay_control::state::ControlState;
 use saddlerelay_control::state::instances::InstanceTable;
-use saddlerelay_types::gateway::{EnginePlace, OrderSubject};
+use saddlerelay_types::gateway::{EnginePool, OrderSubject};
 use saddlerelay_types::instance::{InstanceId, InstanceRecord, InstanceState};
 use saddlerelay_types::routing::{RouteKind, RoutingDocument};
 use std::collections::{BTreeMap, BTreeSet};
@@ -67,7 +67,7 @@
     }
 
     /// Updates the sets from the committed state: engines that are no longer ready are removed and replaced. Only
-    /// changed records are read, and further engines of a place only while some are missing.
+    /// changed records are read, and further engines of a pool only while some are missing.
     pub fn update(&mut self, state: &ControlState, policy: &dyn WorkingSetPolicy) -> Added {
         let Some(document) = state.routing.current() else {
             return Vec::new();
@@ -80,18 +80,18 @@
         let mut added = Vec::new();
         for service in batch_services(document) {
             let set = self.services.entry(service.to_string()).or_default();
-            let places: Vec<&EnginePlace> = table.places().filter(|place| place.service == service).collect();
-            let ready = places.iter().map(|place| table.available(place) as usize).sum();
+            let pools: Vec<&EnginePool> = table.engine_pools().filter(|pool| pool.service == service).collect();
+            let ready = pools.iter().map(|pool| table.available(pool) as usize).sum();
             let hosting = document.service(service).and_then(|service| service.hosting.as_ref());
             let models = hosting.map(|hosting| hosting.models.as_slice()).unwrap_or_default();
-            let slots = hosting.map(|hosting| hosting.slots).or_else(|| reported_slots(table, &places)).unwrap_or(1);
+            let slots = hosting.map(|hosting| hosting.slots).or_else(|| reported_slots(table, &pools)).unwrap_or(1);
             let wanted = policy.engines(&ServiceDemand { ready, slots, models: set.demands(models) });
             let has_grown = std::mem::replace(&mut set.wanted, wanted) < wanted;
             if must_rebuild {
                 set.adopt_ordered_engines(state, service, &mut added);
             }
             if changed || has_grown {
-                set.fill(table, &places, ready, &mut added);
+                set.fill(table, &pools, ready, &mut added);
             }
         }
         added
@@ -137,9 +137,9 @@
         }
     }
 
-    /// Adds engines from each place in turn until there are enough. If the policy wants all engines, non-reporting ones
+    /// Adds engines from each pool in turn until there are enough. If the policy wants all engines, non-reporting ones
     /// are added too.
-    fn fill(&mut self, table: &InstanceTable, places: &[&EnginePlace], ready: usize, added: &mut Added) {
+    fn fill(&mut self, table: &InstanceTable, pools: &[&EnginePool], ready: usize, added: &mut Added) {
         let takes_all = self.wanted >= ready;
         let healthy = self.members.iter().filter(|id| table.get(id).is_some_and(is_healthy)).count();
         let mut missing = self.wanted.saturating_sub(healthy);
@@ -147,13 +147,13 @@
             return;
         }
         let may_join = |record: &&InstanceRecord| record.state == InstanceState::Ready && (takes_all || !record.silent);
-        let mut candidates: Vec<_> = places.iter().map(|place| table.engines_in(place).filter(may_join)).collect();
+        let mut candidates: Vec<_> = pools.iter().map(|pool| table.engines_in(pool).filter(may_join)).collect();
         while (missing > 0 || takes_all) && !candidates.is_empty() {
-            candidates.retain_mut(|place| {
+            candidates.retain_mut(|pool| {
                 if missing == 0 && !takes_all {
                     return true;
                 }
-                let next = place.find(|record| !self.members.contains(&record.report.id));
+                let next = pool.find(|record| !self.members.contains(&record.report.id));
                 if let Some(record) = next {
                     self.members.insert(record.report.id.clone());
                     added.push(record.report.id.clone());
@@ -165,9 +165,9 @@
     }
 }
 
-/// Slots per engine, from the report of one engine of these places.
-fn reported_slots(table: &InstanceTable, places: &[&EnginePlace]) -> Option<u32> {
-    let first = places.iter().find_map(|place| table.engines_in(place).next());
+/// Slots per engine, from the report of one engine of these engine pools.
+fn reported_slots(table: &InstanceTable, pools: &[&EnginePool]) -> Option<u32> {
+    let first = pools.iter().find_map(|pool| table.engines_in(pool).next());
     first.map(|record| record.report.slots)
 }
 
--- a/crates/coordinator/tests/working_set.rs
+++ b/crates/coordinator/tests/working_set.rs
@@ -165,6 +165,6 @@
         costs.push(reads);
     }
     let (least, most) = (costs.iter().min(), costs.iter().max());
-    // Reads of members, and of engines of each place that are members already.
+    // Reads of members, and of engines of each engine pool that are members already.
     assert!(most <= least.map(|least| least + 64).as_ref() && most < Some(&2_000), "{costs:?}");
 }
--- a/crates/duties/src/config.rs
+++ b/crates/duties/src/config.rs
@@ -25,8 +25,8 @@
 /// Timing of engine orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineCountConfig {
-    /// Time after a new leader first observes a place during which it orders nothing there. Each present engine reports
-    /// itself within this time.
+    /// Time after a new leader first observes an engine pool during which it orders nothing there. Each present engine
+    /// reports itself within this time.
     pub discovery_time: Duration,
     /// Time for which engines must be missing before replacements are ordered; covers an engine restart.
     pub replacement_delay: Duration,
--- a/crates/duties/src/engine_counts.rs
+++ b/crates/duties/src/engine_counts.rs
@@ -8,11 +8,11 @@
 use crate::client::PlatformClient;
 use crate::config::EngineCountConfig;
 use crate::format::{CallGrant, EngineCountOrder, PlatformResponse};
-use crate::policies::{EngineCountPolicy, PlaceView};
+use crate::policies::{EngineCountPolicy, EnginePoolView};
 use saddlerelay_control::state::ControlState;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
-use saddlerelay_types::gateway::{EnginePlace, GatewayCommand, OrderSubject, WantedEngines};
+use saddlerelay_types::gateway::{EnginePool, GatewayCommand, OrderSubject, WantedEngines};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,8 +24,8 @@
 
 /// What this leader has observed of a service in a zone during its term.
 #[derive(Clone, Copy, Debug)]
-struct PlaceState {
-    /// When the place was first observed in this term.
+struct EnginePoolState {
+    /// When the engine pool was first observed in this term.
     first_seen: Duration,
     /// Since when fewer engines than wanted have been present.
     missing_since: Option<Duration>,
@@ -34,7 +34,7 @@
     backoff: Backoff,
 }
 
-impl PlaceState {
+impl EnginePoolState {
     fn new(now: Duration) -> Self {
         Self { first_seen: now, missing_since: None, next_order_at: Duration::ZERO, backoff: Backoff::default() }
     }
@@ -47,7 +47,7 @@
     policy: impl EngineCountPolicy,
 ) {
     let mut last_term = None;
-    let mut place_states: BTreeMap<EnginePlace, PlaceState> = BTreeMap::new();
+    let mut engine_pool_states: BTreeMap<EnginePool, EnginePoolState> = BTreeMap::new();
     loop {
         duties.runtime.sleep(CHECK_INTERVAL).await;
         duties.node.observe_order_intents();
@@ -57,17 +57,17 @@
             continue;
         };
         if last_term.replace(term) != Some(term) {
-            place_states.clear();
+            engine_pool_states.clear();
         }
-        let mut views = duties.node.read(place_views).unwrap_or_default();
+        let mut views = duties.node.read(engine_pool_views).unwrap_or_default();
         for view in &views {
-            place_states.entry(view.place.clone()).or_insert_with(|| PlaceState::new(now));
+            engine_pool_states.entry(view.pool.clone()).or_insert_with(|| EnginePoolState::new(now));
         }
-        views.retain(|view| now >= place_states[&view.place].first_seen + terms.discovery_time);
+        views.retain(|view| now >= engine_pool_states[&view.pool].first_seen + terms.discovery_time);
         duties.commit_wanted(&views, &policy).await;
         for view in &views {
-            if let Some(place_state) = place_states.get_mut(&view.place) {
-                duties.order_missing(term, view, place_state, terms).await;
+            if let Some(pool_state) = engine_pool_states.get_mut(&view.pool) {
+                duties.order_missing(term, view, pool_state, terms).await;
             }
         }
     }
@@ -75,7 +75,7 @@
 
 /// Every service and zone with scaling limits that has a committed number of wanted engines or at least one engine
 /// present.
-fn place_views(state: &ControlState) -> Vec<PlaceView> {
+fn engine_pool_views(state: &ControlState) -> Vec<EnginePoolView> {
     let Some(document) = state.routing.current() else {
         return Vec::new();
     };
@@ -85,15 +85,15 @@
             continue;
         };
         let wanted = state.engine_counts.wanted();
-        let recorded = wanted.keys().filter(|place| place.service == service.name).cloned();
-        let of_service = state.instances.places().filter(|place| place.service == service.name);
-        let with_engines = of_service.filter(|place| state.instances.available(place) > 0).cloned();
-        let places: BTreeSet<EnginePlace> = recorded.chain(with_engines).collect();
-        views.extend(places.into_iter().map(|place| PlaceView {
-            wanted: wanted.get(&place).copied(),
-            available: state.instances.available(&place),
+        let recorded = wanted.keys().filter(|pool| pool.service == service.name).cloned();
+        let of_service = state.instances.engine_pools().filter(|pool| pool.service == service.name);
+        let with_engines = of_service.filter(|pool| state.instances.available(pool) > 0).cloned();
+        let pools: BTreeSet<EnginePool> = recorded.chain(with_engines).collect();
+        views.extend(pools.into_iter().map(|pool| EnginePoolView {
+            wanted: wanted.get(&pool).copied(),
+            available: state.instances.available(&pool),
             limits: limits.clone(),
-            place,
+            pool,
         }));
     }
     views
@@ -101,10 +101,10 @@
 
 impl<P: Runtime, B: Backends, C: PlatformClient> Duties<P, B, C> {
     /// Commits the numbers that the policy wants, where they differ from the committed ones.
-    async fn commit_wanted(&self, views: &[PlaceView], policy: &impl EngineCountPolicy) {
-        let changed = |view: &PlaceView| {
+    async fn commit_wanted(&self, views: &[EnginePoolView], policy: &impl EngineCountPolicy) {
+        let changed = |view: &EnginePoolView| {
             let count = policy.wanted(view);
-            (view.wanted != Some(count)).then(|| WantedEngines { place: view.place.clone(), count })
+            (view.wanted != Some(count)).then(|| WantedEngines { pool: view.pool.clone(), count })
         };
         let wanted: Vec<WantedEngines> = views.iter().filter_map(changed).collect();
         if wanted.is_empty() {
@@ -119,39 +119,45 @@
         }
     }
 
-    /// Orders the wanted number in a place where engines have been missing for `replacement_delay`.
-    async fn order_missing(&self, term: u64, view: &PlaceView, place_state: &mut PlaceState, terms: EngineCountConfig) {
+    /// Orders the wanted number in an engine pool where engines have been missing for `replacement_delay`.
+    async fn order_missing(
+        &self,
+        term: u64,
+        view: &EnginePoolView,
+        pool_state: &mut EnginePoolState,
+        terms: EngineCountConfig,
+    ) {
         let now = self.runtime.monotonic();
         let Some(wanted) = view.wanted else {
             return;
         };
         if view.available >= wanted {
-            place_state.missing_since = None;
+            pool_state.missing_since = None;
             return;
         }
-        let missing_since = *place_state.missing_since.get_or_insert(now);
-        let due = now >= missing_since + terms.replacement_delay && now >= place_state.next_order_at;
-        let subject = OrderSubject::EngineCount(view.place.clone());
-        if !due || !place_state.backoff.is_elapsed(now) || !self.node.may_order(&subject) {
+        let missing_since = *pool_state.missing_since.get_or_insert(now);
+        let due = now >= missing_since + terms.replacement_delay && now >= pool_state.next_order_at;
+        let subject = OrderSubject::EngineCount(view.pool.clone());
+        if !due || !pool_state.backoff.is_elapsed(now) || !self.node.may_order(&subject) {
             return;
         }
         if self.send_order(term, view, wanted).await {
-            place_state.backoff.reset();
+            pool_state.backoff.reset();
             let start_time = Duration::from_millis(view.limits.start_ms);
-            place_state.next_order_at = self.runtime.monotonic() + start_time + terms.replacement_delay;
+            pool_state.next_order_at = self.runtime.monotonic() + start_time + terms.replacement_delay;
         } else {
-            place_state.backoff.record_failure(&self.runtime);
+            pool_state.backoff.record_failure(&self.runtime);
         }
     }
 
     /// Sends an order; returns whether the platform accepted it.
-    async fn send_order(&self, term: u64, view: &PlaceView, count: u32) -> bool {
-        let subject = OrderSubject::EngineCount(view.place.clone());
+    async fn send_order(&self, term: u64, view: &EnginePoolView, count: u32) -> bool {
+        let subject = OrderSubject::EngineCount(view.pool.clone());
         let Some(grant) = self.node.commit_order_intent(term, vec![subject]).await else {
             return false;
         };
         let right = CallGrant { holder: self.name.clone(), fence: grant.fence };
-        let order = EngineCountOrder { place: view.place.clone(), count, withdrawable: false };
+        let order = EngineCountOrder { place: view.pool.clone(), count, withdrawable: false };
         let call = self.platform_format.engine_count(&right, &order);
         let answered = self.client.call(call, CALL_TIMEOUT, || self.node.grant_is_valid(&grant)).await;
         let outcome = match &answered {
@@ -161,7 +167,7 @@
         let accepted =
             answered.is_ok_and(|status| self.platform_format.answer(status, Some(&order)) == PlatformResponse::Taken);
         spdlog::info!("engine order sent", kv: {
-            service = view.place.service.as_str(), zone = view.place.zone.as_str(), count = count,
+            service = view.pool.service.as_str(), zone = view.pool.zone.as_str(), count = count,
             present = view.available, fence = grant.fence.0, taken = accepted, outcome = outcome.as_str()
         });
         let counter = if accepted { &self.metrics.engine_orders_accepted } else { &self.metrics.engine_orders_failed };
--- a/crates/duties/src/format.rs
+++ b/crates/duties/src/format.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, StatusCode};
-use saddlerelay_types::gateway::EnginePlace;
+use saddlerelay_types::gateway::EnginePool;
 use saddlerelay_types::identity::Fence;
 use saddlerelay_types::usage::UsageReport;
 use serde::{Deserialize, Serialize};
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCountOrder {
     /// The service and zone.
-    pub place: EnginePlace,
+    pub place: EnginePool,
     /// The total number of engines wanted.
     pub count: u32,
     /// Whether the order is for preemptible engines, which the platform may withdraw.
--- a/crates/duties/src/policies/keep_initial.rs
+++ b/crates/duties/src/policies/keep_initial.rs
@@ -1,13 +1,14 @@
-//! Keeps the number of engines present when the place was first observed: lost engines are replaced, none are added.
+//! Keeps the number of engines present when the engine pool was first observed: lost engines are replaced, none are
+//! added.
 
-use crate::policies::{EngineCountPolicy, PlaceView};
+use crate::policies::{EngineCountPolicy, EnginePoolView};
 
 /// Wants the committed number, or at first the number present, within the scaling limits.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KeepInitial;
 
 impl EngineCountPolicy for KeepInitial {
-    fn wanted(&self, view: &PlaceView) -> u32 {
+    fn wanted(&self, view: &EnginePoolView) -> u32 {
         view.wanted.unwrap_or(view.available).clamp(view.limits.fewest, view.limits.most.max(view.limits.fewest))
     }
 }
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -19,7 +19,7 @@
 use saddlerelay_simulator::backends::SimBackends;
 use saddlerelay_simulator::platform::SimRuntime;
 use saddlerelay_simulator::world::{Process, START_UNIX_MILLISECONDS, Sleep, World};
-use saddlerelay_types::gateway::{EnginePlace, FollowRequest, GatewayCommand, GatewayReply, GatewayRequest};
+use saddlerelay_types::gateway::{EnginePool, FollowRequest, GatewayCommand, GatewayReply, GatewayRequest};
 use saddlerelay_types::identity::{Incarnation, TenantId};
 use saddlerelay_types::instance::{InstanceId, InstanceReport};
 use saddlerelay_types::routing::{RequestLimits, RoutingDocument, ScalingLimits, Service};
@@ -667,9 +667,9 @@
             deployment.commit(GatewayCommand::ReportInstances(vec![engine(number)]));
         }
         deployment.run_for(Duration::from_secs(4));
-        let place = EnginePlace { service: "llm".to_string(), zone: "north".to_string() };
+        let pool = EnginePool { service: "llm".to_string(), zone: "north".to_string() };
         let (_, node) = deployment.leader().expect("there is a leader");
-        let wanted = node.read_applied(|state| state.engine_counts.wanted().get(&place).copied());
+        let wanted = node.read_applied(|state| state.engine_counts.wanted().get(&pool).copied());
         assert_eq!(wanted, Some(3));
         let ordered = |deployment: &Deployment| {
             let records = deployment.platform.records.borrow();
@@ -690,7 +690,7 @@
         assert!(orders.iter().any(|record| record.accepted), "nothing was ordered");
         for record in &orders {
             let Received::EngineCount(order) = &record.call else { continue };
-            assert_eq!((&order.place, order.count, order.withdrawable), (&place, 3, false));
+            assert_eq!((&order.place, order.count, order.withdrawable), (&pool, 3, false));
         }
         let mut fences: Vec<u64> = orders.iter().map(|record| record.fence).collect();
         fences.sort_unstable();
--- a/crates/types/src/gateway.rs
+++ b/crates/types/src/gateway.rs
@@ -245,7 +245,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct EngineCountStatus {
     /// The service and zone.
-    pub place: EnginePlace,
+    pub place: EnginePool,
     /// Desired number of engines.
     pub wanted: u32,
     /// Number of engines that send reports and accept work.
@@ -354,7 +354,7 @@
     /// The usage reports of all windows.
     UsageReports,
     /// The number of engines of a service in a zone.
-    EngineCount(EnginePlace),
+    EngineCount(EnginePool),
 }
 
 impl OrderSubject {
@@ -364,9 +364,9 @@
     }
 }
 
-/// A service in a zone.
+/// Identifies the engines of a service in a zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode, Serialize, Deserialize)]
-pub struct EnginePlace {
+pub struct EnginePool {
     /// The service.
     pub service: String,
     /// The zone.
@@ -377,7 +377,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct WantedEngines {
     /// The service and zone.
-    pub place: EnginePlace,
+    pub pool: EnginePool,
     /// The desired number.
     pub count: u32,
 }
