--- a/crates/control-client/src/suspicions.rs
+++ b/crates/control-client/src/suspicions.rs
@@ -181,7 +181,7 @@
 impl<P: Runtime> SuspicionSync<P> {
     /// Starts without suspicions, and reports evidence to the group behind `control` until the process ends.
     pub fn start(platform: P, control: ControlClient<P>, last_trial_pause: Duration) -> Rc<Self> {
-        let keeper = Rc::new(Self {
+        let sync = Rc::new(Self {
             platform: platform.clone(),
             control: control.clone(),
             last_trial_pause,
@@ -190,8 +190,8 @@
             evidence_added: Signal::default(),
             evidence_reported: Signal::default(),
         });
-        platform.spawn(report_evidence(keeper.clone()));
-        keeper
+        platform.spawn(report_evidence(sync.clone()));
+        sync
     }
 
     /// Number of distinct suspected work digests.
@@ -288,31 +288,31 @@
 }
 
 /// Reports evidence to the control group until the process ends.
-async fn report_evidence<P: Runtime>(keeper: Rc<SuspicionSync<P>>) {
+async fn report_evidence<P: Runtime>(sync: Rc<SuspicionSync<P>>) {
     loop {
-        let notified_count = keeper.evidence_added.count();
-        let evidence = keeper.suspicions.borrow().evidence().clone();
+        let notified_count = sync.evidence_added.count();
+        let evidence = sync.suspicions.borrow().evidence().clone();
         if evidence.is_empty() {
-            keeper.evidence_added.changed(notified_count).await;
+            sync.evidence_added.changed(notified_count).await;
             continue;
         }
         let request = GatewayRequest::ReportEvidence(evidence.clone());
-        match keeper.control.gateway(request, REPORT_TIMEOUT, REPORT_TIMEOUT).await {
+        match sync.control.gateway(request, REPORT_TIMEOUT, REPORT_TIMEOUT).await {
             Ok(GatewayReply::Suspicions(list)) => {
-                keeper.suspicions.borrow_mut().remove_committed(&evidence);
-                keeper.apply_list(list);
-                keeper.evidence_reported.notify();
+                sync.suspicions.borrow_mut().remove_committed(&evidence);
+                sync.apply_list(list);
+                sync.evidence_reported.notify();
             }
             Err(GatewayError::NotUnderstood) => {
                 spdlog::info!("evidence discarded, leader runs an older build", kv: { losses = evidence.losses.len() });
-                keeper.suspicions.borrow_mut().remove_committed(&evidence);
-                keeper.evidence_reported.notify();
+                sync.suspicions.borrow_mut().remove_committed(&evidence);
+                sync.evidence_reported.notify();
             }
             other => {
                 spdlog::warn!("evidence not delivered, will retry", kv: {
                     losses = evidence.losses.len(), reason = format!("{other:?}").as_str()
                 });
-                keeper.platform.sleep(RETRY_PAUSE).await;
+                sync.platform.sleep(RETRY_PAUSE).await;
             }
         }
     }
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -42,7 +42,7 @@
     /// Minimum time between orders of two replicas about the same subject (an engine, usage reports or an engine
     /// count).
     pub order_separation: Duration,
-    /// Maximum time between proposing an order note and sending the order.
+    /// Maximum time between proposing an order intent and sending the order.
     pub order_validity: Duration,
 }
 
--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -3,7 +3,7 @@
 //! `job_requests`.
 
 use crate::node::ControlNode;
-use crate::older_level::{named_in, strip_start_times, unlogged_outcome};
+use crate::older_level::{filter_by_name, strip_start_times, unlogged_outcome};
 use crate::state::ControlState;
 use crate::state::stores::Retirement;
 use saddlerelay_replication::ProposeError;
@@ -11,7 +11,7 @@
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_runtime::signal::Signal;
 use saddlerelay_types::gateway::{
-    DutyOverview, EngineCountStatus, EnginePlace, GatewayCommand, GatewayOutcome, GatewayReply, GatewayRequest,
+    DutyOverview, EngineCountStatus, EnginePool, GatewayCommand, GatewayOutcome, GatewayReply, GatewayRequest,
     StoreRecord,
 };
 use saddlerelay_types::instance::{
@@ -91,7 +91,7 @@
             GatewayRequest::RemoveInstance(id) => self.remove_instance(id).await,
             GatewayRequest::PutRouting(document) => self.put_routing(document).await,
             GatewayRequest::ReadRouting => self.read_routing(),
-            GatewayRequest::PublishVersion(named) => self.publish_version(named).await,
+            GatewayRequest::PublishVersion(published) => self.publish_version(published).await,
             GatewayRequest::SubmitJob(job) => self.submit_job(job).await,
             GatewayRequest::ReadResults { job, after, wait_ms, caller } => {
                 self.read_results(&job, after, wait_ms, &caller).await
@@ -183,7 +183,7 @@
         };
         match self.accept_reports(reports).await {
             ControlReply::Gateway(GatewayReply::ReportsMissing(missing)) => {
-                ControlReply::Gateway(GatewayReply::ReportsMissing(named_in(&missing, heartbeat_ids.into_iter())))
+                ControlReply::Gateway(GatewayReply::ReportsMissing(filter_by_name(&missing, heartbeat_ids.into_iter())))
             }
             other => other,
         }
@@ -242,13 +242,14 @@
         self.reply(source.map(GatewayReply::Routing))
     }
 
-    async fn publish_version(&self, named: LoadedModel) -> ControlReply {
-        let is_superseded =
-            self.read(|state| state.weights.named().get(&named.model).is_some_and(|current| *current >= named.version));
+    async fn publish_version(&self, published: LoadedModel) -> ControlReply {
+        let is_superseded = self.read(|state| {
+            state.weights.published().get(&published.model).is_some_and(|current| *current >= published.version)
+        });
         match is_superseded {
             None => self.not_leader(),
             Some(true) => ControlReply::Gateway(GatewayReply::Done),
-            Some(false) => self.execute_gateway(GatewayCommand::PublishVersion(named)).await,
+            Some(false) => self.execute_gateway(GatewayCommand::PublishVersion(published)).await,
         }
     }
 
@@ -289,10 +290,10 @@
 
     fn read_duties(&self) -> ControlReply {
         let overview = self.read(|state| {
-            let engine_standing = |(place, wanted): (&EnginePlace, &u32)| EngineCountStatus {
-                place: place.clone(),
+            let engine_count_status = |(pool, wanted): (&EnginePool, &u32)| EngineCountStatus {
+                place: pool.clone(),
                 wanted: *wanted,
-                present: state.instances.present(place),
+                present: state.instances.available(pool),
             };
             DutyOverview {
                 leader: self.inner.replica.id(),
@@ -300,7 +301,7 @@
                 newest_reported: state.usage.newest_reported(),
                 unreported: state.usage.unreported().map(|report| report.window).collect(),
                 uncounted: state.usage.late_requests(),
-                engines: state.engine_counts.wanted().iter().map(engine_standing).collect(),
+                engines: state.engine_counts.wanted().iter().map(engine_count_status).collect(),
             }
         });
         self.reply(overview.map(GatewayReply::Duties))
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -70,7 +70,7 @@
     pub instance_watch: RefCell<InstanceWatch>,
     /// Encoded routing updates for relays.
     pub routing_updates: RefCell<RoutingUpdates>,
-    /// When each order note was first observed.
+    /// When each order intent was first observed.
     pub order_watch: RefCell<OrderWatch>,
     /// When each trial lease was last observed to be renewed.
     pub trial_watch: RefCell<TrialWatch>,
--- a/crates/control/src/state/level_one.rs
+++ b/crates/control/src/state/level_one.rs
@@ -6,10 +6,10 @@
 use super::ControlState;
 use super::claims::ClaimTable;
 use super::configuration::ConfigurationStore;
-use super::instances::{InstanceTable, place_of};
+use super::instances::{InstanceTable, engine_pool_of};
 use super::jobs::{Job, JobTable, ListedItem};
 use super::members::MemberTable;
-use super::orders::{OrderNote, OrderState};
+use super::orders::{OrderIntent, OrderState};
 use super::rollouts::RolloutLedger;
 use super::routing::RoutingState;
 use super::stores::StoreTable;
@@ -55,10 +55,10 @@
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 struct WeightsOne {
-    named: BTreeMap<String, u64>,
+    published: BTreeMap<String, u64>,
     holder: Option<ReplicaId>,
-    order_notes: BTreeMap<one::InstanceId, OrderNote>,
-    notes_recorded: u64,
+    order_intents: BTreeMap<one::InstanceId, OrderIntent>,
+    intents_recorded: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
@@ -159,7 +159,7 @@
         for record in self.records.into_values() {
             let record = record.with_silence(false);
             table.add_to_indexes(&record);
-            table.update_subset_prefixes(&place_of(&record.report));
+            table.update_subset_prefixes(&engine_pool_of(&record.report));
             table.records.insert(record.report.id.clone(), record);
         }
         table
@@ -168,22 +168,22 @@
 
 impl WeightsOne {
     fn of(weights: &WeightState, orders: &OrderState) -> Self {
-        let note = |(subject, note): (&OrderSubject, &OrderNote)| match subject {
-            OrderSubject::Engine(name) => (one::InstanceId(name.clone()), *note),
+        let intent = |(subject, intent): (&OrderSubject, &OrderIntent)| match subject {
+            OrderSubject::Engine(name) => (one::InstanceId(name.clone()), *intent),
             OrderSubject::UsageReports | OrderSubject::EngineCount(_) => panic!("{NOT_REPRESENTABLE}"),
         };
         Self {
-            named: weights.named().clone(),
+            published: weights.published().clone(),
             holder: orders.holder,
-            order_notes: orders.notes.iter().map(note).collect(),
-            notes_recorded: orders.notes_recorded,
+            order_intents: orders.intents.iter().map(intent).collect(),
+            intents_recorded: orders.intents_recorded,
         }
     }
 
     fn into_current(self) -> (WeightState, OrderState) {
-        let notes = self.order_notes.into_iter().map(|(id, note)| (OrderSubject::Engine(id.0), note)).collect();
-        let orders = OrderState { holder: self.holder, notes, notes_recorded: self.notes_recorded };
-        (WeightState { named: self.named }, orders)
+        let intents = self.order_intents.into_iter().map(|(id, intent)| (OrderSubject::Engine(id.0), intent)).collect();
+        let orders = OrderState { holder: self.holder, intents, intents_recorded: self.intents_recorded };
+        (WeightState { published: self.published }, orders)
     }
 }
 
@@ -277,8 +277,9 @@
     /// Records orders that `holder` is about to send.
     pub fn record_level_one(&mut self, holder: ReplicaId, instances: Vec<one::InstanceId>) {
         for instance in instances {
-            self.notes_recorded += 1;
-            self.notes.insert(OrderSubject::Engine(instance.0), OrderNote { holder, number: self.notes_recorded });
+            self.intents_recorded += 1;
+            self.intents
+                .insert(OrderSubject::Engine(instance.0), OrderIntent { holder, number: self.intents_recorded });
         }
     }
 
--- a/crates/control/tests/order_watch.rs
+++ b/crates/control/tests/order_watch.rs
@@ -27,7 +27,7 @@
     watch.observe(&state, seconds(10));
     state.record(OLD, vec![engine("b")]);
     watch.observe(&state, seconds(12));
-    // Observing a note again does not extend the wait.
+    // Observing an intent again does not extend the wait.
     watch.observe(&state, seconds(13));
     assert_eq!(watch.earliest_order_time(&engine("a"), NEW, SEPARATION), seconds(13));
     assert_eq!(watch.earliest_order_time(&engine("b"), NEW, SEPARATION), seconds(15));
@@ -59,5 +59,5 @@
     assert_eq!(watch.earliest_order_time(&engine("a"), NEW, SEPARATION), seconds(103));
     state.remove_engine(&InstanceId::named("a"));
     watch.observe(&state, seconds(101));
-    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, SEPARATION), Duration::ZERO, "the note was removed");
+    assert_eq!(watch.earliest_order_time(&engine("a"), NEW, SEPARATION), Duration::ZERO, "the intent was removed");
 }
--- a/crates/coordinator/src/format.rs
+++ b/crates/coordinator/src/format.rs
@@ -12,7 +12,7 @@
     pub target: LoadedModel,
     /// Name of the process that sends the order.
     pub holder: String,
-    /// Fencing token, higher for each later order note; engines reject orders with a lower token than the highest they
+    /// Fencing token, higher for each later order intent; engines reject orders with a lower token than the highest they
     /// have received.
     pub fence: u64,
     /// Number of orders that the engine must have accepted before this one.
@@ -33,7 +33,7 @@
 
 /// An HTTP request to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Call {
+pub struct EngineCall {
     /// The method.
     pub method: Method,
     /// The path.
@@ -87,7 +87,7 @@
 /// The deployment's formats for calls to engines.
 pub trait EngineFormat: 'static {
     /// Builds a weight order.
-    fn order(&self, order: &WeightOrder) -> Call;
+    fn order(&self, order: &WeightOrder) -> EngineCall;
     /// Interprets the response status of a weight order.
     fn order_answer(&self, status: StatusCode) -> OrderResponse {
         match status {
@@ -100,7 +100,7 @@
         }
     }
     /// Builds a report request.
-    fn report(&self) -> Call;
+    fn report(&self) -> EngineCall;
     /// Parses a report; `None` if it is malformed.
     fn read_report(&self, body: &[u8]) -> Option<EngineReport>;
 }
--- a/crates/coordinator/src/plan.rs
+++ b/crates/coordinator/src/plan.rs
@@ -358,7 +358,7 @@
         reason,
         engines: context.round.engines.len(),
         eligible: context.eligible.len(),
-        with_room: context.eligible.iter().filter(|candidate| candidate.engine.has_free_slot()).count(),
+        with_free_slots: context.eligible.iter().filter(|candidate| candidate.engine.has_free_slot()).count(),
         suspicion_revision: context.suspicions.revision(),
     };
     let wait = &mut context.run.items[index as usize].wait;
--- a/crates/coordinator/src/scorers.rs
+++ b/crates/coordinator/src/scorers.rs
@@ -18,7 +18,7 @@
 const MAX_SLOT_SHARE: f64 = 0.5;
 
 /// Maximum number of engines considered per service and zone; bounds the cost of a choice in large fleets.
-const MAX_ENGINES_PER_PLACE: usize = 64;
+const MAX_ENGINES_PER_POOL: usize = 64;
 
 /// How long an engine that reported queued requests receives no score calls.
 const QUEUE_BACKOFF: Duration = Duration::from_millis(40);
@@ -40,9 +40,9 @@
 
     fn engines(&self, service: &str) -> Vec<ReadyEngine> {
         let instances = &self.state.instances;
-        let places = instances.places().filter(|place| place.service == service);
+        let pools = instances.engine_pools().filter(|pool| pool.service == service);
         let ready = |record: &&InstanceRecord| record.state == InstanceState::Ready;
-        let candidates = places.flat_map(|place| instances.engines_in(place).filter(ready).take(MAX_ENGINES_PER_PLACE));
+        let candidates = pools.flat_map(|pool| instances.engines_in(pool).filter(ready).take(MAX_ENGINES_PER_POOL));
         candidates
             .map(|record| ReadyEngine {
                 target: EngineTarget { instance: record.report.id.clone(), address: record.report.address },
@@ -140,17 +140,17 @@
         if round.full_services.contains(service) {
             return None;
         }
-        let available: Vec<ReadyEngine> =
-            round.engines(service).into_iter().filter(|engine| self.is_available(round, engine)).collect();
-        if available.is_empty() {
+        let with_free_capacity: Vec<ReadyEngine> =
+            round.engines(service).into_iter().filter(|engine| self.has_free_capacity(round, engine)).collect();
+        if with_free_capacity.is_empty() {
             round.full_services.insert(service.to_string());
             return None;
         }
         let tried: Vec<InstanceId> = avoid.into_iter().cloned().collect();
-        self.balancer.choose(available.into_iter(), &self.zone, &tried, round.now)
+        self.balancer.choose(with_free_capacity.into_iter(), &self.zone, &tried, round.now)
     }
 
-    fn is_available(&self, round: &ScoringRound, engine: &ReadyEngine) -> bool {
+    fn has_free_capacity(&self, round: &ScoringRound, engine: &ReadyEngine) -> bool {
         let instance = &engine.target.instance;
         if self.backed_off.borrow().get(instance).is_some_and(|until| round.now < *until) {
             return false;
--- a/crates/duties/src/policies/keep_initial.rs
+++ b/crates/duties/src/policies/keep_initial.rs
@@ -1,6 +1,7 @@
-//! Keeps the number of engines present when the place was first observed: lost engines are replaced, none are added.
+//! Keeps the number of engines present when the engine pool was first observed: lost engines are replaced, none are
+//! added.
 
-use crate::policies::{EngineCountPolicy, PlaceView};
+use crate::policies::{EngineCountPolicy, EnginePoolView};
 
 /// Chooses the committed number of engines or, before the first decision, the number present, within the scaling
 /// limits.
@@ -8,7 +9,7 @@
 pub struct KeepInitial;
 
 impl EngineCountPolicy for KeepInitial {
-    fn wanted(&self, view: &PlaceView) -> u32 {
-        view.wanted.unwrap_or(view.present).clamp(view.limits.fewest, view.limits.most.max(view.limits.fewest))
+    fn wanted(&self, view: &EnginePoolView) -> u32 {
+        view.wanted.unwrap_or(view.available).clamp(view.limits.fewest, view.limits.most.max(view.limits.fewest))
     }
 }
--- a/crates/fleet/src/bench.rs
+++ b/crates/fleet/src/bench.rs
@@ -169,7 +169,7 @@
 
 async fn time_relay_request(access: &HttpAccess, request: CallerRequest) -> Result<Duration> {
     let started_at = Instant::now();
-    let response = access.ask(0, &request).await;
+    let response = access.send_request(0, &request).await;
     ensure!(matches!(response, CallerResponse::Whole { .. }), "the relay returned {response:?}");
     Ok(started_at.elapsed())
 }
--- a/crates/gateway-api/tests/common/engine.rs
+++ b/crates/gateway-api/tests/common/engine.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, StatusCode};
 use saddlerelay_coordinator::format::{EngineReport, WeightOrder};
 use saddlerelay_gateway_api::own::{ORDER_PATH, REPORT_PATH};
-use saddlerelay_http::body::{BrokenOff, LocalBody, Reply, json, read_whole, whole};
+use saddlerelay_http::body::{BrokenOff, LocalBody, Reply, json, read_body, whole};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_types::instance::{InstanceId, LoadedModel};
 use std::cell::{Cell, RefCell};
@@ -66,7 +66,7 @@
     started_at_ms: Cell<Option<u64>>,
     behavior: Cell<EngineBehavior>,
     version: Cell<u64>,
-    orders_taken: Cell<u64>,
+    orders_accepted: Cell<u64>,
     orders: RefCell<Vec<WeightOrder>>,
     /// Number of orders rejected because their `orders_taken` did not match.
     orders_rejected: Cell<u32>,
@@ -119,7 +119,7 @@
             started_at_ms: Cell::new(None),
             behavior: Cell::new(EngineBehavior::Respond),
             version: Cell::new(1),
-            orders_taken: Cell::new(0),
+            orders_accepted: Cell::new(0),
             orders: RefCell::default(),
             orders_rejected: Cell::new(0),
             order_responses_to_lose: Cell::new(0),
@@ -226,12 +226,12 @@
 
     async fn order(&self, body: Bytes) -> Reply {
         let order: WeightOrder = serde_json::from_slice(&body).expect("the body is not a weight order");
-        let executed = self.state.orders_taken.get();
+        let executed = self.state.orders_accepted.get();
         if order.orders_taken != executed {
             self.state.orders_rejected.set(self.state.orders_rejected.get() + 1);
             return whole(StatusCode::CONFLICT, "text/plain", "");
         }
-        self.state.orders_taken.set(executed + 1);
+        self.state.orders_accepted.set(executed + 1);
         self.state.version.set(order.target.version);
         self.state.orders.borrow_mut().push(order);
         let mut reply = whole(StatusCode::ACCEPTED, "text/plain", "");
@@ -339,7 +339,7 @@
 impl HttpHandler for StandInEngine {
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         let (head, body) = request.into_parts();
-        let body = read_whole(body).await.unwrap_or_default();
+        let body = read_body(body).await.unwrap_or_default();
         let expected = head.headers.get("saddlerelay-for-instance").and_then(|value| value.to_str().ok());
         if expected.is_some_and(|expected| expected != self.state.name) {
             let mut reply = whole(StatusCode::MISDIRECTED_REQUEST, "text/plain", "");
@@ -350,7 +350,7 @@
         match path.as_str() {
             ORDER_PATH => self.order(body).await,
             REPORT_PATH => {
-                let orders_taken = self.state.orders_taken.get();
+                let orders_taken = self.state.orders_accepted.get();
                 self.state.polls_answered.set(self.state.polls_answered.get() + 1);
                 let started_at_ms = self.state.started_at_ms.get();
                 json(StatusCode::OK, &EngineReport { models: self.models(), busy: false, orders_taken, started_at_ms })
--- a/crates/gateway-api/tests/common/mod.rs
+++ b/crates/gateway-api/tests/common/mod.rs
@@ -14,7 +14,7 @@
 use saddlerelay_engine_client::{BackendAddresses, HttpBackends};
 use saddlerelay_gateway::{Gateway, GatewayConfig, GatewayOptions};
 use saddlerelay_gateway_api::{ClientApi, ControlApi, NativeEngines, NativeFormats};
-use saddlerelay_http::client::{Connection, WholeResponse};
+use saddlerelay_http::client::{BufferedResponse, Connection};
 use saddlerelay_http::server::{Shutdown, serve_until};
 use saddlerelay_replication::ReplicaOptions;
 use saddlerelay_replication::config::ReplicationConfig;
@@ -293,7 +293,7 @@
     }
 
     /// Sends a client's request to the gateway.
-    pub async fn request(&self, method: Method, path: &str, headers: &[(&str, &str)], body: &str) -> WholeResponse {
+    pub async fn request(&self, method: Method, path: &str, headers: &[(&str, &str)], body: &str) -> BufferedResponse {
         call(self.client_address, method, path, &[headers, &[("host", HOST)]].concat(), body.to_string()).await
     }
 
@@ -351,12 +351,12 @@
     path: &str,
     headers: &[(&str, &str)],
     body: impl Into<bytes::Bytes>,
-) -> WholeResponse {
+) -> BufferedResponse {
     let mut connection = Connection::open(address).await.expect("failed to connect to the server");
     let response = connection.send(method, path, headers, body).await.expect("the server sent no response");
     let (head, body) = response.into_parts();
-    let body = saddlerelay_http::body::read_whole(body).await.expect("failed to read the entire body");
-    WholeResponse { status: head.status, headers: head.headers, body }
+    let body = saddlerelay_http::body::read_body(body).await.expect("failed to read the entire body");
+    BufferedResponse { status: head.status, headers: head.headers, body }
 }
 
 /// A route of `kind` to `service`.
--- a/crates/gateway-api/tests/crashing_work.rs
+++ b/crates/gateway-api/tests/crashing_work.rs
@@ -165,7 +165,7 @@
                 .expect("the server sent no response");
             statuses.push(answer.status());
             // The stream ends early.
-            let _ = saddlerelay_http::body::read_whole(answer.into_body()).await;
+            let _ = saddlerelay_http::body::read_body(answer.into_body()).await;
             fixture.await_evidence().await;
             fixture.restart().await;
         }
--- a/crates/gateway/src/lost_connections.rs
+++ b/crates/gateway/src/lost_connections.rs
@@ -26,7 +26,7 @@
 
     /// Whether this request holds a valid trial lease for its suspected work.
     pub fn has_trial(&self) -> bool {
-        self.trial.borrow().as_ref().is_some_and(RelayTrial::holds)
+        self.trial.borrow().as_ref().is_some_and(RelayTrial::is_held)
     }
 
     /// Stores the trial lease that this request acquired.
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -19,7 +19,7 @@
 use saddlerelay_simulator::backends::SimBackends;
 use saddlerelay_simulator::platform::SimRuntime;
 use saddlerelay_simulator::world::{Process, START_UNIX_MILLISECONDS, Sleep, World};
-use saddlerelay_types::gateway::{EnginePlace, FollowRequest, GatewayCommand, GatewayReply, GatewayRequest};
+use saddlerelay_types::gateway::{EnginePool, FollowRequest, GatewayCommand, GatewayReply, GatewayRequest};
 use saddlerelay_types::identity::{Incarnation, TenantId};
 use saddlerelay_types::instance::{InstanceId, InstanceReport};
 use saddlerelay_types::routing::{RequestLimits, RoutingDocument, ScalingLimits, Service};
@@ -159,9 +159,9 @@
 }
 
 /// Stores calls and refers to them by index instead of encoding them.
-struct IndexedDialect(Rc<RefCell<Vec<(u64, Received)>>>);
+struct IndexedPlatformFormat(Rc<RefCell<Vec<(u64, Received)>>>);
 
-impl IndexedDialect {
+impl IndexedPlatformFormat {
     fn store(&self, grant: &CallGrant, call: Received) -> PlatformCall {
         let mut calls = self.0.borrow_mut();
         calls.push((grant.fence.0, call));
@@ -174,7 +174,7 @@
     }
 }
 
-impl PlatformFormat for IndexedDialect {
+impl PlatformFormat for IndexedPlatformFormat {
     fn usage_report(&self, grant: &CallGrant, report: &UsageReport) -> PlatformCall {
         self.store(grant, Received::Usage(report.clone()))
     }
@@ -428,7 +428,7 @@
         runtime: runtime.clone(),
         node: node.clone(),
         client,
-        dialect: Box::new(IndexedDialect(calls)),
+        platform_format: Box::new(IndexedPlatformFormat(calls)),
         name,
         metrics: Rc::new(PlatformMetrics::default()),
     });
@@ -470,7 +470,7 @@
                 if let Some(unix_ms) = reply.group_unix_ms {
                     clock.borrow_mut().add_sample(unix_ms, runtime.monotonic());
                 }
-                ledger.borrow_mut().acknowledge(reply.usage_taken);
+                ledger.borrow_mut().acknowledge(reply.committed_usage_sequence);
                 // The leader responds immediately to a request with instance revision 0.
                 runtime.sleep(Duration::from_millis(200)).await;
             }
@@ -674,9 +674,9 @@
             deployment.commit(GatewayCommand::ReportInstances(vec![engine(number)]));
         }
         deployment.run_for(Duration::from_secs(4));
-        let place = EnginePlace { service: "llm".to_string(), zone: "north".to_string() };
+        let pool = EnginePool { service: "llm".to_string(), zone: "north".to_string() };
         let (_, node) = deployment.leader().expect("there is a leader");
-        let wanted = node.read_applied(|state| state.engine_counts.wanted().get(&place).copied());
+        let wanted = node.read_applied(|state| state.engine_counts.wanted().get(&pool).copied());
         assert_eq!(wanted, Some(3));
         let ordered = |deployment: &Deployment| {
             let records = deployment.platform.records.borrow();
@@ -697,7 +697,7 @@
         assert!(orders.iter().any(|record| record.accepted), "nothing was ordered");
         for record in &orders {
             let Received::EngineCount(order) = &record.call else { continue };
-            assert_eq!((&order.place, order.count, order.withdrawable), (&place, 3, false));
+            assert_eq!((&order.place, order.count, order.withdrawable), (&pool, 3, false));
         }
         let mut fences: Vec<u64> = orders.iter().map(|record| record.fence).collect();
         fences.sort_unstable();
--- a/crates/simulator/tests/reports.rs
+++ b/crates/simulator/tests/reports.rs
@@ -160,7 +160,7 @@
         let in_time = |(at, result): &&(Duration, Rc<Cell<ReportResult>>)| {
             result
                 .get()
-                .is_some_and(|(acknowledged, completed_at)| acknowledged && completed_at < *at + Duration::from_secs(1))
+                .is_some_and(|(acknowledged, replied_at)| acknowledged && replied_at < *at + Duration::from_secs(1))
         };
         ENGINES - results.iter().filter(in_time).count()
     }
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -12,7 +12,7 @@
 use hyper::{HeaderMap, Request, StatusCode};
 use saddlerelay_coordinator::format::{EngineReport, RunningStreams, WeightOrder};
 use saddlerelay_gateway_api::own::{ORDER_PATH, REPORT_PATH};
-use saddlerelay_http::body::{BrokenOff, LocalBody, Reply, json, read_whole, whole};
+use saddlerelay_http::body::{BrokenOff, LocalBody, Reply, json, read_body, whole};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_runtime::signal::Signal;
 use saddlerelay_types::instance::{InstanceId, InstanceReport, LoadedModel};
@@ -83,7 +83,7 @@
     order_behavior: Cell<OrderBehavior>,
     version: Cell<u64>,
     loading: Cell<bool>,
-    orders_taken: Cell<u64>,
+    orders_accepted: Cell<u64>,
     highest_fence: Cell<u64>,
     running: Cell<u32>,
     leaving: Cell<bool>,
@@ -163,7 +163,7 @@
             order_behavior: Cell::new(OrderBehavior::Normal),
             version: Cell::new(1),
             loading: Cell::new(false),
-            orders_taken: Cell::new(0),
+            orders_accepted: Cell::new(0),
             highest_fence: Cell::new(0),
             running: Cell::new(0),
             leaving: Cell::new(false),
@@ -249,7 +249,7 @@
         state.incarnation.set(state.incarnation.get() + 1);
         state.version.set(state.newest_version.get());
         state.loading.set(false);
-        state.orders_taken.set(0);
+        state.orders_accepted.set(0);
         state.highest_fence.set(0);
         state.leaving.set(false);
         state.sequence.set(0);
@@ -347,10 +347,10 @@
         if order.target.version == state.version.get() {
             return whole(StatusCode::OK, "text/plain", "");
         }
-        if state.loading.get() || order.orders_taken != state.orders_taken.get() {
+        if state.loading.get() || order.orders_taken != state.orders_accepted.get() {
             return whole(StatusCode::CONFLICT, "text/plain", "");
         }
-        state.orders_taken.set(state.orders_taken.get() + 1);
+        state.orders_accepted.set(state.orders_accepted.get() + 1);
         state.loading.set(true);
         compio::runtime::spawn(self.clone().load(order)).detach();
         whole(StatusCode::ACCEPTED, "text/plain", "")
@@ -493,7 +493,7 @@
 impl HttpHandler for Engine {
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         let (head, body) = request.into_parts();
-        let body = read_whole(body).await.unwrap_or_default();
+        let body = read_body(body).await.unwrap_or_default();
         let expected = header(&head.headers, "saddlerelay-for-instance");
         if expected.is_some_and(|expected| expected != self.instance().name) {
             let id = header(&head.headers, "saddlerelay-request").unwrap_or_default().to_string();
@@ -504,7 +504,7 @@
             ORDER_PATH => self.order(body).await,
             REPORT_PATH => {
                 let busy = self.state.loading.get();
-                let orders_taken = self.state.orders_taken.get();
+                let orders_taken = self.state.orders_accepted.get();
                 json(StatusCode::OK, &EngineReport { models: self.models(), busy, orders_taken, started_at_ms: None })
             }
             _ => self.run(path, head.headers, body).await,
