--- a/bin/saddlerelay-soak/tests/processes.rs
+++ b/bin/saddlerelay-soak/tests/processes.rs
@@ -3,7 +3,7 @@
 use anyhow::{Result, ensure};
 use saddlerelay_soak_runner::builds::Builds;
 use saddlerelay_soak_runner::case::{Case, PlanKind};
-use saddlerelay_soak_runner::deployment::{Deployment, MemberKind, Size};
+use saddlerelay_soak_runner::deployment::{Deployment, MembershipRole, Size};
 use saddlerelay_soak_runner::faults::FaultInjector;
 use saddlerelay_soak_runner::journal::Journal;
 use saddlerelay_soak_runner::links::{Condition, Party};
@@ -79,7 +79,7 @@
             let (injected, changed) = futures::future::join(injected, changed).await;
             injected?;
             changed?;
-            fixture.deployment.watch()?;
+            fixture.deployment.restart_ended_processes()?;
         }
         assert_eq!(fixture.violations(), Vec::<String>::new());
         fixture.accept_change().await
@@ -93,7 +93,7 @@
     for party in [Party::Gateway(0), Party::Coordinator(0)] {
         fixture.faults.inject(Fault::Series { party, rounds: vec![round; 2] }).await?;
     }
-    fixture.deployment.watch()?;
+    fixture.deployment.restart_ended_processes()?;
     fixture.accept_change().await?;
     Ok(fixture.violations())
 }
@@ -143,7 +143,7 @@
         let deployment = &fixture.deployment;
         let deadline = Instant::now() + TEST_TIMEOUT;
         let is_follower = |number: &u8| {
-            deployment.membership_of(*number) == MemberKind::Voter && deployment.leader() != Some(*number)
+            deployment.membership_of(*number) == MembershipRole::Voter && deployment.leader() != Some(*number)
         };
         let voter = loop {
             if let Some(voter) = (0..7).find(is_follower) {
@@ -161,7 +161,7 @@
             coordinators_only: true,
         };
         fixture.faults.inject(partition).await?;
-        ensure!(deployment.membership_of(voter) == MemberKind::None, "the voter was not removed");
+        ensure!(deployment.membership_of(voter) == MembershipRole::None, "the voter was not removed");
         let removal_index = loop {
             let lines = deployment.log_lines(party);
             if let Some(index) = lines.iter().rposition(|line| line.contains(REMOVAL_RECEIVED)) {
@@ -190,7 +190,7 @@
         while fixture.violations().is_empty() {
             ensure!(Instant::now() < deadline, "the exit of the gateway was not recorded");
             compio::time::sleep(Duration::from_millis(50)).await;
-            fixture.deployment.watch()?;
+            fixture.deployment.restart_ended_processes()?;
         }
         assert_eq!(fixture.violations(), ["gateway-0"]);
         // The violation is expected, so the files need not be kept.
--- a/crates/api/src/commands/callers.rs
+++ b/crates/api/src/commands/callers.rs
@@ -11,14 +11,14 @@
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, StatusCode};
-use saddlerelay_http::body::{Reply, json, parse_json, parts, read_body};
+use saddlerelay_http::body::{Reply, json, parse_json, read_body, streamed_reply};
 use saddlerelay_http::sse;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_types::identity::{IdempotencyKey, ModelName};
 use saddlerelay_types::request::{
-    AnswerPart, CallerRequest, ExecutionOutcome, FailureCode, FinishReason, Generation, Priority, Repeatability,
-    RequestFailure, RequestKey, VersionSpan,
+    CallerRequest, ExecutionOutcome, FailureCode, FinishReason, Generation, Priority, Repeatability, RequestFailure,
+    RequestKey, ResponsePart, VersionSpan,
 };
 
 /// Fields that all chunks of a response share.
@@ -105,8 +105,12 @@
         Ok(request) => request,
         Err(message) => return failure_reply(&invalid(message)),
     };
-    let answer = api.relay.serve(request);
-    if stream { streamed_reply(reply_head, answer, api).await } else { buffered_reply(reply_head, answer).await }
+    let parts = api.relay.serve(request);
+    if stream {
+        streamed_completion(reply_head, parts, api).await
+    } else {
+        buffered_completion(reply_head, parts).await
+    }
 }
 
 fn invalid(message: String) -> RequestFailure {
@@ -206,16 +210,16 @@
     }
 }
 
-async fn buffered_reply(head: ReplyHead, mut answer: mpsc::UnboundedReceiver<AnswerPart>) -> Reply {
+async fn buffered_completion(head: ReplyHead, mut parts: mpsc::UnboundedReceiver<ResponsePart>) -> Reply {
     let mut generation = Generation::empty();
-    while let Some(part) = answer.next().await {
+    while let Some(part) = parts.next().await {
         match part {
-            AnswerPart::Tokens { tokens, text, version } => generation.extend(&tokens, &text, version),
-            AnswerPart::End(finish) => {
+            ResponsePart::Tokens { tokens, text, version } => generation.extend(&tokens, &text, version),
+            ResponsePart::End(finish) => {
                 generation.finish = finish;
                 return complete_reply(&head, &generation);
             }
-            AnswerPart::Failed(failure) => return failure_reply(&failure),
+            ResponsePart::Failed(failure) => return failure_reply(&failure),
         }
     }
     failure_reply(&interrupted())
@@ -256,13 +260,13 @@
 }
 
 /// Waits for the first part, so that an early failure gets its own status code, and then streams.
-async fn streamed_reply<P: Runtime, B: Backends>(
+async fn streamed_completion<P: Runtime, B: Backends>(
     head: ReplyHead,
-    mut answer: mpsc::UnboundedReceiver<AnswerPart>,
+    mut parts: mpsc::UnboundedReceiver<ResponsePart>,
     api: &RelayApi<P, B>,
 ) -> Reply {
-    let first = match answer.next().await {
-        Some(AnswerPart::Failed(failure)) => return failure_reply(&failure),
+    let first = match parts.next().await {
+        Some(ResponsePart::Failed(failure)) => return failure_reply(&failure),
         Some(part) => part,
         None => return failure_reply(&interrupted()),
     };
@@ -270,29 +274,29 @@
     api.platform.spawn(async move {
         let mut next = Some(first);
         while let Some(part) = next {
-            let last = !matches!(part, AnswerPart::Tokens { .. });
+            let last = !matches!(part, ResponsePart::Tokens { .. });
             if !send_chunk(&head, part, &events) || last {
                 return;
             }
-            next = answer.next().await;
+            next = parts.next().await;
         }
         // The relay's task ended before the last part: the stream ends without `[DONE]`.
     });
-    parts(sse::CONTENT_TYPE, body)
+    streamed_reply(sse::CONTENT_TYPE, body)
 }
 
 /// Sends one part; `false` if the caller has disconnected.
-fn send_chunk(head: &ReplyHead, part: AnswerPart, events: &mpsc::UnboundedSender<Bytes>) -> bool {
+fn send_chunk(head: &ReplyHead, part: ResponsePart, events: &mpsc::UnboundedSender<Bytes>) -> bool {
     match part {
-        AnswerPart::Tokens { tokens, text, version } => {
+        ResponsePart::Tokens { tokens, text, version } => {
             let span = VersionSpan { version, tokens: tokens.len() as u32 };
             events.unbounded_send(sse::event(&chunk_body(head, text, Some(span), None))).is_ok()
         }
-        AnswerPart::End(finish) => {
+        ResponsePart::End(finish) => {
             let end = sse::event(&chunk_body(head, String::new(), None, Some(finish)));
             events.unbounded_send(end).is_ok() && events.unbounded_send(sse::done()).is_ok()
         }
-        AnswerPart::Failed(failure) => events.unbounded_send(sse::event(&failure_body(&failure))).is_ok(),
+        ResponsePart::Failed(failure) => events.unbounded_send(sse::event(&failure_body(&failure))).is_ok(),
     }
 }
 
--- a/crates/api/src/commands/control.rs
+++ b/crates/api/src/commands/control.rs
@@ -16,7 +16,7 @@
 };
 use saddlerelay_types::identity::{EngineId, IdempotencyKey, Revision};
 use saddlerelay_types::membership::{EngineAvailability, EngineObservation};
-use saddlerelay_types::protocol::{Command, CommandOutcome, MembershipCommand, Query, QueryAnswer};
+use saddlerelay_types::protocol::{Command, CommandOutcome, MembershipCommand, Query, QueryResult};
 use serde::Serialize;
 use std::time::Duration;
 
@@ -125,7 +125,7 @@
 /// `POST /admin/v1/engines/ID/drain`: drains the engine until it restarts.
 pub async fn drain_engine<P: Runtime, B: Backends>(api: &ControlApi<P, B>, id: EngineId) -> Reply {
     let engines = match api.client.query(Query::Engines, CHANGE_TIMEOUT).await {
-        Ok(QueryAnswer::Engines(engines)) => engines,
+        Ok(QueryResult::Engines(engines)) => engines,
         Ok(_) => return not_found(),
         Err(error) => return control_error(&error),
     };
--- a/crates/api/src/queries/control.rs
+++ b/crates/api/src/queries/control.rs
@@ -5,14 +5,14 @@
 use hyper::StatusCode;
 use hyper::header::{ETAG, HeaderValue};
 use saddlerelay_control_client::ControlError;
-use saddlerelay_http::body::{Reply, json, whole};
+use saddlerelay_http::body::{Reply, full_reply, json};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_telemetry::metrics::{CONTENT_TYPE, MetricSet};
 use saddlerelay_types::configuration::{ObjectName, ObjectState};
 use saddlerelay_types::identity::{Revision, TenantId};
 use saddlerelay_types::membership::RelayView;
-use saddlerelay_types::protocol::{Query, QueryAnswer};
+use saddlerelay_types::protocol::{Query, QueryResult};
 use serde::Serialize;
 use std::time::Duration;
 
@@ -68,14 +68,14 @@
     reply
 }
 
-async fn query<P: Runtime, B: Backends>(api: &ControlApi<P, B>, query: Query) -> Result<QueryAnswer, Reply> {
+async fn query<P: Runtime, B: Backends>(api: &ControlApi<P, B>, query: Query) -> Result<QueryResult, Reply> {
     api.client.query(query, QUERY_TIMEOUT).await.map_err(|error| control_error(&error))
 }
 
 /// `GET /admin/v1/templates/ID` and `/admin/v1/tenants/ID`.
 pub async fn object<P: Runtime, B: Backends>(api: &ControlApi<P, B>, name: ObjectName) -> Reply {
     match query(api, Query::Object(name)).await {
-        Ok(QueryAnswer::Object(Some(state))) if state.value.is_some() => object_reply(StatusCode::OK, &state),
+        Ok(QueryResult::Object(Some(state))) if state.value.is_some() => object_reply(StatusCode::OK, &state),
         Ok(_) => not_found(),
         Err(reply) => reply,
     }
@@ -84,7 +84,7 @@
 /// `GET /admin/v1/configuration`.
 pub async fn objects<P: Runtime, B: Backends>(api: &ControlApi<P, B>) -> Reply {
     match query(api, Query::Objects).await {
-        Ok(QueryAnswer::Objects(revision, objects)) => json(StatusCode::OK, &ObjectsBody { revision, objects }),
+        Ok(QueryResult::Objects(revision, objects)) => json(StatusCode::OK, &ObjectsBody { revision, objects }),
         Ok(_) => not_found(),
         Err(reply) => reply,
     }
@@ -93,7 +93,7 @@
 /// `GET /admin/v1/engines`.
 pub async fn engines<P: Runtime, B: Backends>(api: &ControlApi<P, B>) -> Reply {
     match query(api, Query::Engines).await {
-        Ok(QueryAnswer::Engines(engines)) => json(StatusCode::OK, &engines),
+        Ok(QueryResult::Engines(engines)) => json(StatusCode::OK, &engines),
         Ok(_) => not_found(),
         Err(reply) => reply,
     }
@@ -102,7 +102,7 @@
 /// `GET /admin/v1/relays`.
 pub async fn relays<P: Runtime, B: Backends>(api: &ControlApi<P, B>) -> Reply {
     match query(api, Query::Relays).await {
-        Ok(QueryAnswer::Relays(revision, relays)) => {
+        Ok(QueryResult::Relays(revision, relays)) => {
             let oldest = relays.iter().map(|relay| relay.revision).min();
             let body = RelaysBody { revision, revision_in_force: oldest.unwrap_or(revision), relays };
             json(StatusCode::OK, &body)
@@ -115,7 +115,7 @@
 /// `GET /admin/v1/group`.
 pub async fn group<P: Runtime, B: Backends>(api: &ControlApi<P, B>) -> Reply {
     match query(api, Query::Group).await {
-        Ok(QueryAnswer::Group(group)) => json(StatusCode::OK, &group),
+        Ok(QueryResult::Group(group)) => json(StatusCode::OK, &group),
         Ok(_) => not_found(),
         Err(reply) => reply,
     }
@@ -124,7 +124,7 @@
 /// `GET /admin/v1/trainers/TENANT`.
 pub async fn trainer<P: Runtime, B: Backends>(api: &ControlApi<P, B>, tenant: TenantId) -> Reply {
     match query(api, Query::Trainer(tenant)).await {
-        Ok(QueryAnswer::Trainer(Some(trainer))) => json(StatusCode::OK, &trainer),
+        Ok(QueryResult::Trainer(Some(trainer))) => json(StatusCode::OK, &trainer),
         Ok(_) => error_reply(StatusCode::NOT_FOUND, "not_open", "the tenant's trainer has never opened", 0),
         Err(reply) => reply,
     }
@@ -141,5 +141,5 @@
         .gauge("committed", "Last committed log index, on the leader", committed as i64)
         .traffic(api.platform.traffic())
         .encode();
-    whole(StatusCode::OK, CONTENT_TYPE, text)
+    full_reply(StatusCode::OK, CONTENT_TYPE, text)
 }
--- a/crates/api/src/queries/relay.rs
+++ b/crates/api/src/queries/relay.rs
@@ -4,7 +4,7 @@
 use crate::relay::RelayApi;
 use crate::wire::{ModelEntry, ModelList};
 use hyper::StatusCode;
-use saddlerelay_http::body::{Reply, json, whole};
+use saddlerelay_http::body::{Reply, full_reply, json};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_telemetry::metrics::{CONTENT_TYPE, MetricSet};
@@ -35,5 +35,5 @@
         .gauge("configuration_revision", "Configuration revision acted on", api.relay.revision().0 as i64)
         .traffic(api.platform.traffic())
         .encode();
-    whole(StatusCode::OK, CONTENT_TYPE, text)
+    full_reply(StatusCode::OK, CONTENT_TYPE, text)
 }
--- a/crates/command-line/src/member.rs
+++ b/crates/command-line/src/member.rs
@@ -14,7 +14,7 @@
 use saddlerelay_gateway_api::{
     ClientApi, ControlApi, Formats, NativeEngines, NativeFormats, NativePlatform, ReadinessApi,
 };
-use saddlerelay_http::body::{Reply, whole};
+use saddlerelay_http::body::{Reply, full_reply};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_platform::{PlatformDuties, PlatformEngines, PlatformFormats};
 use saddlerelay_replication::ReplicaOptions;
@@ -348,7 +348,7 @@
 
 impl<F: Fn() -> String + 'static> HttpHandler for MetricsApi<F> {
     async fn handle(self: Rc<Self>, _request: hyper::Request<hyper::body::Incoming>) -> Reply {
-        whole(hyper::StatusCode::OK, CONTENT_TYPE, (self.encode)())
+        full_reply(hyper::StatusCode::OK, CONTENT_TYPE, (self.encode)())
     }
 }
 
--- a/crates/control-client/src/lib.rs
+++ b/crates/control-client/src/lib.rs
@@ -12,15 +12,15 @@
 pub mod trials;
 
 use crate::replicas::Replicas;
-use crate::search::{LastAnswer, LeaderSearch};
+use crate::search::{LastResult, LeaderSearch};
 use saddlerelay_layouts::level_one::follow::FollowConverter;
 use saddlerelay_layouts::messages;
-use saddlerelay_rpc::client::{Answer, CallError, Client};
+use saddlerelay_rpc::client::{CallError, Client, EncodedReply};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_types::feature_level::FeatureLevel;
 use saddlerelay_types::gateway::{FollowRequest, GatewayReply, GatewayRequest};
 use saddlerelay_types::protocol::{
-    Command, CommandOutcome, ControlReply, ControlRequest, Query, QueryAnswer, RenewReply, RenewRequest,
+    Command, CommandOutcome, ControlReply, ControlRequest, Query, QueryResult, RenewReply, RenewRequest,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -123,7 +123,7 @@
     }
 
     /// Reads the committed state, with retries for at most `limit`.
-    pub async fn query(&self, query: Query, limit: Duration) -> Result<QueryAnswer, ControlError> {
+    pub async fn query(&self, query: Query, limit: Duration) -> Result<QueryResult, ControlError> {
         match self.call_leader(&ControlRequest::Query(query), limit).await? {
             ControlReply::Answer(answer) => Ok(answer),
             other => Err(unexpected(other)),
@@ -247,7 +247,7 @@
             }
             // A replica that sent a malformed reply may have executed the request.
             *may_have_executed |= matches!(outcome, Err(CallError::OutcomeUnknown) | Ok(None));
-            self.inner.replicas.borrow_mut().record_answer(replica.address(), LastAnswer::of(&outcome));
+            self.inner.replicas.borrow_mut().record_result(replica.address(), LastResult::of(&outcome));
             match outcome.ok().flatten() {
                 Some(ControlReply::NotLeader { leader: Some(leader), .. }) if leader != replica.address() => {
                     self.inner.replicas.borrow_mut().select_leader(leader);
@@ -296,7 +296,7 @@
             FeatureLevel::One => Some(messages::encode_follow_one(level_one_poll.clone())),
             FeatureLevel::Two => messages::encode_request(&request, level),
         };
-        let Answer { level, body } = replica.call(encode, limit).await?;
+        let EncodedReply { level, body } = replica.call(encode, limit).await?;
         let reply = match level {
             FeatureLevel::One => {
                 messages::decode_follow_one(&body, &level_one_poll, &mut self.inner.follow_converter.borrow_mut())
--- a/crates/control-client/src/replicas.rs
+++ b/crates/control-client/src/replicas.rs
@@ -4,7 +4,7 @@
 //! replicas. A search tries the least recently tried replica first, so that unreachable addresses don't hide reachable
 //! ones.
 
-use crate::search::{LastAnswer, LeaderSearch};
+use crate::search::{LastResult, LeaderSearch};
 use saddlerelay_rpc::client::Client;
 use saddlerelay_runtime::Runtime;
 use std::collections::BTreeSet;
@@ -35,7 +35,7 @@
     client: Client<P>,
     origin: Origin,
     backoff_until: Duration,
-    last_answer: LastAnswer,
+    last_result: LastResult,
     tried_at: Option<Duration>,
 }
 
@@ -46,7 +46,7 @@
 
     /// Whether its last request failed without a usable reply.
     fn has_failed(&self) -> bool {
-        matches!(self.last_answer, LastAnswer::Unreachable | LastAnswer::NoReply | LastAnswer::Malformed)
+        matches!(self.last_result, LastResult::Unreachable | LastResult::NoReply | LastResult::Malformed)
     }
 }
 
@@ -88,15 +88,15 @@
 
     /// Every replica and the result of the last request to it.
     pub fn search(&self) -> LeaderSearch {
-        LeaderSearch { replicas: self.entries.iter().map(|entry| (entry.address(), entry.last_answer)).collect() }
+        LeaderSearch { replicas: self.entries.iter().map(|entry| (entry.address(), entry.last_result)).collect() }
     }
 
     /// Records the result of a request. A replica that sent no reply is skipped for [`NO_REPLY_BACKOFF`].
-    pub fn record_answer(&mut self, address: SocketAddr, answer: LastAnswer) {
+    pub fn record_result(&mut self, address: SocketAddr, result: LastResult) {
         let now = self.platform.monotonic();
         if let Some(entry) = self.entries.iter_mut().find(|entry| entry.address() == address) {
-            entry.last_answer = answer;
-            if matches!(answer, LastAnswer::Unreachable | LastAnswer::NoReply) {
+            entry.last_result = result;
+            if matches!(result, LastResult::Unreachable | LastResult::NoReply) {
                 entry.backoff_until = now + NO_REPLY_BACKOFF;
             }
         }
@@ -193,7 +193,7 @@
             client: Client::new(self.platform.clone(), address, &self.secret),
             origin,
             backoff_until: Duration::ZERO,
-            last_answer: LastAnswer::NotContacted,
+            last_result: LastResult::NotContacted,
             tried_at: None,
         }
     }
--- a/crates/control-client/src/reports.rs
+++ b/crates/control-client/src/reports.rs
@@ -14,7 +14,7 @@
 use saddlerelay_runtime::signal::Signal;
 use saddlerelay_runtime::timeout::timeout;
 use saddlerelay_types::gateway::{GatewayReply, GatewayRequest};
-use saddlerelay_types::instance::{GatheredReports, InstanceHeartbeat, InstanceId, InstanceReport, LoadedModel};
+use saddlerelay_types::instance::{InstanceHeartbeat, InstanceId, InstanceReport, LoadedModel, ReportBatch};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -185,9 +185,9 @@
     }
 
     /// Splits reports into changed ones and heartbeats.
-    fn classify(&self, reports: &[InstanceReport]) -> GatheredReports {
+    fn classify(&self, reports: &[InstanceReport]) -> ReportBatch {
         let delivered = self.delivered.borrow();
-        let mut batch = GatheredReports::default();
+        let mut batch = ReportBatch::default();
         for report in reports {
             if delivered.get(&report.id) == Some(&DeliveredReport::of(report)) {
                 batch.heartbeats.push(InstanceHeartbeat { id: report.id.clone(), sequence: report.sequence });
--- a/crates/control-client/src/search.rs
+++ b/crates/control-client/src/search.rs
@@ -10,7 +10,7 @@
 
 /// The result of the last request to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LastAnswer {
+pub enum LastResult {
     /// No request was sent yet.
     NotContacted,
     /// No connection could be established.
@@ -29,7 +29,7 @@
     Answered,
 }
 
-impl LastAnswer {
+impl LastResult {
     /// Classifies the outcome of a call.
     pub(crate) fn of(outcome: &Result<Option<ControlReply>, CallError>) -> Self {
         match outcome {
@@ -44,7 +44,7 @@
     }
 }
 
-impl fmt::Display for LastAnswer {
+impl fmt::Display for LastResult {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotContacted => write!(formatter, "not contacted"),
@@ -63,15 +63,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaderSearch {
     /// Configured replicas first, then discovered ones.
-    pub replicas: Vec<(SocketAddr, LastAnswer)>,
+    pub replicas: Vec<(SocketAddr, LastResult)>,
 }
 
 impl LeaderSearch {
     /// A short text with the number of replicas by kind of failure.
     pub fn summary(&self) -> String {
-        let count = |wanted: fn(&LastAnswer) -> bool| self.replicas.iter().filter(|(_, answer)| wanted(answer)).count();
-        let unanswered = count(|answer| matches!(answer, LastAnswer::Unreachable | LastAnswer::NoReply));
-        let leaderless = count(|answer| matches!(answer, LastAnswer::LeaderUnknown));
+        let count = |wanted: fn(&LastResult) -> bool| self.replicas.iter().filter(|(_, result)| wanted(result)).count();
+        let unanswered = count(|result| matches!(result, LastResult::Unreachable | LastResult::NoReply));
+        let leaderless = count(|result| matches!(result, LastResult::LeaderUnknown));
         format!(
             "{} known, {unanswered} unreachable or without a reply, {leaderless} without a known leader",
             self.replicas.len()
@@ -81,9 +81,9 @@
 
 impl fmt::Display for LeaderSearch {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, (address, answer)) in self.replicas.iter().take(MAX_LISTED).enumerate() {
+        for (index, (address, result)) in self.replicas.iter().take(MAX_LISTED).enumerate() {
             let separator = if index == 0 { "" } else { ", " };
-            write!(formatter, "{separator}{address} {answer}")?;
+            write!(formatter, "{separator}{address} {result}")?;
         }
         match self.replicas.len().saturating_sub(MAX_LISTED) {
             0 => Ok(()),
--- a/crates/control-client/src/suspicions.rs
+++ b/crates/control-client/src/suspicions.rs
@@ -9,7 +9,7 @@
 use saddlerelay_types::gateway::{GatewayReply, GatewayRequest, TrialRequest};
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_types::suspicion::{
-    EngineLoss, HeldTrial, QUARANTINE_THRESHOLD, SuspicionList, TRIAL_RENEWAL, TrialAnswer, WorkEvidence,
+    EngineLoss, HeldTrial, QUARANTINE_THRESHOLD, SuspicionList, TRIAL_RENEWAL, TrialResult, WorkEvidence,
 };
 use saddlerelay_types::work::WorkDigest;
 use std::cell::RefCell;
@@ -262,12 +262,12 @@
 pub type RelayTrial<P> = TrialLeaseGuard<P, ControlClient<P>>;
 
 impl<P: Runtime> TrialLeaseService for ControlClient<P> {
-    async fn begin(&self, request: TrialRequest) -> Result<TrialAnswer, CallFailure> {
+    async fn begin(&self, request: TrialRequest) -> Result<TrialResult, CallFailure> {
         let request = GatewayRequest::BeginTrial(request);
         match self.gateway(request, TRIAL_REQUEST_TIMEOUT, TRIAL_REQUEST_TIMEOUT).await {
             Ok(GatewayReply::Trial(answer)) => Ok(answer),
             // A group of older builds has no trial leases: work runs as if it were not suspected.
-            Err(GatewayError::NotUnderstood) => Ok(TrialAnswer::Granted),
+            Err(GatewayError::NotUnderstood) => Ok(TrialResult::Granted),
             other => Err(format!("{other:?}")),
         }
     }
--- a/crates/control-client/src/trials.rs
+++ b/crates/control-client/src/trials.rs
@@ -9,7 +9,7 @@
 use saddlerelay_runtime::signal::Signal;
 use saddlerelay_types::gateway::TrialRequest;
 use saddlerelay_types::identity::Incarnation;
-use saddlerelay_types::suspicion::{HeldTrial, TRIAL_LEASE, TRIAL_RENEWAL, TrialAnswer, TrialId};
+use saddlerelay_types::suspicion::{HeldTrial, TRIAL_LEASE, TRIAL_RENEWAL, TrialId, TrialResult};
 use saddlerelay_types::work::WorkDigest;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
 /// The control group's operations on trial leases.
 pub trait TrialLeaseService: 'static {
     /// Requests a lease.
-    fn begin(&self, request: TrialRequest) -> impl Future<Output = Result<TrialAnswer, CallFailure>>;
+    fn begin(&self, request: TrialRequest) -> impl Future<Output = Result<TrialResult, CallFailure>>;
     /// Renews leases; returns those that are no longer held.
     fn renew(&self, trials: Vec<HeldTrial>) -> impl Future<Output = Result<Vec<HeldTrial>, CallFailure>>;
     /// Releases a lease.
@@ -87,12 +87,12 @@
         let limit_ms = limit.as_millis() as u64;
         let requested_at = self.platform.monotonic();
         let answer = self.group.begin(TrialRequest { work, id, limit_ms }).await;
-        let granted = answer == Ok(TrialAnswer::Granted);
+        let granted = answer == Ok(TrialResult::Granted);
         spdlog::info!("trial lease requested", kv: {
             work = work.log_prefix().as_str(), number = number, granted = granted, limit_ms = limit_ms,
             answer = format!("{answer:?}").as_str()
         });
-        if answer == Ok(TrialAnswer::Taken) {
+        if answer == Ok(TrialResult::Taken) {
             return None;
         }
         // A request without a reply may have been granted; dropping the guard releases the lease.
--- a/crates/control-client/tests/search_order.rs
+++ b/crates/control-client/tests/search_order.rs
@@ -1,7 +1,7 @@
 //! A search for the leader succeeds although other replicas return addresses of machines that no longer run.
 
 use saddlerelay_control_client::ControlClient;
-use saddlerelay_control_client::search::LastAnswer;
+use saddlerelay_control_client::search::LastResult;
 use saddlerelay_rpc::server::Handler;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime_compio::CompioRuntime;
@@ -66,7 +66,7 @@
 /// Whether no request was sent to any of `addresses`.
 fn none_contacted(client: &ControlClient<CompioRuntime>, addresses: &[SocketAddr]) -> bool {
     let mut contacts = client.search().replicas.into_iter().filter(|(address, _)| addresses.contains(address));
-    contacts.all(|(_, answer)| answer == LastAnswer::NotContacted)
+    contacts.all(|(_, answer)| answer == LastResult::NotContacted)
 }
 
 /// Guards against preferring newly discovered peers, which may be unreachable, over replicas that the client already
--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -193,7 +193,7 @@
 
     /// Confirms the state of a follower that serves relays: returns the read position, group time and number of relays.
     pub(crate) fn confirm(&self, relay_data: RelayData) -> ControlReply {
-        let Some(position) = self.inner.replica.read_position() else {
+        let Some(position) = self.inner.replica.read_index() else {
             return self.not_leader();
         };
         let now = self.inner.platform.monotonic();
--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -15,7 +15,7 @@
     StoreRecord,
 };
 use saddlerelay_types::instance::{
-    GatheredReports, InstanceHeartbeat, InstanceId, InstanceReport, InstanceState, LoadedModel,
+    InstanceHeartbeat, InstanceId, InstanceReport, InstanceState, LoadedModel, ReportBatch,
 };
 use saddlerelay_types::protocol::{Command, CommandOutcome, ControlReply};
 use saddlerelay_types::routing::RoutingDocument;
@@ -66,7 +66,7 @@
     unknown: Vec<InstanceId>,
 }
 
-fn classify<'a>(state: &ControlState, reports: &'a GatheredReports) -> ClassifiedReports<'a> {
+fn classify<'a>(state: &ControlState, reports: &'a ReportBatch) -> ClassifiedReports<'a> {
     let is_registered = |heartbeat: &&InstanceHeartbeat| {
         state.instances.get(&heartbeat.id).is_some_and(|record| record.state != InstanceState::Gone)
     };
@@ -84,7 +84,7 @@
         match request {
             GatewayRequest::Follow(follow) => self.follow(follow).await,
             GatewayRequest::ReportInstance(report) => {
-                self.report_instances(GatheredReports { changed: vec![report], heartbeats: Vec::new() }).await
+                self.report_instances(ReportBatch { changed: vec![report], heartbeats: Vec::new() }).await
             }
             GatewayRequest::ReportInstances(reports) => self.report_instances(reports).await,
             GatewayRequest::Confirm(relay_data) => self.confirm(relay_data),
@@ -96,7 +96,7 @@
             GatewayRequest::ReadResults { job, after, wait_ms, caller } => {
                 self.read_results(&job, after, wait_ms, &caller).await
             }
-            GatewayRequest::ReadPosition => self.reply(self.inner.replica.read_position().map(GatewayReply::Position)),
+            GatewayRequest::ReadIndex => self.reply(self.inner.replica.read_index().map(GatewayReply::Position)),
             GatewayRequest::ReadResultsAt { position, job, after, wait_ms, caller } => {
                 self.read_results_at(position, &job, after, wait_ms, &caller).await
             }
@@ -171,7 +171,7 @@
         self.inner.instance_watch.borrow_mut().take_unread()
     }
 
-    async fn report_instances(&self, reports: GatheredReports) -> ControlReply {
+    async fn report_instances(&self, reports: ReportBatch) -> ControlReply {
         let Some(term) = self.inner.replica.leading_term().filter(|_| self.leads_at_level_one()) else {
             return self.accept_reports(reports).await;
         };
@@ -189,7 +189,7 @@
         }
     }
 
-    async fn accept_reports(&self, reports: GatheredReports) -> ControlReply {
+    async fn accept_reports(&self, reports: ReportBatch) -> ControlReply {
         let count = reports.changed.len() + reports.heartbeats.len();
         if count > MAX_REPORTS_PER_MESSAGE {
             return ControlReply::Refused(format!("{count} reports in one message exceed the limit"));
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -25,7 +25,7 @@
 use saddlerelay_runtime::timeout::timeout;
 use saddlerelay_types::feature_level::FeatureLevel;
 use saddlerelay_types::protocol::{
-    Command, CommandOutcome, ControlReply, ControlRequest, MembershipCommand, Query, QueryAnswer, RenewReply,
+    Command, CommandOutcome, ControlReply, ControlRequest, MembershipCommand, Query, QueryResult, RenewReply,
     RenewRequest, RolloutCommand,
 };
 use saddlerelay_types::usage::RelayUsage;
@@ -297,9 +297,9 @@
                 Query::Relays => {
                     let now = self.inner.platform.monotonic();
                     let views = self.inner.renewals.borrow().views(state, now);
-                    Some(QueryAnswer::Relays(state.configuration.revision(), views))
+                    Some(QueryResult::Relays(state.configuration.revision(), views))
                 }
-                _ => self.inner.replica.view().map(QueryAnswer::Group),
+                _ => self.inner.replica.view().map(QueryResult::Group),
             })
         });
         match answer.flatten() {
--- a/crates/control/src/older_level.rs
+++ b/crates/control/src/older_level.rs
@@ -24,14 +24,14 @@
 use saddlerelay_runtime::timeout::timeout;
 use saddlerelay_types::feature_level::FeatureLevel;
 use saddlerelay_types::gateway::{GatewayCommand, GatewayOutcome};
-use saddlerelay_types::instance::{GatheredReports, InstanceId};
-use saddlerelay_types::suspicion::TrialAnswer;
+use saddlerelay_types::instance::{InstanceId, ReportBatch};
+use saddlerelay_types::suspicion::TrialResult;
 
 /// The outcome of a command about suspected work, which level one cannot encode: the work runs as if not suspected.
 /// `None` for other commands.
 pub(crate) fn unlogged_outcome(command: &GatewayCommand) -> Option<GatewayOutcome> {
     match command {
-        GatewayCommand::BeginTrial(_) => Some(GatewayOutcome::Trial(TrialAnswer::Granted)),
+        GatewayCommand::BeginTrial(_) => Some(GatewayOutcome::Trial(TrialResult::Granted)),
         GatewayCommand::RenewTrials(_) => Some(GatewayOutcome::TrialsLost(Vec::new())),
         GatewayCommand::EndTrial { .. }
         | GatewayCommand::ExpireTrials(_)
@@ -43,7 +43,7 @@
 }
 
 /// Removes start times from reports, as level one identifies engines by name, and drops reports of earlier starts.
-pub(crate) fn strip_start_times(mut reports: GatheredReports, watch: &mut InstanceWatch) -> GatheredReports {
+pub(crate) fn strip_start_times(mut reports: ReportBatch, watch: &mut InstanceWatch) -> ReportBatch {
     reports.changed.retain(|report| watch.record_start(&report.id));
     reports.heartbeats.retain(|heartbeat| watch.record_start(&heartbeat.id));
     let ids = reports.changed.iter_mut().map(|report| &mut report.id);
--- a/crates/control/src/queries/mod.rs
+++ b/crates/control/src/queries/mod.rs
@@ -4,20 +4,20 @@
 pub mod weights;
 
 use crate::state::ControlState;
-use saddlerelay_types::protocol::{Query, QueryAnswer};
+use saddlerelay_types::protocol::{Query, QueryResult};
 
 /// Answers a query from the replicated state; `None` for queries about the group's replicas or the relays.
-pub fn answer(state: &ControlState, query: &Query) -> Option<QueryAnswer> {
+pub fn answer(state: &ControlState, query: &Query) -> Option<QueryResult> {
     match query {
-        Query::Object(name) => Some(QueryAnswer::Object(state.configuration.object(name).cloned())),
+        Query::Object(name) => Some(QueryResult::Object(state.configuration.object(name).cloned())),
         Query::Objects => {
             let objects = state.configuration.live_objects().cloned().collect();
-            Some(QueryAnswer::Objects(state.configuration.revision(), objects))
+            Some(QueryResult::Objects(state.configuration.revision(), objects))
         }
-        Query::Engines => Some(QueryAnswer::Engines(state.members.engines().cloned().collect())),
+        Query::Engines => Some(QueryResult::Engines(state.members.engines().cloned().collect())),
         Query::Trainer(tenant) => {
             let trainer = state.rollouts.trainers.get(tenant);
-            Some(QueryAnswer::Trainer(trainer.map(|trainer| trainer.state.clone())))
+            Some(QueryResult::Trainer(trainer.map(|trainer| trainer.state.clone())))
         }
         Query::Relays | Query::Group => None,
     }
--- a/crates/control/src/state/suspicions.rs
+++ b/crates/control/src/state/suspicions.rs
@@ -3,7 +3,7 @@
 
 use bitcode::{Decode, Encode};
 use saddlerelay_types::suspicion::{
-    EngineLoss, HeldTrial, QUARANTINE_THRESHOLD, Suspicion, SuspicionList, TrialAnswer, TrialId, TrialLease,
+    EngineLoss, HeldTrial, QUARANTINE_THRESHOLD, Suspicion, SuspicionList, TrialId, TrialLease, TrialResult,
     WorkEvidence,
 };
 use saddlerelay_types::work::WorkDigest;
@@ -130,16 +130,16 @@
     /// A lease ends by [`Self::end_trial`], or by [`Self::expire_trials`] if it is not renewed. The time in the log
     /// does not end it, as a leader with a wrong clock may advance that time too far. `limit_ms` is the holder's own
     /// time limit for the work, shown to operators.
-    pub fn begin_trial(&mut self, work: WorkDigest, id: TrialId, now: u64, limit_ms: u64) -> TrialAnswer {
+    pub fn begin_trial(&mut self, work: WorkDigest, id: TrialId, now: u64, limit_ms: u64) -> TrialResult {
         if self.is_trial_rejected(&work, id) {
-            return TrialAnswer::Taken;
+            return TrialResult::Taken;
         }
         // The evidence for a suspicion may not be committed yet; the lease is recorded before it.
         if self.by_work.contains_key(&work) || self.trials.len() < MAX_UNSUSPECTED_TRIALS {
             let until = now.saturating_add(limit_ms);
             self.trials.entry(work).or_insert(Trial { id, until, renewals: 0 });
         }
-        TrialAnswer::Granted
+        TrialResult::Granted
     }
 
     /// Whether trial `id` of `work` must not start: the work is quarantined, or suspected and leased to another trial.
--- a/crates/control/src/suspected_work.rs
+++ b/crates/control/src/suspected_work.rs
@@ -6,7 +6,7 @@
 use saddlerelay_runtime::backend::Backends;
 use saddlerelay_types::gateway::{GatewayCommand, GatewayOutcome, GatewayReply, TrialRequest};
 use saddlerelay_types::protocol::ControlReply;
-use saddlerelay_types::suspicion::{TrialAnswer, WorkEvidence};
+use saddlerelay_types::suspicion::{TrialResult, WorkEvidence};
 use saddlerelay_types::work::WorkDigest;
 
 impl<P: Runtime, B: Backends> ControlNode<P, B> {
@@ -23,13 +23,13 @@
     }
 
     /// Requests a trial lease for suspected work. Rejections are logged with the current holder, rate limited.
-    pub async fn begin_trial(&self, request: TrialRequest) -> Result<TrialAnswer, ProposeError> {
+    pub async fn begin_trial(&self, request: TrialRequest) -> Result<TrialResult, ProposeError> {
         let outcome = self.commit_gateway(GatewayCommand::BeginTrial(request)).await?;
-        if outcome == GatewayOutcome::Trial(TrialAnswer::Granted) {
-            return Ok(TrialAnswer::Granted);
+        if outcome == GatewayOutcome::Trial(TrialResult::Granted) {
+            return Ok(TrialResult::Granted);
         }
         self.log_rejected_trial(&request);
-        Ok(TrialAnswer::Taken)
+        Ok(TrialResult::Taken)
     }
 
     fn log_rejected_trial(&self, request: &TrialRequest) {
--- a/crates/control/tests/level_two.rs
+++ b/crates/control/tests/level_two.rs
@@ -17,8 +17,8 @@
 };
 use saddlerelay_types::identity::{Incarnation, ReplicaId, TenantId, Zone};
 use saddlerelay_types::instance::{
-    GatheredReports, InstanceHeartbeat, InstanceId, InstanceRecord, InstanceReport, InstanceState, InstanceUpdate,
-    LoadedModel,
+    InstanceHeartbeat, InstanceId, InstanceRecord, InstanceReport, InstanceState, InstanceUpdate, LoadedModel,
+    ReportBatch,
 };
 use saddlerelay_types::job::{
     ItemEnd, ItemId, ItemOutcome, JobId, JobItem, JobSubmission, ResultPage, ScoringRequest, TextPart,
@@ -33,7 +33,7 @@
 };
 use saddlerelay_types::routing_update::{EncodedRoutingUpdate, RoutingUpdate};
 use saddlerelay_types::suspicion::{
-    EngineLoss, HeldTrial, SuspicionList, TrialAnswer, TrialId, TrialLease, WorkEvidence,
+    EngineLoss, HeldTrial, SuspicionList, TrialId, TrialLease, TrialResult, WorkEvidence,
 };
 use saddlerelay_types::tenancy::{Caller, TenantAccess};
 use saddlerelay_types::usage::{RelayUsage, UsageDelta, UsageWindow};
@@ -269,7 +269,7 @@
         address: address(200),
     };
     let heartbeat = InstanceHeartbeat { id: instance(random, 1), sequence: 3 };
-    let reports = GatheredReports { changed: vec![report(random)], heartbeats: vec![heartbeat] };
+    let reports = ReportBatch { changed: vec![report(random)], heartbeats: vec![heartbeat] };
     let clock = RelayClock { relay: "relay".to_string(), unix_ms: 77 };
     let relay_data = RelayData { clocks: vec![clock], usage: vec![usage(random, 4)] };
     let renewal = RenewRequest {
@@ -305,7 +305,7 @@
         gateway(GatewayRequest::PublishVersion(LoadedModel { model: "notes".to_string(), version: 3 })),
         gateway(GatewayRequest::SubmitJob(job(random, 1))),
         gateway(GatewayRequest::ReadResults { job: job_id.clone(), after: 1, wait_ms: 2, caller: caller.clone() }),
-        gateway(GatewayRequest::ReadPosition),
+        gateway(GatewayRequest::ReadIndex),
         gateway(GatewayRequest::ReadResultsAt {
             position: 9,
             job: job_id.clone(),
@@ -350,7 +350,7 @@
         reply(GatewayReply::NotFound),
         reply(GatewayReply::TooFew),
         reply(GatewayReply::Retirement { completed: true }),
-        reply(GatewayReply::Trial(TrialAnswer::Taken)),
+        reply(GatewayReply::Trial(TrialResult::Taken)),
         reply(GatewayReply::TrialsLost(vec![held_trial(random)])),
         reply(GatewayReply::Unavailable),
         bitcode::encode(&ControlReply::NotLeader { leader: Some(address(2)), peers: vec![address(3)] }),
--- a/crates/control/tests/suspicions.rs
+++ b/crates/control/tests/suspicions.rs
@@ -4,7 +4,7 @@
 use saddlerelay_control::state::suspicions::SuspicionTable;
 use saddlerelay_types::identity::{Incarnation, TenantId};
 use saddlerelay_types::instance::InstanceId;
-use saddlerelay_types::suspicion::{EngineLoss, QUARANTINE_THRESHOLD, TrialAnswer, TrialId, WorkEvidence};
+use saddlerelay_types::suspicion::{EngineLoss, QUARANTINE_THRESHOLD, TrialId, TrialResult, WorkEvidence};
 use saddlerelay_types::tenancy::Caller;
 use saddlerelay_types::work::{Work, WorkDigest};
 
@@ -129,9 +129,9 @@
     let id = TrialId { holder: Incarnation(1), number: 1 };
     record_loss(&mut table, 1, 0, 0);
     record_loss(&mut table, 1, 1, 0);
-    assert_eq!(table.begin_trial(work(1), id, 0, MINUTE_MS), TrialAnswer::Granted);
+    assert_eq!(table.begin_trial(work(1), id, 0, MINUTE_MS), TrialResult::Granted);
     table.end_trial(&work(1), id);
     record_loss(&mut table, 1, 2, 0);
     assert!(table.is_trial_rejected(&work(1), id));
-    assert_eq!(table.begin_trial(work(1), id, 0, MINUTE_MS), TrialAnswer::Taken);
+    assert_eq!(table.begin_trial(work(1), id, 0, MINUTE_MS), TrialResult::Taken);
 }
--- a/crates/control/tests/trial_watch.rs
+++ b/crates/control/tests/trial_watch.rs
@@ -5,7 +5,7 @@
 use saddlerelay_types::identity::Incarnation;
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_types::suspicion::{
-    EngineLoss, HeldTrial, TRIAL_LEASE, TRIAL_RENEWAL, TrialAnswer, TrialId, WorkEvidence,
+    EngineLoss, HeldTrial, TRIAL_LEASE, TRIAL_RENEWAL, TrialId, TrialResult, WorkEvidence,
 };
 use saddlerelay_types::work::WorkDigest;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     let mut table = SuspicionTable::default();
     let loss = EngineLoss { work: work(), instance: InstanceId::named("engine") };
     table.record_evidence(WorkEvidence { losses: vec![loss], served: Vec::new() }, LOG_TIME);
-    assert_eq!(table.begin_trial(work(), id(1), LOG_TIME, LIMIT_MS), TrialAnswer::Granted);
+    assert_eq!(table.begin_trial(work(), id(1), LOG_TIME, LIMIT_MS), TrialResult::Granted);
     table
 }
 
@@ -63,7 +63,7 @@
     let expired = watch.expired(TERM, observed_at + TRIAL_LEASE);
     assert_eq!(expired.iter().map(|lease| lease.held).collect::<Vec<_>>(), [held_by(1)]);
     table.expire_trials(&expired);
-    assert_eq!(table.begin_trial(work(), id(2), LOG_TIME, LIMIT_MS), TrialAnswer::Granted);
+    assert_eq!(table.begin_trial(work(), id(2), LOG_TIME, LIMIT_MS), TrialResult::Granted);
     assert_eq!(table.renew_trials(vec![held_by(1)]), [held_by(1)], "the first holder is notified of the loss");
 }
 
@@ -76,7 +76,7 @@
     assert_eq!(expired.len(), 1);
     assert_eq!(table.renew_trials(vec![held_by(1)]), []);
     table.expire_trials(&expired);
-    assert_eq!(table.begin_trial(work(), id(2), LOG_TIME, LIMIT_MS), TrialAnswer::Taken);
+    assert_eq!(table.begin_trial(work(), id(2), LOG_TIME, LIMIT_MS), TrialResult::Taken);
 }
 
 /// A new leader waits for two renewal intervals before it expires leases.
@@ -104,7 +104,7 @@
     const HOUR_MS: u64 = 3_600_000;
     let mut table = table_with_granted_lease();
     assert_eq!(table.renew_trials(vec![held_by(1)]), []);
-    assert_eq!(table.begin_trial(work(), id(2), LOG_TIME + HOUR_MS + 1, LIMIT_MS), TrialAnswer::Taken);
+    assert_eq!(table.begin_trial(work(), id(2), LOG_TIME + HOUR_MS + 1, LIMIT_MS), TrialResult::Taken);
 }
 
 /// Another relay requests the lease after a clock step and before the holder's next renewal.
@@ -113,15 +113,15 @@
     const HOUR_MS: u64 = 3_600_000;
     let mut table = table_with_granted_lease();
     assert_eq!(table.renew_trials(vec![held_by(1)]), []);
-    assert_eq!(table.begin_trial(work(), id(2), LOG_TIME + HOUR_MS, LIMIT_MS), TrialAnswer::Taken);
+    assert_eq!(table.begin_trial(work(), id(2), LOG_TIME + HOUR_MS, LIMIT_MS), TrialResult::Taken);
 }
 
 /// A relay observes an engine failure and requests the lease before its evidence is committed.
 #[test]
 fn lease_granted_before_the_evidence_is_exclusive() {
     let mut table = SuspicionTable::default();
-    assert_eq!(table.begin_trial(work(), id(1), LOG_TIME, LIMIT_MS), TrialAnswer::Granted);
+    assert_eq!(table.begin_trial(work(), id(1), LOG_TIME, LIMIT_MS), TrialResult::Granted);
     let loss = EngineLoss { work: work(), instance: InstanceId::named("engine") };
     table.record_evidence(WorkEvidence { losses: vec![loss], served: Vec::new() }, LOG_TIME);
-    assert_eq!(table.begin_trial(work(), id(2), LOG_TIME, LIMIT_MS), TrialAnswer::Taken);
+    assert_eq!(table.begin_trial(work(), id(2), LOG_TIME, LIMIT_MS), TrialResult::Taken);
 }
--- a/crates/coordinator/src/format.rs
+++ b/crates/coordinator/src/format.rs
@@ -89,7 +89,7 @@
     /// Builds a weight order.
     fn order(&self, order: &WeightOrder) -> EngineCall;
     /// Interprets the response status of a weight order.
-    fn order_answer(&self, status: StatusCode) -> OrderResponse {
+    fn order_response(&self, status: StatusCode) -> OrderResponse {
         match status {
             StatusCode::ACCEPTED => OrderResponse::Accepted,
             StatusCode::OK => OrderResponse::AlreadyLoaded,
@@ -102,5 +102,5 @@
     /// Builds a report request.
     fn report(&self) -> EngineCall;
     /// Parses a report; `None` if it is malformed.
-    fn read_report(&self, body: &[u8]) -> Option<EngineReport>;
+    fn parse_report(&self, body: &[u8]) -> Option<EngineReport>;
 }
--- a/crates/coordinator/src/item.rs
+++ b/crates/coordinator/src/item.rs
@@ -13,7 +13,7 @@
 use saddlerelay_types::instance::LoadedModel;
 use saddlerelay_types::suspicion::TRIAL_RETRY_AFTER;
 use saddlerelay_upstream::events::{Event, EventParser};
-use saddlerelay_upstream::{Failure, HeaderNames, Outgoing, Reuse, UpstreamResponse};
+use saddlerelay_upstream::{Failure, HeaderNames, OutgoingRequest, Reuse, UpstreamResponse};
 use std::time::Duration;
 
 /// Result of an attempt.
@@ -109,7 +109,7 @@
     read_response(coordinator, start, response).await
 }
 
-fn build_request<B: Backends>(coordinator: &Coordinator<B>, start: &PlannedAttempt) -> Result<Outgoing, String> {
+fn build_request<B: Backends>(coordinator: &Coordinator<B>, start: &PlannedAttempt) -> Result<OutgoingRequest, String> {
     let names = coordinator.header_names();
     let mut headers = HeaderMap::new();
     for (name, value) in &start.item.headers {
@@ -126,7 +126,7 @@
     if let Some(last_event) = start.text.borrow().last_event {
         headers.insert(names.last_event.clone(), HeaderValue::from(last_event));
     }
-    Ok(Outgoing {
+    Ok(OutgoingRequest {
         method: Method::POST,
         uri: start.item.path.parse().map_err(|error| format!("{error}"))?,
         headers,
--- a/crates/coordinator/src/lost_connections.rs
+++ b/crates/coordinator/src/lost_connections.rs
@@ -13,7 +13,7 @@
 use saddlerelay_types::gateway::{GatewayCommand, GatewayOutcome, TrialRequest};
 use saddlerelay_types::instance::InstanceState;
 use saddlerelay_types::job::ItemId;
-use saddlerelay_types::suspicion::{EngineLoss, HeldTrial, TrialAnswer, WorkEvidence};
+use saddlerelay_types::suspicion::{EngineLoss, HeldTrial, TrialResult, WorkEvidence};
 use saddlerelay_types::work::WorkDigest;
 use saddlerelay_upstream::EngineTarget;
 use std::pin::pin;
@@ -61,7 +61,7 @@
 }
 
 impl<B: Backends> TrialLeaseService for LocalTrialLeaseService<B> {
-    async fn begin(&self, request: TrialRequest) -> Result<TrialAnswer, CallFailure> {
+    async fn begin(&self, request: TrialRequest) -> Result<TrialResult, CallFailure> {
         self.0.begin_trial(request).await.map_err(|error| format!("{error:?}"))
     }
 
--- a/crates/coordinator/src/orders.rs
+++ b/crates/coordinator/src/orders.rs
@@ -16,7 +16,7 @@
 use saddlerelay_types::gateway::OrderSubject;
 use saddlerelay_types::instance::{InstanceId, InstanceState, LoadedModel};
 use saddlerelay_types::routing::RouteKind;
-use saddlerelay_upstream::{EngineTarget, Failure, Outgoing};
+use saddlerelay_upstream::{EngineTarget, Failure, OutgoingRequest};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -236,14 +236,15 @@
         if let Ok(host) = HeaderValue::from_str(&target.address.to_string()) {
             headers.insert(hyper::header::HOST, host);
         }
-        let outgoing = Outgoing { method: call.method, uri, headers, body: call.body, request_id: String::new() };
+        let outgoing =
+            OutgoingRequest { method: call.method, uri, headers, body: call.body, request_id: String::new() };
         let response = self.inner.pool.call(target, &outgoing, self.inner.config.order_timeout, may_send).await?;
         Ok((response.0.status.as_u16(), response.1))
     }
 
     async fn request_report(&self, target: &EngineTarget, term: u64) -> Option<EngineReport> {
         let (status, body) = self.call(target, self.inner.engine_format.report(), || self.leads(term)).await.ok()?;
-        let report = self.inner.engine_format.read_report(&body).filter(|_| status == 200)?;
+        let report = self.inner.engine_format.parse_report(&body).filter(|_| status == 200)?;
         if !report.may_be_of(&target.instance) {
             spdlog::warn!("engine report from another incarnation ignored", kv: {
                 instance = target.instance.name.as_str(),
@@ -300,7 +301,7 @@
     let may_send = || inner.node.grant_is_valid(&grant);
     let answer = coordinator.call(&due.target, inner.engine_format.order(&order), may_send).await;
     let result = answer.as_ref().ok().and_then(|(status, _)| {
-        hyper::StatusCode::from_u16(*status).ok().map(|status| inner.engine_format.order_answer(status))
+        hyper::StatusCode::from_u16(*status).ok().map(|status| inner.engine_format.order_response(status))
     });
     match result {
         Some(OrderResponse::Accepted) => {
--- a/crates/coordinator/src/scoring.rs
+++ b/crates/coordinator/src/scoring.rs
@@ -17,7 +17,7 @@
 use saddlerelay_types::suspicion::TRIAL_RETRY_AFTER;
 use saddlerelay_types::work::WorkDigest;
 use saddlerelay_upstream::balance::InFlight;
-use saddlerelay_upstream::{Failure, HeaderNames, Outgoing, ReadyEngine, Reuse};
+use saddlerelay_upstream::{Failure, HeaderNames, OutgoingRequest, ReadyEngine, Reuse};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -98,9 +98,9 @@
     inner.metrics.score_seconds.observe(elapsed.as_secs_f64());
     let instance = &call.engine.target.instance;
     match &end {
-        ScoreEnd::Scored(_) => inner.scorers.balancer().answered(instance, elapsed, now),
+        ScoreEnd::Scored(_) => inner.scorers.balancer().record_response(instance, elapsed, now),
         ScoreEnd::Failed | ScoreEnd::NoAnswer(_) | ScoreEnd::ConnectionLost(_) => {
-            inner.scorers.balancer().failed(instance, now)
+            inner.scorers.balancer().record_failure(instance, now)
         }
         // No call was completed, so nothing was observed about the engine.
         ScoreEnd::TrialTaken => {}
@@ -186,13 +186,17 @@
     }
 }
 
-fn build_request(names: &HeaderNames, request: &ScoringRequest, owner: Option<&TenantId>) -> Result<Outgoing, String> {
+fn build_request(
+    names: &HeaderNames,
+    request: &ScoringRequest,
+    owner: Option<&TenantId>,
+) -> Result<OutgoingRequest, String> {
     let text = |value: &str| HeaderValue::from_str(value).map_err(|error| error.to_string());
     let mut headers = HeaderMap::new();
     headers.insert(HOST, text(&request.host)?);
     headers.insert(names.request_id.clone(), text(&request.id)?);
     set_tenant(&mut headers, names, owner)?;
-    Ok(Outgoing {
+    Ok(OutgoingRequest {
         method: Method::POST,
         uri: request.path.parse().map_err(|error| format!("{error}"))?,
         headers,
--- a/crates/duties/src/engine_counts.rs
+++ b/crates/duties/src/engine_counts.rs
@@ -162,11 +162,11 @@
         let call = self.platform_format.engine_count(&right, &order);
         let answered = self.client.call(call, CALL_TIMEOUT, || self.node.grant_is_valid(&grant)).await;
         let outcome = match &answered {
-            Ok(status) => format!("{:?}", self.platform_format.answer(*status, Some(&order))),
+            Ok(status) => format!("{:?}", self.platform_format.response(*status, Some(&order))),
             Err(failure) => failure.to_string(),
         };
         let accepted =
-            answered.is_ok_and(|status| self.platform_format.answer(status, Some(&order)) == PlatformResponse::Taken);
+            answered.is_ok_and(|status| self.platform_format.response(status, Some(&order)) == PlatformResponse::Taken);
         spdlog::info!("engine order sent", kv: {
             service = view.pool.service.as_str(), zone = view.pool.zone.as_str(), count = count,
             present = view.available, fence = grant.fence.0, taken = accepted, outcome = outcome.as_str()
--- a/crates/duties/src/format.rs
+++ b/crates/duties/src/format.rs
@@ -63,7 +63,7 @@
     /// Builds an engine order.
     fn engine_count(&self, grant: &CallGrant, order: &EngineCountOrder) -> PlatformCall;
     /// Interprets the response status of an engine order, or of a usage report if `order` is `None`.
-    fn answer(&self, status: StatusCode, order: Option<&EngineCountOrder>) -> PlatformResponse {
+    fn response(&self, status: StatusCode, order: Option<&EngineCountOrder>) -> PlatformResponse {
         match status {
             status if status.is_success() => PlatformResponse::Taken,
             StatusCode::CONFLICT if order.is_some_and(|order| order.withdrawable) => {
--- a/crates/duties/src/usage_reports.rs
+++ b/crates/duties/src/usage_reports.rs
@@ -106,11 +106,11 @@
         let began_at = self.runtime.monotonic();
         let answered = self.client.call(call, CALL_TIMEOUT, || self.node.grant_is_valid(&grant)).await;
         let outcome = match &answered {
-            Ok(status) => format!("{:?}", self.platform_format.answer(*status, None)),
+            Ok(status) => format!("{:?}", self.platform_format.response(*status, None)),
             Err(failure) => failure.to_string(),
         };
         let accepted =
-            answered.is_ok_and(|status| self.platform_format.answer(status, None) == PlatformResponse::Taken);
+            answered.is_ok_and(|status| self.platform_format.response(status, None) == PlatformResponse::Taken);
         let late = self.node.group_unix_ms().is_some_and(|now| now > due_at_ms(report.window, config));
         spdlog::info!("usage report sent", kv: {
             window = report.window.0,
--- a/crates/fleet/src/bench.rs
+++ b/crates/fleet/src/bench.rs
@@ -170,7 +170,7 @@
 async fn time_relay_request(access: &HttpAccess, request: CallerRequest) -> Result<Duration> {
     let started_at = Instant::now();
     let response = access.send_request(0, &request).await;
-    ensure!(matches!(response, CallerResponse::Whole { .. }), "the relay returned {response:?}");
+    ensure!(matches!(response, CallerResponse::Complete { .. }), "the relay returned {response:?}");
     Ok(started_at.elapsed())
 }
 
--- a/crates/fleet/src/command_line.rs
+++ b/crates/fleet/src/command_line.rs
@@ -11,7 +11,7 @@
 use lexopt::prelude::*;
 use saddlerelay_checker::check::Limits;
 use saddlerelay_scenarios::{builtin, deployment};
-use saddlerelay_simulator::command_line::{asks_for_help, exit_code, silence_logs};
+use saddlerelay_simulator::command_line::{exit_code, is_help_requested, silence_logs};
 use std::ffi::OsString;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -52,7 +52,7 @@
     let remaining = arguments.get(1..).unwrap_or_default().to_vec();
     let is_own = !first.starts_with(CHILD_PREFIX);
     let outcome = match first.as_str() {
-        _ if is_own && asks_for_help(&remaining) => {
+        _ if is_own && is_help_requested(&remaining) => {
             print!("{HELP}");
             Ok(true)
         }
--- a/crates/fleet/src/faults.rs
+++ b/crates/fleet/src/faults.rs
@@ -141,7 +141,7 @@
     let Some(mut child) = child else {
         return Ok(());
     };
-    child.ask_to_stop().await;
+    child.request_stop().await;
     let exit = child.wait(PLANNED_STOP_TIMEOUT).await;
     anyhow::ensure!(
         exit == Some(true),
--- a/crates/fleet/src/process.rs
+++ b/crates/fleet/src/process.rs
@@ -13,13 +13,13 @@
 /// Polling interval while waiting for a child.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The program that a child runs; all but `Whole` are subcommands of the fleet's own executable.
+/// The program that a child runs; all but `Executable` are subcommands of the fleet's own executable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Program {
     /// The saddlerelay service.
     Product,
     /// The whole executable, without a subcommand.
-    Whole,
+    Executable,
     /// A stand-in for a system around the service.
     StandIn,
     /// Many hollow engines or relays in one process.
@@ -30,7 +30,7 @@
 pub fn subcommand(program: Program) -> Option<&'static str> {
     match program {
         Program::Product => Some("run-product"),
-        Program::Whole => None,
+        Program::Executable => None,
         Program::StandIn => Some("run-standin"),
         Program::Hollow => Some("run-hollow"),
     }
@@ -93,7 +93,7 @@
     }
 
     /// Sends SIGTERM once the process handles it; before that, the signal would kill it.
-    pub async fn ask_to_stop(&mut self) {
+    pub async fn request_stop(&mut self) {
         self.wait_for_handler(Signal::TERM).await;
         self.signal_stop();
     }
@@ -104,7 +104,7 @@
     }
 
     /// Sends SIGHUP, which reloads the settings, once the process handles it.
-    pub async fn ask_to_reload(&mut self) {
+    pub async fn request_reload(&mut self) {
         self.wait_for_handler(Signal::HUP).await;
         self.signal_reload();
     }
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -202,7 +202,7 @@
         }
     }
     for child in &mut load {
-        child.ask_to_stop().await;
+        child.request_stop().await;
     }
     for child in &mut load {
         if child.wait(DRAIN_TIMEOUT).await.is_none() {
--- a/crates/gateway-api/src/client.rs
+++ b/crates/gateway-api/src/client.rs
@@ -8,7 +8,7 @@
 use saddlerelay_control_client::GatewayError;
 use saddlerelay_gateway::refusal::Refusal;
 use saddlerelay_gateway::{ClientRequest, Gateway};
-use saddlerelay_http::body::{Reply, whole};
+use saddlerelay_http::body::{Reply, full_reply};
 use saddlerelay_http::server::HttpHandler;
 use saddlerelay_types::gateway::{GatewayReply, GatewayRequest};
 use saddlerelay_types::routing::RouteKind;
@@ -39,7 +39,7 @@
 impl HttpHandler for ReadinessApi {
     async fn handle(self: Rc<Self>, _request: Request<Incoming>) -> Reply {
         let status = if self.gateway.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        whole(status, "text/plain", "")
+        full_reply(status, "text/plain", "")
     }
 }
 
@@ -128,7 +128,7 @@
 
     fn reject_job(&self, request: &ClientRequest, reason: String) -> Reply {
         self.gateway.refuse(request, Refusal::Malformed);
-        whole(StatusCode::BAD_REQUEST, "text/plain", reason)
+        full_reply(StatusCode::BAD_REQUEST, "text/plain", reason)
     }
 
     async fn forward(&self, request: GatewayRequest) -> Result<GatewayReply, GatewayError> {
--- a/crates/gateway-api/src/control.rs
+++ b/crates/gateway-api/src/control.rs
@@ -7,7 +7,7 @@
 use hyper::{Request, StatusCode};
 use saddlerelay_control_client::reports::ReportBatcher;
 use saddlerelay_control_client::{ControlClient, GatewayError};
-use saddlerelay_http::body::{BodyError, Reply, read_limited, whole};
+use saddlerelay_http::body::{BodyError, Reply, full_reply, read_limited};
 use saddlerelay_http::server::HttpHandler;
 use saddlerelay_runtime_compio::CompioRuntime;
 use saddlerelay_types::gateway::{GatewayReply, GatewayRequest};
@@ -62,13 +62,13 @@
         let (head, body) = request.into_parts();
         let body = match read_limited(body, MAX_BODY_BYTES).await {
             Ok(body) => body,
-            Err(BodyError::TooLarge) => return whole(StatusCode::PAYLOAD_TOO_LARGE, "text/plain", "too large"),
-            Err(_) => return whole(StatusCode::BAD_REQUEST, "text/plain", "the body broke off"),
+            Err(BodyError::TooLarge) => return full_reply(StatusCode::PAYLOAD_TOO_LARGE, "text/plain", "too large"),
+            Err(_) => return full_reply(StatusCode::BAD_REQUEST, "text/plain", "the body broke off"),
         };
         match self.formats.control_call(&head.method, head.uri.path(), &body) {
             Ok(ControlCall::Change(GatewayRequest::ReportInstance(_))) if body.len() > MAX_REPORT_BYTES => {
                 self.rejected.record(&head.method, head.uri.path(), "too large for a report");
-                whole(StatusCode::PAYLOAD_TOO_LARGE, "text/plain", "too large")
+                full_reply(StatusCode::PAYLOAD_TOO_LARGE, "text/plain", "too large")
             }
             Ok(ControlCall::Change(GatewayRequest::ReportInstance(report))) => self.handle_report(report).await,
             Ok(ControlCall::Change(request)) => responses::change(self.forward(request).await, StatusCode::OK),
@@ -76,7 +76,7 @@
             Err(CallDecodeError::Unknown) => responses::not_found(),
             Err(CallDecodeError::Malformed(reason)) => {
                 self.rejected.record(&head.method, head.uri.path(), &reason);
-                whole(StatusCode::BAD_REQUEST, "text/plain", reason)
+                full_reply(StatusCode::BAD_REQUEST, "text/plain", reason)
             }
         }
     }
@@ -96,7 +96,7 @@
         let report_to = (self.report_target)(&report);
         match self.reports.report(report).await {
             Ok(GatewayReply::Done) => {
-                whole(StatusCode::OK, "application/json", self.formats.write_report_response(report_to))
+                full_reply(StatusCode::OK, "application/json", self.formats.write_report_response(report_to))
             }
             result => responses::change(result, StatusCode::OK),
         }
--- a/crates/gateway-api/src/own.rs
+++ b/crates/gateway-api/src/own.rs
@@ -157,7 +157,7 @@
         EngineCall { method: Method::GET, path: REPORT_PATH.to_string(), body: Bytes::new() }
     }
 
-    fn read_report(&self, body: &[u8]) -> Option<EngineReport> {
+    fn parse_report(&self, body: &[u8]) -> Option<EngineReport> {
         serde_json::from_slice(body).ok()
     }
 }
--- a/crates/gateway-api/src/responses.rs
+++ b/crates/gateway-api/src/responses.rs
@@ -4,7 +4,7 @@
 use hyper::StatusCode;
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use saddlerelay_control_client::GatewayError;
-use saddlerelay_http::body::{Reply, json, whole};
+use saddlerelay_http::body::{Reply, full_reply, json};
 use saddlerelay_types::gateway::GatewayReply;
 
 /// `Retry-After`, in seconds, when the control group is unavailable.
@@ -13,13 +13,13 @@
 /// The response to a call that changes state; `done` is the status on success.
 pub fn change(result: Result<GatewayReply, GatewayError>, done: StatusCode) -> Reply {
     match result {
-        Ok(GatewayReply::Done) => whole(done, "application/json", "{}"),
+        Ok(GatewayReply::Done) => full_reply(done, "application/json", "{}"),
         Ok(GatewayReply::NotFound) => not_found(),
-        Ok(GatewayReply::TooFew) => whole(StatusCode::CONFLICT, "text/plain", "too few machines would be left"),
-        Ok(GatewayReply::InvalidRouting(error)) => whole(StatusCode::BAD_REQUEST, "text/plain", error.to_string()),
+        Ok(GatewayReply::TooFew) => full_reply(StatusCode::CONFLICT, "text/plain", "too few machines would be left"),
+        Ok(GatewayReply::InvalidRouting(error)) => full_reply(StatusCode::BAD_REQUEST, "text/plain", error.to_string()),
         Err(GatewayError::NotDone | GatewayError::NotUnderstood) => unavailable(),
         Ok(_) | Err(GatewayError::Undecided) => {
-            whole(StatusCode::GATEWAY_TIMEOUT, "text/plain", "undecided: it may be done, now or later")
+            full_reply(StatusCode::GATEWAY_TIMEOUT, "text/plain", "undecided: it may be done, now or later")
         }
     }
 }
@@ -27,11 +27,11 @@
 /// The response to a read-only call; 503 if the control group returned no definite result.
 pub fn read<F: Formats>(formats: &F, result: Result<GatewayReply, GatewayError>) -> Reply {
     match result {
-        Ok(GatewayReply::Results(page)) => whole(StatusCode::OK, "application/json", formats.write_page(&page)),
-        Ok(GatewayReply::Body(body)) => whole(StatusCode::OK, "application/octet-stream", body),
-        Ok(GatewayReply::Routing(Some(source))) => whole(StatusCode::OK, "application/json", source),
+        Ok(GatewayReply::Results(page)) => full_reply(StatusCode::OK, "application/json", formats.write_page(&page)),
+        Ok(GatewayReply::Body(body)) => full_reply(StatusCode::OK, "application/octet-stream", body),
+        Ok(GatewayReply::Routing(Some(source))) => full_reply(StatusCode::OK, "application/json", source),
         Ok(GatewayReply::Retirement { completed }) => {
-            whole(StatusCode::OK, "application/json", formats.write_retirement(completed))
+            full_reply(StatusCode::OK, "application/json", formats.write_retirement(completed))
         }
         Ok(GatewayReply::Duties(overview)) => json(StatusCode::OK, &overview),
         Ok(GatewayReply::Suspicions(list)) => json(StatusCode::OK, &list),
@@ -42,11 +42,11 @@
 
 /// The response when the endpoint or the named object does not exist.
 pub fn not_found() -> Reply {
-    whole(StatusCode::NOT_FOUND, "text/plain", "there is no such thing")
+    full_reply(StatusCode::NOT_FOUND, "text/plain", "there is no such thing")
 }
 
 fn unavailable() -> Reply {
-    let mut reply = whole(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "the control group cannot be asked");
+    let mut reply = full_reply(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "the control group cannot be asked");
     reply.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_SECONDS));
     reply
 }
--- a/crates/gateway-api/tests/common/engine.rs
+++ b/crates/gateway-api/tests/common/engine.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, StatusCode};
 use saddlerelay_coordinator::format::{EngineReport, WeightOrder};
 use saddlerelay_gateway_api::own::{ORDER_PATH, REPORT_PATH};
-use saddlerelay_http::body::{BrokenOff, LocalBody, Reply, json, read_body, whole};
+use saddlerelay_http::body::{BodyInterrupted, LocalBody, Reply, full_reply, json, read_body};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_types::instance::{InstanceId, LoadedModel};
 use std::cell::{Cell, RefCell};
@@ -218,7 +218,7 @@
     }
 
     fn not_executed(&self, status: StatusCode, request_id: &str) -> Reply {
-        let mut reply = whole(status, "text/plain", "not executed");
+        let mut reply = full_reply(status, "text/plain", "not executed");
         self.add_engine_headers(&mut reply, request_id);
         reply.headers_mut().insert("saddlerelay-not-executed", HeaderValue::from_static("1"));
         reply
@@ -229,12 +229,12 @@
         let executed = self.state.orders_accepted.get();
         if order.orders_taken != executed {
             self.state.orders_rejected.set(self.state.orders_rejected.get() + 1);
-            return whole(StatusCode::CONFLICT, "text/plain", "");
+            return full_reply(StatusCode::CONFLICT, "text/plain", "");
         }
         self.state.orders_accepted.set(executed + 1);
         self.state.version.set(order.target.version);
         self.state.orders.borrow_mut().push(order);
-        let mut reply = whole(StatusCode::ACCEPTED, "text/plain", "");
+        let mut reply = full_reply(StatusCode::ACCEPTED, "text/plain", "");
         let lost = self.state.order_responses_to_lose.get();
         if lost > 0 {
             self.state.order_responses_to_lose.set(lost - 1);
@@ -274,7 +274,7 @@
             EngineBehavior::FailUnprocessable => StatusCode::UNPROCESSABLE_ENTITY,
             _ => StatusCode::OK,
         };
-        let mut reply = whole(status, "text/plain", format!("{} answers {}", self.state.name, request.path));
+        let mut reply = full_reply(status, "text/plain", format!("{} answers {}", self.state.name, request.path));
         self.add_engine_headers(&mut reply, &request_id);
         match behavior {
             EngineBehavior::WrongRequestId => {
@@ -306,7 +306,7 @@
                 }
                 compio::time::sleep(state.event_interval.get()).await;
                 if matches!(behavior, EngineBehavior::TruncateAfter(count) if sent - after == count) {
-                    return Some((Err(BrokenOff), (sent, cancel_counter)));
+                    return Some((Err(BodyInterrupted), (sent, cancel_counter)));
                 }
                 state.events_sent.set(state.events_sent.get() + 1);
                 let number = sent + 1;
@@ -315,7 +315,7 @@
                 Some((Ok(Bytes::from(event)), (number, cancel_counter)))
             }
         });
-        let mut reply = Reply::new(LocalBody::Breakable(Box::pin(parts)));
+        let mut reply = Reply::new(LocalBody::Fallible(Box::pin(parts)));
         self.add_engine_headers(&mut reply, request_id);
         reply
     }
@@ -323,8 +323,8 @@
 
 /// A body that fails before its end.
 fn truncated_body() -> LocalBody {
-    let parts = futures::stream::iter([Ok(Bytes::from_static(b"half")), Err(BrokenOff)]);
-    LocalBody::Breakable(Box::pin(parts))
+    let parts = futures::stream::iter([Ok(Bytes::from_static(b"half")), Err(BodyInterrupted)]);
+    LocalBody::Fallible(Box::pin(parts))
 }
 
 /// Counts a cancelled request when dropped.
@@ -342,7 +342,7 @@
         let body = read_body(body).await.unwrap_or_default();
         let expected = head.headers.get("saddlerelay-for-instance").and_then(|value| value.to_str().ok());
         if expected.is_some_and(|expected| expected != self.state.name) {
-            let mut reply = whole(StatusCode::MISDIRECTED_REQUEST, "text/plain", "");
+            let mut reply = full_reply(StatusCode::MISDIRECTED_REQUEST, "text/plain", "");
             reply.headers_mut().insert("saddlerelay-not-executed", HeaderValue::from_static("1"));
             return reply;
         }
--- a/crates/gateway-api/tests/duties.rs
+++ b/crates/gateway-api/tests/duties.rs
@@ -9,7 +9,7 @@
 use saddlerelay_duties::{Duties, HttpPlatform, PlatformMetrics, UsageReportConfig};
 use saddlerelay_gateway_api::NativePlatform;
 use saddlerelay_gateway_api::own::{FENCE_HEADER, HOLDER_HEADER, USAGE_PATH};
-use saddlerelay_http::body::{Reply, read_body, whole};
+use saddlerelay_http::body::{Reply, full_reply, read_body};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_runtime::Runtime;
 use saddlerelay_runtime_compio::CompioRuntime;
@@ -46,7 +46,7 @@
         self.reports.borrow_mut().push((fence, serde_json::from_slice(&body).expect("the body is not a usage report")));
         let left = self.rejections_left.get();
         self.rejections_left.set(left.saturating_sub(1));
-        whole(if left > 0 { StatusCode::TOO_MANY_REQUESTS } else { StatusCode::OK }, "text/plain", "")
+        full_reply(if left > 0 { StatusCode::TOO_MANY_REQUESTS } else { StatusCode::OK }, "text/plain", "")
     }
 }
 
--- a/crates/gateway-api/tests/results.rs
+++ b/crates/gateway-api/tests/results.rs
@@ -54,7 +54,7 @@
         let address = deployment.node.replica().member_addresses();
         let address = address.into_iter().find(|address| Some(*address) != gateway.control().current_address());
         let address = address.expect("the group has no second member");
-        let position = deployment.node.replica().read_position().expect("the leader has no read position");
+        let position = deployment.node.replica().read_index().expect("the leader has no read position");
         let read = async |position, id: &str| {
             let job = JobId(id.to_string());
             let request = GatewayRequest::ReadResultsAt { position, job, after: 0, wait_ms: 0, caller: Caller::Anyone };
@@ -73,10 +73,10 @@
             "the gateway falls back to the leader"
         );
         let leader_position =
-            gateway.control().gateway(GatewayRequest::ReadPosition, Duration::from_secs(2), Duration::from_secs(1));
+            gateway.control().gateway(GatewayRequest::ReadIndex, Duration::from_secs(2), Duration::from_secs(1));
         assert!(
             matches!(leader_position.await, Ok::<_, GatewayError>(GatewayReply::Position(returned)) if returned >= position)
         );
-        assert_eq!(replica.replica().read_position(), None, "only the leader returns a read position");
+        assert_eq!(replica.replica().read_index(), None, "only the leader returns a read position");
     });
 }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -18,7 +18,7 @@
 use saddlerelay_runtime::timeout::timeout;
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_types::routing::RouteKind;
-use saddlerelay_upstream::{Failure, Outgoing, ReadyEngine, Reuse};
+use saddlerelay_upstream::{Failure, OutgoingRequest, ReadyEngine, Reuse};
 use std::cell::Cell;
 use std::pin::pin;
 use std::time::Duration;
@@ -84,10 +84,14 @@
         });
         remove_hop_by_hop(&mut head.headers);
         head.headers.remove(CONTENT_LENGTH);
-        Reply::from_parts(head, LocalBody::Whole(body.into()))
+        Reply::from_parts(head, LocalBody::Buffered(body.into()))
     }
 
-    async fn run_attempts(&self, context: &ForwardContext<'_>, outgoing: &Outgoing) -> Result<(Parts, Bytes), Refusal> {
+    async fn run_attempts(
+        &self,
+        context: &ForwardContext<'_>,
+        outgoing: &OutgoingRequest,
+    ) -> Result<(Parts, Bytes), Refusal> {
         let route = context.chosen.route();
         let repeatable = route.kind == RouteKind::Idempotent;
         let max_runs = route.max_attempts.max(1) as usize;
@@ -186,7 +190,7 @@
     async fn attempt(
         &self,
         context: &ForwardContext<'_>,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         engine: ReadyEngine,
     ) -> (InstanceId, AttemptOutcome) {
         let instance = &engine.target.instance;
@@ -237,11 +241,11 @@
         self.inner.metrics.observe_attempt(latency);
         let outcome = AttemptOutcome::of(result, self.names());
         match &outcome {
-            AttemptOutcome::Answered(..) => self.inner.balance.answered(instance, latency, now),
+            AttemptOutcome::Answered(..) => self.inner.balance.record_response(instance, latency, now),
             AttemptOutcome::NotExecuted(reason)
             | AttemptOutcome::Failed(reason, _)
             | AttemptOutcome::ConnectionLost(reason) => {
-                self.inner.balance.failed(instance, now);
+                self.inner.balance.record_failure(instance, now);
                 let may_have_run = !matches!(outcome, AttemptOutcome::NotExecuted(_));
                 spdlog::warn!("attempt failed", kv: {
                     request = context.request.id.as_str(),
@@ -269,7 +273,7 @@
         if self.armed.get() {
             let now = self.gateway.now();
             let latency = now.saturating_sub(self.started_at);
-            self.gateway.inner.balance.cancelled(self.instance, latency, now);
+            self.gateway.inner.balance.record_cancellation(self.instance, latency, now);
         }
     }
 }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -2,7 +2,7 @@
 
 use hyper::StatusCode;
 use hyper::header::{HeaderValue, RETRY_AFTER};
-use saddlerelay_http::body::{Reply, whole};
+use saddlerelay_http::body::{Reply, full_reply};
 use std::time::Duration;
 
 /// Why the gateway rejected or failed a request.
@@ -65,7 +65,7 @@
 
     /// Builds the response. A 503, which means that the request was not executed, carries `Retry-After`.
     pub fn reply(self, retry_after: Duration) -> Reply {
-        let mut reply = whole(self.status(), "text/plain", self.reason());
+        let mut reply = full_reply(self.status(), "text/plain", self.reason());
         if self.status() == StatusCode::SERVICE_UNAVAILABLE {
             let seconds = format!("{:.3}", retry_after.as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, Uri};
 use saddlerelay_types::tenancy::Caller;
 use saddlerelay_types::work::{Work, WorkDigest};
-use saddlerelay_upstream::{HeaderNames, Outgoing};
+use saddlerelay_upstream::{HeaderNames, OutgoingRequest};
 use std::time::Duration;
 
 /// Hop-by-hop headers.
@@ -65,10 +65,16 @@
     }
 
     /// The request as forwarded to engines.
-    pub fn outgoing(&self, body: Bytes) -> Outgoing {
+    pub fn outgoing(&self, body: Bytes) -> OutgoingRequest {
         let mut headers = self.headers.clone();
         headers.remove(CONTENT_LENGTH);
-        Outgoing { method: self.method.clone(), uri: self.uri.clone(), headers, body, request_id: self.id.clone() }
+        OutgoingRequest {
+            method: self.method.clone(),
+            uri: self.uri.clone(),
+            headers,
+            body,
+            request_id: self.id.clone(),
+        }
     }
 }
 
--- a/crates/gateway/src/results.rs
+++ b/crates/gateway/src/results.rs
@@ -66,7 +66,7 @@
         caller: &Caller,
     ) -> Option<GatewayReply> {
         let inner = &self.inner;
-        let position = inner.control.gateway(GatewayRequest::ReadPosition, NEAREST_TIMEOUT, NEAREST_TIMEOUT).await;
+        let position = inner.control.gateway(GatewayRequest::ReadIndex, NEAREST_TIMEOUT, NEAREST_TIMEOUT).await;
         let Ok(GatewayReply::Position(position)) = position else {
             return None;
         };
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -12,12 +12,12 @@
 use futures::Stream;
 use hyper::header::{CONTENT_LENGTH, HeaderValue};
 use hyper::http::response::Parts;
-use saddlerelay_http::body::{BrokenOff, LocalBody, Reply};
+use saddlerelay_http::body::{BodyInterrupted, LocalBody, Reply};
 use saddlerelay_runtime::timeout::timeout;
 use saddlerelay_types::instance::InstanceId;
 use saddlerelay_upstream::events::EventParser;
 use saddlerelay_upstream::response::ResponseStream;
-use saddlerelay_upstream::{EngineTarget, Failure, Outgoing, Reuse, UpstreamResponse};
+use saddlerelay_upstream::{EngineTarget, Failure, OutgoingRequest, Reuse, UpstreamResponse};
 use std::time::Duration;
 
 /// A stream that is being forwarded to a client.
@@ -25,7 +25,7 @@
     gateway: Gateway,
     chosen: ChosenRoute,
     request: ClientRequest,
-    outgoing: Outgoing,
+    outgoing: OutgoingRequest,
     work: RequestedWork,
     service: String,
     deadline: Duration,
@@ -106,7 +106,7 @@
             body: stream,
             ended: false,
         };
-        Reply::from_parts(head, LocalBody::Breakable(Box::pin(forwarded.into_chunks())))
+        Reply::from_parts(head, LocalBody::Fallible(Box::pin(forwarded.into_chunks())))
     }
 
     fn log_stream_started(&self, request: &ClientRequest, chosen: &ChosenRoute, head: &Parts) {
@@ -125,7 +125,7 @@
     async fn start_stream(
         &self,
         context: &StreamContext<'_>,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         tried: &mut Vec<EngineTarget>,
         possible_runs: &PossibleRuns,
     ) -> StreamStart {
@@ -151,7 +151,7 @@
             let reason = match self.read_stream_start(sent).await {
                 Ok(started) => {
                     let now = self.now();
-                    self.inner.balance.answered(&engine.target.instance, now.saturating_sub(started_at), now);
+                    self.inner.balance.record_response(&engine.target.instance, now.saturating_sub(started_at), now);
                     return started;
                 }
                 Err(AttemptOutcome::Answered(head, body)) => return StreamStart::Buffered(head, body),
@@ -168,7 +168,7 @@
                     reason
                 }
             };
-            self.inner.balance.failed(&engine.target.instance, self.now());
+            self.inner.balance.record_failure(&engine.target.instance, self.now());
             spdlog::warn!("attempt failed", kv: {
                 request = outgoing.request_id.as_str(), instance = engine.target.instance.name.as_str(),
                 may_have_run = possible_runs.may_have_run(), reason = reason.as_str()
@@ -203,7 +203,7 @@
 }
 
 impl ForwardedStream {
-    fn into_chunks(self) -> impl Stream<Item = Result<Bytes, BrokenOff>> {
+    fn into_chunks(self) -> impl Stream<Item = Result<Bytes, BodyInterrupted>> {
         futures::stream::unfold(self, |mut stream| async move {
             let chunk = stream.next_chunk().await?;
             Some((chunk, stream))
@@ -211,7 +211,7 @@
     }
 
     /// The next complete event. Partial events are not forwarded, because another engine may resume the stream.
-    async fn next_chunk(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, BodyInterrupted>> {
         while !self.ended {
             if let Some(event) = self.parser.next_event() {
                 self.last_event_id = event.id.or(self.last_event_id);
@@ -230,16 +230,20 @@
                         self.check_lost_connection().await;
                     }
                     if !(self.may_resume() && self.resume().await) {
-                        return self.finish("stream broke off", Some(Err(BrokenOff)));
+                        return self.finish("stream broke off", Some(Err(BodyInterrupted)));
                     }
                 }
-                None => return self.finish("stream deadline exceeded", Some(Err(BrokenOff))),
+                None => return self.finish("stream deadline exceeded", Some(Err(BodyInterrupted))),
             }
         }
         None
     }
 
-    fn finish(&mut self, event: &str, chunk: Option<Result<Bytes, BrokenOff>>) -> Option<Result<Bytes, BrokenOff>> {
+    fn finish(
+        &mut self,
+        event: &str,
+        chunk: Option<Result<Bytes, BodyInterrupted>>,
+    ) -> Option<Result<Bytes, BodyInterrupted>> {
         self.ended = true;
         spdlog::info!("{}", event, kv: {
             request = self.request.id.as_str(),
--- a/crates/gateway/tests/choice.rs
+++ b/crates/gateway/tests/choice.rs
@@ -150,11 +150,11 @@
     let near = InstanceId::named("near");
     assert_eq!(chosen(&balance, &engines, &[], 0), "near");
     assert_eq!(chosen(&balance, &engines, std::slice::from_ref(&near), 0), "far");
-    balance.answered(&near, Duration::from_millis(200), Duration::from_millis(10));
+    balance.record_response(&near, Duration::from_millis(200), Duration::from_millis(10));
     assert_eq!(chosen(&balance, &engines, &[], 10), "far");
     // The old latency has decayed, so the engine is tried again.
     assert_eq!(chosen(&balance, &engines, &[], 60_000), "near");
-    balance.failed(&near, Duration::from_millis(60_000));
+    balance.record_failure(&near, Duration::from_millis(60_000));
     assert_eq!(chosen(&balance, &engines, &[], 60_100), "far");
     assert_eq!(chosen(&balance, &engines, &[], 60_500), "near");
 }
@@ -166,7 +166,7 @@
     let failing = InstanceId::named("a");
     let mut now = 0;
     for ejection_ms in [400, 800, 1_600, 3_200, 6_400, 6_400] {
-        balance.failed(&failing, Duration::from_millis(now));
+        balance.record_failure(&failing, Duration::from_millis(now));
         assert_eq!(chosen(&balance, &engines, &[], now + ejection_ms - 1), "b");
         now += ejection_ms;
         assert_eq!(chosen(&balance, &engines, &[], now), "a");
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -25,36 +25,39 @@
 /// A response body that is not `Send`.
 pub enum LocalBody {
     /// A buffered body.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// A streamed body that ends when the sender is dropped.
-    Parts(mpsc::UnboundedReceiver<Bytes>),
+    Streamed(mpsc::UnboundedReceiver<Bytes>),
     /// A streamed body that may fail; the connection is then closed before the end of the body.
-    Breakable(Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>>>>),
+    Fallible(Pin<Box<dyn Stream<Item = Result<Bytes, BodyInterrupted>>>>),
 }
 
 /// The source of a streamed body failed before its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BrokenOff;
+pub struct BodyInterrupted;
 
-impl fmt::Display for BrokenOff {
+impl fmt::Display for BodyInterrupted {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("the body broke off")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for BodyInterrupted {}
 
 impl Body for LocalBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BodyInterrupted;
 
-    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyInterrupted>>> {
         match self.get_mut() {
-            Self::Whole(whole) => Pin::new(whole).poll_frame(context).map_err(|never| match never {}),
-            Self::Breakable(parts) => {
+            Self::Buffered(buffered) => Pin::new(buffered).poll_frame(context).map_err(|never| match never {}),
+            Self::Fallible(parts) => {
                 parts.as_mut().poll_next(context).map(|part| part.map(|part| part.map(Frame::data)))
             }
-            Self::Parts(parts) => {
+            Self::Streamed(parts) => {
                 let next = Pin::new(parts).poll_next(context);
                 next.map(|part| part.map(|bytes| Ok(Frame::data(bytes))))
             }
@@ -63,15 +66,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(whole) => whole.is_end_stream(),
-            Self::Parts(_) | Self::Breakable(_) => false,
+            Self::Buffered(buffered) => buffered.is_end_stream(),
+            Self::Streamed(_) | Self::Fallible(_) => false,
         }
     }
 }
 
 /// A response with a buffered body.
-pub fn whole(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Reply {
-    let mut reply = Response::new(LocalBody::Whole(Full::new(body.into())));
+pub fn full_reply(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Reply {
+    let mut reply = Response::new(LocalBody::Buffered(Full::new(body.into())));
     *reply.status_mut() = status;
     reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     reply
@@ -80,12 +83,12 @@
 /// A response with a JSON body.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Reply {
     let body = serde_json::to_vec(value).unwrap_or_else(|error| error.to_string().into_bytes());
-    whole(status, "application/json", body)
+    full_reply(status, "application/json", body)
 }
 
 /// A response with a streamed body, which ends when the sender is dropped.
-pub fn parts(content_type: &'static str, parts: mpsc::UnboundedReceiver<Bytes>) -> Reply {
-    let mut reply = Response::new(LocalBody::Parts(parts));
+pub fn streamed_reply(content_type: &'static str, parts: mpsc::UnboundedReceiver<Bytes>) -> Reply {
+    let mut reply = Response::new(LocalBody::Streamed(parts));
     reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     reply
 }
--- a/crates/http/tests/shutdown.rs
+++ b/crates/http/tests/shutdown.rs
@@ -3,7 +3,7 @@
 use compio::net::TcpListener;
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
-use saddlerelay_http::body::{Reply, whole};
+use saddlerelay_http::body::{Reply, full_reply};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -18,7 +18,7 @@
 
 impl HttpHandler for Hello {
     async fn handle(self: Rc<Self>, _request: Request<Incoming>) -> Reply {
-        whole(StatusCode::OK, "text/plain", "hello")
+        full_reply(StatusCode::OK, "text/plain", "hello")
     }
 }
 
--- a/crates/layouts/src/level_one/convert/messages.rs
+++ b/crates/layouts/src/level_one/convert/messages.rs
@@ -23,7 +23,7 @@
         One::PublishVersion(loaded_model) => GatewayRequest::PublishVersion(loaded_model),
         One::SubmitJob(job) => GatewayRequest::SubmitJob(job.into()),
         One::ReadResults { job, after, wait_ms } => GatewayRequest::ReadResults { job, after, wait_ms, caller },
-        One::ReadPosition => GatewayRequest::ReadPosition,
+        One::ReadIndex => GatewayRequest::ReadIndex,
         One::ReadResultsAt { position, job, after, wait_ms } => {
             GatewayRequest::ReadResultsAt { position, job, after, wait_ms, caller }
         }
@@ -49,7 +49,7 @@
         GatewayRequest::ReadResults { job, after, wait_ms, caller } if is_anyone(&caller) => {
             One::ReadResults { job, after, wait_ms }
         }
-        GatewayRequest::ReadPosition => One::ReadPosition,
+        GatewayRequest::ReadIndex => One::ReadIndex,
         GatewayRequest::ReadResultsAt { position, job, after, wait_ms, caller } if is_anyone(&caller) => {
             One::ReadResultsAt { position, job, after, wait_ms }
         }
--- a/crates/layouts/src/level_one/gateway.rs
+++ b/crates/layouts/src/level_one/gateway.rs
@@ -78,7 +78,7 @@
     PublishVersion(LoadedModel),
     SubmitJob(JobSubmission),
     ReadResults { job: JobId, after: u64, wait_ms: u64 },
-    ReadPosition,
+    ReadIndex,
     ReadResultsAt { position: u64, job: JobId, after: u64, wait_ms: u64 },
     ReadBody { job: JobId, item: ItemId },
     EndJob(JobId),
--- a/crates/layouts/src/level_one/protocol.rs
+++ b/crates/layouts/src/level_one/protocol.rs
@@ -7,7 +7,7 @@
 use saddlerelay_types::identity::{Fence, Revision};
 use saddlerelay_types::membership::{EngineRecord, RelayDescription};
 use saddlerelay_types::protocol::{
-    ClaimCommand, MembershipCommand, ModelTarget, Query, QueryAnswer, RolloutCommand, TrainerRefusal,
+    ClaimCommand, MembershipCommand, ModelTarget, Query, QueryResult, RolloutCommand, TrainerRefusal,
 };
 use saddlerelay_types::rollout::{DeliveryBatch, SampleAssignment, TrainerState};
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
     Replication(Vec<u8>),
     Renewed(RenewReply),
     Executed(CommandOutcome),
-    Answer(QueryAnswer),
+    Answer(QueryResult),
     NotLeader { leader: Option<SocketAddr> },
     Undecided,
     Refused(String),
--- a/crates/relay/src/commands/callers.rs
+++ b/crates/relay/src/commands/callers.rs
@@ -11,7 +11,7 @@
 use saddlerelay_types::identity::{BodyDigest, Incarnation, WeightVersion};
 use saddlerelay_types::protocol::{ClaimCommand, Command, CommandOutcome};
 use saddlerelay_types::request::{
-    AnswerPart, CallerRequest, ExecutionOutcome, FailureCode, Generation, Repeatability, RequestFailure, RequestKey,
+    CallerRequest, ExecutionOutcome, FailureCode, Generation, Repeatability, RequestFailure, RequestKey, ResponsePart,
 };
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 const RETRY_DELAY_MS: u64 = RETRY_DELAY.as_millis() as u64;
 
 /// Sends the parts of an answer to the caller.
-pub type PartSender = mpsc::UnboundedSender<AnswerPart>;
+pub type PartSender = mpsc::UnboundedSender<ResponsePart>;
 
 /// The claim for one received copy of a keyed request; the copies of a request compete for its claim.
 #[derive(Clone)]
@@ -35,9 +35,9 @@
 }
 
 impl<P: Runtime, B: Backends> Relay<P, B> {
-    /// Serves a request. The last part is [`AnswerPart::End`] or [`AnswerPart::Failed`]; a stream without either was
+    /// Serves a request. The last part is [`ResponsePart::End`] or [`ResponsePart::Failed`]; a stream without either was
     /// interrupted.
-    pub fn serve(&self, request: CallerRequest) -> mpsc::UnboundedReceiver<AnswerPart> {
+    pub fn serve(&self, request: CallerRequest) -> mpsc::UnboundedReceiver<ResponsePart> {
         let (parts, answer) = mpsc::unbounded();
         let relay = self.clone();
         self.count(|counters| counters.requests += 1);
@@ -49,11 +49,11 @@
         let last = match self.run_request(&request, &parts).await {
             Ok(generation) => {
                 self.count(|counters| counters.answered += 1);
-                AnswerPart::End(generation.finish)
+                ResponsePart::End(generation.finish)
             }
             Err(failure) => {
                 self.count(|counters| counters.failed += 1);
-                AnswerPart::Failed(failure)
+                ResponsePart::Failed(failure)
             }
         };
         // If the caller has disconnected, it can get the answer by resending a keyed request.
@@ -274,7 +274,7 @@
         let tokens = generation.tokens[first..end].to_vec();
         // The text is not divided by version, so the first part carries all of it.
         let text = if index == 0 { generation.text.clone() } else { String::new() };
-        let _ = parts.unbounded_send(AnswerPart::Tokens { tokens, text, version: span.version });
+        let _ = parts.unbounded_send(ResponsePart::Tokens { tokens, text, version: span.version });
         first = end;
     }
 }
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -12,7 +12,7 @@
 use saddlerelay_types::engine::{EngineChunk, EngineDescription, EngineRequest};
 use saddlerelay_types::identity::{EngineId, Incarnation, ModelName, TenantId, WeightVersion};
 use saddlerelay_types::instance::InstanceId;
-use saddlerelay_types::request::{AnswerPart, ExecutionOutcome, FailureCode, Generation, Priority, Repeatability};
+use saddlerelay_types::request::{ExecutionOutcome, FailureCode, Generation, Priority, Repeatability, ResponsePart};
 use saddlerelay_types::suspicion::{EngineLoss, TRIAL_RETRY_AFTER};
 use saddlerelay_types::work::WorkDigest;
 use std::cell::OnceCell;
@@ -88,7 +88,7 @@
 struct GenerationProgress<'a, P: Runtime> {
     work: &'a GenerationWork,
     generation: Generation,
-    parts: Option<&'a mpsc::UnboundedSender<AnswerPart>>,
+    parts: Option<&'a mpsc::UnboundedSender<ResponsePart>>,
     may_have_run: bool,
     tried: BTreeSet<EngineId>,
     work_digest: OnceCell<WorkDigest>,
@@ -112,7 +112,7 @@
     pub(crate) async fn dispatch(
         &self,
         work: &GenerationWork,
-        parts: Option<&mpsc::UnboundedSender<AnswerPart>>,
+        parts: Option<&mpsc::UnboundedSender<ResponsePart>>,
     ) -> Result<Generation, DispatchFailure> {
         let mut progress = GenerationProgress {
             work,
@@ -429,7 +429,7 @@
         if let Some(parts) = progress.parts {
             let (tokens, text) = (chunk.tokens.clone(), chunk.text.clone());
             // A disconnected caller does not stop the generation.
-            let _ = parts.unbounded_send(AnswerPart::Tokens { tokens, text, version: chunk.version });
+            let _ = parts.unbounded_send(ResponsePart::Tokens { tokens, text, version: chunk.version });
         }
         Ok(())
     }
--- a/crates/replication/src/calls.rs
+++ b/crates/replication/src/calls.rs
@@ -61,7 +61,7 @@
         let client = self.client(channel, address);
         client.set_level_selection(level_selection);
         let response = client.call(|level| message_codec::encode_call(request, level), timeout).await?;
-        let reply = message_codec::decode_answer(&response.body, response.level);
+        let reply = message_codec::decode_call_reply(&response.body, response.level);
         reply.ok_or(CallError::OutcomeUnknown)
     }
 
--- a/crates/replication/src/message_codec.rs
+++ b/crates/replication/src/message_codec.rs
@@ -147,12 +147,12 @@
 }
 
 /// Encodes `reply` as a [`ControlReply`]; `None` if the level cannot express it.
-pub fn encode_answer(reply: ReplicaReply, level: FeatureLevel) -> Option<Vec<u8>> {
+pub fn encode_call_reply(reply: ReplicaReply, level: FeatureLevel) -> Option<Vec<u8>> {
     messages::encode_reply(ControlReply::Replication(encode_reply(reply, level)), level)
 }
 
-/// Decodes what `encode_answer` has encoded; `None` if it is malformed or another kind of reply.
-pub fn decode_answer(body: &[u8], level: FeatureLevel) -> Option<ReplicaReply> {
+/// Decodes what `encode_call_reply` has encoded; `None` if it is malformed or another kind of reply.
+pub fn decode_call_reply(body: &[u8], level: FeatureLevel) -> Option<ReplicaReply> {
     match messages::decode_reply(body, level)? {
         ControlReply::Replication(bytes) => decode_reply(&bytes, level),
         _ => None,
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -265,7 +265,7 @@
 
     /// Commit index for a linearizable read, if this replica leads and holds the lease. A replica that has applied the
     /// log up to it has seen every acknowledged write.
-    pub fn read_position(&self) -> Option<u64> {
+    pub fn read_index(&self) -> Option<u64> {
         let now = self.inner.platform.monotonic();
         let state = self.inner.state.borrow();
         state.may_serve(now, &self.inner.options.config).then_some(state.commit)
--- a/crates/rpc/src/call.rs
+++ b/crates/rpc/src/call.rs
@@ -23,9 +23,9 @@
     }
 }
 
-/// A peer's response.
+/// A peer's encoded reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct EncodedReply {
     /// The feature level of its encoding.
     pub level: FeatureLevel,
     /// The encoded message.
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -6,7 +6,7 @@
 //! accepted, so that a rejected connection leaves no request with an unknown outcome. At a fixed level, or at the level
 //! that the peer accepted last, they are sent immediately.
 
-pub use crate::call::{Answer, CallError, LevelSelection, Message};
+pub use crate::call::{CallError, EncodedReply, LevelSelection, Message};
 use crate::frame::{Envelope, Hello, WELCOME_ID, Welcome};
 use futures::channel::{mpsc, oneshot};
 use futures::{StreamExt, future};
@@ -129,7 +129,7 @@
     }
 
     /// Sends `message` and waits at most `limit` for the response.
-    pub async fn call(&self, message: impl Message, limit: Duration) -> Result<Answer, CallError> {
+    pub async fn call(&self, message: impl Message, limit: Duration) -> Result<EncodedReply, CallError> {
         let started_at = self.inner.platform.monotonic();
         let exchange = self.exchange(message);
         let response = timeout(&self.inner.platform, limit, exchange).await;
@@ -139,7 +139,7 @@
         response.unwrap_or(Err(CallError::OutcomeUnknown))
     }
 
-    async fn exchange(&self, message: impl Message) -> Result<Answer, CallError> {
+    async fn exchange(&self, message: impl Message) -> Result<EncodedReply, CallError> {
         self.close_outdated_connection();
         if !self.has_accepted_connection() {
             self.wait_for_connection().await?;
@@ -156,7 +156,7 @@
             connection.level
         };
         let body = response.await.map_err(|_| CallError::OutcomeUnknown)?;
-        Ok(Answer { level, body })
+        Ok(EncodedReply { level, body })
     }
 
     fn has_accepted_connection(&self) -> bool {
--- a/crates/runtime-compio/tests/frames.rs
+++ b/crates/runtime-compio/tests/frames.rs
@@ -4,7 +4,7 @@
 use compio::BufResult;
 use compio::io::{AsyncReadExt, AsyncWriteExt};
 use compio::net::TcpStream;
-use saddlerelay_rpc::client::Answer;
+use saddlerelay_rpc::client::EncodedReply;
 use saddlerelay_runtime::{FrameListener, FrameReceiver, FrameSender, MAX_FRAME_BYTES, Runtime};
 use saddlerelay_runtime_compio::CompioRuntime;
 use saddlerelay_runtime_compio::connection::TcpFrameListener;
@@ -111,7 +111,7 @@
         let client = saddlerelay_rpc::client::Client::new(platform(), address, "secret");
         let limit = std::time::Duration::from_secs(10);
         let call = |body: &'static [u8]| client.call(move |_| Some(body.to_vec()), limit);
-        let expected = |body: &[u8]| Ok(Answer { level: FeatureLevel::NEWEST, body: body.to_vec() });
+        let expected = |body: &[u8]| Ok(EncodedReply { level: FeatureLevel::NEWEST, body: body.to_vec() });
         assert_eq!(call(b"hello").await, expected(b"hello"));
         assert!(call(b"malformed").await.is_err());
         assert_eq!(call(b"again").await, expected(b"again"));
--- a/crates/simulator/src/command_line.rs
+++ b/crates/simulator/src/command_line.rs
@@ -31,13 +31,13 @@
 const DEFAULT_THREADS: usize = 8;
 
 /// Whether the arguments contain `--help` or `-h`.
-pub fn asks_for_help(arguments: &[OsString]) -> bool {
+pub fn is_help_requested(arguments: &[OsString]) -> bool {
     arguments.iter().any(|argument| argument == "--help" || argument == "-h")
 }
 
 /// Runs the command in `arguments`, which exclude the program name.
 pub fn main(arguments: Vec<OsString>) -> ExitCode {
-    if asks_for_help(&arguments) {
+    if is_help_requested(&arguments) {
         print!("{HELP}");
         return ExitCode::SUCCESS;
     }
--- a/crates/simulator/src/service.rs
+++ b/crates/simulator/src/service.rs
@@ -15,7 +15,7 @@
 use saddlerelay_types::configuration::{ConfigurationChange, ConfigurationOutcome};
 use saddlerelay_types::identity::{Incarnation, ModelName, Position, TenantId, WeightVersion};
 use saddlerelay_types::protocol::{Command, CommandOutcome, TrainerRefusal};
-use saddlerelay_types::request::{AnswerPart, CallerRequest, Generation};
+use saddlerelay_types::request::{CallerRequest, Generation, ResponsePart};
 use saddlerelay_types::rollout::{DeliveryBatch, StepRequest, TrainerState};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
 /// A relay's response; a caller's request is answered by a sequence of parts.
 #[derive(Encode, Decode)]
 enum RelayResponse {
-    Part(AnswerPart),
+    Part(ResponsePart),
     Models(Option<Vec<ModelName>>),
     Trainer(Result<TrainerState, Option<TrainerRefusal>>),
     Delivery(Result<DeliveryBatch, Option<TrainerRefusal>>),
@@ -188,7 +188,7 @@
         match self.call(relay, call).await {
             Some(RelayResponse::Trainer(Ok(state))) => Ok(state),
             Some(RelayResponse::Trainer(Err(Some(refusal)))) => Err(TrainerCallError::Refused(refusal)),
-            _ => Err(TrainerCallError::Again),
+            _ => Err(TrainerCallError::Retry),
         }
     }
 }
@@ -210,15 +210,15 @@
         let mut first_token_after = None;
         while let Ok(Some(frame)) = receiver.receive().await {
             match bitcode::decode(&frame) {
-                Ok(RelayResponse::Part(AnswerPart::Tokens { tokens, text, version })) => {
+                Ok(RelayResponse::Part(ResponsePart::Tokens { tokens, text, version })) => {
                     first_token_after.get_or_insert(self.platform.monotonic() - started_at);
                     generation.extend(&tokens, &text, version);
                 }
-                Ok(RelayResponse::Part(AnswerPart::End(finish))) => {
+                Ok(RelayResponse::Part(ResponsePart::End(finish))) => {
                     generation.finish = finish;
-                    return CallerResponse::Whole { generation, first_token_after };
+                    return CallerResponse::Complete { generation, first_token_after };
                 }
-                Ok(RelayResponse::Part(AnswerPart::Failed(failure))) => return CallerResponse::Failed(failure),
+                Ok(RelayResponse::Part(ResponsePart::Failed(failure))) => return CallerResponse::Failed(failure),
                 _ => return CallerResponse::Lost,
             }
         }
@@ -262,7 +262,7 @@
         match self.call(relay, &RelayCall::Fetch(tenant.clone(), incarnation, cursor, limit)).await {
             Some(RelayResponse::Delivery(Ok(batch))) => Ok(batch),
             Some(RelayResponse::Delivery(Err(Some(refusal)))) => Err(TrainerCallError::Refused(refusal)),
-            _ => Err(TrainerCallError::Again),
+            _ => Err(TrainerCallError::Retry),
         }
     }
 
--- a/crates/simulator/tests/concurrent_trials.rs
+++ b/crates/simulator/tests/concurrent_trials.rs
@@ -5,7 +5,7 @@
 use saddlerelay_control_client::suspicions::{DEFAULT_LAST_TRIAL_PAUSE, Suspicions, Verdict};
 use saddlerelay_types::identity::Incarnation;
 use saddlerelay_types::instance::InstanceId;
-use saddlerelay_types::suspicion::{EngineLoss, TrialAnswer, TrialId};
+use saddlerelay_types::suspicion::{EngineLoss, TrialId, TrialResult};
 use saddlerelay_types::work::WorkDigest;
 use std::time::Duration;
 
@@ -47,7 +47,7 @@
         }
         let id = TrialId { holder: Incarnation(relay as u64), number: 1 };
         let limit_ms = REQUEST_LIMIT.as_millis() as u64;
-        self.table.begin_trial(self.work, id, now.as_millis() as u64, limit_ms) == TrialAnswer::Granted
+        self.table.begin_trial(self.work, id, now.as_millis() as u64, limit_ms) == TrialResult::Granted
     }
 
     /// Crashes an engine that runs the request for `relay`, and notifies every relay after `NOTIFICATION_TIME`.
@@ -91,23 +91,23 @@
     fixture.crash_engine(0, "first", CRASH_TIME);
     let id = |holder: u64| TrialId { holder: Incarnation(holder), number: 1 };
     let mut request_trial = |holder, at| fixture.table.begin_trial(fixture.work, id(holder), at, 1_500);
-    assert_eq!(request_trial(0, 100), TrialAnswer::Granted);
-    assert_eq!(request_trial(0, 101), TrialAnswer::Granted, "a resent request of the holder is granted");
-    assert_eq!(request_trial(1, 102), TrialAnswer::Taken);
+    assert_eq!(request_trial(0, 100), TrialResult::Granted);
+    assert_eq!(request_trial(0, 101), TrialResult::Granted, "a resent request of the holder is granted");
+    assert_eq!(request_trial(1, 102), TrialResult::Taken);
     fixture.table.end_trial(&fixture.work, id(1));
     let mut request_trial = |holder, at| fixture.table.begin_trial(fixture.work, id(holder), at, 1_500);
-    assert_eq!(request_trial(1, 103), TrialAnswer::Taken, "only the holder can release a lease");
-    assert_eq!(request_trial(1, 1_600), TrialAnswer::Taken, "the time in the log does not expire the lease");
+    assert_eq!(request_trial(1, 103), TrialResult::Taken, "only the holder can release a lease");
+    assert_eq!(request_trial(1, 1_600), TrialResult::Taken, "the time in the log does not expire the lease");
     let unrenewed: Vec<_> = fixture.table.trials().collect();
     fixture.table.expire_trials(&unrenewed);
     let mut request_trial = |holder, at| fixture.table.begin_trial(fixture.work, id(holder), at, 1_500);
-    assert_eq!(request_trial(1, 1_601), TrialAnswer::Granted, "the lease has expired");
+    assert_eq!(request_trial(1, 1_601), TrialResult::Granted, "the lease has expired");
     fixture.table.end_trial(&fixture.work, id(1));
     let harmless = WorkDigest::of_post_request(None, "host", "/plans", b"innocent");
-    assert_eq!(fixture.table.begin_trial(harmless, id(0), 1_700, 1_500), TrialAnswer::Granted);
+    assert_eq!(fixture.table.begin_trial(harmless, id(0), 1_700, 1_500), TrialResult::Granted);
     assert_eq!(
         fixture.table.begin_trial(harmless, id(1), 1_700, 1_500),
-        TrialAnswer::Granted,
+        TrialResult::Granted,
         "work that is not suspected needs no exclusive lease"
     );
 }
--- a/crates/simulator/tests/crashing_work.rs
+++ b/crates/simulator/tests/crashing_work.rs
@@ -158,7 +158,7 @@
         assert_eq!(deployment.crashes.get(), QUARANTINE_THRESHOLD, "seed {seed}");
         assert!(answers.last().is_some_and(is_quarantined), "seed {seed}: {answers:?}");
         let harmless = deployment.run(send_harmless_prompt(deployment.cluster.clone()));
-        let served = harmless.iter().all(|answer| matches!(answer, CallerResponse::Whole { .. }));
+        let served = harmless.iter().all(|answer| matches!(answer, CallerResponse::Complete { .. }));
         assert!(served, "seed {seed}: {harmless:?}");
     }
 }
--- a/crates/simulator/tests/group/mod.rs
+++ b/crates/simulator/tests/group/mod.rs
@@ -157,7 +157,7 @@
             return None;
         }
         let reply = self.node.handle(request, level).await;
-        message_codec::encode_answer(reply, level)
+        message_codec::encode_call_reply(reply, level)
     }
 }
 
--- a/crates/simulator/tests/members.rs
+++ b/crates/simulator/tests/members.rs
@@ -130,7 +130,7 @@
     async fn handle(self: Rc<Self>, level: FeatureLevel, body: Vec<u8>) -> Option<Vec<u8>> {
         let request = message_codec::decode_call(&body, level)?;
         let reply = self.0.handle(request, level).await;
-        message_codec::encode_answer(reply, level)
+        message_codec::encode_call_reply(reply, level)
     }
 }
 
--- a/crates/simulator/tests/quarantine_policies.rs
+++ b/crates/simulator/tests/quarantine_policies.rs
@@ -10,7 +10,7 @@
 use saddlerelay_control_client::suspicions::{Suspicions, Verdict};
 use saddlerelay_types::identity::Incarnation;
 use saddlerelay_types::instance::InstanceId;
-use saddlerelay_types::suspicion::{EngineLoss, TrialAnswer, TrialId, WorkEvidence};
+use saddlerelay_types::suspicion::{EngineLoss, TrialId, TrialResult, WorkEvidence};
 use saddlerelay_types::work::WorkDigest;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -268,11 +268,11 @@
         self.sequence += 1;
         let id = TrialId { holder: Incarnation(attempt.relay as u64), number: self.sequence };
         match self.table.begin_trial(digest(attempt.work), id, self.now.as_millis() as u64, 1_500) {
-            TrialAnswer::Granted => {
+            TrialResult::Granted => {
                 attempt.trial = Some(id.number);
                 self.send(attempt);
             }
-            TrialAnswer::Taken => self.fail_attempt(attempt, true),
+            TrialResult::Taken => self.fail_attempt(attempt, true),
         }
     }
 
--- a/crates/simulator/tests/relay_grants.rs
+++ b/crates/simulator/tests/relay_grants.rs
@@ -213,14 +213,14 @@
     let sent_at = platform.monotonic();
     let answer = cluster.access(platform.clone()).send_request(1, request).await;
     let took = match &answer {
-        CallerResponse::Whole { first_token_after: Some(after), .. } => *after,
+        CallerResponse::Complete { first_token_after: Some(after), .. } => *after,
         _ => platform.monotonic() - sent_at,
     };
     (answer, took)
 }
 
 fn is_complete(answer: &CallerResponse) -> bool {
-    matches!(answer, CallerResponse::Whole { .. })
+    matches!(answer, CallerResponse::Complete { .. })
 }
 
 fn has_code(answer: &CallerResponse, code: FailureCode) -> bool {
--- a/crates/simulator/tests/trial_renewals.rs
+++ b/crates/simulator/tests/trial_renewals.rs
@@ -6,7 +6,7 @@
 use saddlerelay_simulator::platform::SimRuntime;
 use saddlerelay_simulator::world::World;
 use saddlerelay_types::gateway::TrialRequest;
-use saddlerelay_types::suspicion::{HeldTrial, TRIAL_LEASE, TRIAL_RENEWAL, TrialAnswer};
+use saddlerelay_types::suspicion::{HeldTrial, TRIAL_LEASE, TRIAL_RENEWAL, TrialResult};
 use saddlerelay_types::work::WorkDigest;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -41,10 +41,10 @@
 }
 
 impl TrialLeaseService for Group {
-    async fn begin(&self, request: TrialRequest) -> Result<TrialAnswer, CallFailure> {
+    async fn begin(&self, request: TrialRequest) -> Result<TrialResult, CallFailure> {
         self.runtime.sleep(RESPONSE_TIME).await;
         self.renewals.record_renewal(request.id.number, self.runtime.monotonic());
-        Ok(TrialAnswer::Granted)
+        Ok(TrialResult::Granted)
     }
 
     async fn renew(&self, leases: Vec<HeldTrial>) -> Result<Vec<HeldTrial>, CallFailure> {
--- a/crates/soak/src/builds.rs
+++ b/crates/soak/src/builds.rs
@@ -49,7 +49,7 @@
             Build::Newest => Ok((self.newest.clone(), Program::Product)),
             Build::Production => {
                 let production = self.production.clone().context("no production build was given")?;
-                Ok((production, Program::Whole))
+                Ok((production, Program::Executable))
             }
         }
     }
--- a/crates/soak/src/command_line.rs
+++ b/crates/soak/src/command_line.rs
@@ -7,7 +7,7 @@
 use anyhow::{Context, Result, bail};
 use lexopt::prelude::*;
 use saddlerelay_fleet_runner::process::own_executable;
-use saddlerelay_simulator::command_line::{asks_for_help, exit_code};
+use saddlerelay_simulator::command_line::{exit_code, is_help_requested};
 use std::ffi::OsString;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -47,7 +47,7 @@
     let first = arguments.first().and_then(|name| name.to_str()).unwrap_or_default().to_string();
     let rest = arguments.get(1..).unwrap_or_default().to_vec();
     let outcome = match first.as_str() {
-        "run" | "regressions" | "plan" if asks_for_help(&rest) => {
+        "run" | "regressions" | "plan" if is_help_requested(&rest) => {
             print!("{HELP}");
             Ok(true)
         }
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -70,7 +70,7 @@
 
 /// A coordinator's role in the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MemberKind {
+pub enum MembershipRole {
     /// Voting member.
     Voter,
     /// Non-voting member.
@@ -81,15 +81,15 @@
 
 /// The role of the coordinator at `peer` in a `members proposed` log line, which lists voters by address and learners
 /// by `+` and address.
-pub fn parse_membership(line: &str, peer: SocketAddr) -> MemberKind {
+pub fn parse_membership(line: &str, peer: SocketAddr) -> MembershipRole {
     let members = line.split_once(" members=\"").map_or("", |(_, rest)| rest.trim_end_matches('"'));
     let (voter, learner) = (peer.to_string(), format!("+{peer}"));
-    let kind = members.split(' ').find_map(|member| match member {
-        member if member == voter => Some(MemberKind::Voter),
-        member if member == learner => Some(MemberKind::Learner),
+    let role = members.split(' ').find_map(|member| match member {
+        member if member == voter => Some(MembershipRole::Voter),
+        member if member == learner => Some(MembershipRole::Learner),
         _ => None,
     });
-    kind.unwrap_or(MemberKind::None)
+    role.unwrap_or(MembershipRole::None)
 }
 
 /// A change of leader, read from the log of the new leader. Ordered by time.
@@ -194,7 +194,7 @@
     }
 
     /// A coordinator's role in the latest proposed membership.
-    pub fn membership_of(&self, number: u8) -> MemberKind {
+    pub fn membership_of(&self, number: u8) -> MembershipRole {
         parse_membership(&self.newest_members(), self.addresses.peer(number))
     }
 
@@ -336,7 +336,7 @@
     /// if the process is not running.
     pub async fn begin_stop(&self, party: Party) -> Option<StoppingProcess> {
         let mut child = self.remove_child(party)?;
-        child.ask_to_stop().await;
+        child.request_stop().await;
         Some(StoppingProcess { party, child })
     }
 
@@ -369,7 +369,7 @@
         self.change_settings(party)?;
         let child = self.remove_child(party);
         if let Some(mut child) = child {
-            child.ask_to_reload().await;
+            child.request_reload().await;
             self.children.borrow_mut().insert(party, child);
         }
         Ok(())
@@ -394,7 +394,7 @@
     }
 
     /// Records processes that ended unexpectedly as violations, and restarts them.
-    pub fn watch(&self) -> Result<()> {
+    pub fn restart_ended_processes(&self) -> Result<()> {
         let ended: Vec<Party> = {
             let mut children = self.children.borrow_mut();
             children.iter_mut().filter_map(|(party, child)| child.ended().map(|_| *party)).collect()
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -12,7 +12,7 @@
 use hyper::{HeaderMap, Request, StatusCode};
 use saddlerelay_coordinator::format::{EngineReport, RunningStreams, WeightOrder};
 use saddlerelay_gateway_api::own::{ORDER_PATH, REPORT_PATH};
-use saddlerelay_http::body::{BrokenOff, LocalBody, Reply, json, read_body, whole};
+use saddlerelay_http::body::{BodyInterrupted, LocalBody, Reply, full_reply, json, read_body};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_runtime::signal::Signal;
 use saddlerelay_types::instance::{InstanceId, InstanceReport, LoadedModel};
@@ -302,7 +302,7 @@
     }
 
     fn rejection(&self, status: StatusCode, request: &str) -> Reply {
-        let mut reply = whole(status, "text/plain", "not executed");
+        let mut reply = full_reply(status, "text/plain", "not executed");
         self.add_response_headers(&mut reply, request);
         reply.headers_mut().insert("saddlerelay-not-executed", HeaderValue::from_static("1"));
         reply
@@ -310,7 +310,7 @@
 
     async fn order(&self, body: Bytes) -> Reply {
         let Ok(order) = serde_json::from_slice::<WeightOrder>(&body) else {
-            return whole(StatusCode::BAD_REQUEST, "text/plain", "");
+            return full_reply(StatusCode::BAD_REQUEST, "text/plain", "");
         };
         let state = &self.state;
         let observed = OrderRecord {
@@ -333,7 +333,7 @@
                 })
                 .detach();
                 compio::time::sleep(HANG_TIME).await;
-                whole(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "")
+                full_reply(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "")
             }
         }
     }
@@ -341,19 +341,19 @@
     fn execute_order(&self, order: WeightOrder) -> Reply {
         let state = &self.state;
         if order.fence < state.highest_fence.get() {
-            return whole(StatusCode::PRECONDITION_FAILED, "text/plain", "");
+            return full_reply(StatusCode::PRECONDITION_FAILED, "text/plain", "");
         }
         state.highest_fence.set(order.fence);
         if order.target.version == state.version.get() {
-            return whole(StatusCode::OK, "text/plain", "");
+            return full_reply(StatusCode::OK, "text/plain", "");
         }
         if state.loading.get() || order.orders_taken != state.orders_accepted.get() {
-            return whole(StatusCode::CONFLICT, "text/plain", "");
+            return full_reply(StatusCode::CONFLICT, "text/plain", "");
         }
         state.orders_accepted.set(state.orders_accepted.get() + 1);
         state.loading.set(true);
         compio::runtime::spawn(self.clone().load(order)).detach();
-        whole(StatusCode::ACCEPTED, "text/plain", "")
+        full_reply(StatusCode::ACCEPTED, "text/plain", "")
     }
 
     async fn load(self, order: WeightOrder) {
@@ -419,7 +419,7 @@
         if state.behavior.get() == EngineBehavior::Failing {
             state.journal.write(|records| *records.item_failures.entry(request.clone()).or_default() += 1);
             in_progress.end(ItemRunEnd::Failed);
-            let mut reply = whole(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "failed");
+            let mut reply = full_reply(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "failed");
             self.add_response_headers(&mut reply, &request);
             return reply;
         }
@@ -442,11 +442,11 @@
         drop(in_progress);
         let text = workload::expected_response(&path, request, &body);
         let has_ended = self.state.incarnation.get() != incarnation;
-        let mut reply = whole(StatusCode::OK, "text/plain", text.clone());
+        let mut reply = full_reply(StatusCode::OK, "text/plain", text.clone());
         if has_ended || self.state.behavior.get() == EngineBehavior::BreakingOff {
             let half = Bytes::from(text.into_bytes()).slice(..path.len());
-            let parts = futures::stream::iter([Ok(half), Err(BrokenOff)]);
-            *reply.body_mut() = LocalBody::Breakable(Box::pin(parts));
+            let parts = futures::stream::iter([Ok(half), Err(BodyInterrupted)]);
+            *reply.body_mut() = LocalBody::Fallible(Box::pin(parts));
         }
         self.add_response_headers(&mut reply, request);
         reply
@@ -466,7 +466,7 @@
                 let state = &engine.state;
                 let aborts = state.behavior.get() == EngineBehavior::BreakingOff && sent > after;
                 if state.incarnation.get() != incarnation || aborts {
-                    return Some((Err(BrokenOff), (sent, in_progress)));
+                    return Some((Err(BodyInterrupted), (sent, in_progress)));
                 }
                 let (number, version) = (sent + 1, state.version.get());
                 state.journal.write(|records| records.events.insert((request_id, number, version)));
@@ -478,7 +478,7 @@
                 Some((Ok(Bytes::from(event)), (number, in_progress)))
             }
         });
-        let mut reply = Reply::new(LocalBody::Breakable(Box::pin(parts)));
+        let mut reply = Reply::new(LocalBody::Fallible(Box::pin(parts)));
         self.add_response_headers(&mut reply, request);
         reply
     }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,7 +1,7 @@
 //! Injects planned faults and heals them.
 
 use crate::convergence::ConvergenceCheck;
-use crate::deployment::{Deployment, MemberKind, SEED_COORDINATORS};
+use crate::deployment::{Deployment, MembershipRole, SEED_COORDINATORS};
 use crate::engine::{Engine, EngineBehavior, OrderBehavior};
 use crate::journal::{Journal, Moment};
 use crate::links::{Condition, Party};
@@ -245,10 +245,10 @@
     async fn wait_for_replacement(&self, number: u8) {
         const INVARIANT: &str = "a failed member is replaced";
         let membership = || self.deployment.membership_of(number);
-        let is_not_voter = || async { membership() != MemberKind::Voter };
+        let is_not_voter = || async { membership() != MembershipRole::Voter };
         let replaced = ConvergenceCheck::begin(INVARIANT, &self.journal);
         replaced.wait_for(format!("coordinator {number} is no longer a voter"), is_not_voter).await;
-        let is_not_member = || async { membership() == MemberKind::None };
+        let is_not_member = || async { membership() == MembershipRole::None };
         let removed = ConvergenceCheck::begin_after(LEARNER_TIMEOUT, INVARIANT, &self.journal);
         removed.wait_for(format!("coordinator {number} is no longer a member"), is_not_member).await;
     }
--- a/crates/soak/src/lossy_zone.rs
+++ b/crates/soak/src/lossy_zone.rs
@@ -6,7 +6,7 @@
 
 use crate::case::Case;
 use crate::convergence::ConvergenceCheck;
-use crate::deployment::{LeadershipChange, MemberKind};
+use crate::deployment::{LeadershipChange, MembershipRole};
 use crate::faults::{FaultInjector, Reservation};
 use crate::links::{Condition, Party};
 use crate::plan::{ENGINES, Fault, Planned, milliseconds};
@@ -119,12 +119,12 @@
     fn voters_outside(&self, zone_parties: &[Party]) -> Vec<u8> {
         let numbers = 0..self.deployment.addresses.size.coordinators;
         let outside = numbers.filter(|number| !zone_parties.contains(&Party::Coordinator(*number)));
-        outside.filter(|number| self.deployment.membership_of(*number) == MemberKind::Voter).collect()
+        outside.filter(|number| self.deployment.membership_of(*number) == MembershipRole::Voter).collect()
     }
 
     fn check_voters(&self, voters: &[u8]) {
         for number in voters {
-            if self.deployment.membership_of(*number) != MemberKind::Voter {
+            if self.deployment.membership_of(*number) != MembershipRole::Voter {
                 self.journal.violation(
                     "voters outside a lossy zone remain voters",
                     format!("coordinator {number} is no longer a voter"),
--- a/crates/soak/src/platform.rs
+++ b/crates/soak/src/platform.rs
@@ -4,7 +4,7 @@
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Request, StatusCode};
 use saddlerelay_gateway_api::own::{FENCE_HEADER, HOLDER_HEADER, USAGE_PATH};
-use saddlerelay_http::body::{Reply, read_body, whole};
+use saddlerelay_http::body::{Reply, full_reply, read_body};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_types::usage::{TenantCounts, UsageReport, UsageWindow};
 use std::cell::RefCell;
@@ -81,12 +81,12 @@
         let report = serde_json::from_slice(&body);
         let (Ok(fence), Ok(report), USAGE_PATH) = (fence, report, head.uri.path()) else {
             self.journal.violation("the platform receives valid usage reports", format!("{} {body:?}", head.uri));
-            return whole(StatusCode::BAD_REQUEST, "text/plain", "");
+            return full_reply(StatusCode::BAD_REQUEST, "text/plain", "");
         };
         let status = self.record(text(&head.headers, HOLDER_HEADER), fence, report);
         if fastrand::u32(..100) < LATE_RESPONSE_PERCENT {
             compio::time::sleep(HANG_TIME).await;
         }
-        whole(status, "text/plain", "")
+        full_reply(status, "text/plain", "")
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -5,7 +5,7 @@
 use crate::case::{Case, PlanKind};
 use crate::checks;
 use crate::convergence::{ConvergenceCheck, RECOVERY_LIMIT};
-use crate::deployment::{Deployment, MemberKind, REPORT_INTERVAL};
+use crate::deployment::{Deployment, MembershipRole, REPORT_INTERVAL};
 use crate::engine::Engine;
 use crate::faults::{FaultInjector, STOP_SUCCEEDS};
 use crate::journal::Journal;
@@ -184,7 +184,7 @@
         if planned.peek().is_none() {
             trainer.stop_crashing();
         }
-        deployment.watch()?;
+        deployment.restart_ended_processes()?;
         memory = memory.max(deployment.largest_memory());
         compio::time::sleep(POLL_INTERVAL).await;
     }
@@ -192,7 +192,7 @@
         fault.await.map_err(|_| anyhow::anyhow!("a fault injection task panicked"))??;
     }
     faults.heal_all();
-    deployment.watch()?;
+    deployment.restart_ended_processes()?;
     Ok(memory)
 }
 
@@ -220,7 +220,7 @@
         ConvergenceCheck::begin("the group raises its feature level once every process supports the newest", journal);
     for number in 0..deployment.addresses.size.coordinators {
         // A coordinator outside the group has no replicated state.
-        let is_member = || deployment.membership_of(number) != MemberKind::None;
+        let is_member = || deployment.membership_of(number) != MembershipRole::None;
         let is_at_newest_level =
             || async { !is_member() || deployment.feature_level(number) == FeatureLevel::NEWEST.number() };
         upgraded.wait_for(format!("coordinator {number}"), is_at_newest_level).await;
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -5,7 +5,7 @@
     ORDERS, RESULTS, SCORE_STAMPS, STALENESS, check,
 };
 use saddlerelay_soak_runner::convergence::{ConvergenceCheck, HANG_LIMIT, RECOVERY_LIMIT, Wait, evaluate};
-use saddlerelay_soak_runner::deployment::{MemberKind, parse_membership};
+use saddlerelay_soak_runner::deployment::{MembershipRole, parse_membership};
 use saddlerelay_soak_runner::journal::{
     ClientRequest, Disturbance, JobRecord, Journal, KeepAliveOutcome, KeepAliveRequest, OrderRecord, Outcome,
     ReadDocument, Records, ResultRecord, Run, SentDocument,
@@ -366,11 +366,11 @@
 fn membership_is_parsed_from_a_members_proposed_line() {
     let line = r#"time=1.5 level=info event="members proposed" voters=2 learners=1 members="127.1.2.3:5 +127.1.2.4:5 127.1.2.30:5""#;
     let of = |peer: &str| parse_membership(line, peer.parse().expect("the address is valid"));
-    assert_eq!(of("127.1.2.3:5"), MemberKind::Voter);
-    assert_eq!(of("127.1.2.4:5"), MemberKind::Learner);
-    assert_eq!(of("127.1.2.30:5"), MemberKind::Voter, "the last member of the list");
-    assert_eq!(of("127.1.2.5:5"), MemberKind::None);
-    assert_eq!(parse_membership("", "127.1.2.3:5".parse().expect("the address is valid")), MemberKind::None);
+    assert_eq!(of("127.1.2.3:5"), MembershipRole::Voter);
+    assert_eq!(of("127.1.2.4:5"), MembershipRole::Learner);
+    assert_eq!(of("127.1.2.30:5"), MembershipRole::Voter, "the last member of the list");
+    assert_eq!(of("127.1.2.5:5"), MembershipRole::None);
+    assert_eq!(parse_membership("", "127.1.2.3:5".parse().expect("the address is valid")), MembershipRole::None);
 }
 
 #[test]
--- a/crates/standins/src/access.rs
+++ b/crates/standins/src/access.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerResponse {
     /// A response with an explicit end.
-    Whole {
+    Complete {
         /// The generation.
         generation: Generation,
         /// Time from the send to the first token.
@@ -32,7 +32,7 @@
     /// Rejected; a retry cannot succeed.
     Refused(TrainerRefusal),
     /// No response or an inconclusive one; the call can be retried.
-    Again,
+    Retry,
 }
 
 /// Client for relays and the administration API. `relay` is an index into the deployment's relays.
--- a/crates/standins/src/callers.rs
+++ b/crates/standins/src/callers.rs
@@ -208,7 +208,7 @@
         }
         platform.sleep(platform.jitter(MAX_DUPLICATE_DELAY)).await;
         match send(&platform, &access, &copy).await {
-            CallerResponse::Whole { generation, .. } => response_defect(&copy, &generation),
+            CallerResponse::Complete { generation, .. } => response_defect(&copy, &generation),
             _ => None,
         }
     };
@@ -241,7 +241,7 @@
 fn next_action<P: Runtime>(platform: &P, state: &mut RequestState, response: CallerResponse) -> NextAction {
     let retries_left = state.sends < MAX_SENDS;
     match response {
-        CallerResponse::Whole { generation, first_token_after } => {
+        CallerResponse::Complete { generation, first_token_after } => {
             let elapsed = platform.monotonic().saturating_sub(state.first_sent_at);
             state.first_token_after =
                 first_token_after.map(|after| after.as_millis() as u64).filter(|_| state.sends == 1);
--- a/crates/standins/src/http/access.rs
+++ b/crates/standins/src/http/access.rs
@@ -94,13 +94,13 @@
         let authorization = format!("Bearer {tenant}:trainer:");
         let headers = [("authorization", authorization.as_str())];
         let response = call(self.relays[relay], method, &path, &headers, body).await;
-        let response = response.map_err(|_| TrainerCallError::Again)?;
+        let response = response.map_err(|_| TrainerCallError::Retry)?;
         if response.status.is_success() {
-            return parse_json(&response.body).map_err(|_| TrainerCallError::Again);
+            return parse_json(&response.body).map_err(|_| TrainerCallError::Retry);
         }
         match trainer_refusal(&response) {
             Some(refusal) => Err(TrainerCallError::Refused(refusal)),
-            None => Err(TrainerCallError::Again),
+            None => Err(TrainerCallError::Retry),
         }
     }
 
@@ -114,7 +114,7 @@
                 return match finish {
                     Some(finish) => {
                         generation.finish = finish;
-                        CallerResponse::Whole { generation, first_token_after }
+                        CallerResponse::Complete { generation, first_token_after }
                     }
                     None => CallerResponse::Lost,
                 };
--- a/crates/standins/src/http/engine.rs
+++ b/crates/standins/src/http/engine.rs
@@ -8,7 +8,7 @@
 use saddlerelay_engine_client::wire::{
     COMPLETIONS_PATH, CompletionChunk, CompletionRequest, ErrorDetail, ErrorReply, ORDER_PATH, STATUS_PATH,
 };
-use saddlerelay_http::body::{Reply, json, parse_json, parts, read_body, whole};
+use saddlerelay_http::body::{Reply, full_reply, json, parse_json, read_body, streamed_reply};
 use saddlerelay_http::server::HttpHandler;
 use saddlerelay_http::sse;
 use saddlerelay_runtime::Runtime;
@@ -80,7 +80,7 @@
                 self.engine.leave();
                 json(StatusCode::OK, &"ok")
             }
-            _ => whole(StatusCode::NOT_FOUND, "text/plain", "no such path\n"),
+            _ => full_reply(StatusCode::NOT_FOUND, "text/plain", "no such path\n"),
         }
     }
 }
@@ -95,7 +95,7 @@
             Ok(stream) => {
                 let (events, body) = mpsc::unbounded();
                 compio::runtime::spawn(send_chunks(stream, events)).detach();
-                parts(sse::CONTENT_TYPE, body)
+                streamed_reply(sse::CONTENT_TYPE, body)
             }
             Err(error) => rejection(StatusCode::SERVICE_UNAVAILABLE, &error),
         }
--- a/crates/standins/src/http/services.rs
+++ b/crates/standins/src/http/services.rs
@@ -4,7 +4,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use saddlerelay_engine_client::wire::{MACHINES_PATH, SCORE_PATH, ScoreReply, ScoreRequest};
-use saddlerelay_http::body::{Reply, json, parse_json, read_body, whole};
+use saddlerelay_http::body::{Reply, full_reply, json, parse_json, read_body};
 use saddlerelay_http::server::HttpHandler;
 use saddlerelay_types::membership::PlatformMachine;
 use std::cell::RefCell;
@@ -25,11 +25,11 @@
 impl HttpHandler for Scorer {
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         if request.uri().path() != SCORE_PATH {
-            return whole(StatusCode::NOT_FOUND, "text/plain", "no such path\n");
+            return full_reply(StatusCode::NOT_FOUND, "text/plain", "no such path\n");
         }
         let body = read_body(request.into_body()).await.unwrap_or_default();
         let Ok(score_request) = parse_json::<ScoreRequest>(&body) else {
-            return whole(StatusCode::BAD_REQUEST, "text/plain", "malformed\n");
+            return full_reply(StatusCode::BAD_REQUEST, "text/plain", "malformed\n");
         };
         compio::time::sleep(self.time).await;
         json(StatusCode::OK, &ScoreReply { reward_milli: reward_of(&score_request.text) })
@@ -66,12 +66,12 @@
 impl HttpHandler for MachineList {
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         if request.uri().path() != MACHINES_PATH {
-            return whole(StatusCode::NOT_FOUND, "text/plain", "no such path\n");
+            return full_reply(StatusCode::NOT_FOUND, "text/plain", "no such path\n");
         }
         if request.method() == Method::PUT {
             let body = read_body(request.into_body()).await.unwrap_or_default();
             let Ok(machines) = parse_json(&body) else {
-                return whole(StatusCode::BAD_REQUEST, "text/plain", "malformed\n");
+                return full_reply(StatusCode::BAD_REQUEST, "text/plain", "malformed\n");
             };
             self.set(machines);
         }
--- a/crates/standins/src/http/weights.rs
+++ b/crates/standins/src/http/weights.rs
@@ -4,7 +4,7 @@
 use crate::trainer::WeightSink;
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
-use saddlerelay_http::body::{Reply, json, whole};
+use saddlerelay_http::body::{Reply, full_reply, json};
 use saddlerelay_http::client::call;
 use saddlerelay_http::server::HttpHandler;
 use saddlerelay_types::identity::{ModelName, TenantId, WeightVersion};
@@ -33,10 +33,10 @@
     async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         let path = request.uri().path().trim_matches('/').to_string();
         let Some((model, version)) = path.strip_prefix("weights/").and_then(|suffix| suffix.split_once('/')) else {
-            return whole(StatusCode::NOT_FOUND, "text/plain", "no such path\n");
+            return full_reply(StatusCode::NOT_FOUND, "text/plain", "no such path\n");
         };
         let Ok(version) = version.parse::<u64>() else {
-            return whole(StatusCode::BAD_REQUEST, "text/plain", "no such version\n");
+            return full_reply(StatusCode::BAD_REQUEST, "text/plain", "no such version\n");
         };
         let key = (model.to_string(), version);
         if request.method() == Method::PUT {
@@ -44,7 +44,7 @@
             return json(StatusCode::OK, &version);
         }
         if !self.versions.borrow().contains(&key) {
-            return whole(StatusCode::NOT_FOUND, "text/plain", "no such version\n");
+            return full_reply(StatusCode::NOT_FOUND, "text/plain", "no such version\n");
         }
         let completes_at = self.busy_until.get().max(Instant::now()) + self.fetch_time;
         self.busy_until.set(completes_at);
--- a/crates/standins/src/trainer.rs
+++ b/crates/standins/src/trainer.rs
@@ -194,7 +194,7 @@
         let limit = self.step_size() as u32;
         self.platform.spawn(async move {
             let call = access.fetch(relay, &tenant, incarnation, cursor, limit);
-            let fetched = timeout(&platform, CALL_TIMEOUT, call).await.unwrap_or(Err(TrainerCallError::Again));
+            let fetched = timeout(&platform, CALL_TIMEOUT, call).await.unwrap_or(Err(TrainerCallError::Retry));
             // The trainer may have ended.
             let _ = sender.send(fetched);
         });
@@ -206,7 +206,7 @@
         match prefetched {
             Some(Ok(batch)) => self.receive(batch).await,
             Some(Err(TrainerCallError::Refused(refusal))) => return Err(refusal),
-            Some(Err(TrainerCallError::Again)) | None => {}
+            Some(Err(TrainerCallError::Retry)) | None => {}
         }
         Ok(())
     }
@@ -238,7 +238,7 @@
         match timeout(&self.platform, CALL_TIMEOUT, call).await {
             Some(Ok(batch)) => self.receive(batch).await,
             Some(Err(TrainerCallError::Refused(refusal))) => return Err(refusal),
-            Some(Err(TrainerCallError::Again)) | None => {
+            Some(Err(TrainerCallError::Retry)) | None => {
                 self.next_relay();
                 self.platform.sleep(RETRY_DELAY).await;
             }
--- a/crates/types/src/gateway.rs
+++ b/crates/types/src/gateway.rs
@@ -1,11 +1,11 @@
 //! Messages and log commands for request routing, engine instances, published weight versions and batch jobs.
 
 use crate::identity::{Fence, Incarnation, ReplicaId};
-use crate::instance::{GatheredReports, InstanceId, InstanceReport, InstanceUpdate, LoadedModel};
+use crate::instance::{InstanceId, InstanceReport, InstanceUpdate, LoadedModel, ReportBatch};
 use crate::job::{ItemId, ItemOutcome, JobId, JobSubmission, ResultPage, TextPart};
 use crate::routing::{RoutingDocument, RoutingError};
 use crate::routing_update::EncodedRoutingUpdate;
-use crate::suspicion::{HeldTrial, SuspicionList, TrialAnswer, TrialId, TrialLease, WorkEvidence};
+use crate::suspicion::{HeldTrial, SuspicionList, TrialId, TrialLease, TrialResult, WorkEvidence};
 use crate::tenancy::Caller;
 use crate::usage::{RelayUsage, UsageDelta, UsageWindow};
 use crate::work::WorkDigest;
@@ -21,7 +21,7 @@
     /// A status report sent by one engine instance.
     ReportInstance(InstanceReport),
     /// A batch of instance reports collected by one machine.
-    ReportInstances(GatheredReports),
+    ReportInstances(ReportBatch),
     /// A follower that serves relays requests the leader's commit index and forwards the clock readings and usage
     /// counts that relays have sent to it.
     Confirm(RelayData),
@@ -48,10 +48,10 @@
     },
     /// Requests the leader's commit index, at which a replica can serve a linearizable read once it has applied
     /// the log up to it.
-    ReadPosition,
+    ReadIndex,
     /// Reads results at a replica once it has applied the log up to the given index.
     ReadResultsAt {
-        /// The log index, as returned for [`GatewayRequest::ReadPosition`].
+        /// The log index, as returned for [`GatewayRequest::ReadIndex`].
         position: u64,
         /// The job.
         job: JobId,
@@ -217,7 +217,7 @@
     /// The list of suspected work.
     Suspicions(SuspicionList),
     /// The result of a request for a trial lease.
-    Trial(TrialAnswer),
+    Trial(TrialResult),
     /// The trial leases that could not be renewed because they are no longer held.
     TrialsLost(Vec<HeldTrial>),
     /// The request was not carried out and will not be; retry later.
@@ -405,7 +405,7 @@
     /// Results of these items (by index) were not listed, as their texts start beyond the end of the stored text.
     TextMissing(Vec<u32>),
     /// The result of a request for a trial lease.
-    Trial(TrialAnswer),
+    Trial(TrialResult),
     /// The trial leases that could not be renewed because they are no longer held.
     TrialsLost(Vec<HeldTrial>),
     /// Permission to send the recorded orders.
--- a/crates/types/src/instance.rs
+++ b/crates/types/src/instance.rs
@@ -82,7 +82,7 @@
 
 /// Reports collected by one machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct GatheredReports {
+pub struct ReportBatch {
     /// Reports with changes that the machine has not forwarded yet.
     pub changed: Vec<InstanceReport>,
     /// Instances whose reports are unchanged.
--- a/crates/types/src/protocol.rs
+++ b/crates/types/src/protocol.rs
@@ -39,7 +39,7 @@
     /// The command was committed and this is its outcome.
     Executed(CommandOutcome),
     /// The result of a query.
-    Answer(QueryAnswer),
+    Answer(QueryResult),
     /// This replica is not the leader; the request was not carried out.
     NotLeader {
         /// The leader's address, if known.
@@ -305,7 +305,7 @@
 
 /// Results of queries.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum QueryAnswer {
+pub enum QueryResult {
     /// One object, if it ever existed.
     Object(Option<ObjectState>),
     /// Every object and the configuration's revision.
--- a/crates/types/src/request.rs
+++ b/crates/types/src/request.rs
@@ -193,7 +193,7 @@
 
 /// One part of a response streamed to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum AnswerPart {
+pub enum ResponsePart {
     /// Tokens and the version that generated them.
     Tokens {
         /// The tokens.
--- a/crates/types/src/suspicion.rs
+++ b/crates/types/src/suspicion.rs
@@ -94,7 +94,7 @@
 
 /// Result of a request for a trial lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum TrialAnswer {
+pub enum TrialResult {
     /// The attempt may run the request, on one engine at a time, until its time limit.
     Granted,
     /// Another attempt holds the trial lease.
--- a/crates/upstream/src/balance.rs
+++ b/crates/upstream/src/balance.rs
@@ -128,7 +128,7 @@
     }
 
     /// Records a response after `latency`; ends any ejection.
-    pub fn answered(&self, instance: &InstanceId, latency: Duration, now: Duration) {
+    pub fn record_response(&self, instance: &InstanceId, latency: Duration, now: Duration) {
         self.record_latency(instance, latency, now);
         if let Some(stats) = self.stats.borrow_mut().get_mut(instance) {
             stats.consecutive_failures = 0;
@@ -137,9 +137,9 @@
     }
 
     /// Records an attempt that was cancelled after `latency` without a response, as a failure.
-    pub fn cancelled(&self, instance: &InstanceId, latency: Duration, now: Duration) {
+    pub fn record_cancellation(&self, instance: &InstanceId, latency: Duration, now: Duration) {
         self.record_latency(instance, latency, now);
-        self.failed(instance, now);
+        self.record_failure(instance, now);
     }
 
     fn record_latency(&self, instance: &InstanceId, latency: Duration, now: Duration) {
@@ -151,7 +151,7 @@
     }
 
     /// Records a failure and ejects the engine, longer with each consecutive failure.
-    pub fn failed(&self, instance: &InstanceId, now: Duration) {
+    pub fn record_failure(&self, instance: &InstanceId, now: Duration) {
         let mut stats = self.stats.borrow_mut();
         let stats = stats.entry(instance.clone()).or_insert_with(|| EngineStats::new(now));
         let doublings = stats.consecutive_failures.min(EJECTION_DOUBLINGS);
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -16,5 +16,5 @@
 
 pub use balance::{LoadBalancer, ReadyEngine};
 pub use names::HeaderNames;
-pub use pool::{EngineTarget, Outgoing, Pool, Reuse};
+pub use pool::{EngineTarget, OutgoingRequest, Pool, Reuse};
 pub use response::{Failure, UpstreamResponse};
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -35,7 +35,7 @@
 
 /// A request to forward.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// The HTTP method.
     pub method: Method,
     /// Path and query.
@@ -122,7 +122,7 @@
     pub async fn send(
         &self,
         target: &EngineTarget,
-        request: &Outgoing,
+        request: &OutgoingRequest,
         mut reuse: Reuse,
         time_left: impl Fn() -> Duration,
         may_send: impl Fn() -> bool,
@@ -145,7 +145,7 @@
     pub async fn call(
         &self,
         target: &EngineTarget,
-        request: &Outgoing,
+        request: &OutgoingRequest,
         timeout: Duration,
         may_send: impl Fn() -> bool,
     ) -> Result<(Parts, Bytes), Failure> {
@@ -167,7 +167,7 @@
     fn build_request(
         &self,
         target: &EngineTarget,
-        request: &Outgoing,
+        request: &OutgoingRequest,
         time_left: Duration,
     ) -> Result<Request<Full<Bytes>>, Failure> {
         if time_left.is_zero() {
