--- a/crates/api/src/commands/callers.rs
+++ b/crates/api/src/commands/callers.rs
@@ -96,8 +96,8 @@
     let stream = parsed.stream;
     let reply_head = ReplyHead {
         format: parsed.format,
-        id: format!("saddlerelay-{:016x}", api.platform.random()),
-        created: api.platform.unix_milliseconds() / 1000,
+        id: format!("saddlerelay-{:016x}", api.runtime.random()),
+        created: api.runtime.unix_milliseconds() / 1000,
         model: parsed.model.clone(),
         prompt_words: parsed.prompt.split_whitespace().count() as u32,
     };
@@ -165,7 +165,7 @@
 
 /// A retry with an idempotency key must equal the original request, so such requests get a fixed seed.
 fn default_seed<P: Runtime, B: Backends>(api: &RelayApi<P, B>, is_keyed: bool) -> u64 {
-    if is_keyed { 0 } else { api.platform.random() }
+    if is_keyed { 0 } else { api.runtime.random() }
 }
 
 fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, String> {
@@ -271,7 +271,7 @@
         None => return failure_reply(&interrupted()),
     };
     let (events, body) = mpsc::unbounded();
-    api.platform.spawn(async move {
+    api.runtime.spawn(async move {
         let mut next = Some(first);
         while let Some(part) = next {
             let last = !matches!(part, ResponsePart::Tokens { .. });
--- a/crates/api/src/commands/control.rs
+++ b/crates/api/src/commands/control.rs
@@ -73,7 +73,7 @@
     };
     let sent_key = head.headers.get(KEY_HEADER).and_then(|key| key.to_str().ok());
     // A generated key makes the client's internal retries idempotent when the operator sent none.
-    let key = sent_key.map_or_else(|| format!("call-{:016x}", api.platform.random()), str::to_string);
+    let key = sent_key.map_or_else(|| format!("call-{:016x}", api.runtime.random()), str::to_string);
     let change = ConfigurationChange { name, value, expected, idempotency_key: Some(IdempotencyKey(key)) };
     match api.client.execute(Command::Configuration(change), CHANGE_TIMEOUT).await {
         Ok(CommandOutcome::Configuration(outcome)) => outcome_reply(&outcome),
--- a/crates/api/src/control.rs
+++ b/crates/api/src/control.rs
@@ -30,7 +30,7 @@
     /// Bearer token required for the administration API.
     pub operator_token: String,
     /// Runtime that provides clock, random numbers and tasks.
-    pub platform: P,
+    pub runtime: P,
     /// The in-memory log ring of the process, if it has one.
     pub log: Option<Arc<RingSink>>,
 }
--- a/crates/api/src/queries/control.rs
+++ b/crates/api/src/queries/control.rs
@@ -139,7 +139,7 @@
         .gauge("ready", "1 while the replica takes part in its group", i64::from(replica.is_ready()))
         .gauge("leader", "1 while the replica leads and holds the lease", i64::from(replica.leading_term().is_some()))
         .gauge("committed", "Last committed log index, on the leader", committed as i64)
-        .traffic(api.platform.traffic())
+        .traffic(api.runtime.traffic())
         .encode();
     full_reply(StatusCode::OK, CONTENT_TYPE, text)
 }
--- a/crates/api/src/queries/relay.rs
+++ b/crates/api/src/queries/relay.rs
@@ -33,7 +33,7 @@
         .gauge("in_progress", "Requests and samples in progress", api.relay.in_progress() as i64)
         .gauge("ready", "1 while the relay takes new requests", i64::from(api.relay.is_ready()))
         .gauge("configuration_revision", "Configuration revision acted on", api.relay.revision().0 as i64)
-        .traffic(api.platform.traffic())
+        .traffic(api.runtime.traffic())
         .encode();
     full_reply(StatusCode::OK, CONTENT_TYPE, text)
 }
--- a/crates/api/src/relay.rs
+++ b/crates/api/src/relay.rs
@@ -17,7 +17,7 @@
     /// The relay.
     pub relay: Relay<P, B>,
     /// Runtime that provides clock, random numbers and tasks.
-    pub platform: P,
+    pub runtime: P,
 }
 
 impl<P: Runtime, B: Backends> HttpHandler for RelayApi<P, B> {
--- a/crates/command-line/src/member.rs
+++ b/crates/command-line/src/member.rs
@@ -292,7 +292,8 @@
     // Registrations are permanent. A replica that is not a member yet cannot see its registration in its own state.
     let mut is_registered = false;
     loop {
-        is_registered = is_registered || node.replica().read_local(|machine| machine.state().stores.holds(&record));
+        is_registered =
+            is_registered || node.replica().read_local(|machine| machine.state().stores.is_registered(&record));
         if !is_registered {
             let request = GatewayRequest::RegisterStore(record.clone());
             let answer = control.gateway(request, REGISTER_TIMEOUT, REGISTER_TIMEOUT).await;
--- a/crates/command-line/src/serve.rs
+++ b/crates/command-line/src/serve.rs
@@ -79,7 +79,7 @@
     };
     let listener = listen(settings.http_address).await?;
     let relay = Relay::start(runtime.clone(), backends, options).await.map_err(failed)?;
-    let api = RelayApi { relay: relay.clone(), platform: runtime.clone() };
+    let api = RelayApi { relay: relay.clone(), runtime: runtime.clone() };
     let shutdown = Shutdown::default();
     runtime.spawn(serve_until(listener, Rc::new(api), shutdown.clone()));
     wait_for_stop(terminate).await?;
@@ -118,7 +118,7 @@
         client: ControlClient::new(runtime.clone(), &settings.control, &settings.shared_secret),
         peer_address: control.peer_address,
         operator_token: control.operator_token,
-        platform: runtime.clone(),
+        runtime: runtime.clone(),
         log: Some(log),
     };
     let shutdown = Shutdown::default();
--- a/crates/control-client/src/suspicions.rs
+++ b/crates/control-client/src/suspicions.rs
@@ -86,12 +86,12 @@
     }
 
     /// Number of distinct suspected work digests.
-    pub fn suspected(&self) -> usize {
+    pub fn suspected_count(&self) -> usize {
         self.suspects.len()
     }
 
     /// Number of engines that have terminated during `work` since it was last served.
-    pub fn engines_ended(&self, work: &WorkDigest) -> usize {
+    pub fn engines_terminated(&self, work: &WorkDigest) -> usize {
         self.suspects.get(work).map_or(0, |suspect| suspect.engines.len())
     }
 
@@ -195,8 +195,8 @@
     }
 
     /// Number of distinct suspected work digests.
-    pub fn suspected(&self) -> usize {
-        self.suspicions.borrow().suspected()
+    pub fn suspected_count(&self) -> usize {
+        self.suspicions.borrow().suspected_count()
     }
 
     /// Revision of the group's list that was last applied.
@@ -206,9 +206,9 @@
 
     /// Number of engines that have terminated during `work` since it was last served. As in [`Self::verdict`], the
     /// digest is computed only if any work is suspected.
-    pub fn engines_ended(&self, work: impl FnOnce() -> WorkDigest) -> usize {
+    pub fn engines_terminated(&self, work: impl FnOnce() -> WorkDigest) -> usize {
         let suspicions = self.suspicions.borrow();
-        if suspicions.is_empty() { 0 } else { suspicions.engines_ended(&work()) }
+        if suspicions.is_empty() { 0 } else { suspicions.engines_terminated(&work()) }
     }
 
     /// The decision on a request for `work` at present.
--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -254,7 +254,7 @@
     }
 
     async fn register_store(&self, record: StoreRecord) -> ControlReply {
-        match self.read(|state| state.stores.holds(&record)) {
+        match self.read(|state| state.stores.is_registered(&record)) {
             None => self.not_leader(),
             Some(true) => ControlReply::Gateway(GatewayReply::Done),
             Some(false) => self.execute_gateway(GatewayCommand::RegisterStore(record)).await,
--- a/crates/control/src/state/jobs.rs
+++ b/crates/control/src/state/jobs.rs
@@ -60,8 +60,8 @@
     pub(super) ended: bool,
     /// Unix milliseconds, by the state's time, from which the job is dropped if it has ended.
     pub(super) keep_until: u64,
-    /// Submission number, ascending over all jobs.
-    pub(super) order: u64,
+    /// Ascending over all jobs.
+    pub(super) submission_number: u64,
 }
 
 impl Job {
@@ -76,8 +76,8 @@
     }
 
     /// Submission number; a later job has a higher one.
-    pub fn order(&self) -> u64 {
-        self.order
+    pub fn submission_number(&self) -> u64 {
+        self.submission_number
     }
 
     /// Whether the job has ended.
@@ -182,7 +182,7 @@
     pub fn submit(&mut self, submission: JobSubmission, now: u64, keep_ms: u64) {
         self.drop_expired(now);
         self.submission_count += 1;
-        let order = self.submission_count;
+        let submission_number = self.submission_count;
         let new = || Job {
             listed: vec![false; submission.items.len()],
             digests: submission.items.iter().map(request_digest).collect(),
@@ -191,7 +191,7 @@
             partial: BTreeMap::new(),
             ended: false,
             keep_until: now + keep_ms,
-            order,
+            submission_number,
         };
         self.jobs.entry(submission.id.clone()).or_insert_with(new);
     }
@@ -203,7 +203,7 @@
         }
         self.jobs.retain(|_, job| !expired(job));
         let oldest_retained = self.submission_count.saturating_sub(PARTIAL_TEXT_RETENTION_JOBS);
-        for job in self.jobs.values_mut().filter(|job| job.ended && job.order < oldest_retained) {
+        for job in self.jobs.values_mut().filter(|job| job.ended && job.submission_number < oldest_retained) {
             job.partial.clear();
         }
     }
@@ -260,7 +260,7 @@
         let same_target = move |other: &&Job| {
             job.is_some_and(|job| {
                 other.ended
-                    && other.order < job.order
+                    && other.submission_number < job.submission_number
                     && other.submission.owner == job.submission.owner
                     && other.submission.host == job.submission.host
                     && other.submission.path.rsplit_once('/').map(|parts| parts.0)
@@ -268,7 +268,7 @@
             })
         };
         let mut found: Vec<&Job> = self.jobs.values().filter(same_target).collect();
-        found.sort_by_key(|job| std::cmp::Reverse(job.order));
+        found.sort_by_key(|job| std::cmp::Reverse(job.submission_number));
         found.into_iter().take(MAX_PREDECESSORS)
     }
 
--- a/crates/control/src/state/level_one.rs
+++ b/crates/control/src/state/level_one.rs
@@ -77,7 +77,7 @@
     partial: BTreeMap<u32, PartialText>,
     ended: bool,
     keep_until: u64,
-    order: u64,
+    submission_number: u64,
 }
 
 /// Panic message for a state that contains values from commands of a later level.
@@ -212,7 +212,7 @@
             partial: job.partial.clone(),
             ended: job.ended,
             keep_until: job.keep_until,
-            order: job.order,
+            submission_number: job.submission_number,
         }
     }
 
@@ -225,7 +225,7 @@
             partial: self.partial,
             ended: self.ended,
             keep_until: self.keep_until,
-            order: self.order,
+            submission_number: self.submission_number,
         }
     }
 }
--- a/crates/control/src/state/stores.rs
+++ b/crates/control/src/state/stores.rs
@@ -39,7 +39,7 @@
     }
 
     /// Whether this record is already registered without changes.
-    pub fn holds(&self, record: &StoreRecord) -> bool {
+    pub fn is_registered(&self, record: &StoreRecord) -> bool {
         self.stores.get(&record.name).is_some_and(|store| store.record == *record)
     }
 
--- a/crates/coordinator/src/plan.rs
+++ b/crates/coordinator/src/plan.rs
@@ -147,7 +147,7 @@
     let now = round.now;
     let mut plan = Plan::default();
     let mut open: Vec<(&JobId, &Job)> = state.jobs.open().collect();
-    open.sort_by_key(|(_, job)| job.order());
+    open.sort_by_key(|(_, job)| job.submission_number());
     let mut scoring = ScoringRound::new(state, now);
     let mut jobs = inner.jobs.borrow_mut();
     let mut new_jobs = 0;
--- a/crates/duties/src/engine_counts.rs
+++ b/crates/duties/src/engine_counts.rs
@@ -157,9 +157,9 @@
         let Some(grant) = self.node.commit_order_intent(term, vec![subject]).await else {
             return false;
         };
-        let right = CallGrant { holder: self.name.clone(), fence: grant.fence };
+        let call_grant = CallGrant { holder: self.name.clone(), fence: grant.fence };
         let order = EngineCountOrder { place: view.pool.clone(), count, withdrawable: false };
-        let call = self.platform_format.engine_count(&right, &order);
+        let call = self.platform_format.engine_count(&call_grant, &order);
         let answered = self.client.call(call, CALL_TIMEOUT, || self.node.grant_is_valid(&grant)).await;
         let outcome = match &answered {
             Ok(status) => format!("{:?}", self.platform_format.response(*status, Some(&order))),
--- a/crates/duties/src/usage_reports.rs
+++ b/crates/duties/src/usage_reports.rs
@@ -101,8 +101,8 @@
         let Some(grant) = self.node.commit_order_intent(term, vec![OrderSubject::UsageReports]).await else {
             return false;
         };
-        let right = CallGrant { holder: self.name.clone(), fence: grant.fence };
-        let call = self.platform_format.usage_report(&right, report);
+        let call_grant = CallGrant { holder: self.name.clone(), fence: grant.fence };
+        let call = self.platform_format.usage_report(&call_grant, report);
         let began_at = self.runtime.monotonic();
         let answered = self.client.call(call, CALL_TIMEOUT, || self.node.grant_is_valid(&grant)).await;
         let outcome = match &answered {
--- a/crates/engine-client/src/lib.rs
+++ b/crates/engine-client/src/lib.rs
@@ -12,7 +12,7 @@
 use saddlerelay_http::client::{Connection, HttpError};
 use saddlerelay_http::sse::{DONE, EventReader};
 use saddlerelay_runtime::backend::{BackendError, Backends, EngineConnection, StreamEvent};
-use saddlerelay_runtime_compio::listening::has_ended;
+use saddlerelay_runtime_compio::listening::has_terminated;
 use saddlerelay_types::engine::{EngineChunk, EngineDescription, EngineOrder, EngineRequest, EngineStatus};
 use saddlerelay_types::membership::PlatformMachine;
 use saddlerelay_types::request::Generation;
@@ -87,8 +87,8 @@
         Ok(HttpEngineConnection { connection, model: engine.model.as_str().to_string() })
     }
 
-    async fn has_ended(&self, engine: &EngineDescription) -> bool {
-        has_ended(engine.address).await
+    async fn has_terminated(&self, engine: &EngineDescription) -> bool {
+        has_terminated(engine.address).await
     }
 
     async fn status(&self, engine: &EngineDescription) -> Result<EngineStatus, BackendError> {
--- a/crates/gateway-api/src/lib.rs
+++ b/crates/gateway-api/src/lib.rs
@@ -6,11 +6,11 @@
 pub mod client;
 pub mod control;
 pub mod formats;
-pub mod own;
+pub mod native;
 mod rejected_calls;
 pub mod responses;
 
 pub use client::{ClientApi, ReadinessApi};
 pub use control::ControlApi;
 pub use formats::{CallDecodeError, ClientCall, ControlCall, Formats, JobCall};
-pub use own::{NativeEngines, NativeFormats, NativePlatform};
+pub use native::{NativeEngines, NativeFormats, NativePlatform};
--- a/crates/gateway-api/tests/common/engine.rs
+++ b/crates/gateway-api/tests/common/engine.rs
@@ -8,7 +8,7 @@
 use hyper::header::HeaderValue;
 use hyper::{Request, StatusCode};
 use saddlerelay_coordinator::format::{EngineReport, WeightOrder};
-use saddlerelay_gateway_api::own::{ORDER_PATH, REPORT_PATH};
+use saddlerelay_gateway_api::native::{ORDER_PATH, REPORT_PATH};
 use saddlerelay_http::body::{BodyInterrupted, LocalBody, Reply, full_reply, json, read_body};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_types::instance::{InstanceId, LoadedModel};
--- a/crates/gateway-api/tests/duties.rs
+++ b/crates/gateway-api/tests/duties.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, Request, StatusCode};
 use saddlerelay_duties::{Duties, HttpPlatform, PlatformMetrics, UsageReportConfig};
 use saddlerelay_gateway_api::NativePlatform;
-use saddlerelay_gateway_api::own::{FENCE_HEADER, HOLDER_HEADER, USAGE_PATH};
+use saddlerelay_gateway_api::native::{FENCE_HEADER, HOLDER_HEADER, USAGE_PATH};
 use saddlerelay_http::body::{Reply, full_reply, read_body};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_runtime::Runtime;
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -119,7 +119,7 @@
                 running.push(self.attempt(context, outgoing, engine));
             }
             // Suspected work is not hedged: both engines might fail.
-            let is_suspected = self.engines_ended(context.request, &context.work) > 0;
+            let is_suspected = self.engines_terminated(context.request, &context.work) > 0;
             let may_hedge =
                 !hedged && !is_suspected && running.len() == 1 && tried.len() - not_executed_by.len() < max_runs;
             let hedge = async {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -157,7 +157,7 @@
 
     /// Number of work digests that are suspected of crashing engines.
     pub fn suspected_work_count(&self) -> usize {
-        self.inner.suspicions.suspected()
+        self.inner.suspicions.suspected_count()
     }
 
     /// Starts draining: the gateway is no longer ready, and responses ask clients to reconnect elsewhere.
--- a/crates/gateway/src/lost_connections.rs
+++ b/crates/gateway/src/lost_connections.rs
@@ -52,7 +52,7 @@
         // An engine that was not ready is assumed to have been shut down.
         let is_reported = has_terminated && self.is_engine_ready(&target.instance);
         if has_terminated {
-            self.inner.metrics.engines_ended.inc();
+            self.inner.metrics.engines_terminated.inc();
         }
         if is_reported {
             self.record_engine_loss(work.digest(request), &target.instance);
@@ -63,7 +63,7 @@
             instance = target.instance.name.as_str(),
             engine_ended = has_terminated,
             counts = is_reported,
-            engines_ended = self.engines_ended(request, work)
+            engines_ended = self.engines_terminated(request, work)
         });
         if is_reported {
             // The control group's reply contains losses reported by other relays. They are applied before this relay
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -19,7 +19,7 @@
     /// Hedged requests.
     pub hedges: Counter,
     /// Engines that terminated during a request of this relay.
-    pub engines_ended: Counter,
+    pub engines_terminated: Counter,
     /// Requests rejected because their work is suspected of crashing engines.
     pub suspected_work_rejected: Counter,
     /// Requests with an unknown or missing API key.
@@ -48,7 +48,7 @@
         let failed = counter("failed", "Requests that failed and may have run");
         let retries = counter("retries", "Attempts beyond a request's first");
         let hedges = counter("hedges", "Requests tried at a second engine because the first was slow");
-        let engines_ended = counter("engines_ended", "Engines found to have ended under a request");
+        let engines_terminated = counter("engines_ended", "Engines found to have ended under a request");
         let suspected_work_rejected =
             counter("kept_from_engines", "Requests not sent on because engines have ended under their work");
         let keys_refused = counter("keys_refused", "Calls with an unknown key, or with none where one is needed");
@@ -68,7 +68,7 @@
             failed,
             retries,
             hedges,
-            engines_ended,
+            engines_terminated,
             suspected_work_rejected,
             keys_refused,
             usage_counted,
--- a/crates/gateway/src/suspicions.rs
+++ b/crates/gateway/src/suspicions.rs
@@ -21,15 +21,15 @@
 
 impl Gateway {
     /// Number of engines known to have terminated while they ran the request's work.
-    pub(crate) fn engines_ended(&self, request: &ClientRequest, work: &RequestedWork) -> usize {
-        self.inner.suspicions.engines_ended(|| work.digest(request))
+    pub(crate) fn engines_terminated(&self, request: &ClientRequest, work: &RequestedWork) -> usize {
+        self.inner.suspicions.engines_terminated(|| work.digest(request))
     }
 
     /// Whether the relay may send a request to `instance` now. Suspected work also needs a valid trial lease.
     pub(crate) fn may_send_work(&self, suspect: &SuspectRequest<'_>, instance: &InstanceId) -> bool {
         let work = suspect.work;
         let verdict = self.inner.suspicions.verdict(|| work.digest(suspect.request));
-        let may_run = work.has_trial() || self.engines_ended(suspect.request, work) == 0;
+        let may_run = work.has_trial() || self.engines_terminated(suspect.request, work) == 0;
         verdict == Verdict::Send && may_run && self.may_send(instance)
     }
 
@@ -48,7 +48,7 @@
         let mut pause = match self.inner.suspicions.verdict(digest) {
             Verdict::Quarantine => return Err(self.reject_suspected_work(suspect, Refusal::Quarantined)),
             Verdict::Pause(remaining) => Some(remaining),
-            Verdict::Send if self.engines_ended(request, work) == 0 => return Ok(()),
+            Verdict::Send if self.engines_terminated(request, work) == 0 => return Ok(()),
             Verdict::Send => None,
         };
         if pause.is_none() && !work.has_trial() {
@@ -73,7 +73,7 @@
         spdlog::warn!("suspected work rejected", kv: {
             request = request.id.as_str(),
             work = work.digest(request).to_hexadecimal().as_str(),
-            engines_ended = self.engines_ended(request, work),
+            engines_ended = self.engines_terminated(request, work),
             pause_ms = pause.as_millis() as u64,
             suspicion_revision = self.inner.suspicions.revision()
         });
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -148,7 +148,7 @@
                 Err(AttemptFailure::NotExecuted(message)) => last_message = message,
                 Err(AttemptFailure::PossiblyExecuted(message)) => {
                     progress.may_have_run = true;
-                    self.check_engine_ended(progress, &engine).await;
+                    self.check_engine_terminated(progress, &engine).await;
                     if work.repeatability == Repeatability::NotRepeatable {
                         return Err(progress.failure(FailureCode::EngineFailed, message));
                     }
@@ -163,7 +163,7 @@
     /// Checks the work for suspicion and acquires a trial lease if needed. Fails if the work must not run now.
     async fn check_suspicion(&self, progress: &mut GenerationProgress<'_, P>) -> Result<(), DispatchFailure> {
         let suspicions = &self.inner.suspicions;
-        let is_suspected = suspicions.engines_ended(|| progress.work_digest()) > 0;
+        let is_suspected = suspicions.engines_terminated(|| progress.work_digest()) > 0;
         let retry_after = match suspicions.verdict(|| progress.work_digest()) {
             Verdict::Send if !is_suspected || progress.trial.as_ref().is_some_and(RelayTrial::is_held) => return Ok(()),
             Verdict::Send => {
@@ -183,15 +183,15 @@
     }
 
     /// Checks whether the engine process terminated during the generation, and reports the loss to the control group.
-    async fn check_engine_ended(&self, progress: &GenerationProgress<'_, P>, engine: &EngineDescription) {
+    async fn check_engine_terminated(&self, progress: &GenerationProgress<'_, P>, engine: &EngineDescription) {
         let Some(incarnation) = self.inner.view.borrow().ready_incarnation(&engine.id) else {
             // An engine that is not available is assumed to have been shut down.
             return;
         };
-        if !self.inner.backends.has_ended(engine).await {
+        if !self.inner.backends.has_terminated(engine).await {
             return;
         }
-        self.count(|counters| counters.engines_ended += 1);
+        self.count(|counters| counters.engines_terminated += 1);
         let work = progress.work_digest();
         let instance = InstanceId::named(format!("{}/{}", engine.id, incarnation));
         spdlog::warn!("engine terminated during a generation", kv: {
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -58,7 +58,7 @@
     /// Tokens received from engines.
     pub tokens: u64,
     /// Engines that terminated during a request or sample.
-    pub engines_ended: u64,
+    pub engines_terminated: u64,
     /// Requests and samples rejected because their work is suspected of crashing engines.
     pub suspected_work_rejected: u64,
     /// Times that the relay was fenced and continued under a new incarnation.
--- a/crates/runtime-compio/src/listening.rs
+++ b/crates/runtime-compio/src/listening.rs
@@ -22,7 +22,7 @@
 
 /// Whether the process that listened at `address` has ended, as indicated by a refused connection; `false` if the
 /// machine is unreachable.
-pub async fn has_ended(address: SocketAddr) -> bool {
+pub async fn has_terminated(address: SocketAddr) -> bool {
     match compio::time::timeout(CHECK_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
         Ok(Ok(_)) | Err(_) => false,
@@ -60,7 +60,7 @@
         }
         let started_at = Instant::now();
         self.store(address, Check { started_at, ended: None });
-        let ended = has_ended(address).await;
+        let ended = has_terminated(address).await;
         self.store(address, Check { started_at, ended: Some(ended) });
         ended
     }
--- a/crates/runtime/src/backend.rs
+++ b/crates/runtime/src/backend.rs
@@ -27,7 +27,7 @@
     async fn connect(&self, engine: &EngineDescription) -> Result<Self::Connection, BackendError>;
     /// Whether the engine's machine indicates that the engine process has ended; `false` if the machine is
     /// unreachable.
-    async fn has_ended(&self, engine: &EngineDescription) -> bool;
+    async fn has_terminated(&self, engine: &EngineDescription) -> bool;
     /// Fetches an engine's status.
     async fn status(&self, engine: &EngineDescription) -> Result<EngineStatus, BackendError>;
     /// Sends an order with a fencing token to an engine.
--- a/crates/simulator/src/backends.rs
+++ b/crates/simulator/src/backends.rs
@@ -179,7 +179,7 @@
         Ok(SimEngineConnection { platform: self.platform.clone(), sender, receiver })
     }
 
-    async fn has_ended(&self, engine: &EngineDescription) -> bool {
+    async fn has_terminated(&self, engine: &EngineDescription) -> bool {
         // A connection attempt across a network partition never completes.
         let connected = timeout(&self.platform, LIVENESS_TIMEOUT, self.platform.connect(engine.address)).await;
         matches!(connected, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
--- a/crates/simulator/tests/concurrent_trials.rs
+++ b/crates/simulator/tests/concurrent_trials.rs
@@ -42,7 +42,7 @@
         if self.relays[relay].verdict(&self.work, now, DEFAULT_LAST_TRIAL_PAUSE) != Verdict::Send {
             return false;
         }
-        if self.relays[relay].engines_ended(&self.work) == 0 {
+        if self.relays[relay].engines_terminated(&self.work) == 0 {
             return true;
         }
         let id = TrialId { holder: Incarnation(relay as u64), number: 1 };
--- a/crates/simulator/tests/quarantine_policies.rs
+++ b/crates/simulator/tests/quarantine_policies.rs
@@ -69,7 +69,7 @@
             | Self::TrialLease
             | Self::TrialLeaseExceptLastEngine
             | Self::ExceptLastEngine => verdict(DEFAULT_LAST_TRIAL_PAUSE),
-            Self::TwoCrashes => suspicions.engines_ended(work) < 2,
+            Self::TwoCrashes => suspicions.engines_terminated(work) < 2,
         }
     }
 }
@@ -243,7 +243,7 @@
         }
         let relay = &self.relays[attempt.relay];
         let work = digest(attempt.work);
-        let suspected = relay.engines_ended(&work) > 0;
+        let suspected = relay.engines_terminated(&work) > 0;
         let protects_last_engine = matches!(self.policy, Policy::ExceptLastEngine | Policy::TrialLeaseExceptLastEngine);
         if suspected && protects_last_engine && up.len() == 1 {
             return self.fail_attempt(attempt, true);
--- a/crates/soak/src/platform.rs
+++ b/crates/soak/src/platform.rs
@@ -3,7 +3,7 @@
 use crate::journal::Journal;
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Request, StatusCode};
-use saddlerelay_gateway_api::own::{FENCE_HEADER, HOLDER_HEADER, USAGE_PATH};
+use saddlerelay_gateway_api::native::{FENCE_HEADER, HOLDER_HEADER, USAGE_PATH};
 use saddlerelay_http::body::{Reply, full_reply, read_body};
 use saddlerelay_http::server::{HttpHandler, Shutdown, serve_until};
 use saddlerelay_types::usage::{TenantCounts, UsageReport, UsageWindow};
--- a/crates/soak/src/waits.rs
+++ b/crates/soak/src/waits.rs
@@ -35,7 +35,7 @@
     /// End of the wait.
     pub until: Moment,
     /// Number of engines that the item had crashed by then.
-    pub engines_ended: usize,
+    pub engines_terminated: usize,
 }
 
 impl fmt::Display for ItemWait {
@@ -44,7 +44,7 @@
         write!(
             formatter,
             "{item} at no engine for {waited} ms until {until:.3} s, ended under by {}",
-            self.engines_ended
+            self.engines_terminated
         )
     }
 }
@@ -108,7 +108,8 @@
         let waited = sample.at - *since.get_or_insert(sample.at);
         if !waited.is_zero() && longest.as_ref().is_none_or(|longest| longest.waited < waited) {
             let (item, job) = (item.clone(), job.clone());
-            longest = Some(ItemWait { item, job, waited, until: sample.at, engines_ended: state.engines_ended });
+            longest =
+                Some(ItemWait { item, job, waited, until: sample.at, engines_terminated: state.engines_terminated });
         }
     }
     longest
@@ -119,7 +120,7 @@
     /// Finished, failed, or quarantined because it crashed [`QUARANTINE_THRESHOLD`] engines.
     is_excluded: bool,
     is_at_engine: bool,
-    engines_ended: usize,
+    engines_terminated: usize,
 }
 
 impl ItemState {
@@ -128,11 +129,11 @@
         let ended_runs = || started_runs().filter(|run| run.until.is_some_and(|until| until <= at));
         let done = ended_runs().any(|run| matches!(run.end, ItemRunEnd::Finished | ItemRunEnd::Failed));
         let ended = ended_runs().filter(|run| run.end == ItemRunEnd::EngineEnded);
-        let engines_ended = ended.map(|run| &run.instance).collect::<BTreeSet<_>>().len();
+        let engines_terminated = ended.map(|run| &run.instance).collect::<BTreeSet<_>>().len();
         Self {
-            is_excluded: done || engines_ended >= QUARANTINE_THRESHOLD,
+            is_excluded: done || engines_terminated >= QUARANTINE_THRESHOLD,
             is_at_engine: started_runs().any(|run| run.until.is_none_or(|until| at < until)),
-            engines_ended,
+            engines_terminated,
         }
     }
 }
