--- a/crates/control/src/instance_watch.rs
+++ b/crates/control/src/instance_watch.rs
@@ -83,7 +83,7 @@
         let newest = self.newest_starts.entry(id.name.clone()).or_insert(started_at_ms);
         if started_at_ms > *newest {
             *newest = started_at_ms;
-            self.last_reports.remove(&InstanceId::named(&*id.name));
+            self.last_reports.remove(&InstanceId::without_start_time(&*id.name));
         }
         started_at_ms == *newest
     }
--- a/crates/control/src/state/instances.rs
+++ b/crates/control/src/state/instances.rs
@@ -112,7 +112,7 @@
         let mut records = Vec::new();
         for (pool, entry) in &self.engine_pools {
             let (first, last) = entry.subset_prefixes.range(pool, relay);
-            let from = (first, InstanceId::named(""));
+            let from = (first, InstanceId::without_start_time(""));
             let subset = entry.engines.range(from..).take_while(|(position, _)| *position <= last);
             records.extend(subset.filter_map(|(_, id)| self.get(id)).cloned());
         }
@@ -215,7 +215,7 @@
         if !self.tombstones.insert(id.clone()) {
             return;
         }
-        let up_to_here = self.records.range(InstanceId::named(&*id.name)..=id.clone());
+        let up_to_here = self.records.range(InstanceId::without_start_time(&*id.name)..=id.clone());
         let newest = up_to_here.map(|(_, record)| record).next_back();
         if let Some(record) = newest.filter(|record| record.state != InstanceState::Gone).cloned() {
             self.write(InstanceRecord { state: InstanceState::Gone, silent: false, ..record });
--- a/crates/control/src/state/pending_instances.rs
+++ b/crates/control/src/state/pending_instances.rs
@@ -85,7 +85,7 @@
 
     /// Pending starts of an engine, oldest first.
     fn starts(&self, name: &str) -> Vec<&PendingKey> {
-        let from = (InstanceId::named(name), String::new());
+        let from = (InstanceId::without_start_time(name), String::new());
         self.reports.range(from..).map(|(key, _)| key).take_while(|(id, _)| id.name == name).collect()
     }
 
--- a/crates/control/tests/fleet_steps.rs
+++ b/crates/control/tests/fleet_steps.rs
@@ -27,7 +27,7 @@
     // One in 25 engines belongs to the smaller service.
     let service = if number.is_multiple_of(25) { "pages" } else { "models" };
     InstanceReport {
-        id: InstanceId::named(format!("engine-{number}")),
+        id: InstanceId::without_start_time(format!("engine-{number}")),
         service: service.to_string(),
         address: ([10, (number >> 16) as u8, (number >> 8) as u8, number as u8], 8_000).into(),
         zone: ZONES[(number + number / 25) % ZONES.len()].to_string(),
@@ -71,10 +71,13 @@
         assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups for a registration among {engines}");
         let (lookups, ()) = lookups_of(|| table.apply_report(InstanceReport { leaving: true, ..report(7, 3) }));
         assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups for a report of leaving among {engines}");
-        let replaced = InstanceReport { id: InstanceId::named("new"), ..report(8, 1) };
+        let replaced = InstanceReport { id: InstanceId::without_start_time("new"), ..report(8, 1) };
         let (lookups, ()) = lookups_of(|| table.apply_report(replaced));
         assert!(lookups <= MAX_LOOKUPS, "{lookups} lookups for a new instance at a used address among {engines}");
-        assert_eq!(table.get(&InstanceId::named("engine-8")).map(|record| record.state), Some(InstanceState::Gone));
+        assert_eq!(
+            table.get(&InstanceId::without_start_time("engine-8")).map(|record| record.state),
+            Some(InstanceState::Gone)
+        );
     }
 }
 
@@ -100,7 +103,7 @@
         assert!(after.is_empty(), "engines that are marked as silent should not be returned again");
         watch.record_report(&report(3, 9), at(18));
         let again = watch.silence_changes(&table, at(18), SILENCE_TIMEOUT);
-        assert_eq!((again.silent.len(), again.resumed), (0, vec![InstanceId::named("engine-3")]));
+        assert_eq!((again.silent.len(), again.resumed), (0, vec![InstanceId::without_start_time("engine-3")]));
     }
 }
 
@@ -176,7 +179,7 @@
     let grown = table.changes_for_relay(relay, known);
     assert!(grown.whole && grown.records.len() < 500, "{}", grown.records.len());
     let known = grown.revision;
-    (50..3_000).for_each(|number| table.remove(&InstanceId::named(format!("engine-{number}"))));
+    (50..3_000).for_each(|number| table.remove(&InstanceId::without_start_time(format!("engine-{number}"))));
     let shrunk = table.changes_for_relay(relay, known);
     assert!(shrunk.whole && shrunk.records.len() == 50, "{}", shrunk.records.len());
     assert!(
@@ -193,14 +196,14 @@
         let mut table = InstanceTable::default();
         for sequence in 0..2_000 {
             let number = random.usize(..60);
-            let id = InstanceId::named(format!("engine-{number}"));
+            let id = InstanceId::without_start_time(format!("engine-{number}"));
             match random.u32(..10) {
                 0 => table.remove(&id),
                 1 => table.apply_report(InstanceReport { leaving: true, ..report(number, sequence) }),
                 2 => table.record_silence(std::slice::from_ref(&id), &[]),
                 3 => table.record_silence(&[], std::slice::from_ref(&id)),
                 4 => {
-                    let id = InstanceId::named(format!("engine-{number}-{sequence}"));
+                    let id = InstanceId::without_start_time(format!("engine-{number}-{sequence}"));
                     table.apply_report(InstanceReport { id, ..report(number, 1) });
                 }
                 _ => table.apply_report(report(number, sequence)),
--- a/crates/control/tests/format.rs
+++ b/crates/control/tests/format.rs
@@ -24,7 +24,7 @@
 fn commands() -> Vec<GatewayCommand> {
     let id = TrialId { holder: Incarnation(1), number: 2 };
     let held = HeldTrial { work: work(), id };
-    let loss = EngineLoss { work: work(), instance: InstanceId::named("engine") };
+    let loss = EngineLoss { work: work(), instance: InstanceId::without_start_time("engine") };
     vec![
         GatewayCommand::RecordEvidence(WorkEvidence { losses: vec![loss], served: Vec::new() }),
         GatewayCommand::BeginTrial(TrialRequest { work: work(), id, limit_ms: 40_000 }),
--- a/crates/control/tests/gateway.rs
+++ b/crates/control/tests/gateway.rs
@@ -105,7 +105,7 @@
 
 fn report(id: &str, port: u16, sequence: u64) -> InstanceReport {
     InstanceReport {
-        id: InstanceId::named(id),
+        id: InstanceId::without_start_time(id),
         service: "web".to_string(),
         address: ([10, 0, 0, 1], port).into(),
         zone: "north".to_string(),
@@ -117,7 +117,7 @@
 }
 
 fn instance_state(state: &ControlState, id: &str) -> Option<InstanceState> {
-    state.instances.get(&InstanceId::named(id)).map(|record| record.state)
+    state.instances.get(&InstanceId::without_start_time(id)).map(|record| record.state)
 }
 
 #[test]
@@ -129,7 +129,7 @@
     // A delayed report from before the instance was leaving.
     commit(&mut state, GatewayCommand::ReportInstances(vec![report("a", 1, 1)]));
     assert_eq!(instance_state(&state, "a"), Some(InstanceState::Leaving));
-    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::named("a")));
+    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::without_start_time("a")));
     commit(&mut state, GatewayCommand::ReportInstances(vec![report("a", 1, 9)]));
     assert_eq!(instance_state(&state, "a"), Some(InstanceState::Gone));
 }
@@ -138,7 +138,7 @@
 fn deregistered_instance_that_never_reported_is_not_registered() {
     let mut state = ControlState::default();
     commit(&mut state, GatewayCommand::PutRouting(document(1, vec![])));
-    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::named("a")));
+    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::without_start_time("a")));
     commit(&mut state, GatewayCommand::ReportInstances(vec![report("a", 1, 1)]));
     assert_eq!(instance_state(&state, "a"), None);
 }
--- a/crates/control/tests/level_one.rs
+++ b/crates/control/tests/level_one.rs
@@ -226,7 +226,7 @@
 #[test]
 fn reports_of_a_restarted_engine_are_accepted_at_level_one() {
     let report = |sequence| InstanceReport {
-        id: InstanceId::named("engine"),
+        id: InstanceId::without_start_time("engine"),
         service: "web".to_string(),
         address: ([10, 0, 0, 1], 8_000).into(),
         zone: "north".to_string(),
@@ -241,8 +241,8 @@
     watch.record_report(&report(50), seconds(1));
     assert!(watch.record_start(&InstanceId::started("engine", 200)));
     watch.record_report(&report(1), seconds(2));
-    let (received_at, models) = watch.models(&InstanceId::named("engine")).expect("a report was received");
+    let (received_at, models) = watch.models(&InstanceId::without_start_time("engine")).expect("a report was received");
     assert_eq!((received_at, models[0].version), (seconds(2), 1));
     assert!(!watch.record_start(&InstanceId::started("engine", 100)), "a delayed report of the earlier start");
-    assert!(watch.record_start(&InstanceId::named("other")), "an engine without a start time");
+    assert!(watch.record_start(&InstanceId::without_start_time("other")), "an engine without a start time");
 }
--- a/crates/control/tests/level_two.rs
+++ b/crates/control/tests/level_two.rs
@@ -94,7 +94,7 @@
 
 fn instance(random: &mut fastrand::Rng, number: u64) -> InstanceId {
     let name = format!("engine-{number}-{}", random.u8(..3));
-    if random.bool() { InstanceId::named(name) } else { InstanceId::started(name, random.u64(..4)) }
+    if random.bool() { InstanceId::without_start_time(name) } else { InstanceId::started(name, random.u64(..4)) }
 }
 
 fn report(random: &mut fastrand::Rng) -> InstanceReport {
--- a/crates/control/tests/order_watch.rs
+++ b/crates/control/tests/order_watch.rs
@@ -57,7 +57,7 @@
     let mut watch = OrderWatch::default();
     watch.observe(&state, seconds(100));
     assert_eq!(watch.earliest_order_time(&engine("a"), NEW, SEPARATION), seconds(103));
-    state.remove_engine(&InstanceId::named("a"));
+    state.remove_engine(&InstanceId::without_start_time("a"));
     watch.observe(&state, seconds(101));
     assert_eq!(watch.earliest_order_time(&engine("a"), NEW, SEPARATION), Duration::ZERO, "the intent was removed");
 }
--- a/crates/control/tests/restarts.rs
+++ b/crates/control/tests/restarts.rs
@@ -103,7 +103,7 @@
     for delayed in [
         report(start(FIRST), 1),
         report(start(FIRST), 2),
-        report(InstanceId::named("a"), 2),
+        report(InstanceId::without_start_time("a"), 2),
         InstanceReport { leaving: true, ..report(start(FIRST), 1) },
         // An engine that started earlier at the same address.
         report(InstanceId::started("b", FIRST), 1),
@@ -122,8 +122,8 @@
 fn deregistered_start_is_not_registered_again_but_a_later_one_is() {
     let mut state = state_with_web_service();
     apply_report(&mut state, report(start(FIRST), 1));
-    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::named("a")));
-    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::named("a")));
+    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::without_start_time("a")));
+    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::without_start_time("a")));
     assert_eq!(state_of(&state, &start(FIRST)), Some(InstanceState::Gone));
     apply_report(&mut state, report(start(FIRST), 1));
     apply_report(&mut state, report(start(FIRST - 1), 1));
@@ -140,9 +140,9 @@
 #[test]
 fn deregistration_of_an_unknown_engine_rejects_its_starts_up_to_that_time() {
     let mut state = state_with_web_service();
-    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::named("a")));
+    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::without_start_time("a")));
     apply_report(&mut state, report(start(NOW - 1), 1));
-    apply_report(&mut state, report(InstanceId::named("a"), 1));
+    apply_report(&mut state, report(InstanceId::without_start_time("a"), 1));
     assert_eq!(state.instances.iter().count(), 0);
     apply_report(&mut state, report(start(NOW + 1), 1));
     assert_eq!(state_of(&state, &start(NOW + 1)), Some(InstanceState::Ready));
@@ -163,7 +163,7 @@
 #[test]
 fn deregistration_keeps_an_order_note_that_may_affect_the_next_start() {
     let subject = OrderSubject::engine(&start(FIRST));
-    for deregistered in [start(FIRST), InstanceId::named("a")] {
+    for deregistered in [start(FIRST), InstanceId::without_start_time("a")] {
         for deregisters_before_next_start in [true, false] {
             let mut state = state_with_web_service();
             apply_report(&mut state, report(start(FIRST), 1));
@@ -194,7 +194,7 @@
     apply_report(&mut state, report(start(FIRST), 1));
     let before = state.instances.clone();
     let with_unknown_service = |report: InstanceReport| InstanceReport { service: "nowhere".to_string(), ..report };
-    apply_report(&mut state, with_unknown_service(report(InstanceId::named("stranger"), 1)));
+    apply_report(&mut state, with_unknown_service(report(InstanceId::without_start_time("stranger"), 1)));
     apply_report(&mut state, with_unknown_service(report(start(SECOND), 1)));
     let forged_report =
         InstanceReport { leaving: true, sequence: 900, ..with_unknown_service(report(start(FIRST), 1)) };
@@ -218,7 +218,10 @@
 fn pending_engine_is_registered_when_its_service_is_added() {
     let mut state = ControlState::default();
     apply_report(&mut state, report(start(FIRST), 1));
-    apply_report(&mut state, InstanceReport { service: "other".to_string(), ..report(InstanceId::named("b"), 2) });
+    apply_report(
+        &mut state,
+        InstanceReport { service: "other".to_string(), ..report(InstanceId::without_start_time("b"), 2) },
+    );
     // The same instance id with another service.
     apply_report(&mut state, InstanceReport { service: "nowhere".to_string(), ..report(start(FIRST), 3) });
     assert_eq!(state.instances.iter().count(), 0);
@@ -226,32 +229,35 @@
     put_services(&mut state, 1, &["web"]);
     assert_eq!(state_of(&state, &start(FIRST)), Some(InstanceState::Ready));
     put_services(&mut state, 2, &["web", "other"]);
-    assert_eq!(state_of(&state, &InstanceId::named("b")), Some(InstanceState::Ready));
+    assert_eq!(state_of(&state, &InstanceId::without_start_time("b")), Some(InstanceState::Ready));
     assert_eq!(state.pending_instances.len(), 1);
     // An engine that deregisters before its service is added is not registered.
-    apply_report(&mut state, InstanceReport { service: "late".to_string(), ..report(InstanceId::named("c"), 4) });
-    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::named("c")));
+    apply_report(
+        &mut state,
+        InstanceReport { service: "late".to_string(), ..report(InstanceId::without_start_time("c"), 4) },
+    );
+    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::without_start_time("c")));
     put_services(&mut state, 3, &["web", "other", "late"]);
-    assert_eq!(state_of(&state, &InstanceId::named("c")), None);
+    assert_eq!(state_of(&state, &InstanceId::without_start_time("c")), None);
 }
 
 #[test]
 fn report_without_a_start_time_is_rejected_if_its_service_has_start_times() {
     let mut state = state_with_web_service();
-    apply_report(&mut state, report(InstanceId::named("before"), 1));
+    apply_report(&mut state, report(InstanceId::without_start_time("before"), 1));
     apply_report(&mut state, report(start(FIRST), 2));
     assert_eq!(
-        state_of(&state, &InstanceId::named("before")),
+        state_of(&state, &InstanceId::without_start_time("before")),
         Some(InstanceState::Ready),
         "no engine had a start time before it"
     );
-    apply_report(&mut state, report(InstanceId::named("stranger"), 3));
-    apply_report(&mut state, report(InstanceId::named("stranger"), 2));
-    assert_eq!(state_of(&state, &InstanceId::named("stranger")), None);
-    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::named("a")));
-    apply_report(&mut state, report(InstanceId::named("after"), 3));
+    apply_report(&mut state, report(InstanceId::without_start_time("stranger"), 3));
+    apply_report(&mut state, report(InstanceId::without_start_time("stranger"), 2));
+    assert_eq!(state_of(&state, &InstanceId::without_start_time("stranger")), None);
+    commit(&mut state, GatewayCommand::RemoveInstance(InstanceId::without_start_time("a")));
+    apply_report(&mut state, report(InstanceId::without_start_time("after"), 3));
     assert_eq!(
-        state_of(&state, &InstanceId::named("after")),
+        state_of(&state, &InstanceId::without_start_time("after")),
         Some(InstanceState::Ready),
         "no remaining engine has a start time"
     );
@@ -260,7 +266,7 @@
 #[test]
 fn newest_of_several_pending_starts_is_registered() {
     let mut state = ControlState::default();
-    for id in [start(FIRST), start(SECOND), InstanceId::named("stranger")] {
+    for id in [start(FIRST), start(SECOND), InstanceId::without_start_time("stranger")] {
         apply_report(&mut state, report(id, 1));
     }
     put_services(&mut state, 1, &["web"]);
@@ -272,11 +278,11 @@
 fn number_of_pending_reports_is_bounded() {
     let mut state = ControlState::default();
     for number in 0..=MAX_PENDING_REPORTS {
-        apply_report(&mut state, report(InstanceId::named(format!("engine-{number}")), number as u16 + 1));
+        apply_report(&mut state, report(InstanceId::without_start_time(format!("engine-{number}")), number as u16 + 1));
     }
     assert_eq!(state.pending_instances.len(), MAX_PENDING_REPORTS);
     assert!(
-        !state.has_record_of(&InstanceId::named("engine-0")),
+        !state.has_record_of(&InstanceId::without_start_time("engine-0")),
         "a full report should be requested from the evicted engine"
     );
     put_services(&mut state, 1, &["web"]);
--- a/crates/control/tests/suspicion_watch.rs
+++ b/crates/control/tests/suspicion_watch.rs
@@ -18,7 +18,7 @@
 
 fn record_loss(table: &mut SuspicionTable, body: &[u8], unix_ms: u64) {
     let work = WorkDigest::of_post_request(None, "host", "/rollouts", body);
-    let loss = EngineLoss { work, instance: InstanceId::named("engine") };
+    let loss = EngineLoss { work, instance: InstanceId::without_start_time("engine") };
     table.record_evidence(WorkEvidence { losses: vec![loss], served: Vec::new() }, unix_ms);
 }
 
--- a/crates/control/tests/suspicions.rs
+++ b/crates/control/tests/suspicions.rs
@@ -16,7 +16,7 @@
 }
 
 fn loss(number: u32, engine: u32) -> EngineLoss {
-    EngineLoss { work: work(number), instance: InstanceId::named(format!("engine-{engine}")) }
+    EngineLoss { work: work(number), instance: InstanceId::without_start_time(format!("engine-{engine}")) }
 }
 
 fn record_loss(table: &mut SuspicionTable, number: u32, engine: u32, now: u64) {
--- a/crates/control/tests/trial_watch.rs
+++ b/crates/control/tests/trial_watch.rs
@@ -33,7 +33,7 @@
 /// A table with the work suspected, and its trial lease granted to holder 1.
 fn table_with_granted_lease() -> SuspicionTable {
     let mut table = SuspicionTable::default();
-    let loss = EngineLoss { work: work(), instance: InstanceId::named("engine") };
+    let loss = EngineLoss { work: work(), instance: InstanceId::without_start_time("engine") };
     table.record_evidence(WorkEvidence { losses: vec![loss], served: Vec::new() }, LOG_TIME);
     assert_eq!(table.begin_trial(work(), id(1), LOG_TIME, LIMIT_MS), TrialResult::Granted);
     table
@@ -121,7 +121,7 @@
 fn lease_granted_before_the_evidence_is_exclusive() {
     let mut table = SuspicionTable::default();
     assert_eq!(table.begin_trial(work(), id(1), LOG_TIME, LIMIT_MS), TrialResult::Granted);
-    let loss = EngineLoss { work: work(), instance: InstanceId::named("engine") };
+    let loss = EngineLoss { work: work(), instance: InstanceId::without_start_time("engine") };
     table.record_evidence(WorkEvidence { losses: vec![loss], served: Vec::new() }, LOG_TIME);
     assert_eq!(table.begin_trial(work(), id(2), LOG_TIME, LIMIT_MS), TrialResult::Taken);
 }
--- a/crates/coordinator/tests/load_order.rs
+++ b/crates/coordinator/tests/load_order.rs
@@ -7,7 +7,7 @@
 
 fn load(engine: usize, model: &str, behind: u64) -> DueLoad {
     DueLoad {
-        instance: InstanceId::named(format!("engine-{engine}")),
+        instance: InstanceId::without_start_time(format!("engine-{engine}")),
         model: model.to_string(),
         cannot_serve: behind >= 2,
         behind,
--- a/crates/coordinator/tests/model_assignments.rs
+++ b/crates/coordinator/tests/model_assignments.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 fn engines(count: usize) -> Vec<InstanceId> {
-    (0..count).map(|index| InstanceId::named(format!("engine-{index}"))).collect()
+    (0..count).map(|index| InstanceId::without_start_time(format!("engine-{index}"))).collect()
 }
 
 fn models(count: usize) -> Vec<String> {
--- a/crates/coordinator/tests/pace.rs
+++ b/crates/coordinator/tests/pace.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 fn instance(name: &str) -> InstanceId {
-    InstanceId::named(name)
+    InstanceId::without_start_time(name)
 }
 
 /// Records `count` events at a fixed interval after `start`; returns the time of the last one.
--- a/crates/coordinator/tests/working_set.rs
+++ b/crates/coordinator/tests/working_set.rs
@@ -23,7 +23,7 @@
 
 fn report(number: usize) -> InstanceReport {
     InstanceReport {
-        id: InstanceId::named(format!("engine-{number}")),
+        id: InstanceId::without_start_time(format!("engine-{number}")),
         service: "models".to_string(),
         address: ([10, (number >> 16) as u8, (number >> 8) as u8, number as u8], 8_000).into(),
         zone: ZONES[number % ZONES.len()].to_string(),
@@ -84,7 +84,7 @@
 fn a_small_fleet_is_used_completely_including_non_reporting_engines() {
     for engines in [1, 15, 45, 128, 500] {
         let mut state = state(engines);
-        state.instances.record_silence(&[InstanceId::named("engine-0")], &[]);
+        state.instances.record_silence(&[InstanceId::without_start_time("engine-0")], &[]);
         let mut set = WorkingSet::default();
         let added = set.update(&state, &DemandWithHeadroom);
         assert_eq!((added.len(), set.iter().count()), (engines, engines));
@@ -142,7 +142,7 @@
     set.clear();
     set.update(&state, &DemandWithHeadroom);
     let kept = ordered.iter().filter(|subject| match subject {
-        OrderSubject::Engine(name) => set.contains(&InstanceId::named(&**name)),
+        OrderSubject::Engine(name) => set.contains(&InstanceId::without_start_time(&**name)),
         _ => false,
     });
     assert_eq!((kept.count(), set.iter().count()), (400, 504));
--- a/crates/gateway-api/src/native.rs
+++ b/crates/gateway-api/src/native.rs
@@ -74,7 +74,7 @@
         let call = match (method, path.as_slice()) {
             (&Method::PUT, ["v1", "instances", _]) => ControlCall::Change(GatewayRequest::ReportInstance(read(body)?)),
             (&Method::DELETE, ["v1", "instances", id]) => {
-                ControlCall::Change(GatewayRequest::RemoveInstance(InstanceId::named(*id)))
+                ControlCall::Change(GatewayRequest::RemoveInstance(InstanceId::without_start_time(*id)))
             }
             (&Method::POST, ["v1", "versions"]) => ControlCall::Change(GatewayRequest::PublishVersion(read(body)?)),
             (&Method::PUT, ["admin", "v1", "routing"]) => {
--- a/crates/gateway-api/tests/abandoned_trials.rs
+++ b/crates/gateway-api/tests/abandoned_trials.rs
@@ -26,7 +26,7 @@
 
 /// Records that an engine crashed while it ran `work`.
 async fn record_crash(deployment: &Deployment, work: WorkDigest) {
-    let loss = EngineLoss { work, instance: InstanceId::named("an engine that has ended") };
+    let loss = EngineLoss { work, instance: InstanceId::without_start_time("an engine that has ended") };
     let evidence = WorkEvidence { losses: vec![loss], served: Vec::new() };
     deployment.node.commit_evidence(evidence).await.expect("the command was not committed");
 }
--- a/crates/gateway-api/tests/common/crashing.rs
+++ b/crates/gateway-api/tests/common/crashing.rs
@@ -116,7 +116,7 @@
         if self.0.keeps_name.get() {
             return InstanceId::started(&*self.0.name, FIRST_START_MS + u64::from(self.0.starts.get()));
         }
-        InstanceId::named(format!("{}-{}", self.0.name, self.0.starts.get()))
+        InstanceId::without_start_time(format!("{}-{}", self.0.name, self.0.starts.get()))
     }
 
     pub fn address(&self) -> SocketAddr {
--- a/crates/gateway-api/tests/common/mod.rs
+++ b/crates/gateway-api/tests/common/mod.rs
@@ -435,7 +435,7 @@
 
 /// The identifier of an instance without a start time.
 pub fn instance(name: &str) -> InstanceId {
-    InstanceId::named(name)
+    InstanceId::without_start_time(name)
 }
 
 /// The model of these tests, loaded at `version`.
--- a/crates/gateway-api/tests/restarts.rs
+++ b/crates/gateway-api/tests/restarts.rs
@@ -126,7 +126,7 @@
         put_report(&deployment, "engine", &serde_json::to_value(&own_report).expect("failed to serialize JSON")).await;
         let models = |id| deployment.node.reported_models(&id).map(|(_, models)| models);
         eventually("the report is applied", async || models(engine.instance()) == Some(vec![notes(5)])).await;
-        assert_eq!(models(InstanceId::named("stranger")), None);
+        assert_eq!(models(InstanceId::without_start_time("stranger")), None);
     });
 }
 
--- a/crates/gateway-api/tests/routed.rs
+++ b/crates/gateway-api/tests/routed.rs
@@ -26,7 +26,7 @@
 
 /// Registers an instance with this name at `address`.
 async fn register_as(deployment: &Deployment, name: &str, address: std::net::SocketAddr) {
-    let report = report(InstanceId::named(name), "web", address);
+    let report = report(InstanceId::without_start_time(name), "web", address);
     let body = serde_json::to_vec(&report).expect("failed to serialize JSON");
     call(deployment.control, Method::PUT, &format!("/v1/instances/{name}"), &[], body).await;
 }
--- a/crates/gateway-api/tests/scoring.rs
+++ b/crates/gateway-api/tests/scoring.rs
@@ -207,7 +207,10 @@
 
 /// Records that an engine crashed during a scoring call, and waits until the gateway has the record.
 async fn record_crash(fixture: &Fixture, request: &ScoringRequest) {
-    let loss = EngineLoss { work: request.work_digest(None), instance: InstanceId::named("a scorer that has ended") };
+    let loss = EngineLoss {
+        work: request.work_digest(None),
+        instance: InstanceId::without_start_time("a scorer that has ended"),
+    };
     let evidence = WorkEvidence { losses: vec![loss], served: Vec::new() };
     fixture.deployment.node.commit_evidence(evidence).await.expect("the command was not committed");
     eventually("the gateway has the record", async || fixture.deployment.gateway.suspected_work_count() == 1).await;
--- a/crates/gateway-api/tests/stalled_engines.rs
+++ b/crates/gateway-api/tests/stalled_engines.rs
@@ -68,8 +68,8 @@
         document.limits.max_body_bytes = LONG_BODY_BYTES as u64;
         deployment.configure(&document).await;
         let (address, read) = start_early_engine().await;
-        let body =
-            serde_json::to_vec(&report(InstanceId::named("early"), "web", address)).expect("failed to serialize JSON");
+        let body = serde_json::to_vec(&report(InstanceId::without_start_time("early"), "web", address))
+            .expect("failed to serialize JSON");
         call(deployment.control, Method::PUT, "/v1/instances/early", &[], body).await;
         deployment.await_engines("web", 1).await;
         let answer = deployment.request(Method::POST, "/plans/1", &[REQUEST_ID], &"x".repeat(LONG_BODY_BYTES)).await;
--- a/crates/gateway/tests/choice.rs
+++ b/crates/gateway/tests/choice.rs
@@ -134,7 +134,7 @@
 }
 
 fn engine(name: &str, zone: &str) -> ReadyEngine {
-    let target = EngineTarget { instance: InstanceId::named(name), address: ([10, 0, 0, 1], 1).into() };
+    let target = EngineTarget { instance: InstanceId::without_start_time(name), address: ([10, 0, 0, 1], 1).into() };
     ReadyEngine { target, zone: zone.to_string(), slots: 4, silent: false }
 }
 
@@ -147,7 +147,7 @@
 fn the_engine_in_the_own_zone_is_preferred_until_it_is_slower_or_fails() {
     let balance = LoadBalancer::default();
     let engines = [engine("far", "south"), engine("near", "north")];
-    let near = InstanceId::named("near");
+    let near = InstanceId::without_start_time("near");
     assert_eq!(chosen(&balance, &engines, &[], 0), "near");
     assert_eq!(chosen(&balance, &engines, std::slice::from_ref(&near), 0), "far");
     balance.record_response(&near, Duration::from_millis(200), Duration::from_millis(10));
@@ -163,7 +163,7 @@
 fn ejection_time_doubles_with_each_consecutive_failure_up_to_a_limit() {
     let balance = LoadBalancer::default();
     let engines = [engine("a", "north"), engine("b", "south")];
-    let failing = InstanceId::named("a");
+    let failing = InstanceId::without_start_time("a");
     let mut now = 0;
     for ejection_ms in [400, 800, 1_600, 3_200, 6_400, 6_400] {
         balance.record_failure(&failing, Duration::from_millis(now));
@@ -178,9 +178,9 @@
     let balance = LoadBalancer::default();
     let engines = [engine("a", "north"), engine("b", "north")];
     let now = Duration::ZERO;
-    let in_flight: Vec<_> = (0..3).map(|_| balance.begin(&InstanceId::named("a"), now)).collect();
+    let in_flight: Vec<_> = (0..3).map(|_| balance.begin(&InstanceId::without_start_time("a"), now)).collect();
     assert_eq!(chosen(&balance, &engines, &[], 0), "b");
     drop(in_flight);
-    let _one = balance.begin(&InstanceId::named("b"), now);
+    let _one = balance.begin(&InstanceId::without_start_time("b"), now);
     assert_eq!(chosen(&balance, &engines, &[], 0), "a");
 }
--- a/crates/layouts/src/level_one/convert/instances.rs
+++ b/crates/layouts/src/level_one/convert/instances.rs
@@ -6,7 +6,7 @@
 
 impl From<one::InstanceId> for InstanceId {
     fn from(id: one::InstanceId) -> Self {
-        Self::named(id.0)
+        Self::without_start_time(id.0)
     }
 }
 
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -193,7 +193,7 @@
         }
         self.count(|counters| counters.engines_terminated += 1);
         let work = progress.work_digest();
-        let instance = InstanceId::named(format!("{}/{}", engine.id, incarnation));
+        let instance = InstanceId::without_start_time(format!("{}/{}", engine.id, incarnation));
         spdlog::warn!("engine terminated during a generation", kv: {
             work = work.log_prefix().as_str(), instance = instance.name.as_str()
         });
--- a/crates/runtime-compio/src/listening.rs
+++ b/crates/runtime-compio/src/listening.rs
@@ -20,7 +20,7 @@
 /// Maximum number of cached results; the cache is cleared when it is full.
 const MAX_CACHED_RESULTS: usize = 4_096;
 
-/// Whether the process that listened at `address` has ended, as indicated by a refused connection; `false` if the
+/// Whether the process that listened at `address` has terminated, as indicated by a refused connection; `false` if the
 /// machine is unreachable.
 pub async fn has_terminated(address: SocketAddr) -> bool {
     match compio::time::timeout(CHECK_TIMEOUT, TcpStream::connect(address)).await {
@@ -35,21 +35,21 @@
     checks: RefCell<BTreeMap<SocketAddr, Check>>,
 }
 
-/// A check of one address; `ended` is `None` while it is in progress.
+/// A check of one address; `terminated` is `None` while it is in progress.
 #[derive(Clone, Copy)]
 struct Check {
     started_at: Instant,
-    ended: Option<bool>,
+    terminated: Option<bool>,
 }
 
 impl TerminationChecks {
-    /// Whether the process that listened at `address` has ended, from a result that may be up to `RESULT_TTL`
+    /// Whether the process that listened at `address` has terminated, from a result that may be up to `RESULT_TTL`
     /// old.
     pub async fn has_terminated(&self, address: SocketAddr) -> bool {
         loop {
             let cached = self.checks.borrow().get(&address).copied();
             match cached.filter(|check| check.started_at.elapsed() < RESULT_TTL) {
-                Some(Check { ended: Some(ended), .. }) => return ended,
+                Some(Check { terminated: Some(terminated), .. }) => return terminated,
                 // The caller that started the check may have been dropped, so the wait for its result
                 // is limited.
                 Some(check) if check.started_at.elapsed() < CHECK_TIMEOUT + RESULT_POLL_INTERVAL => {
@@ -59,10 +59,10 @@
             }
         }
         let started_at = Instant::now();
-        self.store(address, Check { started_at, ended: None });
-        let ended = has_terminated(address).await;
-        self.store(address, Check { started_at, ended: Some(ended) });
-        ended
+        self.store(address, Check { started_at, terminated: None });
+        let terminated = has_terminated(address).await;
+        self.store(address, Check { started_at, terminated: Some(terminated) });
+        terminated
     }
 
     fn store(&self, address: SocketAddr, check: Check) {
--- a/crates/simulator/tests/concurrent_trials.rs
+++ b/crates/simulator/tests/concurrent_trials.rs
@@ -53,7 +53,7 @@
     /// Crashes an engine that runs the request for `relay`, and notifies every relay after `NOTIFICATION_TIME`.
     fn crash_engine(&mut self, relay: usize, engine: &'static str, now: Duration) {
         self.crashed.push(engine);
-        let loss = EngineLoss { work: self.work, instance: InstanceId::named(engine) };
+        let loss = EngineLoss { work: self.work, instance: InstanceId::without_start_time(engine) };
         self.relays[relay].record_loss(loss, now);
         let evidence = self.relays[relay].evidence().clone();
         self.table.record_evidence(evidence.clone(), now.as_millis() as u64);
--- a/crates/simulator/tests/duties.rs
+++ b/crates/simulator/tests/duties.rs
@@ -655,7 +655,7 @@
 
 fn engine(number: u16) -> InstanceReport {
     InstanceReport {
-        id: InstanceId::named(format!("engine-{number}")),
+        id: InstanceId::without_start_time(format!("engine-{number}")),
         service: "llm".to_string(),
         address: ([10, 0, 5, number as u8], 8_000).into(),
         zone: "north".to_string(),
@@ -685,7 +685,7 @@
         };
         assert!(ordered(&deployment).is_empty(), "nothing is missing");
         deployment.platform.unanswered_percent.set(40);
-        deployment.commit(GatewayCommand::RemoveInstance(InstanceId::named("engine-1")));
+        deployment.commit(GatewayCommand::RemoveInstance(InstanceId::without_start_time("engine-1")));
         deployment.run_for(Duration::from_secs(5));
         if let Some((index, _)) = deployment.leader() {
             deployment.kill(index);
--- a/crates/simulator/tests/followers.rs
+++ b/crates/simulator/tests/followers.rs
@@ -65,7 +65,7 @@
 
 fn engine(number: u8) -> InstanceReport {
     InstanceReport {
-        id: InstanceId::named(format!("engine-{number}")),
+        id: InstanceId::without_start_time(format!("engine-{number}")),
         service: "pages".to_string(),
         address: ([10, 0, 5, number], 8_000).into(),
         zone: "north".to_string(),
--- a/crates/simulator/tests/quarantine_policies.rs
+++ b/crates/simulator/tests/quarantine_policies.rs
@@ -315,7 +315,7 @@
         let crashing: BTreeSet<u32> =
             lost.values().filter(|attempt| attempt.crashing).map(|attempt| attempt.work).collect();
         crashing.into_iter().for_each(|work| *self.outcome.crashed_by.entry(work).or_default() += 1);
-        let instance = InstanceId::named(format!("{engine}/{start}"));
+        let instance = InstanceId::without_start_time(format!("{engine}/{start}"));
         for attempt in lost.into_values() {
             let loss = EngineLoss { work: digest(attempt.work), instance: instance.clone() };
             self.relays[attempt.relay].record_loss(loss, self.now);
--- a/crates/simulator/tests/reports.rs
+++ b/crates/simulator/tests/reports.rs
@@ -83,7 +83,7 @@
 
 fn report(number: usize, sequence: u64) -> InstanceReport {
     InstanceReport {
-        id: InstanceId::named(format!("engine-{number}")),
+        id: InstanceId::without_start_time(format!("engine-{number}")),
         service: "models".to_string(),
         address: ([10, 1, (number >> 8) as u8, number as u8], 8_000).into(),
         zone: "north".to_string(),
--- a/crates/simulator/tests/trial_leases.rs
+++ b/crates/simulator/tests/trial_leases.rs
@@ -118,7 +118,7 @@
         let runtime = SimRuntime { world: deployment.world.clone(), process: process.clone() };
         deployment.world.spawn(&process, async move {
             let control = ControlClient::new(runtime, &configured_addresses(), SECRET);
-            let loss = EngineLoss { work: work(), instance: InstanceId::named("engine") };
+            let loss = EngineLoss { work: work(), instance: InstanceId::without_start_time("engine") };
             let evidence = GatewayRequest::ReportEvidence(WorkEvidence { losses: vec![loss], served: Vec::new() });
             let limit = Duration::from_secs(5);
             control.gateway(evidence, limit, limit).await.expect("the group commits the evidence");
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -185,7 +185,7 @@
 
     /// Identifier of the current instance.
     pub fn instance(&self) -> InstanceId {
-        InstanceId::named(format!("engine-{}-{}", self.state.number, self.state.incarnation.get()))
+        InstanceId::without_start_time(format!("engine-{}-{}", self.state.number, self.state.incarnation.get()))
     }
 
     /// Notified when crashing work has started at this instance.
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -24,7 +24,7 @@
 fn run(request: &str, milliseconds: u64) -> Run {
     Run {
         at: at(milliseconds),
-        instance: InstanceId::named("engine-0-1"),
+        instance: InstanceId::without_start_time("engine-0-1"),
         service: "web-a".to_string(),
         request: request.to_string(),
         job: None,
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_draining_engine_receives_no_new_work_after_the_bound() {
-    let drains_acknowledged_at = [(InstanceId::named("engine-0-1"), at(1_000))].into();
+    let drains_acknowledged_at = [(InstanceId::without_start_time("engine-0-1"), at(1_000))].into();
     let mut records = Records { drains_acknowledged_at, runs: vec![run("r", 2_990)], ..Records::default() };
     assert!(violated_invariants(&records).is_empty());
     records.runs.push(run("s", 3_010));
@@ -225,7 +225,7 @@
 fn orders_come_from_one_holder_at_a_time() {
     let order_to = |engine: &str, milliseconds, holder: &str, fence| OrderRecord {
         at: at(milliseconds),
-        instance: InstanceId::named(engine),
+        instance: InstanceId::without_start_time(engine),
         holder: holder.to_string(),
         fence,
     };
--- a/crates/soak/tests/waits.rs
+++ b/crates/soak/tests/waits.rs
@@ -58,7 +58,7 @@
 }
 
 fn run(instance: &str, from: u64, until: Option<u64>, end: ItemRunEnd) -> ItemRun {
-    let (item, instance) = (ItemId(ITEM.to_string()), InstanceId::named(instance));
+    let (item, instance) = (ItemId(ITEM.to_string()), InstanceId::without_start_time(instance));
     ItemRun { item, instance, from: at(from), until: until.map(at), end }
 }
 
--- a/crates/types/src/instance.rs
+++ b/crates/types/src/instance.rs
@@ -20,7 +20,7 @@
 
 impl InstanceId {
     /// An instance without a start time.
-    pub fn named(name: impl Into<String>) -> Self {
+    pub fn without_start_time(name: impl Into<String>) -> Self {
         Self { name: name.into(), started_at_ms: None }
     }
 
@@ -31,7 +31,7 @@
 
     /// All instances of a name, from the oldest to the newest.
     pub fn all_starts(name: &str) -> RangeInclusive<Self> {
-        Self::named(name)..=Self::started(name, u64::MAX)
+        Self::without_start_time(name)..=Self::started(name, u64::MAX)
     }
 
     /// This instance and all later ones of the same name.
