--- a/crates/checker/src/check.rs
+++ b/crates/checker/src/check.rs
@@ -2,7 +2,7 @@
 
 use crate::measures::measure;
 use crate::record::{CallerResult, Record};
-use crate::report::{Counts, Promise, Report, Violation};
+use crate::report::{Counts, Invariant, Report, Violation};
 use saddlerelay_types::configuration::ConfigurationOutcome;
 use saddlerelay_types::identity::{EngineId, Position, TenantId};
 use saddlerelay_types::request::{ExecutionOutcome, FailureCode};
@@ -75,7 +75,7 @@
     }
 }
 
-fn add_violation(report: &mut Report, promise: Promise, detail: String) {
+fn add_violation(report: &mut Report, promise: Invariant, detail: String) {
     report.violations.push(Violation { promise, detail });
 }
 
@@ -99,7 +99,7 @@
                 if only_planned_stops && *broken > 0 {
                     add_violation(
                         report,
-                        Promise::PlannedStop,
+                        Invariant::PlannedStop,
                         format!("{prompt}: interrupted {broken} times during planned stops"),
                     );
                 }
@@ -112,7 +112,7 @@
             Record::ServedUnconfirmed { engine, .. } => {
                 add_violation(
                     report,
-                    Promise::SampleVersions,
+                    Invariant::SampleVersions,
                     format!("{engine} admitted work with no confirmed version"),
                 );
             }
@@ -129,7 +129,7 @@
             report.counts.non_repeatable_doubled += 1;
             add_violation(
                 report,
-                Promise::AtMostOnce,
+                Invariant::AtMostOnce,
                 format!("{prompt}: executed {executed} times, but is not repeatable"),
             );
         }
@@ -138,12 +138,12 @@
         CallerResult::Answered { fault } => {
             report.counts.answered += 1;
             if let Some(fault) = fault {
-                add_violation(report, Promise::WholeAnswers, format!("{prompt}: {fault}"));
+                add_violation(report, Invariant::WholeAnswers, format!("{prompt}: {fault}"));
             }
             if executed == 0 {
                 add_violation(
                     report,
-                    Promise::WholeAnswers,
+                    Invariant::WholeAnswers,
                     format!("{prompt}: received a complete response, but no engine executed it"),
                 );
             }
@@ -156,7 +156,7 @@
             if requires_retry_after(*code) && !retry_after_given {
                 add_violation(
                     report,
-                    Promise::RetryAfter,
+                    Invariant::RetryAfter,
                     format!("{prompt}: rejected with {code:?} without a retry-after time"),
                 );
             }
@@ -169,7 +169,7 @@
     if executed > 0 {
         add_violation(
             report,
-            Promise::NotExecuted,
+            Invariant::NotExecuted,
             format!("{prompt}: reported as not executed, but executed {executed} times"),
         );
     }
@@ -204,19 +204,19 @@
         report.counts.samples_delivered += 1;
         if !received.insert(sample) {
             report.counts.samples_duplicated += 1;
-            add_violation(report, Promise::ExactlyOnce, format!("{sample}: received more than once"));
+            add_violation(report, Invariant::ExactlyOnce, format!("{sample}: received more than once"));
         }
         let expected = next_positions.entry(tenant).or_insert(Position(1));
         if *position != *expected {
             add_violation(
                 report,
-                Promise::ExactlyOnce,
+                Invariant::ExactlyOnce,
                 format!("{sample}: received at position {position}, expected {expected}"),
             );
         }
         *expected = position.next();
         if let Some(fault) = fault {
-            add_violation(report, Promise::SampleVersions, format!("{sample}: {fault}"));
+            add_violation(report, Invariant::SampleVersions, format!("{sample}: {fault}"));
         }
     }
     let expected: u64 = records.iter().map(samples_opened).sum();
@@ -224,7 +224,7 @@
     report.counts.samples_missing = expected.saturating_sub(received.len() as u64);
     if limits.all_samples && report.counts.samples_missing > 0 {
         let detail = format!("{} of {expected} samples never received", report.counts.samples_missing);
-        add_violation(report, Promise::ExactlyOnce, detail);
+        add_violation(report, Invariant::ExactlyOnce, detail);
     }
 }
 
@@ -253,7 +253,7 @@
                     report.counts.samples_stale += 1;
                     add_violation(
                         report,
-                        Promise::Staleness,
+                        Invariant::Staleness,
                         format!("{sample}: {staleness} versions stale, bound {bound}"),
                     );
                 }
@@ -283,7 +283,7 @@
                 let exceeded = draining_since.get(engine).filter(|since| *at > *since + limits.leaving);
                 if let Some(since) = exceeded {
                     let detail = format!("{engine}: admitted {prompt} {} ms after it started draining", at - since);
-                    add_violation(report, Promise::Leaving, detail);
+                    add_violation(report, Invariant::Leaving, detail);
                 }
             }
             _ => {}
@@ -305,7 +305,7 @@
         {
             add_violation(
                 report,
-                Promise::Configuration,
+                Invariant::Configuration,
                 format!("idempotency key {key}: outcome {first:?}, then {outcome:?}"),
             );
         }
@@ -318,7 +318,7 @@
             && other != key
         {
             let detail = format!("{object} at revision {expected}: both {other} and {key} were accepted");
-            add_violation(report, Promise::Configuration, detail);
+            add_violation(report, Invariant::Configuration, detail);
         }
     }
 }
@@ -338,13 +338,13 @@
                 let due = due.map(|(_, probe)| *probe).max().unwrap_or(0);
                 if *value < due {
                     let detail = format!("{relay}: applies probe value {value}, but {due} is overdue");
-                    add_violation(report, Promise::Configuration, detail);
+                    add_violation(report, Invariant::Configuration, detail);
                 }
                 let newest = newest_values.entry(relay).or_insert(*value);
                 if value < newest {
                     add_violation(
                         report,
-                        Promise::Configuration,
+                        Invariant::Configuration,
                         format!("{relay}: reverted from probe value {newest} to {value}"),
                     );
                 }
--- a/crates/checker/src/report.rs
+++ b/crates/checker/src/report.rs
@@ -6,7 +6,7 @@
 /// The invariant that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Promise {
+pub enum Invariant {
     /// A sample lists weight versions that did not generate it.
     SampleVersions,
     /// A sample exceeded its tenant's staleness bound.
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Violation {
     /// The violated invariant.
-    pub promise: Promise,
+    pub promise: Invariant,
     /// Human-readable description of what was observed.
     pub detail: String,
 }
--- a/crates/checker/tests/check.rs
+++ b/crates/checker/tests/check.rs
@@ -2,7 +2,7 @@
 
 use saddlerelay_checker::check::{Limits, check};
 use saddlerelay_checker::record::{CallerResult, Record};
-use saddlerelay_checker::report::Promise;
+use saddlerelay_checker::report::Invariant;
 use saddlerelay_types::configuration::{ConfigurationOutcome, ObjectName, ObjectState};
 use saddlerelay_types::identity::{CallerId, EngineId, Position, Revision, StepNumber, TenantId, WeightVersion};
 use saddlerelay_types::request::{ExecutionOutcome, FailureCode, Priority};
@@ -104,11 +104,11 @@
     Record::StepOpened { at: 250, tenant: TenantId::new("notice-training"), step: StepNumber(1), samples }
 }
 
-fn violated_promises(records: &[Record]) -> Vec<Promise> {
-    let mut violated_promises: Vec<_> =
+fn violated_invariants(records: &[Record]) -> Vec<Invariant> {
+    let mut violated_invariants: Vec<_> =
         check(records, &Limits::default()).violations.iter().map(|violation| violation.promise).collect();
-    violated_promises.dedup();
-    violated_promises
+    violated_invariants.dedup();
+    violated_invariants
 }
 
 #[test]
@@ -126,22 +126,25 @@
         probe(600, None),
         probe(5_000, Some(7)),
     ];
-    assert_eq!(violated_promises(&records), []);
+    assert_eq!(violated_invariants(&records), []);
 }
 
 #[test]
 fn a_non_repeatable_request_executed_twice_is_a_violation() {
     let records = [execution(110, "a"), execution(120, "a"), caller("a", false, answered())];
-    assert_eq!(violated_promises(&records), [Promise::AtMostOnce]);
+    assert_eq!(violated_invariants(&records), [Invariant::AtMostOnce]);
     let repeatable = [execution(110, "a"), execution(120, "a"), caller("a", true, answered())];
-    assert_eq!(violated_promises(&repeatable), []);
+    assert_eq!(violated_invariants(&repeatable), []);
 }
 
 #[test]
 fn a_request_reported_as_not_executed_but_executed_is_a_violation() {
     let reported = failed(ExecutionOutcome::NotExecuted, FailureCode::NoEngine, true);
-    assert_eq!(violated_promises(&[execution(110, "a"), caller("a", true, reported.clone())]), [Promise::NotExecuted]);
-    assert_eq!(violated_promises(&[caller("a", true, reported)]), []);
+    assert_eq!(
+        violated_invariants(&[execution(110, "a"), caller("a", true, reported.clone())]),
+        [Invariant::NotExecuted]
+    );
+    assert_eq!(violated_invariants(&[caller("a", true, reported)]), []);
 }
 
 /// Sends without an idempotency key are separate requests, so each outcome is checked against its own send.
@@ -149,48 +152,48 @@
 fn a_send_reported_as_not_executed_but_executed_is_a_violation() {
     let reported = Record::ReportedNotExecuted { at: 150, prompt: "a".to_string() };
     let resent = [execution(180, "a send 2"), caller("a send 2", true, answered())];
-    assert_eq!(violated_promises(&[vec![reported.clone()], resent.to_vec()].concat()), []);
+    assert_eq!(violated_invariants(&[vec![reported.clone()], resent.to_vec()].concat()), []);
     let executed = [vec![reported, execution(110, "a")], resent.to_vec()].concat();
-    assert_eq!(violated_promises(&executed), [Promise::NotExecuted]);
+    assert_eq!(violated_invariants(&executed), [Invariant::NotExecuted]);
 }
 
 /// "Not executed" must remain true at any later time.
 #[test]
 fn a_request_reported_as_not_executed_and_executed_later_is_a_violation() {
     let reported = failed(ExecutionOutcome::NotExecuted, FailureCode::NoEngine, true);
-    assert_eq!(violated_promises(&[caller("a", false, reported), execution(90_000, "a")]), [Promise::NotExecuted]);
+    assert_eq!(violated_invariants(&[caller("a", false, reported), execution(90_000, "a")]), [Invariant::NotExecuted]);
 }
 
 #[test]
 fn an_incomplete_response_or_one_without_an_execution_is_a_violation() {
     let defective = CallerResult::Answered { fault: Some("another request's tokens".to_string()) };
-    assert_eq!(violated_promises(&[execution(110, "a"), caller("a", true, defective)]), [Promise::WholeAnswers]);
-    assert_eq!(violated_promises(&[caller("a", true, answered())]), [Promise::WholeAnswers]);
+    assert_eq!(violated_invariants(&[execution(110, "a"), caller("a", true, defective)]), [Invariant::WholeAnswers]);
+    assert_eq!(violated_invariants(&[caller("a", true, answered())]), [Invariant::WholeAnswers]);
 }
 
 #[test]
 fn a_retryable_rejection_without_a_retry_after_time_is_a_violation() {
     let reported = failed(ExecutionOutcome::NotExecuted, FailureCode::Overloaded, false);
-    assert_eq!(violated_promises(&[caller("a", true, reported)]), [Promise::RetryAfter]);
+    assert_eq!(violated_invariants(&[caller("a", true, reported)]), [Invariant::RetryAfter]);
 }
 
 #[test]
 fn a_sample_received_twice_out_of_order_or_never_is_a_violation() {
     let twice = [step(1), sample(1, 0, 1, 1), sample(2, 0, 1, 1)];
-    assert_eq!(violated_promises(&twice), [Promise::ExactlyOnce]);
+    assert_eq!(violated_invariants(&twice), [Invariant::ExactlyOnce]);
     let gap = [step(2), sample(1, 0, 1, 1), sample(3, 1, 1, 1)];
-    assert_eq!(violated_promises(&gap), [Promise::ExactlyOnce]);
-    assert_eq!(violated_promises(&[step(2), sample(1, 0, 1, 1)]), [Promise::ExactlyOnce]);
+    assert_eq!(violated_invariants(&gap), [Invariant::ExactlyOnce]);
+    assert_eq!(violated_invariants(&[step(2), sample(1, 0, 1, 1)]), [Invariant::ExactlyOnce]);
 }
 
 #[test]
 fn duplicate_records_of_a_receipt_count_once() {
-    assert_eq!(violated_promises(&[step(1), sample(1, 0, 1, 1), sample(1, 0, 1, 1)]), []);
+    assert_eq!(violated_invariants(&[step(1), sample(1, 0, 1, 1), sample(1, 0, 1, 1)]), []);
 }
 
 #[test]
 fn a_sample_over_the_staleness_bound_is_a_violation() {
-    assert_eq!(violated_promises(&[accepted_bound(1, 1), step(1), sample(1, 0, 1, 3)]), [Promise::Staleness]);
+    assert_eq!(violated_invariants(&[accepted_bound(1, 1), step(1), sample(1, 0, 1, 3)]), [Invariant::Staleness]);
 }
 
 #[test]
@@ -202,10 +205,10 @@
         other => other,
     };
     let bounds = [accepted_bound(1, 2), accepted_bound(1_000, 1)];
-    assert_eq!(violated_promises(&[bounds[0].clone(), bounds[1].clone(), step(1), sample_at(2_000)]), []);
+    assert_eq!(violated_invariants(&[bounds[0].clone(), bounds[1].clone(), step(1), sample_at(2_000)]), []);
     assert_eq!(
-        violated_promises(&[bounds[0].clone(), bounds[1].clone(), step(1), sample_at(5_001)]),
-        [Promise::Staleness]
+        violated_invariants(&[bounds[0].clone(), bounds[1].clone(), step(1), sample_at(5_001)]),
+        [Invariant::Staleness]
     );
 }
 
@@ -215,7 +218,7 @@
     if let Record::SampleReceived { fault, .. } = &mut wrong {
         *fault = Some("names version 2, tokens show 1".to_string());
     }
-    assert_eq!(violated_promises(&[step(1), wrong]), [Promise::SampleVersions]);
+    assert_eq!(violated_invariants(&[step(1), wrong]), [Invariant::SampleVersions]);
 }
 
 #[test]
@@ -224,11 +227,11 @@
     let started = Record::EngineStarted { at: 2_000, engine: EngineId::new("engine-1") };
     let limit = Limits::default().leaving;
     let late = [leaving.clone(), execution(101 + limit, "a"), caller("a", true, answered())];
-    assert_eq!(violated_promises(&late), [Promise::Leaving]);
+    assert_eq!(violated_invariants(&late), [Invariant::Leaving]);
     let early = [leaving.clone(), execution(100 + limit, "a"), caller("a", true, answered())];
-    assert_eq!(violated_promises(&early), []);
+    assert_eq!(violated_invariants(&early), []);
     let restarted = [leaving, started, execution(101 + limit, "a"), caller("a", true, answered())];
-    assert_eq!(violated_promises(&restarted), []);
+    assert_eq!(violated_invariants(&restarted), []);
 }
 
 #[test]
@@ -238,38 +241,38 @@
         *broken = 1;
     }
     let stop = |planned| Record::Fault { at: 50, what: "stop".to_string(), planned };
-    assert_eq!(violated_promises(&[stop(true), execution(110, "a"), interrupted.clone()]), [Promise::PlannedStop]);
-    assert_eq!(violated_promises(&[stop(false), execution(110, "a"), interrupted]), []);
+    assert_eq!(violated_invariants(&[stop(true), execution(110, "a"), interrupted.clone()]), [Invariant::PlannedStop]);
+    assert_eq!(violated_invariants(&[stop(false), execution(110, "a"), interrupted]), []);
 }
 
 #[test]
 fn two_accepted_changes_of_one_revision_or_two_outcomes_of_one_key_are_a_violation() {
     let accepted = |revision| ConfigurationOutcome::Accepted(Revision(revision));
     let both_accepted = [change(1, "k1", 4, accepted(5)), change(2, "k2", 4, accepted(6))];
-    assert_eq!(violated_promises(&both_accepted), [Promise::Configuration]);
+    assert_eq!(violated_invariants(&both_accepted), [Invariant::Configuration]);
     let state = ObjectState { name: ObjectName::Tenant(TenantId::new("probe")), revision: Revision(5), value: None };
     let one_rejected =
         [change(1, "k1", 4, accepted(5)), change(2, "k2", 4, ConfigurationOutcome::RevisionMismatch(state))];
-    assert_eq!(violated_promises(&one_rejected), []);
+    assert_eq!(violated_invariants(&one_rejected), []);
     let two_outcomes = [change(1, "k1", 4, accepted(5)), change(2, "k1", 4, accepted(6))];
-    assert_eq!(violated_promises(&two_outcomes), [Promise::Configuration]);
+    assert_eq!(violated_invariants(&two_outcomes), [Invariant::Configuration]);
 }
 
 #[test]
 fn a_relay_that_applies_a_configuration_late_or_reverts_it_is_a_violation() {
     let limit = Limits::default().configuration;
     let overdue = [accepted_probe(100, 1), accepted_probe(200, 2), probe(200 + limit, Some(1))];
-    assert_eq!(violated_promises(&overdue), [Promise::Configuration]);
+    assert_eq!(violated_invariants(&overdue), [Invariant::Configuration]);
     let in_time = [accepted_probe(100, 1), accepted_probe(200, 2), probe(199 + limit, Some(1))];
-    assert_eq!(violated_promises(&in_time), []);
+    assert_eq!(violated_invariants(&in_time), []);
     let reverted = [accepted_probe(100, 1), accepted_probe(200, 2), probe(300, Some(2)), probe(400, Some(1))];
-    assert_eq!(violated_promises(&reverted), [Promise::Configuration]);
+    assert_eq!(violated_invariants(&reverted), [Invariant::Configuration]);
     let fenced = [accepted_probe(100, 1), accepted_probe(200, 2), probe(200 + limit, None)];
-    assert_eq!(violated_promises(&fenced), []);
+    assert_eq!(violated_invariants(&fenced), []);
 }
 
 #[test]
 fn a_request_admitted_by_an_engine_without_a_confirmed_version_is_a_violation() {
     let served = Record::ServedUnconfirmed { at: 10, engine: EngineId::new("engine-1") };
-    assert_eq!(violated_promises(&[served]), [Promise::SampleVersions]);
+    assert_eq!(violated_invariants(&[served]), [Invariant::SampleVersions]);
 }
--- a/crates/control-client/src/trials.rs
+++ b/crates/control-client/src/trials.rs
@@ -50,7 +50,7 @@
 /// Requests, renews and releases the trial leases of one process.
 pub struct TrialLeases<P, G> {
     platform: P,
-    group: G,
+    service: G,
     /// Incarnation of this process.
     holder: Incarnation,
     /// Number of leases requested so far.
@@ -63,11 +63,11 @@
 }
 
 impl<P: Runtime, G: TrialLeaseService> TrialLeases<P, G> {
-    /// Starts without leases, and renews those granted by `group` until the process ends.
-    pub fn start(platform: P, group: G) -> Rc<Self> {
+    /// Starts without leases, and renews those granted by `service` until the process ends.
+    pub fn start(platform: P, service: G) -> Rc<Self> {
         let trial_leases = Rc::new(Self {
             platform: platform.clone(),
-            group,
+            service,
             holder: Incarnation(platform.random()),
             requested: Cell::new(0),
             leases: RefCell::default(),
@@ -86,7 +86,7 @@
         let id = TrialId { holder: self.holder, number };
         let limit_ms = limit.as_millis() as u64;
         let requested_at = self.platform.monotonic();
-        let answer = self.group.begin(TrialRequest { work, id, limit_ms }).await;
+        let answer = self.service.begin(TrialRequest { work, id, limit_ms }).await;
         let granted = answer == Ok(TrialResult::Granted);
         spdlog::info!("trial lease requested", kv: {
             work = work.log_prefix().as_str(), number = number, granted = granted, limit_ms = limit_ms,
@@ -186,7 +186,7 @@
         let (trial_leases, trial) = (self.trial_leases.clone(), self.trial);
         trial_leases.leases.borrow_mut().remove(&trial.id.number);
         self.trial_leases.platform.spawn(async move {
-            if let Err(reason) = trial_leases.group.end(trial).await {
+            if let Err(reason) = trial_leases.service.end(trial).await {
                 // The lease expires without a release too.
                 spdlog::warn!("trial lease not released, will expire", kv: {
                     work = trial.work.log_prefix().as_str(), reason = reason.as_str()
@@ -212,7 +212,7 @@
 
 async fn renew_due<P: Runtime, G: TrialLeaseService>(trial_leases: &Rc<TrialLeases<P, G>>, now: Duration) {
     let due = trial_leases.due(now);
-    match trial_leases.group.renew(due.clone()).await {
+    match trial_leases.service.renew(due.clone()).await {
         Ok(lost) => trial_leases.apply_renewal(&due, &lost, now),
         Err(reason) => {
             spdlog::warn!("trial leases not renewed, will retry", kv: { leases = due.len(), reason = reason.as_str() });
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -2,7 +2,7 @@
 
 use crate::commands;
 use crate::state::ControlState;
-use saddlerelay_layouts::commands::{Committed, decode};
+use saddlerelay_layouts::commands::{DecodedCommand, decode};
 use saddlerelay_replication::StateMachine;
 use saddlerelay_replication::segments::Segment;
 use saddlerelay_types::feature_level::FeatureLevel;
@@ -50,8 +50,8 @@
 
     fn apply(&mut self, command: &[u8]) -> CommandOutcome {
         match decode(command, self.level).expect("a committed command decodes at the current feature level") {
-            Committed::One(command) => commands::level_one::apply(&mut self.state, command),
-            Committed::Current(command) => commands::apply(&mut self.state, command),
+            DecodedCommand::One(command) => commands::level_one::apply(&mut self.state, command),
+            DecodedCommand::Current(command) => commands::apply(&mut self.state, command),
         }
     }
 
--- a/crates/control/tests/level_one.rs
+++ b/crates/control/tests/level_one.rs
@@ -4,7 +4,7 @@
 use saddlerelay_control::instance_watch::InstanceWatch;
 use saddlerelay_control::machine::ControlMachine;
 use saddlerelay_control::state::ControlState;
-use saddlerelay_layouts::commands::{Committed, decode, encode};
+use saddlerelay_layouts::commands::{DecodedCommand, decode, encode};
 use saddlerelay_layouts::level_one::follow::FollowConverter;
 use saddlerelay_layouts::level_one::gateway as one;
 use saddlerelay_layouts::level_one::protocol::{ControlReply, ControlRequest};
@@ -108,7 +108,7 @@
 #[test]
 fn log_entries_are_encoded_as_by_a_released_build() {
     for entry in frames(LOG) {
-        let Some(Committed::One(command)) = decode(entry, FeatureLevel::One) else {
+        let Some(DecodedCommand::One(command)) = decode(entry, FeatureLevel::One) else {
             panic!("an entry of a released build does not decode");
         };
         assert_eq!(bitcode::encode(&command), entry);
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -135,7 +135,7 @@
     if let Some(file) = &options.record {
         let faults = scenario.faults.iter().filter(|fault| faults::is_supported(&fault.kind)).cloned().collect();
         let recorded_scenario = Scenario { faults, duration_ms: duration.as_millis() as u64, ..scenario.clone() };
-        let trace = recording::recorded(&recorded_scenario, &fleet.borrow().plan.deployment, &records, started_at);
+        let trace = recording::record_trace(&recorded_scenario, &fleet.borrow().plan.deployment, &records, started_at);
         std::fs::write(file, trace.write()?)?;
     }
     let mut report = check(&records, &options.limits);
--- a/crates/layouts/src/commands.rs
+++ b/crates/layouts/src/commands.rs
@@ -7,7 +7,7 @@
 
 /// A decoded log command.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Committed {
+pub enum DecodedCommand {
     /// A command of level one.
     One(one::LogCommand),
     /// A command of the current types.
@@ -27,9 +27,9 @@
 }
 
 /// Decodes a log entry; `None` if it is malformed.
-pub fn decode(bytes: &[u8], level: FeatureLevel) -> Option<Committed> {
+pub fn decode(bytes: &[u8], level: FeatureLevel) -> Option<DecodedCommand> {
     match level {
-        FeatureLevel::One => bitcode::decode(bytes).ok().map(Committed::One),
-        FeatureLevel::Two => bitcode::decode(bytes).ok().map(Committed::Current),
+        FeatureLevel::One => bitcode::decode(bytes).ok().map(DecodedCommand::One),
+        FeatureLevel::Two => bitcode::decode(bytes).ok().map(DecodedCommand::Current),
     }
 }
--- a/crates/scenarios/src/recording.rs
+++ b/crates/scenarios/src/recording.rs
@@ -5,7 +5,7 @@
 use saddlerelay_checker::record::Record;
 
 /// Returns `scenario` with the arrivals in `records`. `started_at` is the start of the load in Unix milliseconds.
-pub fn recorded(scenario: &Scenario, deployment: &Deployment, records: &[Record], started_at: u64) -> Scenario {
+pub fn record_trace(scenario: &Scenario, deployment: &Deployment, records: &[Record], started_at: u64) -> Scenario {
     let mut arrivals: Vec<Arrival> =
         records.iter().filter_map(|record| arrival(deployment, record, started_at)).collect();
     arrivals.sort_by_key(|arrival| arrival.at_ms);
--- a/crates/scenarios/src/trace.rs
+++ b/crates/scenarios/src/trace.rs
@@ -4,7 +4,7 @@
 //! lists every arrival. A scenario can add random faults, which depend on the seed.
 
 use saddlerelay_checker::check::Limits;
-use saddlerelay_checker::report::{Promise, Report, Violation};
+use saddlerelay_checker::report::{Invariant, Report, Violation};
 use serde::{Deserialize, Serialize};
 
 /// The process that a fault affects.
@@ -240,7 +240,7 @@
         if counts.faults == 0 && counts.lost > 0 {
             failures.push(format!("{} requests without a final response", counts.lost));
         }
-        let violations = failures.into_iter().map(|detail| Violation { promise: Promise::StatedOutcome, detail });
+        let violations = failures.into_iter().map(|detail| Violation { promise: Invariant::StatedOutcome, detail });
         report.violations.extend(violations);
     }
 }
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -8,7 +8,7 @@
 use futures::executor::LocalPool;
 use saddlerelay_checker::check::check;
 use saddlerelay_checker::record::Record;
-use saddlerelay_checker::report::{Promise, Report, Violation};
+use saddlerelay_checker::report::{Invariant, Report, Violation};
 use saddlerelay_policies::PolicyName;
 use saddlerelay_runtime::Runtime;
 use saddlerelay_scenarios::deployment::{self, CallerLoad, Deployment, TenantLoad};
@@ -85,7 +85,7 @@
     scenario.check_outcome(&mut report);
     if let Some(at) = cluster.two_leaders_at.get() {
         let detail = format!("two control replicas could both serve reads at {at:?}");
-        report.violations.push(Violation { promise: Promise::Configuration, detail });
+        report.violations.push(Violation { promise: Invariant::Configuration, detail });
     }
     if !ended {
         let detail = format!(
@@ -94,11 +94,11 @@
             cluster.in_flight.get(),
             operators_ended.get()
         );
-        report.violations.push(Violation { promise: Promise::StatedOutcome, detail });
+        report.violations.push(Violation { promise: Invariant::StatedOutcome, detail });
     }
     let trace_hash = xxhash_rust::xxh3::xxh3_64(format!("{records:?}").as_bytes());
     let with_faults = Scenario { faults: all_faults.clone(), random_faults: 0, ..scenario.clone() };
-    let recorded = recording::recorded(&with_faults, &cluster.deployment, &records, started_at);
+    let recorded = recording::record_trace(&with_faults, &cluster.deployment, &records, started_at);
     Ok(RunOutcome {
         report,
         recorded,
