--- a/crates/gateway-api/tests/results.rs
+++ b/crates/gateway-api/tests/results.rs
@@ -54,7 +54,7 @@
         let address = deployment.node.replica().member_addresses();
         let address = address.into_iter().find(|address| Some(*address) != gateway.control().current_address());
         let address = address.expect("the group has no second member");
-        let position = deployment.node.replica().read_index().expect("the leader has no read position");
+        let position = deployment.node.replica().read_index().expect("the leader returned no read index");
         let read = async |position, id: &str| {
             let job = JobId(id.to_string());
             let request = GatewayRequest::ReadResultsAt { position, job, after: 0, wait_ms: 0, caller: Caller::Anyone };
@@ -77,6 +77,6 @@
         assert!(
             matches!(leader_position.await, Ok::<_, GatewayError>(GatewayReply::Position(returned)) if returned >= position)
         );
-        assert_eq!(replica.replica().read_index(), None, "only the leader returns a read position");
+        assert_eq!(replica.replica().read_index(), None, "only the leader returns a read index");
     });
 }
