--- a/crates/control/src/follow.rs
+++ b/crates/control/src/follow.rs
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Confirms the state of a follower that serves relays: returns the read position, group time and number of relays.
+    /// Confirms the state of a follower that serves relays: returns the read index, group time and number of relays.
     pub(crate) fn confirm(&self, relay_data: RelayData) -> ControlReply {
         let Some(position) = self.inner.replica.read_index() else {
             return self.not_leader();
